--- a/lifecycle/caller.go
+++ b/lifecycle/caller.go
@@ -3,92 +3,110 @@
 import "time"
 
 const (
-	// wholeWithin is how long a caller has from connecting for its first message, and for each later one from its first byte until it is whole: far
-	// longer than any message takes, short enough that those who say nothing hold a descriptor no longer. An idle connection that has spoken stays.
-	wholeWithin = 2 * time.Second
-	// slowMore is how much longer a message may take whose bytes keep coming, at least every slowPause: a caller on a slow path. Whoever says
-	// nothing, or stops in the middle, has wholeWithin; all of them hear their end within 3 s of connecting.
-	slowMore  = 750 * time.Millisecond
-	slowPause = 700 * time.Millisecond
-	// lingerFor is how long a connection that was told its end may go on sending.
-	lingerFor = 2500 * time.Millisecond
+	// messageTimeout is how long a caller has to complete its first message after connecting, and each later
+	// message after its first byte. It is far longer than any message takes, and short enough that silent clients
+	// don't hold file descriptors for long. An idle connection that has delivered a valid message is not closed.
+	messageTimeout = 2 * time.Second
+	// slowMessageExtension is added to messageTimeout while bytes of the message keep arriving with pauses
+	// shorter than maxSlowMessagePause, as from a caller on a slow path. Callers that send nothing or stop in the
+	// middle only have messageTimeout. All of them are closed within 3 s of connecting.
+	slowMessageExtension = 750 * time.Millisecond
+	maxSlowMessagePause  = 700 * time.Millisecond
+	// lingerTimeout is how long the peer may go on sending after it was notified that the connection is being
+	// closed.
+	lingerTimeout = 2500 * time.Millisecond
 )
 
-// Caller is what decides how long a caller's connection may stay and who goes first where there is no room. It begins with Came.
+// CallerConn tracks the timeouts of a caller's connection and its rank when connections must be closed to free
+// descriptors. Connected initializes it. It is not safe for concurrent use.
 type Caller struct {
-	since, heard time.Duration
-	by           time.Duration // when it goes unless a message is whole by then; 0: none has begun
-	spoke, over  bool
+	connectedAt     time.Duration
+	lastReceived    time.Duration // when data last arrived; when it connected if none has
+	deadline        time.Duration // of the message in progress, or of the close; 0: no message has begun
+	hasValidMessage bool          // a valid message has arrived
+	closing         bool          // the peer was notified of the close
 }
 
-// Came begins a connection.
+// Connected resets the state for a connection accepted at now.
 func (c *Caller) Came(now time.Duration) {
-	*c = Caller{since: now, heard: now, by: now + wholeWithin}
+	*c = Caller{connectedAt: now, lastReceived: now, deadline: now + messageTimeout}
 }
 
-// Known says that the connection has come from another process, where it has spoken; within is whether a message has begun.
-func (c *Caller) Known(within bool) {
-	c.spoke = true
-	if !within {
-		c.by = 0
+// Inherited records that the connection was taken over from another process, where it has delivered a valid message.
+// messageBegun is whether it is in the middle of another one.
+func (c *Caller) Known(messageBegun bool) {
+	c.hasValidMessage = true
+	if !messageBegun {
+		c.deadline = 0
 	}
 }
 
-// Heard says that bytes have come.
-func (c *Caller) Heard(now time.Duration) { c.heard = now }
+// Received records that bytes arrived.
+func (c *Caller) Heard(now time.Duration) { c.lastReceived = now }
 
-// Begun says that a message is not whole yet.
+// MessageBegun records that a message has arrived in part, which starts its timeout unless one is running.
 func (c *Caller) Begun(now time.Duration) {
-	if c.by == 0 {
-		c.by = now + wholeWithin
+	if c.deadline == 0 {
+		c.deadline = now + messageTimeout
 	}
 }
 
-// Spoke says that a usable message was whole.
-func (c *Caller) Spoke() { c.spoke = true }
+// MessageValid records that a valid message was received.
+func (c *Caller) Spoke() { c.hasValidMessage = true }
 
-// Whole says that a message has ended: the next has its own time. It needs a usable one to have come.
+// MessageComplete stops the message timeout, so that the next message has its own. It has no effect before a valid
+// message was received or once the connection is closing.
 func (c *Caller) Whole() {
-	if c.spoke && !c.over {
-		c.by = 0
+	if c.hasValidMessage && !c.closing {
+		c.deadline = 0
 	}
 }
 
-// Over says that the connection was told its end, which it has a while to take; false: it was already.
+// BeginClose records that the peer was notified of the close and starts the linger timeout. It returns false if
+// that has happened before.
 func (c *Caller) Over(now time.Duration) bool {
-	if c.over {
+	if c.closing {
 		return false
 	}
-	c.over, c.by = true, now+lingerFor
+	c.closing, c.deadline = true, now+lingerTimeout
 	return true
 }
 
-// Ended says whether it was told its end, Spoken whether a usable message has come; Since is when it connected and Last when it last sent something.
-func (c *Caller) Ended() bool          { return c.over }
-func (c *Caller) Spoken() bool         { return c.spoke }
-func (c *Caller) Since() time.Duration { return c.since }
-func (c *Caller) Last() time.Duration  { return c.heard }
+// Closing reports whether the peer was notified of the close.
+func (c *Caller) Ended() bool { return c.closing }
 
-// Late says whether its time is up. A message that is past it but keeps coming has a little more.
+// HasValidMessage reports whether a valid message was received.
+func (c *Caller) Spoken() bool { return c.hasValidMessage }
+
+// ConnectedAt returns when the caller connected.
+func (c *Caller) Since() time.Duration { return c.connectedAt }
+
+// LastReceived returns when data last arrived.
+func (c *Caller) Last() time.Duration { return c.lastReceived }
+
+// TimedOut reports whether the connection has exceeded its deadline. A message whose bytes keep arriving is given
+// slowMessageExtension more.
 func (c *Caller) Late(now time.Duration) bool {
-	slow := !c.over && now < c.by+slowMore && now-c.heard < slowPause
-	return c.by > 0 && now >= c.by && !slow
+	slow := !c.closing && now < c.deadline+slowMessageExtension && now-c.lastReceived < maxSlowMessagePause
+	return c.deadline > 0 && now >= c.deadline && !slow
 }
 
-// Before says which of two connections without a set-up goes first where there is no room: one that was told its end, else one that has not spoken,
-// and among equals the one silent longest.
+// ClosesBefore reports whether the connection is to be closed before another one when descriptors run out and
+// neither has a set-up: first those that are closing, then those without a valid message, and among equals the
+// one that has been silent longest.
 func (c *Caller) Before(other *Caller) bool {
-	if a, b := c.standing(), other.standing(); a != b {
-		return a < b
+	if rank, otherRank := c.closeRank(), other.closeRank(); rank != otherRank {
+		return rank < otherRank
 	}
-	return c.heard < other.heard
+	return c.lastReceived < other.lastReceived
 }
 
-func (c *Caller) standing() int {
+// closeRank returns the class by which connections are closed, lowest first.
+func (c *Caller) closeRank() int {
 	switch {
-	case c.over:
+	case c.closing:
 		return 0
-	case !c.spoke:
+	case !c.hasValidMessage:
 		return 1
 	}
 	return 2
--- a/lifecycle/caller_test.go
+++ b/lifecycle/caller_test.go
@@ -9,9 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// However a caller's bytes come, one without a whole first message is out of time within 2.75 s, one that stops no later than 0.7 s
-// after that or at 2 s, and one whose message is whole in time stays for good.
-func TestPatience(t *testing.T) {
+// Guards against clients that hold a connection without completing a message. Whatever the timing of its bytes, a
+// caller without a complete first message times out within 2.75 s; one that stops sending does so 0.7 s after its
+// last byte, but not before 2 s. A caller whose message is complete in time may stay idle.
+func TestCallerTimeouts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Caller
 		now := time.Hour
@@ -30,22 +31,23 @@
 			if now >= whole {
 				c.Spoke()
 				c.Whole()
-				require.False(t, c.Late(now+time.Hour), "an idle connection that has spoken was ended")
+				require.False(t, c.Late(now+time.Hour), "an idle connection with a valid message timed out")
 				c.Begun(now)
 				require.True(t, c.Late(now+2*time.Second))
 				require.True(t, c.Over(now) && !c.Over(now))
 				c.Whole()
-				require.True(t, c.Late(now+lingerFor))
+				require.True(t, c.Late(now+lingerTimeout))
 				return
 			}
 			c.Begun(now)
 		}
-		require.Fail(t, "never late")
+		require.Fail(t, "never timed out")
 	})
 }
 
-// Who goes first is one order: told its end, not spoken, spoken; and the one silent longest among equals.
-func TestWhoGoesFirst(t *testing.T) {
+// ClosesBefore is one total order: connections that are closing, those without a valid message, those with one;
+// among equals, the one that has been silent longest comes first.
+func TestCloseOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []*Caller
 		for range rapid.IntRange(2, 20).Draw(t, "connections") {
--- a/lifecycle/handover.go
+++ b/lifecycle/handover.go
@@ -3,80 +3,88 @@
 import "time"
 
 const (
-	// takeWithin is how long a process that was told to end waits for its successor's word that it accepts callers.
-	takeWithin = 300 * time.Millisecond
+	// takeoverTimeout is how long a process that is shutting down waits for the new process to confirm that it
+	// accepts callers.
+	takeoverTimeout = 300 * time.Millisecond
 )
 
-// Elder is the side of a hand-over that serves callers and may have a successor. It decides whom to hand over to and when; the zero value
-// has no successor.
+// OldProcess is the side of a hot restart that serves callers and may have a successor. It decides to whom
+// callers are handed over and when. The zero value has no successor. It is not safe for concurrent use.
 type Elder struct {
-	successor bool
-	asked     time.Duration // when the successor was asked to take over; 0: it has not been
-	taken     bool          // it has said that it accepts
+	hasSuccessor bool
+	requestedAt  time.Duration // when the successor was asked to take over; 0: not yet
+	confirmed    bool          // the successor has confirmed that it accepts callers
 }
 
-// Welcome says whether a process that asks becomes the successor. While there is one, another has to wait; once the callers are being handed over it is too late.
+// AcceptSuccessor reports whether a process that asks to become the successor is accepted. There is one successor
+// at a time; any other has to wait, and has come too late once the callers are being handed over.
 func (e *Elder) Welcome() bool {
-	if e.successor {
+	if e.hasSuccessor {
 		return false
 	}
-	e.successor = true
+	e.hasSuccessor = true
 	return true
 }
 
-// Lost says that the successor is gone.
+// SuccessorLost records that the successor is gone.
 func (e *Elder) Lost() { *e = Elder{} }
 
-// Ask begins the hand-over as the process is told to end; false where nobody is there to take over.
+// RequestTakeover begins the hand-over when the process is told to shut down. It returns false if there is no
+// successor or it was asked before.
 func (e *Elder) Ask(now time.Duration) bool {
-	if !e.successor || e.asked > 0 {
+	if !e.hasSuccessor || e.requestedAt > 0 {
 		return false
 	}
-	e.asked = now
+	e.requestedAt = now
 	return true
 }
 
-// Waiting says whether the successor's word is still awaited. Until then this process serves as ever.
+// AwaitingTakeover reports whether the successor's confirmation is still pending. Until then this process serves as
+// before.
 func (e *Elder) Waiting(now time.Duration) bool {
-	return e.asked > 0 && !e.taken && now < e.asked+takeWithin
+	return e.requestedAt > 0 && !e.confirmed && now < e.requestedAt+takeoverTimeout
 }
 
-// Taken takes the successor's word that it accepts; false where it was not asked, or too late.
+// ConfirmTakeover records the successor's confirmation that it accepts callers. It returns false if it was not
+// asked to, or if the confirmation came too late.
 func (e *Elder) Taken(now time.Duration) bool {
 	if !e.Waiting(now) {
 		return false
 	}
-	e.taken = true
+	e.confirmed = true
 	return true
 }
 
-// Handing says whether callers are with the successor now.
-func (e *Elder) Handing() bool { return e.taken }
+// HandedOver reports whether the successor now accepts the callers.
+func (e *Elder) Handing() bool { return e.confirmed }
 
-// Successor is the side that will serve once the other is told to end, or dies. The zero value has nobody before it and serves.
+// NewProcess is the side of a hot restart that serves once the old process is told to shut down, or dies. The
+// zero value has no old process and serves. It is not safe for concurrent use.
 type Successor struct {
-	standby bool // the elder decides
-	elder   bool // it is there
+	standby         bool // the old process decides
+	oldProcessAlive bool // the old process still runs
 }
 
-// Wait says that an elder has welcomed this process.
-func (h *Successor) Wait() { h.standby, h.elder = true, true }
+// StandBy records that an old process has accepted this one as its successor.
+func (h *Successor) Wait() { h.standby, h.oldProcessAlive = true, true }
 
-// Standby says whether the elder still decides: no caller is taken, and what servers say of calls that are not known here is the elder's matter.
+// InStandby reports whether the old process still decides. Until it doesn't, no callers are accepted here, and
+// messages of servers about calls unknown here are left to the old process.
 func (h *Successor) Standby() bool { return h.standby }
 
-// Elder says whether the other process is still there, with calls of its own.
-func (h *Successor) Elder() bool { return h.elder }
+// OldProcessAlive reports whether the old process still runs, with calls of its own.
+func (h *Successor) Elder() bool { return h.oldProcessAlive }
 
-// Take has this process serve; false where it does already.
+// TakeOver makes this process serve. It returns false if it already does.
 func (h *Successor) Take() bool {
-	was := h.standby
+	wasStandby := h.standby
 	h.standby = false
-	return was
+	return wasStandby
 }
 
-// Lost says that the elder has gone; take is whether this process has to take over because of it.
-func (h *Successor) Lost() (take bool) {
-	h.elder = false
+// OldProcessLost records that the old process is gone. It returns whether this process has to take over because
+// of that.
+func (h *Successor) Lost() (mustTakeOver bool) {
+	h.oldProcessAlive = false
 	return h.standby
 }
--- a/lifecycle/lifecycle.go
+++ b/lifecycle/lifecycle.go
@@ -1,6 +1,7 @@
-// Package lifecycle owns the state of the router's process as its operators see it: starting, ready, draining, ending,
-// replaced; and what follows from it for callers' connections: which may be closed, when, and what is turned away. It is a
-// pure state machine of events and absolute times. It must never do I/O, read a clock, know a message or choose a server.
+// Package lifecycle holds the state of the router's process as operators see it (starting, ready, draining,
+// ending, replaced by a new process) and derives from it which connections of callers may be closed, when, and
+// which set-ups are refused. It is a pure state machine over events and absolute times, and its types are not
+// safe for concurrent use. It must never do I/O, read a clock, depend on a message format or choose a server.
 package lifecycle
 
 import (
@@ -9,159 +10,175 @@
 )
 
 const (
-	// settle is how long after a drain began callers may still come on new connections: the front looks ten times a second and
-	// stops 0.2 s after it has seen a no; the rest is slack. A connection closed before would come straight back.
-	settle = 400 * time.Millisecond
-	// spread is the time over which idle connections are closed, so that their callers do not turn elsewhere at once.
-	spread = 1200 * time.Millisecond
-	// busyUntil is how long after a drain began set-ups are taken on connections that are still there; later ones would hardly be
-	// answered in time.
-	busyUntil = 3 * time.Second
-	// youngFrom and youngUntil: 4 s after a drain began no connection may be left with a set-up of the last 2 s. Those that came from youngFrom
-	// on and are still open at youngUntil end there.
-	youngFrom  = 1900 * time.Millisecond
-	youngUntil = 3800 * time.Millisecond
-	// lastUntil is how long the last connection that callers have is kept for the releases of calls that stand.
-	lastUntil = 3600 * time.Millisecond
-	// quiet is how long a connection that has come during a drain may say nothing.
-	quiet = 300 * time.Millisecond
+	// drainSettleDelay is how long after the start of a drain callers may still open connections. The front polls
+	// readiness ten times a second and stops sending callers 0.2 s after it saw the router not ready; the rest is
+	// slack. The caller of a connection closed earlier would reconnect here.
+	drainSettleDelay = 400 * time.Millisecond
+	// idleCloseSpread is the period over which idle connections are closed, so that their callers don't all
+	// reconnect elsewhere at once.
+	idleCloseSpread = 1200 * time.Millisecond
+	// setupRefusalDelay is how long after the start of a drain set-ups are accepted on remaining connections.
+	// Later ones would hardly be answered in time.
+	setupRefusalDelay = 3 * time.Second
+	// recentSetupFrom and recentSetupEndDelay count from the start of a drain. 4 s after it no connection may be
+	// left with a set-up of the last 2 s, so set-ups that arrive from recentSetupFrom on and are still pending at
+	// recentSetupEndDelay are ended then.
+	recentSetupFrom     = 1900 * time.Millisecond
+	recentSetupEndDelay = 3800 * time.Millisecond
+	// lastConnCloseDelay is how long after the start of a drain the last connection of the callers is kept, so
+	// that releases of established calls can arrive.
+	lastConnCloseDelay = 3600 * time.Millisecond
+	// newConnIdleTimeout is how long a connection opened during a drain may be silent.
+	newConnIdleTimeout = 300 * time.Millisecond
 )
 
-// State is what the process is at.
+// State is the state of the process.
 type State int
 
-// States.
+// The states of a process.
 const (
 	Starting State = iota // not yet able to serve
-	Serving
-	Draining // asked to by an operator; serving again when asked to
-	Ending   // told to end; it will
+	Serving               // accepts callers
+	Draining              // drained by an operator, who may also resume it
+	Ending                // told to shut down, which can't be undone
 )
 
+// String returns the state in lower case.
 func (s State) String() string {
 	return [...]string{"starting", "serving", "draining", "ending"}[s]
 }
 
-// ErrEnding is why a process that was told to end cannot be drained or brought back.
+// ErrEnding is returned when a process that was told to shut down is asked to drain or to resume.
 var ErrEnding = errors.New("the process is ending")
 
-// Process is the state of one process. The zero value is starting.
+// Process holds the lifecycle state of one process. The zero value is Starting.
 type Process struct {
-	listening, listed bool
-	drained           bool
-	ending            bool
-	succeeded         bool          // another process takes the callers
-	closing           bool          // no caller comes any more
-	since             time.Duration // when the present drain or end began
-	changes           uint64
+	listening, serversListed bool
+	draining                 bool
+	ending                   bool
+	hasSuccessor             bool          // a new process accepts the callers
+	closingIdle              bool          // no new callers arrive any more
+	leavingSince             time.Duration // when the current drain or shutdown began
+	changes                  uint64
 }
 
-// Listening says that callers can connect.
+// Listening records that callers can connect.
 func (p *Process) Listening() { p.listening = true }
 
-// Listed says that the list of case servers is known.
-func (p *Process) Listed() { p.listed = true }
+// ServersListed records that the list of case servers is known.
+func (p *Process) Listed() { p.serversListed = true }
 
-// State is the present state.
+// State returns the current state.
 func (p *Process) State() State {
 	switch {
 	case p.ending:
 		return Ending
-	case p.drained:
+	case p.draining:
 		return Draining
-	case p.listening && p.listed:
+	case p.listening && p.serversListed:
 		return Serving
 	}
 	return Starting
 }
 
-// Ready says whether callers may be sent here.
+// Ready reports whether callers may be sent here.
 func (p *Process) Ready() bool { return p.State() == Serving }
 
-// Leaving says whether callers who ask are told to go elsewhere: the process drains, or ends and nobody takes its place.
-func (p *Process) Leaving() bool { return p.drained || p.ending && !p.succeeded }
+// Leaving reports whether callers that probe the router are sent elsewhere: the process is draining, or shutting
+// down without a successor.
+func (p *Process) Leaving() bool { return p.draining || p.ending && !p.hasSuccessor }
 
-// Succeeded says whether another process takes the callers of one that ends.
-func (p *Process) Succeeded(yes bool) { p.succeeded = yes }
+// SetSuccessor sets whether a new process accepts the callers of this one when it shuts down.
+func (p *Process) Succeeded(hasSuccessor bool) { p.hasSuccessor = hasSuccessor }
 
-// Drain begins a drain; one that has begun goes on as it is. changed is false where nothing has changed.
+// Drain begins a drain. changed is false if one is already under way, which continues unchanged. The error is
+// ErrEnding or nil.
 func (p *Process) Drain(now time.Duration) (changed bool, err error) {
 	if p.ending {
 		return false, ErrEnding
 	}
-	if p.drained {
+	if p.draining {
 		return false, nil
 	}
-	p.drained, p.since = true, now
+	p.draining, p.leavingSince = true, now
 	p.changes++
 	return true, nil
 }
 
-// Resume ends a drain at any moment of it.
+// Resume ends a drain, at any time. changed is false if there was none. The error is ErrEnding or nil.
 func (p *Process) Resume() (changed bool, err error) {
 	if p.ending {
 		return false, ErrEnding
 	}
-	changed = p.drained
-	p.drained = false
+	changed = p.draining
+	p.draining = false
 	if changed {
 		p.changes++
 	}
 	return changed, nil
 }
 
-// End says that the process was told to end. There is no way back.
+// End records that the process was told to shut down, which can't be undone.
 func (p *Process) End(now time.Duration) {
 	if !p.ending {
-		p.ending, p.since = true, now
+		p.ending, p.leavingSince = true, now
 		p.changes++
 	}
 }
 
-// Changes counts drains, resumes and the end: whoever acts on a state later asks whether it is still the same.
+// Changes returns the number of drains, resumes and shutdowns so far, from which deferred work can tell whether
+// the state it was started for still holds.
 func (p *Process) Changes() uint64 { return p.changes }
 
-// Conn is what is known of a caller's connection.
+// ConnState describes a caller's connection.
 type Conn struct {
-	Open  int           // set-ups on it that are owed an answer
+	Open  int           // pending set-ups on it
 	Since time.Duration // when it was accepted
-	Heard time.Duration // when it last sent something
-	Share float64       // its place in the spread, from 0 to 1
-	Last  bool          // releases of calls that stand have no other way
+	Heard time.Duration // when data last arrived on it
+	Share float64       // its position within idleCloseSpread, from 0 to 1
+	Last  bool          // releases of established calls can't arrive on any other connection
 }
 
-// Closing says that a process that ends takes no new callers any more: what is idle goes, and the rest as it is answered.
-func (p *Process) Closing() { p.closing = p.ending }
+// BeginClosing records that a process that is shutting down accepts no new callers any more. From then on idle
+// connections are closed at once and the others when their set-ups are answered. It has no effect in other states.
+func (p *Process) Closing() { p.closingIdle = p.ending }
 
-// Letting says whether the connection is to be closed now because the process drains: once callers have somewhere else to go,
-// in its place of the spread, and never while it is owed an answer.
-func (p *Process) Letting(now time.Duration, c Conn) bool {
-	if p.closing {
-		return c.Open == 0
+// ShouldClose reports whether the connection is to be closed now because the process is draining or shutting
+// down. In a drain that is once callers are sent elsewhere, at the connection's position in the spread. It is
+// never while a set-up on the connection is pending.
+func (p *Process) Letting(now time.Duration, conn Conn) bool {
+	if p.closingIdle {
+		return conn.Open == 0
 	}
-	if !p.drained || p.ending || c.Open > 0 {
+	if !p.draining || p.ending || conn.Open > 0 {
 		return false
 	}
-	if c.Last && now < p.since+lastUntil {
+	if conn.Last && now < p.leavingSince+lastConnCloseDelay {
 		return false
 	}
-	if c.Since > p.since { // it may be about to send its first set-up
-		return now >= max(c.Heard, c.Since)+quiet && now >= p.since+settle
+	if conn.Since > p.leavingSince { // it may be about to send its first set-up
+		return now >= max(conn.Heard, conn.Since)+newConnIdleTimeout && now >= p.leavingSince+drainSettleDelay
 	}
-	return now >= p.since+settle+time.Duration(c.Share*float64(spread))
+	return now >= p.leavingSince+drainSettleDelay+time.Duration(conn.Share*float64(idleCloseSpread))
 }
 
-// LettingAnswered is Letting for a connection whose last open set-up was answered just now: it has had its time.
-func (p *Process) LettingAnswered(now time.Duration, c Conn) bool {
-	return p.closing && c.Open == 0 || p.drained && !p.ending && c.Open == 0 && now >= p.since+settle && !(c.Last && now < p.since+lastUntil)
+// ShouldCloseAnswered is ShouldClose for a connection whose last pending set-up was just answered. It doesn't
+// wait for the connection's position in the spread.
+func (p *Process) LettingAnswered(now time.Duration, conn Conn) bool {
+	return p.closingIdle && conn.Open == 0 ||
+		p.draining && !p.ending && conn.Open == 0 && now >= p.leavingSince+drainSettleDelay &&
+			!(conn.Last && now < p.leavingSince+lastConnCloseDelay)
 }
 
-// Turning says whether a set-up that comes now on the connection is turned away because it would hold the connection too long.
-func (p *Process) Turning(now time.Duration, c Conn) bool {
-	return p.drained && !p.ending && now >= p.since+busyUntil
+// RefusesSetup reports whether a set-up that arrives now on the connection is refused because it would keep the
+// connection open too long.
+func (p *Process) Turning(now time.Duration, conn Conn) bool {
+	return p.draining && !p.ending && now >= p.leavingSince+setupRefusalDelay
 }
 
-// Overstays says whether a set-up that came at a time and is still open has to end now for its connection to be free in time.
-func (p *Process) Overstays(now, came time.Duration) bool {
-	return p.drained && !p.ending && came >= p.since+youngFrom && now >= p.since+youngUntil
+// ShouldEndSetup reports whether a set-up that arrived at arrivedAt and is still pending has to end now for its
+// connection to be closed in time.
+func (p *Process) Overstays(now, arrivedAt time.Duration) bool {
+	return p.draining && !p.ending && arrivedAt >= p.leavingSince+recentSetupFrom &&
+		now >= p.leavingSince+recentSetupEndDelay
 }
--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -10,14 +10,15 @@
 
 const ms = time.Millisecond
 
-func serving() *Process {
+func newServingProcess() *Process {
 	p := &Process{}
 	p.Listening()
 	p.Listed()
 	return p
 }
 
-// A process is ready once it listens and knows its servers, and until it drains or ends; after the end there is no way back.
+// A process is ready from when it listens and knows its servers until it drains or shuts down. A shutdown can't
+// be undone.
 func TestStates(t *testing.T) {
 	p := &Process{}
 	require.Equal(t, Starting, p.State())
@@ -44,13 +45,15 @@
 	require.False(t, p.Leaving())
 }
 
-// However connections are used, 4 s into a drain none is left that is idle or has a set-up of the last 2 s, none with a set-up owed is closed,
-// and none is closed in the first moments; before and after a drain none is.
-func TestDrainIsKept(t *testing.T) {
+// Guards the promises of a drain, however connections are used. After 4 s no connection is left that is idle or
+// whose set-ups arrived in the last 2 s. None is closed while a set-up is pending, none before drainSettleDelay,
+// and none before or after a drain.
+func TestDrainPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, began := serving(), time.Hour
-		c := Conn{Share: rapid.Float64Range(0, 1).Draw(t, "share"), Since: began - time.Duration(rapid.IntRange(-300, 5000).Draw(t, "since"))*ms,
-			Last: rapid.Bool().Draw(t, "last")}
+		p, began := newServingProcess(), time.Hour
+		c := Conn{Share: rapid.Float64Range(0, 1).Draw(t, "share"),
+			Since: began - time.Duration(rapid.IntRange(-300, 5000).Draw(t, "since"))*ms,
+			Last:  rapid.Bool().Draw(t, "last")}
 		c.Heard = c.Since
 		require.False(t, p.Letting(began, c))
 		p.Drain(began)
@@ -70,7 +73,7 @@
 			}
 			if c.Open = len(open); now%(100*ms) == 0 && p.Letting(now, c) {
 				require.Zero(t, c.Open)
-				require.GreaterOrEqual(t, now, began+settle)
+				require.GreaterOrEqual(t, now, began+drainSettleDelay)
 				gone = true
 			}
 			if !gone && now >= c.Since && rapid.IntRange(0, 5).Draw(t, "set-up") == 0 {
@@ -81,7 +84,7 @@
 			}
 		}
 		for _, s := range open {
-			require.True(t, gone || s.came < began+2*time.Second, "a young set-up is left")
+			require.True(t, gone || s.came < began+2*time.Second, "a recent set-up is left")
 		}
 		require.True(t, gone || len(open) > 0, "an idle connection is left")
 		p.Resume()
@@ -89,15 +92,17 @@
 	})
 }
 
-// Whatever the order of events on both sides, at most one process decides while they can speak to each other, and one does as soon as the other has gone.
-func TestOneDecides(t *testing.T) {
+// Guards against two processes serving at once, or none, in a hot restart. Whatever the order of events on both
+// sides, at most one process decides while they are connected, and the new one does as soon as the old one is
+// gone.
+func TestOneProcessServes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var old Elder
 		var next Successor
 		now, linked := time.Hour, old.Welcome()
 		next.Wait()
 		require.False(t, old.Welcome(), "a third process has to wait")
-		var take, taken bool // on their way
+		var take, taken bool // messages in transit
 		for range rapid.IntRange(1, 20).Draw(t, "events") {
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
@@ -120,7 +125,7 @@
 					}
 				}
 			}
-			require.False(t, old.Handing() && next.Standby(), "handed over to nobody")
+			require.False(t, old.Handing() && next.Standby(), "callers handed over to a process in standby")
 			if !linked {
 				require.False(t, next.Standby())
 				require.False(t, next.Elder())
@@ -130,7 +135,7 @@
 			}
 		}
 		if old.Ask(now) {
-			require.False(t, old.Taken(now+takeWithin), "too late")
+			require.False(t, old.Taken(now+takeoverTimeout), "too late")
 		}
 	})
 }
--- a/router/clone.go
+++ b/router/clone.go
@@ -12,135 +12,155 @@
 	"threadglade.example/threadglade"
 )
 
-// This file owns copies of a Router and the canonical form of its state, with which every order of events can be tried from
-// one state. It must never change the Router that it copies, or be called while that is at work.
+// This file copies a Router and appends a canonical form of its state, for model checking: from one state every
+// order of events can be explored. It must never change the Router that it copies, and must not be called while
+// that processes a step.
 
-// ErrBusy is why a Router cannot be cloned: it is at work, or has a timer that somebody else set, whose function cannot be copied.
-var ErrBusy = errors.New("router: it is at work, or holds a timer that is not its own")
+// ErrBusy is returned by Clone if the Router is processing a step, or holds a timer set by Schedule, whose
+// callback can't be copied.
+var ErrBusy = errors.New("router: cannot clone while a step is processed or a timer with a callback is set")
 
-// Clone returns a copy that goes on exactly as the original would and shares nothing with it that either changes. The copy
-// has the clock, trunk, observer and hooks of cfg and the original's settings and randomness; front tells what stands in for
-// each front.
+// Clone returns a copy that behaves exactly as the original would and shares no mutable state with it. The copy
+// has the clock, trunk, observer and hooks of cfg, and the settings and the random state of the original. front
+// returns the replacement for each front. The error is ErrBusy or nil.
 func (r *Router) Clone(cfg Config, front func(Front) Front) (*Router, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.busy || len(r.queue) > 0 {
 		return nil, ErrBusy
 	}
-	cfg.Settings, cfg.Seed = *r.inForce, r.cfg.Seed
-	d := &Router{cfg: cfg, control: r.control.Clone(), inForce: r.inForce, calls: make(map[string]*call, len(r.calls)), servers: make(map[string]*server, len(r.servers)),
-		over: maps.Clone(r.over), overAt: slices.Clone(r.overAt), lapsing: r.lapsing, strays: r.strays, second: r.second, foreign: r.foreign, count: r.count,
-		slots: slices.Clone(r.slots), slot: r.slot, timers: slices.Clone(r.timers), order: r.order, taken: r.taken}
-	d.open.Store(r.open.Load())
-	copies := map[*call]*call{}
-	of := func(c *call) *call {
-		if c == nil || copies[c] != nil {
-			return copies[c]
+	cfg.Settings, cfg.Seed = *r.settings, r.cfg.Seed
+	clone := &Router{
+		cfg:                cfg,
+		controller:         r.controller.Clone(),
+		settings:           r.settings,
+		calls:              make(map[string]*callState, len(r.calls)),
+		servers:            make(map[string]*serverState, len(r.servers)),
+		endedCalls:         maps.Clone(r.endedCalls),
+		endedOrder:         slices.Clone(r.endedOrder),
+		expiryScheduled:    r.expiryScheduled,
+		unexpectedReleases: r.unexpectedReleases,
+		windowStart:        r.windowStart,
+		foreignReleases:    r.foreignReleases,
+		counters:           r.counters,
+		freeSlots:          slices.Clone(r.freeSlots),
+		highestSlot:        r.highestSlot,
+		timers:             slices.Clone(r.timers),
+		timerOrder:         r.timerOrder,
+		snapshot:           r.snapshot,
+	}
+	clone.openRequests.Store(r.openRequests.Load())
+	copies := map[*callState]*callState{}
+	copyCall := func(original *callState) *callState {
+		if original == nil || copies[original] != nil {
+			return copies[original]
 		}
-		n := *c // descriptions are replaced, never written to
-		n.front = front(c.front)
-		copies[c] = &n
-		return &n
+		copied := *original // descriptions may be shared: they are replaced, never written to
+		copied.front = front(original.front)
+		copies[original] = &copied
+		return &copied
 	}
-	for id, c := range r.calls {
-		d.calls[id] = of(c)
+	for id, original := range r.calls {
+		clone.calls[id] = copyCall(original)
 	}
-	for id, s := range r.servers {
-		n := *s
-		d.servers[id] = &n
+	for id, server := range r.servers {
+		copied := *server
+		clone.servers[id] = &copied
 	}
-	for i := range d.timers {
-		if d.timers[i].kind == timerOther {
+	for i := range clone.timers {
+		if clone.timers[i].kind == timerExternal {
 			return nil, ErrBusy
 		}
-		d.timers[i].call = of(d.timers[i].call)
+		clone.timers[i].call = copyCall(clone.timers[i].call)
 	}
-	return d, nil
+	return clone, nil
 }
 
-// AppendState appends a canonical form of all that decisions of the Router and its Controller depend on, times as ages at now: two
-// Routers whose forms are the same go on alike.
+// AppendState appends to b a canonical form of all state that decisions of the Router and its Controller depend
+// on, with times relative to now. Two Routers with the same form behave the same from then on.
 func (r *Router) AppendState(b []byte, now time.Duration) []byte {
-	b = r.control.AppendState(b, now)
-	text := func(s string) { b = append(binary.AppendUvarint(b, uint64(len(s))), s...) }
-	number := func(n int64) { b = binary.AppendVarint(b, n) }
-	flag := func(is bool) {
-		if is {
-			number(1)
+	b = r.controller.AppendState(b, now)
+	appendText := func(text string) { b = append(binary.AppendUvarint(b, uint64(len(text))), text...) }
+	appendNumber := func(n int64) { b = binary.AppendVarint(b, n) }
+	appendFlag := func(flag bool) {
+		if flag {
+			appendNumber(1)
 		} else {
-			number(0)
+			appendNumber(0)
 		}
 	}
-	number(int64(len(r.calls)))
+	appendNumber(int64(len(r.calls)))
 	for _, id := range slices.Sorted(maps.Keys(r.calls)) {
-		c := r.calls[id]
-		text(id)
-		number(int64(c.Deadline - now))
-		number(int64(c.attempts))
-		text(c.attempt.Server)
-		flag(c.out)
-		flag(c.standing)
-		flag(c.final)
-		flag(c.left)
-		number(int64(max(0, c.hold-now)))
+		call := r.calls[id]
+		appendText(id)
+		appendNumber(int64(call.Deadline - now))
+		appendNumber(int64(call.attempts))
+		appendText(call.attempt.Server)
+		appendFlag(call.pending)
+		appendFlag(call.established)
+		appendFlag(call.settled)
+		appendFlag(call.callerLeft)
+		appendNumber(int64(max(0, call.retryNotBefore-now)))
 	}
-	number(int64(len(r.servers)))
+	appendNumber(int64(len(r.servers)))
 	for _, id := range slices.Sorted(maps.Keys(r.servers)) {
-		s := r.servers[id]
-		text(id)
-		number(int64(s.state))
-		if s.state != threadglade.Up { // of one that is up the next word counts
-			number(int64(min(now-s.told, r.inForce.Rules.DrainGrace+rememberFor)))
+		server := r.servers[id]
+		appendText(id)
+		appendNumber(int64(server.state))
+		if server.state != threadglade.Up { // since has no effect for a server that is up
+			appendNumber(int64(min(now-server.since, r.settings.Rules.DrainGrace+endedCallTTL)))
 		}
 	}
-	number(int64(len(r.over)))
-	for _, id := range slices.Sorted(maps.Keys(r.over)) {
-		text(id)
-		flag(r.over[id].answered)
+	appendNumber(int64(len(r.endedCalls)))
+	for _, id := range slices.Sorted(maps.Keys(r.endedCalls)) {
+		appendText(id)
+		appendFlag(r.endedCalls[id].answered)
 	}
-	list := slices.Clone(r.timers)
-	slices.SortFunc(list, func(a, b timer) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.order, b.order)) })
-	for i := range list {
-		t := &list[i]
-		if id, live := r.live(t); live {
-			number(int64(t.at - now))
-			number(int64(t.kind))
-			text(id)
+	timers := slices.Clone(r.timers)
+	slices.SortFunc(timers, func(a, b timer) int {
+		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.order, b.order))
+	})
+	for i := range timers {
+		pending := &timers[i]
+		if id, isLive := r.isLive(pending); isLive {
+			appendNumber(int64(pending.at - now))
+			appendNumber(int64(pending.kind))
+			appendText(id)
 		}
 	}
 	return b
 }
 
-// Draw has the Controller's random choices drawn from a source instead of from the seed.
-func (r *Router) Draw(from rand.Source) { r.control.Draw(from) }
+// SetRandomSource makes the Controller draw its random choices from source instead of from the seed.
+func (r *Router) Draw(source rand.Source) { r.controller.Draw(source) }
 
-// live says whether a timer can still change anything, and for which call.
-func (r *Router) live(t *timer) (id string, live bool) {
+// isLive reports whether a timer can still have an effect, and for which call.
+func (r *Router) isLive(t *timer) (id string, isLive bool) {
 	switch t.kind {
-	case timerOther:
+	case timerExternal:
 		return "", true
-	case timerLapse: // it only forgets
+	case timerExpiry: // it has no effect on decisions
 		return "", false
-	case timerDue:
-		return r.control.TimerOf(t.number)
+	case timerController:
+		return r.controller.TimerOf(t.number)
 	case timerAttempt:
-		return t.call.ID, t.call.out && t.call.attempt.Index == int(t.number)
+		return t.call.ID, t.call.pending && t.call.attempt.Index == int(t.number)
 	}
-	return t.call.ID, !t.call.final
+	return t.call.ID, !t.call.settled
 }
 
-// NextLive tells when the next timer is due that can still change anything; false if there is none.
-func (r *Router) NextLive() (at time.Duration, is bool) {
+// NextActiveTimer returns when the first timer is due that can still have an effect; false if there is none.
+func (r *Router) NextLive() (at time.Duration, found bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range r.timers {
 		t := &r.timers[i]
-		if is && t.at >= at {
+		if found && t.at >= at {
 			continue
 		}
-		if _, live := r.live(t); live {
-			at, is = t.at, true
+		if _, isLive := r.isLive(t); isLive {
+			at, found = t.at, true
 		}
 	}
-	return at, is
+	return at, found
 }
--- a/router/mutant_off.go
+++ b/router/mutant_off.go
@@ -2,5 +2,6 @@
 
 package router
 
-// mutant is the fault built in: none in what ships, where each place that asks for one is compiled away.
+// mutant is the name of the injected fault. It is empty in production builds, where all checks of it are compiled
+// away.
 const mutant = ""
--- a/router/observer.go
+++ b/router/observer.go
@@ -7,53 +7,55 @@
 	"threadglade.example/threadglade"
 )
 
-// This file owns what a Router tells an Observer. It must never decide anything, and costs nothing while no
-// observer is set.
+// This file holds the events that a Router passes to an Observer. It must never decide anything, and costs nothing
+// while no observer is set.
 
-// Observer hears, on the router's own goroutine and in order, what happens to requests, attempts, lists and
-// reports. Observe returns at once: it takes no lock that another goroutine holds for long, opens no file, and does
-// not call the router. Strings in the event are the router's own and may be kept.
+// Observer receives the events of requests, attempts, server lists and server reports.
 type Observer interface {
+	// Observe receives an event. It is called on the goroutine that processes the step, in order. It must return
+	// at once: it takes no lock that another goroutine holds for long, opens no file, and doesn't call the
+	// router. Strings in the event are immutable and may be kept.
 	Observe(Event)
 }
 
-// Kind says what an Event tells.
+// Kind is the kind of an Event.
 type Kind uint8
 
-// Kinds of events. Of one request come, in this order: Arrived; any number of Held, and of Sent, each with one AttemptEnded
-// unless it is answered; one of Stood, Refused, Failed and Left; after Stood one Ended; last Over.
+// The kinds of events. For one request they come in this order: Arrived; any number of Held, and of Sent, each
+// with one AttemptEnded unless the attempt is answered; one of Established, Refused, Failed and CallerLeft; after
+// Established one Ended; last Closed.
 const (
-	Arrived       Kind = iota + 1 // a request was taken
-	Sent                          // an attempt is about to be written to Server
-	AttemptEnded                  // an attempt has ended unanswered, as Outcome and Cause say
-	Stood                         // Server has answered: the call stands
+	Arrived       Kind = iota + 1 // a request was accepted for processing
+	Sent                          // an attempt is about to be sent to Server
+	AttemptEnded                  // an attempt has ended unanswered, with Outcome and Cause
+	Stood                         // Server has answered: the call is established
 	Refused                       // the final answer is a refusal, with RetryAfter
-	Failed                        // the final answer is a failure, for Why
+	Failed                        // the final answer is a failure, for the reason Failure
 	Left                          // the caller has given the request up
-	Ghost                         // a server released a call whose answer never came: it has stood there; Failed follows
-	Ended                         // a standing call has come to its end, as Outcome says
-	Over                          // nothing more comes of this request
+	Ghost                         // a server released a call whose answer was lost; Failed follows
+	Ended                         // an established call has ended, with Outcome
+	Over                          // no more events of this request follow
 	OrphanRelease                 // a server released a call that this router never knew
 	StrayRelease                  // a caller released a call that this router never knew
 	Listed                        // Server is listed in State
 	Reported                      // Server has Free of Total agents
 	Held                          // a request waits, for Reason; Server is its first choice
 	Withdrawn                     // the attempt at Server is given up, for Reason; AttemptEnded follows
-	Loaded                        // Server reports its wait and how much it can take
-	Cared                         // Server is left alone for what all routers know of it
-	Ceded                         // a standing call is another router's now; what follows of it here is no end of it
+	Loaded                        // Server reports its processor's wait and the rate it can accept
+	Cared                         // Server is avoided because of what all routers know about it
+	Ceded                         // an established call passed to another router; the Ended that follows isn't its end
 )
 
-// Event is one thing that happened. Fields that Kind does not need are zero.
+// Event is an event of a Router. Fields that its Kind doesn't use are zero.
 type Event struct {
 	Kind    Kind
 	At      time.Duration // on the router's clock
 	Call    string
-	Slot    uint32 // of a request, until Over: a small number that no other open one has; freed ones serve again, latest first
+	Slot    uint32 // small number that no other open request has, until Closed; freed ones are reused, latest first
 	Server  string
-	Attempt int // from 0
+	Attempt int // of the request's attempts, from 0
 
-	// Of Arrived.
+	// Fields of Arrived.
 	Class, Tenant, Number, Identity, Front string
 	Caller                                 netip.Addr
 	Deadline                               time.Duration
@@ -68,58 +70,65 @@
 	Free       int
 	Total      int
 
-	// Of Sent, Held, Refused, Failed and Withdrawn: why, and what the Controller knew of Server; for a request that was
-	// never sent, of its first choice.
+	// Fields of Sent, Held, Refused, Failed and Withdrawn: the reason, and what the Controller knew about Server,
+	// or about the first choice of a request that was never sent.
 	Reason threadglade.Reason
 	View   threadglade.View
 
-	// Of Loaded; of Cared the age of what is known, with Class what the server is found to be, Front whose word it is, RetryAfter for how long from At, and Free of Total routers that miss
-	// its answers.
+	// Fields of LoadReported. Avoided uses Latency for the age of the evidence, Class for the verdict on the
+	// server, Front for the routers that supplied the evidence, RetryAfter for how long from At the server is
+	// avoided, and Free and Total for how many routers miss its answers, of how many.
 	Latency time.Duration // wait at the server's processor
-	Rate    float64       // set-ups a second that it can take from all senders
+	Rate    float64       // set-ups per second that it can accept from all senders
 }
 
-// tellObserver hands an event on; the caller has made sure that there is an observer.
-func (r *Router) tellObserver(e Event) {
-	if r.stamp == 0 { // what one step brings about has one time
-		r.stamp = r.cfg.Clock()
+// emit passes an event to the observer, which the caller has checked to be set.
+func (r *Router) emit(event Event) {
+	if r.stepTime == 0 { // all events of one step have the same time
+		r.stepTime = r.cfg.Clock()
 	}
-	e.At = r.stamp
-	r.cfg.Observer.Observe(e)
+	event.At = r.stepTime
+	r.cfg.Observer.Observe(event)
 }
 
-// takeSlot gives a request its slot.
-func (r *Router) takeSlot(c *call) {
-	if n := len(r.slots); n > 0 {
-		c.slot, r.slots = r.slots[n-1], r.slots[:n-1]
+// takeSlot assigns a slot to a request.
+func (r *Router) takeSlot(call *callState) {
+	if n := len(r.freeSlots); n > 0 {
+		call.slot, r.freeSlots = r.freeSlots[n-1], r.freeSlots[:n-1]
 		return
 	}
-	r.slot++
-	c.slot = r.slot
+	r.highestSlot++
+	call.slot = r.highestSlot
 }
 
-// observe tells of one request.
-func (r *Router) observe(kind Kind, c *call) {
+// observeCall emits an event of a request.
+func (r *Router) observeCall(kind Kind, call *callState) {
 	if r.cfg.Observer != nil {
-		r.tellObserver(Event{Kind: kind, Call: c.ID, Slot: c.slot, Server: c.attempt.Server, Attempt: c.attempt.Index})
+		r.emit(Event{Kind: kind, Call: call.ID, Slot: call.slot, Server: call.attempt.Server,
+			Attempt: call.attempt.Index})
 	}
 }
 
-// observeDecision tells what was decided of a request and why; server empty means its first choice.
-func (r *Router) observeDecision(kind Kind, c *call, server string, why threadglade.Reason, more Event) {
+// observeDecision emits a decision on a request, completing event. An empty server means the request's first choice.
+func (r *Router) observeDecision(kind Kind, call *callState, server string, reason threadglade.Reason, event Event) {
 	if r.cfg.Observer == nil {
 		return
 	}
 	if server == "" {
-		server = r.control.Choice(c.Destination)
+		server = r.controller.Choice(call.Destination)
 	}
-	more.Kind, more.Call, more.Slot, more.Server, more.Attempt, more.Reason = kind, c.ID, c.slot, server, c.attempt.Index, why
-	more.View, _ = r.control.View(server)
-	r.tellObserver(more)
+	event.Kind = kind
+	event.Call = call.ID
+	event.Slot = call.slot
+	event.Server = server
+	event.Attempt = call.attempt.Index
+	event.Reason = reason
+	event.View, _ = r.controller.View(server)
+	r.emit(event)
 }
 
-// observeWait tells whether a request waits after an event.
-func (r *Router) observeWait(event threadglade.Event) {
+// observeHeld emits Held if the request of an event waits after it.
+func (r *Router) observeHeld(event threadglade.Event) {
 	id := ""
 	switch e := event.(type) {
 	case threadglade.Arrival:
@@ -127,30 +136,34 @@
 	case threadglade.Ended:
 		id = e.Call
 	}
-	if c := r.calls[id]; c != nil && !c.final && !c.out && !c.standing {
-		if server, why, waits := r.control.Obstacle(id); waits {
-			r.observeDecision(Held, c, server, why, Event{})
+	if call := r.calls[id]; call != nil && !call.settled && !call.pending && !call.established {
+		if server, reason, waits := r.controller.Obstacle(id); waits {
+			r.observeDecision(Held, call, server, reason, Event{})
 		}
 	}
 }
 
-// observeEnd tells of the end of an attempt, answered or not.
-func (r *Router) observeEnd(kind Kind, c *call, how threadglade.Outcome, cause threadglade.Cause) {
+// observeEnd emits the end of an attempt, answered or not.
+func (r *Router) observeEnd(kind Kind, call *callState, outcome threadglade.Outcome, cause threadglade.Cause) {
 	if r.cfg.Observer != nil {
-		r.tellObserver(Event{Kind: kind, Call: c.ID, Slot: c.slot, Server: c.attempt.Server, Attempt: c.attempt.Index, Outcome: how, Cause: cause})
+		r.emit(Event{Kind: kind, Call: call.ID, Slot: call.slot, Server: call.attempt.Server,
+			Attempt: call.attempt.Index, Outcome: outcome, Cause: cause})
 	}
 }
 
-func (r *Router) observeArrival(c *call) {
+// observeArrival assigns a slot to a request and emits its arrival.
+func (r *Router) observeArrival(call *callState) {
 	if r.cfg.Observer != nil {
-		r.takeSlot(c)
-		r.tellObserver(Event{Kind: Arrived, Call: c.ID, Slot: c.slot, Class: c.Class, Tenant: c.Tenant, Number: c.Number, Identity: c.Identity,
-			Front: c.Front, Caller: c.Caller, Deadline: c.Deadline, Destination: c.Destination, Retry: c.Retry})
+		r.takeSlot(call)
+		r.emit(Event{Kind: Arrived, Call: call.ID, Slot: call.slot, Class: call.Class, Tenant: call.Tenant,
+			Number: call.Number, Identity: call.Identity, Front: call.Front, Caller: call.Caller,
+			Deadline: call.Deadline, Destination: call.Destination, Retry: call.Retry})
 	}
 }
 
-func (r *Router) observeRelease(kind Kind, id string, how threadglade.Outcome) {
+// observeRelease emits the release of a call that this router never knew.
+func (r *Router) observeRelease(kind Kind, id string, outcome threadglade.Outcome) {
 	if r.cfg.Observer != nil {
-		r.tellObserver(Event{Kind: kind, Call: id, Outcome: how})
+		r.emit(Event{Kind: kind, Call: id, Outcome: outcome})
 	}
 }
--- a/router/observer_test.go
+++ b/router/observer_test.go
@@ -10,13 +10,15 @@
 	"threadglade.example/threadglade"
 )
 
-// watch is an observer that writes down what it hears.
-type watch struct{ heard []string }
+// recordingObserver is an observer that records its events as text.
+type recordingObserver struct{ events []string }
 
-var kindNames = map[Kind]string{Arrived: "arrived", Sent: "sent", AttemptEnded: "attempt ended", Stood: "stood", Refused: "refused", Failed: "failed",
-	Left: "left", Ghost: "ghost", Ended: "ended", Over: "over", OrphanRelease: "orphan", StrayRelease: "stray", Listed: "listed", Reported: "reported", Held: "held", Withdrawn: "withdrawn"}
+var kindNames = map[Kind]string{Arrived: "arrived", Sent: "sent", AttemptEnded: "attempt ended", Stood: "stood",
+	Refused: "refused", Failed: "failed", Left: "left", Ghost: "ghost", Ended: "ended", Over: "over",
+	OrphanRelease: "orphan", StrayRelease: "stray",
+	Listed: "listed", Reported: "reported", Held: "held", Withdrawn: "withdrawn"}
 
-func (w *watch) Observe(e Event) {
+func (w *recordingObserver) Observe(e Event) {
 	text := kindNames[e.Kind] + " " + e.Call
 	if e.Kind == Listed || e.Kind == Reported || e.Kind == Sent {
 		text += " " + e.Server
@@ -24,15 +26,15 @@
 	if e.Kind == AttemptEnded || e.Kind == Ended {
 		text += fmt.Sprint(" ", e.Outcome)
 	}
-	w.heard = append(w.heard, text)
+	w.events = append(w.events, text)
 }
 
-func (w *watch) take() (heard []string) { heard, w.heard = w.heard, nil; return heard }
+func (w *recordingObserver) take() (events []string) { events, w.events = w.events, nil; return events }
 
-// TestObserver hears of everything in order, each thing once, and of nothing after Over.
+// The observer receives every event once and in order, and none of a request after Closed.
 func TestObserver(t *testing.T) {
-	r, d, now := start(t)
-	w := &watch{}
+	r, d, now := startRouter(t)
+	w := &recordingObserver{}
 	r.cfg.Observer = w
 	r.cfg.Orphan, r.cfg.Stray = func(string, threadglade.Outcome) {}, func(string) {}
 	r.Answered("a", 0, nil)
@@ -53,7 +55,7 @@
 	r.Arrive(d, d.request("e", *now+time.Second))
 	*now += 2 * time.Second
 	r.Tick()
-	require.Equal(t, "over e", w.heard[len(w.heard)-1])
+	require.Equal(t, "over e", w.events[len(w.events)-1])
 	w.take()
 	r.Agents(threadglade.Agents{Server: "s0", Free: 1, Total: 2})
 	r.List(threadglade.ServerList{Delta: true, Servers: []threadglade.Server{{ID: "s0", State: threadglade.Draining}}})
--- a/router/router.go
+++ b/router/router.go
@@ -1,9 +1,10 @@
-// Package router is the core of the call router: requests, their attempts and outcomes, the timers and the
-// counters. It drives one Controller with one caller at a time, carries its actions out through a Trunk and
-// answers through the Front that a request came by. Every rule that the Controller keeps is enforced here once
-// more as a backstop: one final answer in time, one attempt at once, a bounded number of attempts, the wait
-// after an attempt that may still hold something, nothing new to a server that drains or is gone. It must never
-// know a wire, read a clock of its own, choose a server, or start a goroutine.
+// Package router is the core of the call router. It holds requests, their attempts and outcomes, timers and
+// counters. It calls a Controller, one event at a time, carries out its actions through a Trunk and answers
+// through the Front that a request came from. Every rule of the Controller is enforced here a second time as a
+// backstop: one final answer in time, one attempt at a time, a bounded number of attempts, a wait after an
+// attempt that may still occupy resources, and no new attempts at a server that is draining or removed. The
+// package must never depend on a wire format, read a clock other than Config.Clock, choose a server, or start a
+// goroutine.
 package router
 
 import (
@@ -23,171 +24,190 @@
 )
 
 const (
-	// lateBy is how long after a request's deadline the router answers by itself, should the Controller not
-	// have done so. Fronts set deadlines early enough for this still to be in time.
-	lateBy = 5 * time.Millisecond
-	// drainEarly is taken off the time in which a draining server may still be sent something new: a send is
-	// counted where it arrives.
-	drainEarly = 100 * time.Millisecond
-	// rememberFor is how long an id that is over is known, so that late and repeated messages do no harm, and
-	// rememberMost bounds how many are: beyond what any day brings, so that only a flood of ids is forgotten early.
-	rememberFor  = 30 * time.Second
-	rememberMost = 20_000
-	// straysMost releases a second, of calls never known here, are passed on to servers: those of an earlier life
-	// are few, and somebody who makes ids up must not cost the servers work.
-	straysMost = 50
+	// overdueDelay is how long after a request's deadline the router itself fails a request that the Controller
+	// has not answered. Fronts set deadlines early enough for this still to be in time.
+	overdueDelay = 5 * time.Millisecond
+	// drainGraceMargin is subtracted from the period in which a draining server may still be sent new attempts,
+	// because the server judges an attempt by when it arrives.
+	drainGraceMargin = 100 * time.Millisecond
+	// endedCallTTL is how long the ID of an ended call is remembered, so that late and repeated messages do no harm.
+	endedCallTTL = 30 * time.Second
+	// maxEndedCalls bounds how many of them are remembered. It is above the number in ordinary operation, so that
+	// IDs are forgotten early only in a flood of them.
+	maxEndedCalls = 20_000
+	// maxUnexpectedReleases bounds the releases per second of calls unknown here that are passed on to servers.
+	// Releases of calls of an earlier incarnation are few, and clients that invent IDs must not cause work at the
+	// servers.
+	maxUnexpectedReleases = 50
 )
 
-// Clock tells the time since the Unix epoch; it never goes back.
+// Clock returns the time since the Unix epoch. It is monotonic.
 type Clock func() time.Duration
 
-// SystemClock is the system's Unix clock as it stood at the first call, advanced monotonically.
+// SystemClock returns a Clock that starts at the system's current Unix time and advances with its monotonic clock.
 func SystemClock() Clock {
 	start := time.Now()
 	return func() time.Duration { return time.Duration(start.UnixNano()) + time.Since(start) }
 }
 
-// Request is what a caller asks for.
+// Request is a caller's request for a call.
 type Request struct {
 	ID          string
 	Class       string
 	Tenant      string
 	Number      string
-	Description []byte        // offered to the server, copied by the router
-	Deadline    time.Duration // by when the final answer must have been given, on the router's clock
+	Description []byte        // description offered to the server; copied by the router
+	Deadline    time.Duration // when the final answer is due, on the router's clock
 	Destination int           // number of the server of first choice
-	Retry       bool
+	Retry       bool          // the caller marked it as a repetition
 
-	// Who asks, as far as the front knows; told to the observer and to nobody else.
-	Caller   netip.Addr // where the request came from
-	Identity string     // SPIFFE id that the caller has proven
-	Front    string     // the front's name
+	// The origin of the request as far as the front knows it, which is only passed to the observer and to Admit.
+	Caller   netip.Addr // network address of the caller
+	Identity string     // authenticated SPIFFE ID of the caller
+	Front    string     // name of the front
 }
 
-// Attempt is a request on its way to one server, or standing there.
+// Attempt is a set-up that is in flight to a server, or a call established there.
 type Attempt struct {
 	ID          string
-	Index       int // from 0
-	Server      string
+	Index       int    // of the request's attempts, from 0
+	Server      string // ID of the server
 	Class       string
 	Number      string
 	Description []byte
-	Deadline    time.Duration // when the router gives it up
+	Deadline    time.Duration // when the router gives the attempt up, on its clock
 }
 
-// Failure says why a request failed.
+// Failure is the reason why a request failed.
 type Failure int
 
-// Reasons of a failure.
+// The reasons of a failure.
 const (
-	GivenUp      Failure = iota // something may have run, and no further attempt is left
-	DeadlinePast                // the time of the request ran out
-	Known                       // the id is or was another request's, which this one leaves as it is
+	GivenUp      Failure = iota // a server may have processed an attempt, and no retry attempt is left
+	DeadlinePast                // the deadline of the request passed
+	Known                       // the ID is or was that of another request, which is not affected
 )
 
-// Front is where a request came from. Each request gets exactly one of Stood, Refused and Failed unless its
-// caller has left, and after Stood exactly one Released unless the caller released it.
+// Front is the side that a request came from. For each request the router calls exactly one of Established,
+// Refused and Failed unless the caller has left, and after Established exactly one Released unless the caller
+// released the call. Its methods may call the Router.
 type Front interface {
-	Stood(id string, description []byte) // the slice is only valid during the call
+	// Established passes on the server's answer: the call is established. description is only valid during the
+	// method call.
+	Stood(id string, description []byte)
+	// Refused refuses the request, with advice on when to retry (0: none).
 	Refused(id string, retryAfter time.Duration)
-	Failed(id string, why Failure)
-	Released(id string, how threadglade.Outcome)
+	// Failed fails the request.
+	Failed(id string, reason Failure)
+	// Released notifies that an established call has ended.
+	Released(id string, outcome threadglade.Outcome)
 }
 
-// Trunk is the way to the servers. After Send it calls Answered or Ended once, unless GiveUp came first; after
-// Answered, Ended once, unless Release came first. GiveUp and Release are final: nothing more is heard.
+// Trunk connects the router to the servers. After Send it calls Router.Answered or Router.Ended once, unless
+// GiveUp came first; after Answered it calls Ended once, unless Release came first. GiveUp and Release are final:
+// the trunk reports nothing more of the attempt. Its methods may call the Router.
 type Trunk interface {
-	Send(a Attempt)
-	GiveUp(a Attempt)
-	Release(a Attempt, how threadglade.Outcome)
+	// Send sends a set-up to the attempt's server.
+	Send(attempt Attempt)
+	// GiveUp withdraws a pending attempt.
+	GiveUp(attempt Attempt)
+	// Release releases an established call.
+	Release(attempt Attempt, outcome threadglade.Outcome)
 }
 
-// Config is what a Router needs.
+// Config configures a Router. Clock and Trunk are required.
 type Config struct {
 	Settings threadglade.Settings
-	Seed     uint64
+	Seed     uint64 // of the Controller's random choices
 	Clock    Clock
 	Trunk    Trunk
 	Log      zerolog.Logger // the zero value logs nothing
-	// Orphan hears of a release of a call that this router never knew: one of an earlier life. May be nil.
-	Orphan func(id string, how threadglade.Outcome)
-	// Stray hears of a caller's release of a call that this router never knew. May be nil.
+	// OnUnknownServerRelease, if set, is called when a server releases a call that this router never knew, which
+	// is one of an earlier incarnation.
+	Orphan func(id string, outcome threadglade.Outcome)
+	// OnUnknownCallerRelease, if set, is called when a caller releases a call that this router never knew.
 	Stray func(id string)
-	// Observer hears what happens; nil: nobody does, at no cost.
+	// Observer, if set, receives the router's events. Without one they cost nothing.
 	Observer Observer
-	// Admit, if set, is asked before a request is taken, after the observer has heard of it: a reason has it refused at once, with advice
-	// on when to come back (0: none). It stands before the decisions and never chooses a server.
+	// Admit, if set, is called for each request after the observer has received it and before the Controller
+	// does. If it returns a reason, the request is refused at once, with the returned advice on when to retry
+	// (0: none). Admit never chooses a server.
 	Admit func(Request) (threadglade.Reason, time.Duration)
-	// Wake is called when a timer is set that is due before all others, by whichever goroutine set it; a loop
-	// that asks Next before it waits needs none.
+	// Wake, if set, is called when a timer is set that is due before all others, on the goroutine that set it. An
+	// event loop that calls Next before it waits doesn't need it.
 	Wake func()
 }
 
-// Router carries requests. Its methods may be called from any goroutine, also from within Front and Trunk; one
-// at a time is worked on, the others wait in order.
+// Router processes requests. Unless they say otherwise its methods may be called from any goroutine, also from
+// within methods of Front and Trunk. Calls are processed one at a time; those that arrive meanwhile are queued in
+// order.
 type Router struct {
-	cfg     Config
-	control *threadglade.Controller
-	inForce *threadglade.Settings
-	calls   map[string]*call
-	servers map[string]*server
-	over    map[string]end // ids that are over
-	overAt  []past
-	lapsing bool          // a timer is set that forgets the oldest
-	strays  int           // passed on in the second that began at
-	foreign int           // beyond that, of calls of the process before this one
-	second  time.Duration // then
-	count   Counters
-	open    atomic.Int64
-	stamp   time.Duration // when the present step first told the observer something; 0: it has not
-	slots   []uint32      // that are free again, of those given out, which slot is the highest of
-	slot    uint32
-
-	mu     sync.Mutex // guards what follows
-	busy   bool
-	queue  []step
-	timers timers
-	order  uint64
-	taken  Counters // a copy of count for Counters
-}
-
+	cfg                Config
+	controller         *threadglade.Controller
+	settings           *threadglade.Settings
+	calls              map[string]*callState
+	servers            map[string]*serverState
+	endedCalls         map[string]endedCall // calls that have ended, by ID, for endedCallTTL
+	endedOrder         []endedEntry         // the entries of endedCalls, oldest first; some may be outdated
+	expiryScheduled    bool                 // a timerExpiry is set
+	unexpectedReleases int                  // allowed in the second that began at windowStart
+	foreignReleases    int                  // allowed beyond maxUnexpectedReleases, of calls of the old process
+	windowStart        time.Duration
+	counters           Counters
+	openRequests       atomic.Int64
+	stepTime           time.Duration // time of the current step's first event for the observer; 0: none yet
+	freeSlots          []uint32      // slots given out before that are free again
+	highestSlot        uint32        // highest slot given out so far
+
+	mu         sync.Mutex // guards the fields below
+	busy       bool       // a step is being processed
+	queue      []step     // steps that wait for it
+	timers     timers
+	timerOrder uint64
+	snapshot   Counters // copy of counters and table sizes as of the last step, for Counters
+}
+
+// step is a queued operation and the data it works on.
 type step struct {
-	f func([]byte)
-	b []byte
+	run  func([]byte)
+	data []byte
 }
 
-// end is when an id was over, and whether with an answer.
-type end struct {
+// endedCall is when a call ended, and whether its request had a final answer.
+type endedCall struct {
 	at       time.Duration
 	answered bool
 }
 
-type past struct {
+// endedEntry is an entry of the list of ended calls in the order of their ends.
+type endedEntry struct {
 	id string
 	at time.Duration
 }
 
-type call struct {
+// callState is the state of a request and of its current attempt.
+type callState struct {
 	Request
-	set      *threadglade.Settings // that it came under
-	front    Front
-	attempt  Attempt
-	sent     time.Duration
-	attempts int
-	slot     uint32
-	out      bool // an attempt is out and unanswered
-	standing bool
-	final    bool          // the final answer was given, or the caller has left
-	left     bool          // the caller has left unanswered
-	hold     time.Duration // no further attempt before then
-}
-
-type server struct {
+	settings       *threadglade.Settings // in force when it arrived
+	front          Front
+	attempt        Attempt
+	sentAt         time.Duration
+	attempts       int // so far
+	slot           uint32
+	pending        bool          // an attempt is in flight
+	established    bool          // the attempt was answered and the call has not ended
+	settled        bool          // the final answer was given, or the caller has left
+	callerLeft     bool          // the caller gave the request up before it was answered
+	retryNotBefore time.Duration // no retry attempt may be sent before then
+}
+
+// serverState is what the server list says of a server.
+type serverState struct {
 	state threadglade.ServerState
-	told  time.Duration // when it was first told to be in this state
+	since time.Duration // when it was first listed in this state; Draining and Removed count as one
 }
 
-// New starts a router. The error names the setting that cannot be served.
+// New returns a Router. The error names the setting that is invalid or the field of cfg that is missing.
 func New(cfg Config) (*Router, error) {
 	if mutant == "early-resend" {
 		cfg.Settings.Rules.ReleaseWait -= time.Millisecond
@@ -195,645 +215,698 @@
 	if mutant == "attempt-more" {
 		cfg.Settings.Limits.MaxAttempts++
 	}
-	control, err := threadglade.New(cfg.Settings, cfg.Seed)
+	controller, err := threadglade.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
 	if cfg.Clock == nil || cfg.Trunk == nil {
-		return nil, fmt.Errorf("router: Config needs a Clock and a Trunk")
-	}
-	return &Router{cfg: cfg, control: control, inForce: &cfg.Settings, calls: map[string]*call{}, servers: map[string]*server{},
-		over: map[string]end{}}, nil
-}
-
-// Change puts other settings in force for the requests that come from now on, in the Controller and here, whole. Those that
-// are open keep theirs. An error names the setting that cannot be served, and nothing has changed.
-func (r *Router) Change(set threadglade.Settings) error {
-	if err := set.Validate(); err != nil {
+		return nil, fmt.Errorf("router: Config.Clock and Config.Trunk are required")
+	}
+	return &Router{
+		cfg:        cfg,
+		controller: controller,
+		settings:   &cfg.Settings,
+		calls:      map[string]*callState{},
+		servers:    map[string]*serverState{},
+		endedCalls: map[string]endedCall{},
+	}, nil
+}
+
+// Change replaces the settings as a whole, in the Controller and here, for requests that arrive from now on. Open
+// requests keep theirs. If a setting is invalid, the error names it and nothing changes.
+func (r *Router) Change(settings threadglade.Settings) error {
+	if err := settings.Validate(); err != nil {
 		return err
 	}
-	r.do(nil, func([]byte) {
-		if err := r.control.Change(set); err == nil { // it was found good above
-			r.inForce = &set
+	r.serialize(nil, func([]byte) {
+		if err := r.controller.Change(settings); err == nil { // settings were validated above
+			r.settings = &settings
 		}
 	})
 	return nil
 }
 
-// Settings are those in force. It is for between calls of other methods.
-func (r *Router) Settings() threadglade.Settings { return *r.inForce }
+// Settings returns the settings in force. It must not be called concurrently with other methods.
+func (r *Router) Settings() threadglade.Settings { return *r.settings }
 
-// do works f off now, or after what is being worked on; b is copied if it has to wait.
-func (r *Router) do(b []byte, f func([]byte)) {
+// serialize calls run with data now, or after the steps that are being processed and queued. data is copied if it
+// has to wait.
+func (r *Router) serialize(data []byte, run func([]byte)) {
 	r.mu.Lock()
 	if r.busy {
-		r.queue = append(r.queue, step{f, bytes.Clone(b)})
+		r.queue = append(r.queue, step{run, bytes.Clone(data)})
 		r.mu.Unlock()
 		return
 	}
 	r.busy = true
 	r.mu.Unlock()
-	r.stamp = 0
-	f(b)
+	r.stepTime = 0
+	run(data)
 	r.mu.Lock()
 	for len(r.queue) > 0 {
 		next := r.queue[0]
 		r.queue[0] = step{}
 		r.queue = r.queue[1:]
 		r.mu.Unlock()
-		r.stamp = 0
-		next.f(next.b)
+		r.stepTime = 0
+		next.run(next.data)
 		r.mu.Lock()
 	}
 	r.busy = false
-	r.taken = r.count
-	r.taken.Calls, r.taken.Known, r.taken.Servers, r.taken.Timers = len(r.calls), len(r.over), len(r.servers), len(r.timers)
+	r.snapshot = r.counters
+	r.snapshot.Calls = len(r.calls)
+	r.snapshot.Known = len(r.endedCalls)
+	r.snapshot.Servers = len(r.servers)
+	r.snapshot.Timers = len(r.timers)
 	r.mu.Unlock()
 }
 
-// ---- what fronts say ----
+// ---- events from fronts ----
 
-// Arrive takes a request. One whose id is known already fails as Known and changes nothing else; a repeat of one
-// that was withdrawn unanswered is a new request.
+// Arrive accepts a request from a front. A request whose ID is already known fails with DuplicateID and changes
+// nothing else. An ID whose request the caller gave up unanswered may be used again.
 func (r *Router) Arrive(front Front, req Request) {
 	req.Description = bytes.Clone(req.Description)
-	r.do(nil, func([]byte) {
-		if r.calls[req.ID] != nil || r.over[req.ID].answered {
-			r.count.Repeated++
+	r.serialize(nil, func([]byte) {
+		if r.calls[req.ID] != nil || r.endedCalls[req.ID].answered {
+			r.counters.Repeated++
 			front.Failed(req.ID, Known)
 			return
 		}
 		now := r.cfg.Clock()
-		c := &call{Request: req, set: r.inForce, front: front}
-		r.calls[req.ID] = c
-		r.count.Requests++
-		r.open.Add(1)
-		r.observeArrival(c)
+		call := &callState{Request: req, settings: r.settings, front: front}
+		r.calls[req.ID] = call
+		r.counters.Requests++
+		r.openRequests.Add(1)
+		r.observeArrival(call)
 		if r.cfg.Admit != nil {
-			if why, after := r.cfg.Admit(req); why != threadglade.NoReason {
-				r.refuse(c, after, why)
+			if reason, retryAfter := r.cfg.Admit(req); reason != threadglade.NoReason {
+				r.refuse(call, retryAfter, reason)
 				return
 			}
 		}
-		r.set(timer{at: req.Deadline + lateBy, kind: timerOverdue, call: c})
-		r.tell(threadglade.Arrival{Call: req.ID, Class: req.Class, Tenant: req.Tenant, Number: req.Number,
+		r.addTimer(timer{at: req.Deadline + overdueDelay, kind: timerOverdue, call: call})
+		r.notifyController(threadglade.Arrival{Call: req.ID, Class: req.Class, Tenant: req.Tenant, Number: req.Number,
 			TimeLeft: req.Deadline - now, Destination: req.Destination, Retry: req.Retry})
 	})
 }
 
-// Leave says that the caller has given the request up: no answer is owed any more. A front that is not nil only
-// speaks for its own request.
+// Cancel records that the caller has given the request up, so that it gets no answer. If front is not nil, only a
+// request of that front is affected.
 func (r *Router) Leave(front Front, id string) {
-	r.do(nil, func([]byte) {
-		if c := r.calls[id]; c != nil && !c.final && (front == nil || front == c.front) && mutant != "deaf-to-leave" {
-			r.count.Left++
-			c.left = true
-			r.observe(Left, c)
-			r.leave(c)
+	r.serialize(nil, func([]byte) {
+		if call := r.calls[id]; call != nil && !call.settled && (front == nil || front == call.front) &&
+			mutant != "deaf-to-leave" {
+			r.counters.Left++
+			call.callerLeft = true
+			r.observeCall(Left, call)
+			r.withdraw(call)
 		}
 	})
 }
 
-// Abandon says that a front cannot wait any longer for the answer to its request: it fails now, as at its deadline.
+// Abandon fails a request whose front can't wait any longer for the answer, as if its deadline had passed.
 func (r *Router) Abandon(front Front, id string) {
-	r.do(nil, func([]byte) {
-		if c := r.calls[id]; c != nil && !c.final && c.front == front {
-			r.observeDecision(Failed, c, c.attempt.Server, threadglade.OutOfTime, Event{Why: DeadlinePast})
-			r.count.Failed++
-			c.front.Failed(id, DeadlinePast)
-			r.leave(c)
+	r.serialize(nil, func([]byte) {
+		if call := r.calls[id]; call != nil && !call.settled && call.front == front {
+			r.observeDecision(Failed, call, call.attempt.Server, threadglade.OutOfTime, Event{Why: DeadlinePast})
+			r.counters.Failed++
+			call.front.Failed(id, DeadlinePast)
+			r.withdraw(call)
 		}
 	})
 }
 
-// Release says that the caller has released a standing call. One that this router never knew is of an earlier
-// life and is handed to Stray, once.
+// Release records that the caller has released an established call. A call that this router never knew is one of an
+// earlier incarnation and is passed to Config.OnUnknownCallerRelease, once.
 func (r *Router) Release(id string) {
-	r.do(nil, func([]byte) {
-		c := r.calls[id]
-		if c != nil && c.standing {
-			r.count.CallerReleases++
-			r.cfg.Trunk.Release(c.attempt, threadglade.Cancelled)
+	r.serialize(nil, func([]byte) {
+		call := r.calls[id]
+		if call != nil && call.established {
+			r.counters.CallerReleases++
+			r.cfg.Trunk.Release(call.attempt, threadglade.Cancelled)
 			if mutant == "release-twice" {
-				r.cfg.Trunk.Release(c.attempt, threadglade.Cancelled)
+				r.cfg.Trunk.Release(call.attempt, threadglade.Cancelled)
 			}
-			r.end(c, threadglade.Cancelled, threadglade.CauseNone, false)
+			r.endAttempt(call, threadglade.Cancelled, threadglade.CauseNone, false)
 		}
-		if _, known := r.over[id]; !known && c == nil && r.cfg.Stray != nil && r.stray() {
-			r.count.Orphans++
-			r.remember(id, true)
+		if _, known := r.endedCalls[id]; !known && call == nil && r.cfg.Stray != nil && r.allowUnexpectedRelease() {
+			r.counters.Orphans++
+			r.rememberEnded(id, true)
 			r.observeRelease(StrayRelease, id, threadglade.Cancelled)
 			r.cfg.Stray(id)
 		}
 	})
 }
 
-// Cede lets go of what stands, which another router takes over; set-ups that are out go on. As Cease it tells nobody of them, and returns them.
-func (r *Router) Cede() []string { return r.cede(func(c *call) bool { return c.standing }) }
+// RelinquishEstablished removes all established calls, which another router takes over, and returns their IDs.
+// Neither callers nor servers are notified of it. Pending set-ups continue.
+func (r *Router) Cede() []string {
+	return r.relinquish(func(c *callState) bool { return c.established })
+}
 
-// Cease lets go of all that is in hand, which another router takes over: what waits is refused, what is out given up, and of what stands nothing is told to anybody. Whoever owns the trunk has it
-// let go in the same step. It returns the calls that stood, and is for between calls of other methods.
-func (r *Router) Cease() []string { return r.cede(func(*call) bool { return true }) }
+// RelinquishAll removes all calls, which another router takes over, and returns the IDs of the established ones.
+// Requests without a final answer are refused and pending attempts given up; of established calls neither callers
+// nor servers are notified. The owner of the trunk has to make it drop its calls in the same step. RelinquishAll
+// must not be called concurrently with other methods, nor from within them.
+func (r *Router) Cease() []string { return r.relinquish(func(*callState) bool { return true }) }
 
-func (r *Router) cede(which func(*call) bool) (standing []string) {
-	r.do(nil, func([]byte) {
+// relinquish removes the calls that selects is true for and returns the IDs of the established ones.
+func (r *Router) relinquish(selects func(*callState) bool) (established []string) {
+	r.serialize(nil, func([]byte) {
 		for _, id := range slices.Sorted(maps.Keys(r.calls)) {
-			c := r.calls[id]
+			call := r.calls[id]
 			switch {
-			case c == nil || !which(c):
-			case c.standing:
-				r.count.Ceded++
-				standing = append(standing, id)
-				r.observe(Ceded, c)
-				r.end(c, threadglade.Cancelled, threadglade.CauseNone, false)
-				delete(r.over, id) // its end may come here all the same: as one of another's
-			case !c.final:
-				r.settle(c)
-				r.refused(c, 0, threadglade.TakenOver)
-				r.tell(threadglade.CallerGone{Call: id})
-				if c.out { // the decisions hear of its end, too: a server that it was a trial of would stay on trial
-					r.cfg.Trunk.GiveUp(c.attempt)
-					r.end(c, threadglade.Cancelled, threadglade.CauseNone, false)
+			case call == nil || !selects(call):
+			case call.established:
+				r.counters.Ceded++
+				established = append(established, id)
+				r.observeCall(Ceded, call)
+				r.endAttempt(call, threadglade.Cancelled, threadglade.CauseNone, false)
+				delete(r.endedCalls, id) // its release may still arrive here, then as one of another router's call
+			case !call.settled:
+				r.settle(call)
+				r.sendRefusal(call, 0, threadglade.TakenOver)
+				r.notifyController(threadglade.CallerGone{Call: id})
+				if call.pending {
+					// The Controller has to be notified of its end, too: a server in probation by this attempt
+					// would stay so.
+					r.cfg.Trunk.GiveUp(call.attempt)
+					r.endAttempt(call, threadglade.Cancelled, threadglade.CauseNone, false)
 				}
 			}
 		}
 	})
-	return standing
+	return established
 }
 
-// Forget has the end of a call that is over be news again: nobody was told of it.
-func (r *Router) Forget(id string) { r.do(nil, func([]byte) { delete(r.over, id) }) }
+// Forget drops the record of an ended call whose end was not delivered to anybody, so that a later release of it is
+// processed as one of an unknown call.
+func (r *Router) Forget(id string) { r.serialize(nil, func([]byte) { delete(r.endedCalls, id) }) }
 
-// stray counts a release that is to be passed on, and says whether it may be.
-func (r *Router) stray() bool {
-	if now := r.cfg.Clock(); now-r.second >= time.Second {
-		r.second, r.strays = now, 0
+// allowUnexpectedRelease counts a release of an unknown call and reports whether it may be passed on to the servers.
+func (r *Router) allowUnexpectedRelease() bool {
+	if now := r.cfg.Clock(); now-r.windowStart >= time.Second {
+		r.windowStart = now
+		r.unexpectedReleases = 0
 	}
-	r.strays++
-	if r.strays > straysMost && r.foreign > 0 {
-		r.foreign--
+	r.unexpectedReleases++
+	if r.unexpectedReleases > maxUnexpectedReleases && r.foreignReleases > 0 {
+		r.foreignReleases--
 		return true
 	}
-	return r.strays <= straysMost
+	return r.unexpectedReleases <= maxUnexpectedReleases
 }
 
-// Foreign says how many calls of another process may be released here beyond what is allowed anyhow.
-func (r *Router) Foreign(calls int) { r.do(nil, func([]byte) { r.foreign += calls }) }
+// AllowForeignReleases allows that many releases of calls of another process beyond maxUnexpectedReleases.
+func (r *Router) Foreign(calls int) { r.serialize(nil, func([]byte) { r.foreignReleases += calls }) }
 
-func (r *Router) leave(c *call) {
-	r.settle(c)
-	if mutant == "left-told" && c.left {
-		c.front.Failed(c.ID, GivenUp)
+// withdraw ends a request that gets no answer any more, and gives up its pending attempt.
+func (r *Router) withdraw(call *callState) {
+	r.settle(call)
+	if mutant == "left-told" && call.callerLeft {
+		call.front.Failed(call.ID, GivenUp)
 	}
-	r.tell(threadglade.CallerGone{Call: c.ID})
-	if c.out {
+	r.notifyController(threadglade.CallerGone{Call: call.ID})
+	if call.pending {
 		if mutant != "left-out" {
-			r.cfg.Trunk.GiveUp(c.attempt)
+			r.cfg.Trunk.GiveUp(call.attempt)
 		}
-		r.end(c, threadglade.Cancelled, threadglade.CauseNone, false)
+		r.endAttempt(call, threadglade.Cancelled, threadglade.CauseNone, false)
 	}
-	r.forget(c)
+	r.removeIfDone(call)
 }
 
-// overdue is the backstop of the first rule: the Controller answers in time, and if it does not, the router
-// does.
-func (r *Router) overdue(c *call) {
-	if c.final {
+// failOverdue is the backstop of the rule that each request gets its final answer in time. It fails a request
+// that the Controller has not answered.
+func (r *Router) failOverdue(call *callState) {
+	if call.settled {
 		return
 	}
-	r.count.Overdue++
-	r.cfg.Log.Error().Str("event", "request_overdue").Str("call", c.ID).Msgf("request %s: no answer by its deadline, failed here", c.ID)
-	r.observeDecision(Failed, c, c.attempt.Server, threadglade.OutOfTime, Event{Why: DeadlinePast})
-	c.front.Failed(c.ID, DeadlinePast)
-	r.leave(c)
+	r.counters.Overdue++
+	r.cfg.Log.Error().Str("event", "request_overdue").Str("call", call.ID).
+		Msgf("request %s: no answer by its deadline, failed here", call.ID)
+	r.observeDecision(Failed, call, call.attempt.Server, threadglade.OutOfTime, Event{Why: DeadlinePast})
+	call.front.Failed(call.ID, DeadlinePast)
+	r.withdraw(call)
 }
 
-// ---- what trunks and the server list say ----
+// ---- events from trunks and the server list ----
 
-// List takes the server list or a change of it.
+// UpdateServers processes the server list or a change of it.
 func (r *Router) List(list threadglade.ServerList) {
-	r.do(nil, func([]byte) {
+	r.serialize(nil, func([]byte) {
 		now, named := r.cfg.Clock(), map[string]bool{}
 		for i := range list.Servers {
 			if mutant == "deaf-to-drain" && list.Servers[i].State == threadglade.Draining {
 				list.Servers[i].State = threadglade.Up
 			}
 		}
-		for _, s := range list.Servers {
-			named[s.ID] = true
-			r.listed(s.ID, s.State, now)
+		for _, listed := range list.Servers {
+			named[listed.ID] = true
+			r.setServerState(listed.ID, listed.State, now)
 		}
 		for id := range r.servers {
 			if !list.Delta && !list.Failed && !named[id] {
-				r.listed(id, threadglade.Removed, now)
+				r.setServerState(id, threadglade.Removed, now)
 			}
 		}
-		for id, s := range r.servers {
-			if s.state == threadglade.Removed && now-s.told > rememberFor {
+		for id, server := range r.servers {
+			if server.state == threadglade.Removed && now-server.since > endedCallTTL {
 				delete(r.servers, id)
 			}
 		}
-		r.count.Lists++
-		r.tell(list)
+		r.counters.Lists++
+		r.notifyController(list)
 	})
 }
 
-// Load takes what a server reports of its processor. Only the observer hears of it.
+// ReportLoad processes a server's load report: the wait at its processor and the set-ups per second that it can
+// accept from all senders. It is only passed to the observer.
 func (r *Router) Load(server string, latency time.Duration, rate float64) {
 	if r.cfg.Observer != nil {
-		r.do(nil, func([]byte) { r.tellObserver(Event{Kind: Loaded, Server: server, Latency: latency, Rate: rate}) })
+		r.serialize(nil, func([]byte) { r.emit(Event{Kind: Loaded, Server: server, Latency: latency, Rate: rate}) })
 	}
 }
 
-func (r *Router) listed(id string, state threadglade.ServerState, now time.Duration) {
-	s := r.servers[id]
-	if s == nil {
-		s = &server{told: now}
-		r.servers[id] = s
+// setServerState records the listed state of a server.
+func (r *Router) setServerState(id string, state threadglade.ServerState, now time.Duration) {
+	server := r.servers[id]
+	if server == nil {
+		server = &serverState{since: now}
+		r.servers[id] = server
 	}
-	// From draining to gone the first word counts.
-	if s.state == threadglade.Up || state == threadglade.Up {
-		s.told = now
+	// The grace period of a server that goes from draining to removed runs from the first of the two.
+	if server.state == threadglade.Up || state == threadglade.Up {
+		server.since = now
 	}
-	if s.state = state; r.cfg.Observer != nil {
-		r.tellObserver(Event{Kind: Listed, Server: id, State: state})
+	if server.state = state; r.cfg.Observer != nil {
+		r.emit(Event{Kind: Listed, Server: id, State: state})
 	}
 }
 
-// ColdPart takes this router's part of what a server that has just started may be sent by all.
-func (r *Router) ColdPart(p threadglade.ColdPart) { r.do(nil, func([]byte) { r.tell(p) }) }
+// ColdPart sets this router's share of the rate that all routers together may send to a server that has just
+// started.
+func (r *Router) ColdPart(part threadglade.ColdPart) {
+	r.serialize(nil, func([]byte) { r.notifyController(part) })
+}
 
-// Further has lend say how many further attempts this router's calls may make from here on, from how many are left.
-func (r *Router) Further(lend func(left int) threadglade.Further) {
-	r.do(nil, func([]byte) {
-		had := r.control.FurtherLeft()
-		if f := lend(had.Left); f != had {
-			r.tell(f)
+// UpdateRetryBudget replaces the number of retry attempts that this router's calls may make by what grant returns
+// for the number left.
+func (r *Router) Further(grant func(left int) threadglade.Further) {
+	r.serialize(nil, func([]byte) {
+		previous := r.controller.FurtherLeft()
+		if budget := grant(previous.Left); budget != previous {
+			r.notifyController(budget)
 		}
 	})
 }
 
-// Word is what a Care rests on: what the server is found to be, by whose evidence, how old that is, and how many routers of how many miss its answers.
+// AvoidanceEvidence is what the avoidance of a server is based on. It is only passed to the observer.
 type Word struct {
-	Found, Sources string
-	Age            time.Duration
-	Bad, Others    int
+	Found   string        // verdict on the server
+	Sources string        // routers that supplied the evidence
+	Age     time.Duration // of the evidence
+	Bad     int           // routers that miss answers of the server
+	Others  int           // routers that were considered
 }
 
-// Care takes until when a server is to be left alone for what all routers know of it.
-func (r *Router) Care(e threadglade.Care, w Word) {
-	r.do(nil, func([]byte) {
-		r.tell(e)
+// Avoid sets until when a server is to be avoided because of what all routers together know about it.
+func (r *Router) Care(avoid threadglade.Care, evidence Word) {
+	r.serialize(nil, func([]byte) {
+		r.notifyController(avoid)
 		if r.cfg.Observer != nil {
-			r.tellObserver(Event{Kind: Cared, Server: e.Server, Class: w.Found, Front: w.Sources, Latency: w.Age, RetryAfter: max(e.Until-r.cfg.Clock(), 0), Free: w.Bad, Total: w.Others})
+			r.emit(Event{
+				Kind:       Cared,
+				Server:     avoid.Server,
+				Class:      evidence.Found,
+				Front:      evidence.Sources,
+				Latency:    evidence.Age,
+				RetryAfter: max(avoid.Until-r.cfg.Clock(), 0),
+				Free:       evidence.Bad,
+				Total:      evidence.Others,
+			})
 		}
 	})
 }
 
-// Agents takes a server's free agents.
-func (r *Router) Agents(a threadglade.Agents) {
-	r.do(nil, func([]byte) {
+// ReportAgents processes a server's report of its free agents.
+func (r *Router) Agents(agents threadglade.Agents) {
+	r.serialize(nil, func([]byte) {
 		if r.cfg.Observer != nil {
-			r.tellObserver(Event{Kind: Reported, Server: a.Server, Free: a.Free, Total: a.Total})
+			r.emit(Event{Kind: Reported, Server: agents.Server, Free: agents.Free, Total: agents.Total})
 		}
-		r.tell(a)
+		r.notifyController(agents)
 	})
 }
 
-// Answered says that a server has answered an attempt: the call stands.
+// Answered records that a server has answered an attempt: the call is established.
 func (r *Router) Answered(id string, index int, description []byte) {
-	r.do(description, func(b []byte) {
-		c := r.calls[id]
-		if mutant == "second-answer" && c != nil && c.standing {
-			c.front.Stood(id, b)
+	r.serialize(description, func(answer []byte) {
+		call := r.calls[id]
+		if mutant == "second-answer" && call != nil && call.established {
+			call.front.Stood(id, answer)
 		}
-		if c == nil || !c.out || c.attempt.Index != index {
+		if call == nil || !call.pending || call.attempt.Index != index {
 			return
 		}
-		c.out, c.standing = false, true
-		r.settle(c)
-		c.Description, c.attempt.Description = nil, nil
-		r.count.Stood++
-		r.observe(Stood, c)
-		c.front.Stood(id, b)
-		r.tell(threadglade.Stood{Call: id, Attempt: index, Server: c.attempt.Server, After: r.cfg.Clock() - c.sent})
+		call.pending, call.established = false, true
+		r.settle(call)
+		call.Description, call.attempt.Description = nil, nil
+		r.counters.Stood++
+		r.observeCall(Stood, call)
+		call.front.Stood(id, answer)
+		r.notifyController(threadglade.Stood{Call: id, Attempt: index, Server: call.attempt.Server,
+			After: r.cfg.Clock() - call.sentAt})
 	})
 }
 
-// Ended says that an attempt has ended, answered or not.
-func (r *Router) Ended(id string, index int, how threadglade.Outcome, cause threadglade.Cause) {
-	r.do(nil, func([]byte) {
-		if c := r.calls[id]; c != nil && (c.out || c.standing) && (c.attempt.Index == index || mutant == "any-end") {
-			r.end(c, how, cause, true)
+// Ended records that an attempt has ended, answered or not.
+func (r *Router) Ended(id string, index int, outcome threadglade.Outcome, cause threadglade.Cause) {
+	r.serialize(nil, func([]byte) {
+		if call := r.calls[id]; call != nil && (call.pending || call.established) &&
+			(call.attempt.Index == index || mutant == "any-end") {
+			r.endAttempt(call, outcome, cause, true)
 		}
 	})
 }
 
-// Orphan says that a server released a call that does not stand there as far as the trunk knows. If the call still
-// waits for its answer, the server's own was lost or spoilt on the way: the call has stood and is over, which
-// its caller has to hear instead of an answer to a repeat of it. One that was never known is of an earlier life.
-func (r *Router) Orphan(id string, how threadglade.Outcome) {
-	r.do(nil, func([]byte) {
-		if c := r.calls[id]; c != nil {
-			if !c.final {
-				r.count.Ghosts++
-				r.observeEnd(Ghost, c, how, threadglade.CauseNone)
-				r.observeDecision(Failed, c, c.attempt.Server, threadglade.Overtaken, Event{Why: GivenUp})
-				c.front.Failed(id, GivenUp)
-				r.leave(c)
+// UnmatchedRelease records that a server released a call that is not established there as far as the trunk knows.
+// If the request is still unanswered, the server's answer was lost or malformed: the call was established there
+// and has ended, so the request fails rather than being sent again. A call that was never known is one of an
+// earlier incarnation and is passed to Config.OnUnknownServerRelease.
+func (r *Router) Orphan(id string, outcome threadglade.Outcome) {
+	r.serialize(nil, func([]byte) {
+		if call := r.calls[id]; call != nil {
+			if !call.settled {
+				r.counters.Ghosts++
+				r.observeEnd(Ghost, call, outcome, threadglade.CauseNone)
+				r.observeDecision(Failed, call, call.attempt.Server, threadglade.Overtaken, Event{Why: GivenUp})
+				call.front.Failed(id, GivenUp)
+				r.withdraw(call)
 			}
 			return
 		}
-		if _, known := r.over[id]; known || r.cfg.Orphan == nil {
+		if _, known := r.endedCalls[id]; known || r.cfg.Orphan == nil {
 			return
 		}
-		r.count.Orphans++
-		r.remember(id, true)
-		r.observeRelease(OrphanRelease, id, how)
-		r.cfg.Orphan(id, how)
+		r.counters.Orphans++
+		r.rememberEnded(id, true)
+		r.observeRelease(OrphanRelease, id, outcome)
+		r.cfg.Orphan(id, outcome)
 	})
 }
 
-// end closes the one attempt that is out or stands. The outcome settles the request where it was final already
-// or where the call had stood, as in the simulator.
-func (r *Router) end(c *call, how threadglade.Outcome, cause threadglade.Cause, release bool) {
+// endAttempt ends the current attempt, pending or established. The request itself is over if it already had its
+// final answer, which established calls have; the simulator does the same.
+func (r *Router) endAttempt(call *callState, outcome threadglade.Outcome, cause threadglade.Cause, notifyFront bool) {
 	now := r.cfg.Clock()
-	if how == threadglade.TimedOut || how == threadglade.Cut || how == threadglade.Cancelled {
-		c.hold = now + c.set.Rules.ReleaseWait
+	if outcome == threadglade.TimedOut || outcome == threadglade.Cut || outcome == threadglade.Cancelled {
+		call.retryNotBefore = now + call.settings.Rules.ReleaseWait
 	}
-	r.count.Ends[how]++
-	if c.standing {
-		r.observeEnd(Ended, c, how, cause)
+	r.counters.Ends[outcome]++
+	if call.established {
+		r.observeEnd(Ended, call, outcome, cause)
 	} else {
-		r.observeEnd(AttemptEnded, c, how, cause)
+		r.observeEnd(AttemptEnded, call, outcome, cause)
 	}
-	if c.standing && release && mutant != "lost-release" {
-		c.front.Released(c.ID, how)
+	if call.established && notifyFront && mutant != "lost-release" {
+		call.front.Released(call.ID, outcome)
 		if mutant == "told-twice" {
-			c.front.Released(c.ID, how)
+			call.front.Released(call.ID, outcome)
 		}
 	}
-	c.out, c.standing = false, false
-	r.tell(threadglade.Ended{Call: c.ID, Attempt: c.attempt.Index, Server: c.attempt.Server, Outcome: how,
-		Cause: cause, After: now - c.sent, Settled: c.final})
-	r.forget(c)
+	call.pending, call.established = false, false
+	r.notifyController(threadglade.Ended{Call: call.ID, Attempt: call.attempt.Index, Server: call.attempt.Server,
+		Outcome: outcome, Cause: cause, After: now - call.sentAt, Settled: call.settled})
+	r.removeIfDone(call)
 }
 
-func (r *Router) forget(c *call) {
-	if c.final && !c.out && !c.standing && r.calls[c.ID] == c && mutant != "table-leak" {
-		delete(r.calls, c.ID)
-		if r.observe(Over, c); c.slot > 0 {
-			r.slots = append(r.slots, c.slot)
+// removeIfDone removes a request that has its final answer and no attempt any more from the table.
+func (r *Router) removeIfDone(call *callState) {
+	if call.settled && !call.pending && !call.established && r.calls[call.ID] == call && mutant != "table-leak" {
+		delete(r.calls, call.ID)
+		if r.observeCall(Over, call); call.slot > 0 {
+			r.freeSlots = append(r.freeSlots, call.slot)
 		}
-		c.Description, c.attempt.Description = nil, nil // timers may hold the call for a while
-		r.remember(c.ID, !c.left)
+		call.Description, call.attempt.Description = nil, nil // timers may reference the call for a while
+		r.rememberEnded(call.ID, !call.callerLeft)
 	}
 }
 
-func (r *Router) remember(id string, answered bool) {
+// rememberEnded records that a call has ended, for endedCallTTL.
+func (r *Router) rememberEnded(id string, answered bool) {
 	now := r.cfg.Clock()
-	r.over[id] = end{now, answered}
-	r.overAt = append(r.overAt, past{id, now})
-	if len(r.overAt) > rememberMost {
-		r.lapse()
+	r.endedCalls[id] = endedCall{now, answered}
+	r.endedOrder = append(r.endedOrder, endedEntry{id, now})
+	if len(r.endedOrder) > maxEndedCalls {
+		r.expireEnded()
 	}
-	if !r.lapsing {
-		r.lapsing = true
-		r.set(timer{at: now + rememberFor, kind: timerLapse})
+	if !r.expiryScheduled {
+		r.expiryScheduled = true
+		r.addTimer(timer{at: now + endedCallTTL, kind: timerExpiry})
 	}
 }
 
-// lapseLater forgets by one timer, which is set as long as there is something to forget.
-func (r *Router) lapseLater() {
-	r.lapse()
-	if r.lapsing = len(r.overAt) > 0; r.lapsing {
-		r.set(timer{at: max(r.overAt[0].at+rememberFor, r.cfg.Clock()+time.Second), kind: timerLapse})
+// runExpiry expires ended calls and sets the next timerExpiry while any are left.
+func (r *Router) runExpiry() {
+	r.expireEnded()
+	if r.expiryScheduled = len(r.endedOrder) > 0; r.expiryScheduled {
+		r.addTimer(timer{at: max(r.endedOrder[0].at+endedCallTTL, r.cfg.Clock()+time.Second), kind: timerExpiry})
 	} else {
-		r.overAt = nil
+		r.endedOrder = nil
 	}
 }
 
-// lapse forgets ids that have been over for long enough.
-func (r *Router) lapse() {
+// expireEnded forgets ended calls that are older than endedCallTTL or exceed maxEndedCalls.
+func (r *Router) expireEnded() {
 	now := r.cfg.Clock()
-	for len(r.overAt) > 0 && (now-r.overAt[0].at >= rememberFor || len(r.overAt) > rememberMost) {
-		if old := r.overAt[0]; r.over[old.id].at == old.at {
-			delete(r.over, old.id)
+	for len(r.endedOrder) > 0 && (now-r.endedOrder[0].at >= endedCallTTL || len(r.endedOrder) > maxEndedCalls) {
+		if oldest := r.endedOrder[0]; r.endedCalls[oldest.id].at == oldest.at {
+			delete(r.endedCalls, oldest.id)
 		}
-		r.overAt = r.overAt[1:]
+		r.endedOrder = r.endedOrder[1:]
 	}
 }
 
-// ---- what the Controller says ----
+// ---- actions of the Controller ----
 
-// tell hands the Controller one event and carries out what it answers.
-func (r *Router) tell(event threadglade.Event) {
+// notifyController passes an event to the Controller and carries out the actions it returns.
+func (r *Router) notifyController(event threadglade.Event) {
 	if r.cfg.Observer != nil {
-		defer r.observeWait(event)
+		defer r.observeHeld(event)
 	}
-	for _, a := range r.decide(event) {
-		switch a := a.(type) {
+	for _, action := range r.callController(event) {
+		switch action := action.(type) {
 		case threadglade.Send:
-			r.send(a)
+			r.startAttempt(action)
 		case threadglade.Refuse:
-			if c := r.answer(a.Call); c != nil {
-				r.refused(c, a.RetryAfter, a.Why)
+			if call := r.claimFinalAnswer(action.Call); call != nil {
+				r.sendRefusal(call, action.RetryAfter, action.Why)
 			}
 		case threadglade.Fail:
-			if c := r.answer(a.Call); c != nil {
-				r.count.Failed++
-				why := GivenUp
-				if r.cfg.Clock()+c.set.Rules.ReleaseWait >= c.Deadline {
-					why = DeadlinePast
+			if call := r.claimFinalAnswer(action.Call); call != nil {
+				r.counters.Failed++
+				failure := GivenUp
+				if r.cfg.Clock()+call.settings.Rules.ReleaseWait >= call.Deadline {
+					failure = DeadlinePast
 				}
-				r.observeDecision(Failed, c, c.attempt.Server, a.Why, Event{Why: why})
+				r.observeDecision(Failed, call, call.attempt.Server, action.Why, Event{Why: failure})
 				if mutant == "told-refused" {
-					c.front.Refused(c.ID, 0)
+					call.front.Refused(call.ID, 0)
 				} else {
-					c.front.Failed(c.ID, why)
+					call.front.Failed(call.ID, failure)
 				}
-				r.forget(c)
+				r.removeIfDone(call)
 			}
 		case threadglade.GiveUp:
-			r.do(nil, func([]byte) {
-				if c := r.calls[a.Call]; c != nil && c.out && c.attempt.Index == a.Attempt {
-					r.observeDecision(Withdrawn, c, c.attempt.Server, a.Why, Event{})
-					r.cfg.Trunk.GiveUp(c.attempt)
-					r.end(c, threadglade.Cancelled, threadglade.CauseNone, false)
+			r.serialize(nil, func([]byte) {
+				if call := r.calls[action.Call]; call != nil && call.pending && call.attempt.Index == action.Attempt {
+					r.observeDecision(Withdrawn, call, call.attempt.Server, action.Why, Event{})
+					r.cfg.Trunk.GiveUp(call.attempt)
+					r.endAttempt(call, threadglade.Cancelled, threadglade.CauseNone, false)
 				}
 			})
 		case threadglade.SetTimer:
 			if mutant != "lost-timer" {
-				r.set(timer{at: a.At, kind: timerDue, number: a.Token})
+				r.addTimer(timer{at: action.At, kind: timerController, number: action.Token})
 			}
 		case threadglade.Subscribe:
-			// The list is always followed: whoever owns it calls List for every change.
+			// Nothing to do: the owner of the server list calls UpdateServers for every change.
 		}
 	}
 }
 
-// decide keeps a fault of the Controller from ending the process: what it then leaves open is answered by
-// overdue.
-func (r *Router) decide(event threadglade.Event) (actions []threadglade.Action) {
+// callController passes an event to the Controller. It recovers a panic there, so that the process goes on;
+// requests that remain unanswered because of it are failed by failOverdue.
+func (r *Router) callController(event threadglade.Event) (actions []threadglade.Action) {
 	defer func() {
-		if p := recover(); p != nil {
-			r.count.Faults++
-			r.cfg.Log.Error().Str("event", "controller_failed").Msgf("controller failed on %T: %v", event, p)
+		if fault := recover(); fault != nil {
+			r.counters.Faults++
+			r.cfg.Log.Error().Str("event", "controller_failed").Msgf("controller failed on %T: %v", event, fault)
 		}
 	}()
-	if _, is := event.(threadglade.Ended); is && mutant == "panic" {
+	if _, isEnded := event.(threadglade.Ended); isEnded && mutant == "panic" {
 		panic(mutant)
 	}
-	return r.control.Handle(r.cfg.Clock(), event)
+	return r.controller.Handle(r.cfg.Clock(), event)
 }
 
-// answer marks a request as answered; nil if it was already.
-func (r *Router) answer(id string) *call {
-	c := r.calls[id]
-	if c == nil || c.final {
+// claimFinalAnswer marks a request as answered and gives up its pending attempt. It returns nil if the request is
+// unknown or was answered before.
+func (r *Router) claimFinalAnswer(id string) *callState {
+	call := r.calls[id]
+	if call == nil || call.settled {
 		return nil
 	}
-	if c.out {
-		r.cfg.Trunk.GiveUp(c.attempt)
-		c.out = false
-		r.observeEnd(AttemptEnded, c, threadglade.Cancelled, threadglade.CauseNone)
+	if call.pending {
+		r.cfg.Trunk.GiveUp(call.attempt)
+		call.pending = false
+		r.observeEnd(AttemptEnded, call, threadglade.Cancelled, threadglade.CauseNone)
 	}
-	r.settle(c)
-	return c
+	r.settle(call)
+	return call
 }
 
-// refuse turns a request away that the Controller has not heard of.
-func (r *Router) refuse(c *call, retryAfter time.Duration, why threadglade.Reason) {
-	r.settle(c)
-	if !c.set.Limits.RetryAfter {
+// refuse refuses a request that was not passed to the Controller.
+func (r *Router) refuse(call *callState, retryAfter time.Duration, reason threadglade.Reason) {
+	r.settle(call)
+	if !call.settings.Limits.RetryAfter {
 		retryAfter = 0
 	}
-	r.refused(c, min(retryAfter, c.set.Limits.MaxRetryAfter), why)
+	r.sendRefusal(call, min(retryAfter, call.settings.Limits.MaxRetryAfter), reason)
 }
 
-func (r *Router) refused(c *call, retryAfter time.Duration, why threadglade.Reason) {
-	r.count.Refused++
-	r.observeDecision(Refused, c, c.attempt.Server, why, Event{RetryAfter: retryAfter})
-	c.front.Refused(c.ID, retryAfter)
-	r.forget(c)
+// sendRefusal refuses a request that was marked as answered.
+func (r *Router) sendRefusal(call *callState, retryAfter time.Duration, reason threadglade.Reason) {
+	r.counters.Refused++
+	r.observeDecision(Refused, call, call.attempt.Server, reason, Event{RetryAfter: retryAfter})
+	call.front.Refused(call.ID, retryAfter)
+	r.removeIfDone(call)
 }
 
-// settle notes that nothing is owed any more.
-func (r *Router) settle(c *call) {
-	c.final = true
+// settle records that the request gets no other answer.
+func (r *Router) settle(call *callState) {
+	call.settled = true
 	if mutant != "miscount" {
-		r.open.Add(-1)
+		r.openRequests.Add(-1)
 	}
 }
 
-func (r *Router) send(a threadglade.Send) {
-	c := r.calls[a.Call]
-	if c == nil || c.final || c.out {
-		r.count.Stopped++
-		r.cfg.Log.Error().Str("event", "send_stopped").Str("call", a.Call).Str("server", a.Server).
-			Msgf("send of %s to %s stopped: the request is over or has an attempt out", a.Call, a.Server)
+// startAttempt sends an attempt unless that would break a rule.
+func (r *Router) startAttempt(action threadglade.Send) {
+	call := r.calls[action.Call]
+	if call == nil || call.settled || call.pending {
+		r.counters.Stopped++
+		r.cfg.Log.Error().Str("event", "send_stopped").Str("call", action.Call).Str("server", action.Server).
+			Msgf("send of %s to %s stopped: the request is over or has an attempt out", action.Call, action.Server)
 		return
 	}
 	now := r.cfg.Clock()
-	deadline := c.Deadline
-	if a.Timeout != 0 {
-		deadline = min(deadline, now+a.Timeout)
-	}
-	c.attempt = Attempt{ID: c.ID, Index: c.attempts, Server: a.Server, Class: c.Class, Number: c.Number,
-		Description: c.Description, Deadline: deadline}
-	c.sent, c.out = now, true
-	c.attempts++
-	if why := r.forbidden(c, a.Server, now); why != "" {
-		r.count.Stopped++
-		r.cfg.Log.Error().Str("event", "send_stopped").Str("call", a.Call).Str("server", a.Server).
-			Msgf("send of %s to %s stopped: %s", a.Call, a.Server, why)
-		index := c.attempt.Index
-		r.do(nil, func([]byte) {
-			if c.out && c.attempt.Index == index {
-				r.end(c, threadglade.NotSent, threadglade.CauseNone, false)
+	deadline := call.Deadline
+	if action.Timeout != 0 {
+		deadline = min(deadline, now+action.Timeout)
+	}
+	call.attempt = Attempt{ID: call.ID, Index: call.attempts, Server: action.Server, Class: call.Class,
+		Number: call.Number, Description: call.Description, Deadline: deadline}
+	call.sentAt, call.pending = now, true
+	call.attempts++
+	if violation := r.sendViolation(call, action.Server, now); violation != "" {
+		r.counters.Stopped++
+		r.cfg.Log.Error().Str("event", "send_stopped").Str("call", action.Call).Str("server", action.Server).
+			Msgf("send of %s to %s stopped: %s", action.Call, action.Server, violation)
+		index := call.attempt.Index
+		r.serialize(nil, func([]byte) {
+			if call.pending && call.attempt.Index == index {
+				r.endAttempt(call, threadglade.NotSent, threadglade.CauseNone, false)
 			}
 		})
 		return
 	}
-	r.count.Attempts++
-	r.observeDecision(Sent, c, c.attempt.Server, a.Why, Event{})
-	r.set(timer{at: deadline, kind: timerAttempt, call: c, number: int64(c.attempt.Index)})
+	r.counters.Attempts++
+	r.observeDecision(Sent, call, call.attempt.Server, action.Why, Event{})
+	r.addTimer(timer{at: deadline, kind: timerAttempt, call: call, number: int64(call.attempt.Index)})
 	if mutant == "wrong-server" {
-		c.attempt.Server = "s1"
+		call.attempt.Server = "s1"
 	}
-	r.cfg.Trunk.Send(c.attempt)
+	r.cfg.Trunk.Send(call.attempt)
 	if mutant == "send-twice" {
-		r.cfg.Trunk.Send(c.attempt)
+		r.cfg.Trunk.Send(call.attempt)
 	}
 }
 
-// forbidden names the rule that a send would break; the attempt is already counted.
-func (r *Router) forbidden(c *call, id string, now time.Duration) string {
-	s := r.servers[id]
+// sendViolation describes the rule that sending the call's current attempt to a server would break; empty if
+// none. The attempt has already been counted.
+func (r *Router) sendViolation(call *callState, serverID string, now time.Duration) string {
+	server := r.servers[serverID]
 	switch {
-	case s == nil:
+	case server == nil:
 		return "the server was never listed"
-	case s.state != threadglade.Up && now-s.told > r.inForce.Rules.DrainGrace-drainEarly:
+	case server.state != threadglade.Up && now-server.since > r.settings.Rules.DrainGrace-drainGraceMargin:
 		return "the server drains or is gone"
-	case c.attempts > c.set.Limits.MaxAttempts:
+	case call.attempts > call.settings.Limits.MaxAttempts:
 		return "no attempt is left"
-	case now < c.hold:
+	case now < call.retryNotBefore:
 		return "the last attempt may still hold something"
-	case now >= c.Deadline:
+	case now >= call.Deadline:
 		return "its time is up"
 	}
 	return ""
 }
 
-// Open is the number of requests that are owed an answer. Unlike the rest it may be asked from within a timer.
-func (r *Router) Open() int { return int(r.open.Load()) }
+// OpenRequests returns the number of requests without a final answer. It is current also when called from within
+// a step, as by a timer's callback.
+func (r *Router) Open() int { return int(r.openRequests.Load()) }
 
 // ---- timers ----
 
-// timer is what is to be done at a time: as figures, for a clone to have, but for what others set.
+// timer is an operation that is due at a time. It holds plain values that Clone can copy, except for the callback
+// of a timerExternal.
 type timer struct {
-	at     time.Duration
-	order  uint64
-	kind   timerKind
-	call   *call
-	number int64  // the Controller's token, or the attempt's index
-	f      func() // of timerOther
+	at       time.Duration
+	order    uint64 // in which timers were set, for timers due at the same time
+	kind     timerKind
+	call     *callState
+	number   int64  // the Controller's token, or the attempt's index
+	callback func() // of timerExternal
 }
 
+// timerKind is what a timer does when it fires.
 type timerKind uint8
 
 const (
-	timerOther   timerKind = iota // somebody else's
-	timerOverdue                  // the backstop of a request's deadline
-	timerAttempt                  // the end of an attempt's time
-	timerDue                      // the Controller's
-	timerLapse                    // ids that are over are forgotten
+	timerExternal   timerKind = iota // set by Schedule
+	timerOverdue                     // fails a request that the Controller did not answer in time
+	timerAttempt                     // times out an attempt
+	timerController                  // passes a Due to the Controller
+	timerExpiry                      // expires the records of ended calls
 )
 
-// fire does what a timer was set for.
+// fire carries out what a timer was set for.
 func (r *Router) fire(t *timer) {
 	switch t.kind {
-	case timerOther:
-		t.f()
+	case timerExternal:
+		t.callback()
 	case timerOverdue:
-		r.overdue(t.call)
+		r.failOverdue(t.call)
 	case timerAttempt:
-		if c := t.call; c.out && c.attempt.Index == int(t.number) {
+		if call := t.call; call.pending && call.attempt.Index == int(t.number) {
 			if mutant != "no-give-up" {
-				r.cfg.Trunk.GiveUp(c.attempt)
+				r.cfg.Trunk.GiveUp(call.attempt)
 			}
 			if mutant == "give-up-twice" {
-				r.cfg.Trunk.GiveUp(c.attempt)
+				r.cfg.Trunk.GiveUp(call.attempt)
 			}
-			r.end(c, threadglade.TimedOut, threadglade.CauseNone, false)
+			r.endAttempt(call, threadglade.TimedOut, threadglade.CauseNone, false)
 		}
-	case timerDue:
-		r.tell(threadglade.Due{Token: t.number})
-	case timerLapse:
-		r.lapseLater()
+	case timerController:
+		r.notifyController(threadglade.Due{Token: t.number})
+	case timerExpiry:
+		r.runExpiry()
 	}
 }
 
+// timers is a heap.Interface with the timer that is due first at index 0.
 type timers []timer
 
 func (t timers) Len() int { return len(t) }
@@ -850,16 +923,17 @@
 	return last
 }
 
-// At has f called by Tick at a time on the router's clock or soon after.
-func (r *Router) At(at time.Duration, f func()) { r.set(timer{at: at, f: f}) }
+// Schedule makes Tick call callback at a time on the router's clock, or soon after.
+func (r *Router) At(at time.Duration, callback func()) { r.addTimer(timer{at: at, callback: callback}) }
 
-func (r *Router) set(t timer) {
+// addTimer sets a timer and calls Config.Wake if it is due before all others.
+func (r *Router) addTimer(t timer) {
 	if mutant == "silent-overdue" && (t.kind == timerOverdue || t.kind == timerAttempt) {
 		return
 	}
 	r.mu.Lock()
-	r.order++
-	t.order = r.order
+	r.timerOrder++
+	t.order = r.timerOrder
 	first := len(r.timers) == 0 || t.at < r.timers[0].at
 	heap.Push(&r.timers, t)
 	r.mu.Unlock()
@@ -868,7 +942,7 @@
 	}
 }
 
-// Next tells when Tick has something to do; false if nothing is set.
+// Next returns when the first timer is due, on the router's clock; false if none is set.
 func (r *Router) Next() (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -878,7 +952,7 @@
 	return r.timers[0].at, true
 }
 
-// Tick does what has fallen due and returns how long nothing more will be.
+// Tick fires the timers that are due and returns how long it is until the next one; an hour if none is set.
 func (r *Router) Tick() time.Duration {
 	for {
 		now := r.cfg.Clock()
@@ -893,32 +967,36 @@
 		}
 		due := heap.Pop(&r.timers).(timer)
 		r.mu.Unlock()
-		r.do(nil, func([]byte) { r.fire(&due) })
+		r.serialize(nil, func([]byte) { r.fire(&due) })
 	}
 }
 
 // ---- counters ----
 
-// Counters count what a router has taken, sent and answered since its start.
+// Counters holds the numbers of requests, attempts, answers and other events since the router's start, and the
+// current sizes of its tables.
 type Counters struct {
 	Requests, Repeated, Left, Stood, Refused, Failed, Overdue uint64
 	Attempts, Stopped, CallerReleases, Orphans, Ghosts        uint64
 	Lists, Faults, Ceded                                      uint64
-	Ends                                                      [8]uint64 // of attempts, by outcome
-	Calls, Known, Servers, Timers                             int       // table sizes: what is held now
+	Ends                                                      [8]uint64 // ended attempts by outcome
+	Calls, Known, Servers, Timers                             int       // current table sizes
 }
 
-// Counters returns a copy.
+// Counters returns the counters as of the last completed step.
 func (r *Router) Counters() Counters {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.taken
+	return r.snapshot
 }
 
+// String formats the counters as space-separated key=value pairs.
 func (c Counters) String() string {
-	return fmt.Sprintf("requests=%d repeated=%d left=%d stood=%d refused=%d failed=%d overdue=%d attempts=%d stopped=%d "+
+	return fmt.Sprintf("requests=%d repeated=%d left=%d stood=%d refused=%d failed=%d overdue=%d "+
+		"attempts=%d stopped=%d "+
 		"concluded=%d faulted=%d rejected=%d timed_out=%d unreachable=%d cut=%d cancelled=%d not_sent=%d "+
-		"caller_releases=%d orphans=%d ghosts=%d lists=%d faults=%d ceded=%d calls=%d known=%d servers=%d timers=%d", c.Requests, c.Repeated, c.Left, c.Stood, c.Refused, c.Failed,
-		c.Overdue, c.Attempts, c.Stopped, c.Ends[0], c.Ends[1], c.Ends[2], c.Ends[3], c.Ends[4], c.Ends[5], c.Ends[6],
-		c.Ends[7], c.CallerReleases, c.Orphans, c.Ghosts, c.Lists, c.Faults, c.Ceded, c.Calls, c.Known, c.Servers, c.Timers)
+		"caller_releases=%d orphans=%d ghosts=%d lists=%d faults=%d ceded=%d calls=%d known=%d servers=%d timers=%d",
+		c.Requests, c.Repeated, c.Left, c.Stood, c.Refused, c.Failed, c.Overdue, c.Attempts, c.Stopped,
+		c.Ends[0], c.Ends[1], c.Ends[2], c.Ends[3], c.Ends[4], c.Ends[5], c.Ends[6], c.Ends[7],
+		c.CallerReleases, c.Orphans, c.Ghosts, c.Lists, c.Faults, c.Ceded, c.Calls, c.Known, c.Servers, c.Timers)
 }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -10,29 +10,32 @@
 	"threadglade.example/threadglade"
 )
 
-// desk is a front and a trunk that write down what they are told.
-type desk struct{ told []string }
+// recorder is a front and a trunk that record the calls of their methods.
+type recorder struct{ calls []string }
 
-func (d *desk) note(format string, args ...any) {
-	d.told = append(d.told, fmt.Sprintf(format, args...))
+func (d *recorder) note(format string, args ...any) {
+	d.calls = append(d.calls, fmt.Sprintf(format, args...))
 }
-func (d *desk) Stood(id string, b []byte)                 { d.note("stood %s %s", id, b) }
-func (d *desk) Refused(id string, _ time.Duration)        { d.note("refused %s", id) }
-func (d *desk) Failed(id string, why Failure)             { d.note("failed %s %d", id, why) }
-func (d *desk) Released(id string, _ threadglade.Outcome) { d.note("released %s", id) }
-func (d *desk) Send(a Attempt)                            { d.note("send %s %d to %s", a.ID, a.Index, a.Server) }
-func (d *desk) GiveUp(a Attempt)                          { d.note("give up %s %d", a.ID, a.Index) }
-func (d *desk) Release(a Attempt, _ threadglade.Outcome)  { d.note("release %s", a.ID) }
-func (d *desk) take() (told []string)                     { told, d.told = d.told, nil; return told }
-func (d *desk) request(id string, until time.Duration) Request {
+func (d *recorder) Stood(id string, b []byte)                 { d.note("stood %s %s", id, b) }
+func (d *recorder) Refused(id string, _ time.Duration)        { d.note("refused %s", id) }
+func (d *recorder) Failed(id string, why Failure)             { d.note("failed %s %d", id, why) }
+func (d *recorder) Released(id string, _ threadglade.Outcome) { d.note("released %s", id) }
+func (d *recorder) Send(a Attempt)                            { d.note("send %s %d to %s", a.ID, a.Index, a.Server) }
+func (d *recorder) GiveUp(a Attempt)                          { d.note("give up %s %d", a.ID, a.Index) }
+func (d *recorder) Release(a Attempt, _ threadglade.Outcome)  { d.note("release %s", a.ID) }
+func (d *recorder) take() (calls []string)                    { calls, d.calls = d.calls, nil; return calls }
+func (d *recorder) request(id string, until time.Duration) Request {
 	return Request{ID: id, Class: "x", Deadline: until}
 }
 
-func start(t *testing.T) (*Router, *desk, *time.Duration) {
-	now, d := time.Hour, &desk{}
-	r, err := New(Config{Clock: func() time.Duration { return now }, Trunk: d, Settings: threadglade.Settings{Proxies: 1,
-		Limits: threadglade.Limits{MaxAttempts: 6}, Rules: threadglade.Rules{ReleaseWait: 200 * time.Millisecond, DrainGrace: time.Second},
-		Classes: []threadglade.Class{{Name: "x", Aim: time.Second, Deadline: 5 * time.Second, Holding: time.Second, Worth: 1, Servers: []int{0}}}}})
+func startRouter(t *testing.T) (*Router, *recorder, *time.Duration) {
+	now, d := time.Hour, &recorder{}
+	r, err := New(Config{Clock: func() time.Duration { return now }, Trunk: d, Settings: threadglade.Settings{
+		Proxies: 1,
+		Limits:  threadglade.Limits{MaxAttempts: 6},
+		Rules:   threadglade.Rules{ReleaseWait: 200 * time.Millisecond, DrainGrace: time.Second},
+		Classes: []threadglade.Class{{Name: "x", Aim: time.Second, Deadline: 5 * time.Second, Holding: time.Second,
+			Worth: 1, Servers: []int{0}}}}})
 	require.NoError(t, err)
 	r.List(threadglade.ServerList{Servers: []threadglade.Server{{ID: "s0"}, {ID: "s1", Number: 1}}})
 	r.Arrive(d, d.request("a", now+3*time.Second))
@@ -40,9 +43,9 @@
 	return r, d, &now
 }
 
-// TestBackstop has a faulty module send what it must not: each send is stopped here, whatever the module thinks.
+// TestBackstop guards against a faulty Controller that breaks a rule: the router must not send the attempt.
 func TestBackstop(t *testing.T) {
-	for name, fault := range map[string]struct {
+	for name, test := range map[string]struct {
 		before func(r *Router, now *time.Duration)
 		server string
 	}{
@@ -56,9 +59,11 @@
 			*now += 201 * time.Millisecond
 		}, "s9"},
 		"a drained server": {func(r *Router, now *time.Duration) {
-			r.List(threadglade.ServerList{Delta: true, Servers: []threadglade.Server{{ID: "s1", Number: 1, State: threadglade.Draining}}})
+			r.List(threadglade.ServerList{Delta: true, Servers: []threadglade.Server{
+				{ID: "s1", Number: 1, State: threadglade.Draining}}})
 			*now += 500 * time.Millisecond
-			r.List(threadglade.ServerList{Servers: []threadglade.Server{{ID: "s0"}}}) // from draining to gone: the first word counts
+			// From draining to removed: the grace period runs from the first of the two.
+			r.List(threadglade.ServerList{Servers: []threadglade.Server{{ID: "s0"}}})
 			r.Ended("a", 0, threadglade.Cut, 0)
 			*now += 450 * time.Millisecond
 		}, "s1"},
@@ -67,17 +72,23 @@
 			*now += time.Second
 			r.calls["a"].attempts = 6
 		}, "s0"},
-		"too late": {func(r *Router, now *time.Duration) { r.Ended("a", 0, threadglade.Cut, 0); *now += 3 * time.Second }, "s0"},
+		"too late": {func(r *Router, now *time.Duration) {
+			r.Ended("a", 0, threadglade.Cut, 0)
+			*now += 3 * time.Second
+		}, "s0"},
 		"answered": {func(r *Router, now *time.Duration) {
 			r.Answered("a", 0, nil)
 			r.Ended("a", 0, threadglade.Concluded, 0)
 		}, "s0"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, d, now := start(t)
-			fault.before(r, now)
+			r, d, now := startRouter(t)
+			test.before(r, now)
 			d.take()
-			r.do(nil, func([]byte) { r.tell(nil); r.send(threadglade.Send{Call: "a", Server: fault.server}) })
+			r.serialize(nil, func([]byte) {
+				r.notifyController(nil)
+				r.startAttempt(threadglade.Send{Call: "a", Server: test.server})
+			})
 			require.EqualValues(t, 1, r.Counters().Stopped)
 			for _, told := range d.take() {
 				require.NotContains(t, told, "send")
@@ -86,30 +97,30 @@
 	}
 }
 
-// A module that never answers does not keep the caller waiting: the router answers once, a little after the
-// deadline that it was given, and withdraws what is out.
+// Guards against a Controller that never answers a request: shortly after the deadline the router fails the
+// request once and gives up its pending attempt.
 func TestOverdue(t *testing.T) {
-	r, d, now := start(t)
+	r, d, now := startRouter(t)
 	r.calls["a"].attempt.Deadline += time.Hour
-	for r.timers[0].at < *now+3*time.Second { // the module's own timers are lost
+	for r.timers[0].at < *now+3*time.Second { // the Controller's own timers are lost
 		r.timers = r.timers[1:]
 	}
-	*now += 3*time.Second + lateBy
-	r.do(nil, func([]byte) { r.overdue(r.calls["a"]) })
+	*now += 3*time.Second + overdueDelay
+	r.serialize(nil, func([]byte) { r.failOverdue(r.calls["a"]) })
 	require.Equal(t, []string{"failed a 1", "give up a 0"}, d.take())
 	r.Tick()
 	require.Empty(t, d.take())
 	require.Equal(t, 0, r.Open())
 }
 
-// What is told from within a callback waits its turn, and a slice that has to wait is copied.
+// A method called from within a callback is queued until the current step is complete, and its slice is copied.
 func TestOneAtATime(t *testing.T) {
-	r, d, _ := start(t)
+	r, d, _ := startRouter(t)
 	b := []byte("one")
-	r.do(nil, func([]byte) {
+	r.serialize(nil, func([]byte) {
 		r.Answered("a", 0, b)
 		copy(b, "two")
-		require.Empty(t, d.told)
+		require.Empty(t, d.calls)
 	})
 	require.Equal(t, []string{"stood a one"}, d.take())
 	r.Answered("a", 0, b)
@@ -121,10 +132,10 @@
 	require.Equal(t, []string{"release a"}, d.take())
 }
 
-// A fault of the module costs the calls in hand nothing but time.
-func TestModuleFault(t *testing.T) {
-	r, d, now := start(t)
-	r.control = nil
+// After a panic of the Controller the open requests still get a final answer, at their deadline.
+func TestControllerPanic(t *testing.T) {
+	r, d, now := startRouter(t)
+	r.controller = nil
 	r.Agents(threadglade.Agents{})
 	require.EqualValues(t, 1, r.Counters().Faults)
 	*now += 4 * time.Second
@@ -132,12 +143,13 @@
 	require.Contains(t, d.take(), "failed a 1")
 }
 
-// A router that lets go of what is in hand tells its decisions how each attempt ended: else they would count it as out at its server for ever, and a trial there would never end.
-func TestCeaseEndsAttempts(t *testing.T) {
-	r, d, _ := start(t)
+// RelinquishAll notifies the Controller of the end of each attempt. Otherwise it would count the attempt as in
+// flight at its server forever, and probation there would never end.
+func TestRelinquishAllEndsAttempts(t *testing.T) {
+	r, d, _ := startRouter(t)
 	require.Empty(t, r.Cease())
 	require.ElementsMatch(t, []string{"refused a", "give up a 0"}, d.take())
-	view, _ := r.control.View("s0")
+	view, _ := r.controller.View("s0")
 	require.Zero(t, view.Out)
 	require.Empty(t, r.calls)
 	require.Equal(t, 0, r.Open())
@@ -145,9 +157,10 @@
 	require.Empty(t, d.take(), "once")
 }
 
-// A router that passes on what stands says nothing of it to anybody, hears of its end as of a stranger's, and goes on with what is out.
-func TestCede(t *testing.T) {
-	r, d, now := start(t)
+// RelinquishEstablished notifies neither callers nor servers of the calls, treats their later releases as those
+// of unknown calls, and continues with pending attempts.
+func TestRelinquishEstablished(t *testing.T) {
+	r, d, now := startRouter(t)
 	r.Answered("a", 0, nil)
 	r.Arrive(d, d.request("b", *now+3*time.Second))
 	d.take()
@@ -159,6 +172,6 @@
 	require.Equal(t, []string{"a"}, orphans)
 	r.Answered("b", 0, nil)
 	require.Equal(t, []string{"stood b "}, d.take())
-	view, _ := r.control.View("s0")
+	view, _ := r.controller.View("s0")
 	require.Zero(t, view.Out)
 }
--- a/silence/silence.go
+++ b/silence/silence.go
@@ -1,6 +1,8 @@
-// Package silence decides when a connection to a case server says nothing any more although its server lives: from when the server told its
-// state on it, what waits on it, and what came at all. It is pure state over events and absolute times; it must never do I/O, read a clock, send
-// anything to find out, or take a slow server for a silent one.
+// Package silence detects connections to a case server that no longer deliver data although the server is alive.
+// The decision rests on when data and state reports last arrived on the connection and on whether a set-up is
+// waiting for an answer there. The package is pure state over events and absolute times. It must never do I/O,
+// read a clock, send probes, or mistake a slow server for a silent one. Its types are not safe for concurrent
+// use.
 package silence
 
 import (
@@ -9,67 +11,78 @@
 )
 
 const (
-	// After is how long a connection may say nothing where its server's reports are not known.
+	// MaxSilence is how long a connection may be silent when the report intervals of its server are not known.
 	After = 1500 * time.Millisecond
-	// least and margin: a server tells its state on every open connection at its own intervals, and one that is past the longest of the latest kept
-	// of them by the margin has missed a report, whatever else is slow.
-	least  = 300 * time.Millisecond
-	margin = 1.3
-	kept   = 8
+	// minTimeout is the lower bound of ReportIntervals.Timeout.
+	minTimeout = 300 * time.Millisecond
+	// timeoutMargin is the factor by which a report may exceed the longest recent interval. A server reports its
+	// state on every open connection at its own intervals, so a report that is later than that was missed,
+	// however slow the server is otherwise.
+	timeoutMargin = 1.3
+	// keptIntervals is how many of the latest intervals are kept. No timeout is known before that many were seen.
+	keptIntervals = 8
 )
 
-// Reports is how far apart a server's reports are, over all of its connections. The zero value knows of none.
+// ReportIntervals holds the latest intervals between a server's state reports, over all of its connections. The zero
+// value holds none.
 type Reports struct {
-	apart [kept]time.Duration // the latest times between two on one connection
-	count int
+	intervals [keptIntervals]time.Duration // ring buffer; each between two reports on the same connection
+	count     int
 }
 
-// Within is how long a connection on which reports used to come may say nothing while something waits on it; false while too few are known.
+// Timeout returns how long a connection that has carried reports may be silent while a set-up waits on it. It
+// returns false while too few intervals are known.
 func (r *Reports) Within() (time.Duration, bool) {
-	if r.count < kept {
+	if r.count < keptIntervals {
 		return 0, false
 	}
-	return min(After, max(least, time.Duration(margin*float64(slices.Max(r.apart[:]))))), true
+	return min(After, max(minTimeout, time.Duration(timeoutMargin*float64(slices.Max(r.intervals[:]))))), true
 }
 
-// Line is what is known of one connection. It begins with Opened.
+// Connection tracks the traffic of one connection to a server. Opened initializes it.
 type Line struct {
-	opened, heard, asked, told time.Duration // told: 0 is never
+	opened       time.Duration
+	lastReceived time.Duration // when data last arrived; when it was opened if none has
+	pendingSince time.Duration // when the longest waiting set-up was sent; none waits unless it is after lastReceived
+	lastReport   time.Duration // when the latest state report arrived; 0: none has
 }
 
-// Opened begins a connection.
-func (l *Line) Opened(now time.Duration) { *l = Line{opened: now, heard: now} }
+// Opened resets the state for a connection opened at now.
+func (l *Line) Opened(now time.Duration) { *l = Line{opened: now, lastReceived: now} }
 
-// Heard says that something came.
-func (l *Line) Heard(now time.Duration) { l.heard = now }
+// Received records that data arrived.
+func (l *Line) Heard(now time.Duration) { l.lastReceived = now }
 
-// Spoke says whether anything has come since it opened.
-func (l *Line) Spoke() bool { return l.heard > l.opened }
+// HasReceived reports whether any data has arrived since the connection was opened.
+func (l *Line) Spoke() bool { return l.lastReceived > l.opened }
 
-// Asked says that a set-up was sent: the first since something came is what waits longest.
+// SetupSent records that a set-up was sent. The first one since data last arrived is the one that waits longest.
 func (l *Line) Asked(now time.Duration) {
-	if l.asked <= l.heard {
-		l.asked = max(now, l.heard+1)
+	if l.pendingSince <= l.lastReceived {
+		l.pendingSince = max(now, l.lastReceived+1)
 	}
 }
 
-// Told says that a report of the server came.
-func (l *Line) Told(now time.Duration, r *Reports) {
-	if l.told > 0 {
-		r.apart[r.count%kept] = now - l.told
-		r.count++
+// ReportReceived records a state report of the server and adds its distance from the previous one to the server's
+// intervals.
+func (l *Line) Told(now time.Duration, reports *Reports) {
+	if l.lastReport > 0 {
+		reports.intervals[reports.count%keptIntervals] = now - l.lastReport
+		reports.count++
 	}
-	l.told = now
+	l.lastReport = now
 }
 
-// Quiet says whether nothing has come for so long that a new connection has to show that the server is there.
-func (l *Line) Quiet(now time.Duration) bool { return now-l.heard > After }
+// NeedsProbe reports whether nothing has arrived for so long that a new connection must be opened to verify that the
+// server is reachable.
+func (l *Line) Quiet(now time.Duration) bool { return now-l.lastReceived > After }
 
-// Silent says whether the connection has missed a report while a set-up waits on it.
-func (l *Line) Silent(now time.Duration, r *Reports) bool {
-	within, known := r.Within()
-	return known && l.told > 0 && l.asked > l.heard && now-l.asked > within
+// MissedReport reports whether the connection has missed a state report while a set-up waits on it.
+func (l *Line) Silent(now time.Duration, reports *Reports) bool {
+	timeout, known := reports.Within()
+	return known && l.lastReport > 0 && l.pendingSince > l.lastReceived && now-l.pendingSince > timeout
 }
 
-// Mute says whether a connection that was silent as another one opened has said nothing since: the server speaks on that, so no answer will come on this.
-func (l *Line) Mute(other *Line) bool { return l.heard <= other.opened }
+// Unresponsive reports whether nothing has arrived on the connection since another one to the same server was opened
+// because of its silence. The server sends on the other one, so no answer will come on this one.
+func (l *Line) Mute(other *Line) bool { return l.lastReceived <= other.opened }
--- a/silence/silence_test.go
+++ b/silence/silence_test.go
@@ -10,8 +10,9 @@
 
 const ms = time.Millisecond
 
-// A server whose reports come, however late within what they have been, is never silent, whatever waits; one whose reports stop is, soon after
-// the longest of them, once a set-up waits for as long.
+// Guards against taking a slow server for a silent one. While reports arrive with the jitter seen so far, the
+// connection never counts as silent, whatever waits on it. When they stop and a set-up waits, it counts as silent
+// soon after the longest interval has passed.
 func TestSlowIsNotSilent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Reports
@@ -20,8 +21,8 @@
 		l.Opened(now)
 		l.Told(now, &r)
 		period := time.Duration(rapid.IntRange(100, 1000).Draw(t, "period")) * ms
-		for range rapid.IntRange(kept, 30).Draw(t, "reports") {
-			for step := range 4 { // a set-up waits all the time, and the router looks
+		for range rapid.IntRange(keptIntervals, 30).Draw(t, "reports") {
+			for step := range 4 { // a set-up waits all the time
 				l.Asked(now + time.Duration(step)*period/4)
 				require.False(t, l.Silent(now+time.Duration(step)*period/4, &r))
 			}
@@ -32,18 +33,20 @@
 			l.Heard(now)
 			l.Told(now, &r)
 		}
-		require.False(t, l.Silent(now+time.Hour, &r), "nothing waits")
+		require.False(t, l.Silent(now+time.Hour, &r), "no set-up waits")
 		l.Asked(now)
 		require.False(t, l.Silent(now+min(period, After), &r))
-		require.True(t, l.Silent(now+max(least, time.Duration(margin*float64(longest)))+2*ms, &r) || longest > After/2)
+		timeout := max(minTimeout, time.Duration(timeoutMargin*float64(longest)))
+		require.True(t, l.Silent(now+timeout+2*ms, &r) || longest > After/2)
 		require.True(t, l.Silent(now+After+2*ms, &r))
 		l.Heard(now + time.Minute)
 		require.False(t, l.Silent(now+time.Minute, &r))
 	})
 }
 
-// Without known reports only the long limit holds; a connection is mute only if it says nothing once the other has opened.
-func TestUnknown(t *testing.T) {
+// Without known report intervals only MaxSilence applies. A connection counts as unresponsive only if nothing
+// arrives on it after the other connection was opened.
+func TestUnknownIntervals(t *testing.T) {
 	var r Reports
 	var one, other Line
 	one.Opened(time.Hour)
