--- a/internal/callcontrol/callcontrol.go
+++ b/internal/callcontrol/callcontrol.go
@@ -275,7 +275,7 @@
 			s.write(opPing, nil)
 		}
 	}
-	f.router.At(now+sweepEvery, f.sweep)
+	f.router.Schedule(now+sweepEvery, f.sweep)
 }
 
 // complain logs what a client did wrong, now and then: a bad client can repeat it at will.
@@ -635,7 +635,7 @@
 	if c.stands || c.answer != nil {
 		return failure(codeUnknown, "the call has its answer", nil)
 	}
-	s.f.router.Leave(c, c.id)
+	s.f.router.Cancel(c, c.id)
 	c.on.send(c.waiting, failure(codeCancelled, "cancelled", map[string]any{"call": c.id}))
 	c.forget()
 	return &response{Result: map[string]any{"call": c.id}}
@@ -716,7 +716,7 @@
 func (c *call) grace() {
 	c.lapse++
 	lapse := c.lapse
-	c.f.router.At(c.f.clock()+time.Duration(c.f.cfg.GraceMs)*time.Millisecond, func() {
+	c.f.router.Schedule(c.f.clock()+time.Duration(c.f.cfg.GraceMs)*time.Millisecond, func() {
 		if c.f.calls[c.id] != c || c.on != nil || c.lapse != lapse {
 			return
 		}
@@ -756,7 +756,7 @@
 }
 
 // Stood is called by the router.
-func (c *call) Stood(_ string, description []byte) {
+func (c *call) Established(_ string, description []byte) {
 	c.stands = true
 	c.final(&response{Result: map[string]any{"call": c.id, "state": "standing", "description": string(description)}})
 }
@@ -768,7 +768,7 @@
 
 // Failed is called by the router.
 func (c *call) Failed(_ string, why router.Failure) {
-	if why == router.DeadlinePast {
+	if why == router.DeadlineExceeded {
 		c.final(failure(codeDeadline, "deadline", map[string]any{"call": c.id}))
 		return
 	}
--- a/internal/explore/model.go
+++ b/internal/explore/model.go
@@ -159,7 +159,7 @@
 		return nil, err
 	}
 	m.r = r
-	r.Draw(constant(w.Draw))
+	r.SetRandomSource(constant(w.Draw))
 	for i := range m.servers {
 		m.servers[i].listed = i < w.Servers-w.Unlisted
 		if w.Cold {
@@ -200,7 +200,7 @@
 			list.Servers = append(list.Servers, threadglade.Server{ID: serverID(i), Number: i, State: s.state, Started: s.started})
 		}
 	}
-	m.r.List(list)
+	m.r.UpdateServers(list)
 }
 
 // ---- the router's two sides ----
@@ -263,7 +263,7 @@
 	return c
 }
 
-func (f *front) Stood(id string, _ []byte) { f.final(id, "answered").phase = stands }
+func (f *front) Established(id string, _ []byte) { f.final(id, "answered").phase = stands }
 
 func (f *front) Refused(id string, _ time.Duration) {
 	c := f.final(id, "refused")
@@ -326,7 +326,7 @@
 		if c.phase == waiting && m.w.Leave {
 			add(func(m *model) {
 				m.calls[i].phase = left
-				m.r.Leave((*front)(m), id)
+				m.r.Cancel((*front)(m), id)
 			}, "caller %d leaves", i)
 		}
 		if c.out > 0 {
@@ -358,7 +358,7 @@
 				add(func(m *model) { m.r.Ended(id, c.index, threadglade.Cut, 0) }, "s%d ends call %d again", c.server, i)
 			}
 			if c.phase == left || c.phase == answered || c.phase == ended {
-				add(func(m *model) { m.r.Orphan(id, threadglade.Concluded) }, "s%d releases call %d, which does not stand", c.server, i)
+				add(func(m *model) { m.r.UnmatchedRelease(id, threadglade.Concluded) }, "s%d releases call %d, which does not stand", c.server, i)
 			}
 		}
 	}
@@ -391,12 +391,12 @@
 			m.r.Tick()
 		}, "1.1 s pass")
 	}
-	if at, is := m.r.NextLive(); is && busy {
+	if at, is := m.r.NextActiveTimer(); is && busy {
 		add(func(m *model) {
 			m.now = max(m.now, at)
 			m.r.Tick()
 			for from, was := m.now, m.r.Counters(); m.w.Coarse && m.broken == "" && m.now < from+coarse; {
-				next, is := m.r.NextLive()
+				next, is := m.r.NextActiveTimer()
 				have := m.r.Counters()
 				if !is || have.Attempts != was.Attempts || have.Refused+have.Failed != was.Refused+was.Failed || have.Ends != was.Ends {
 					return
@@ -444,14 +444,14 @@
 		if m.now > c.deadline+m.rules.Late {
 			m.breaks("an answer in time: %s has none %v after its deadline", callID(i), m.now-c.deadline)
 		}
-		if at, is := m.r.NextLive(); !is || at > c.deadline+answerLate {
+		if at, is := m.r.NextActiveTimer(); !is || at > c.deadline+answerLate {
 			m.breaks("nothing is forgotten: %s waits and no timer is set before its deadline", callID(i))
 		}
 	}
 	if n := m.r.Counters(); n.Stopped+n.Overdue+n.Faults > 0 {
 		m.breaks("the backstop is not needed: the router stopped %d sends, answered %d requests itself and caught %d faults", n.Stopped, n.Overdue, n.Faults)
 	}
-	if have := m.r.Open(); have != owed {
+	if have := m.r.OpenRequests(); have != owed {
 		m.breaks("tables: %d answers are owed, the router counts %d", owed, have)
 	}
 	if n := m.r.Counters().Calls; n == 0 && standing {
--- a/internal/fleetsim/calls.go
+++ b/internal/fleetsim/calls.go
@@ -167,7 +167,7 @@
 	}
 	d.listServers()
 	for _, s := range w.sites {
-		d.router.Agents(threadglade.Agents{Server: s.id, Free: c.Agents - s.open, Total: c.Agents})
+		d.router.ReportAgents(threadglade.Agents{Server: s.id, Free: c.Agents - s.open, Total: c.Agents})
 	}
 	w.arrive(d)
 	if d.table != nil {
@@ -191,7 +191,7 @@
 		list = append(list, threadglade.Server{ID: s.id, Number: s.number, Started: started})
 		watched = append(watched, verdict.Server{Key: verdict.Key{Server: s.id, Started: started}, Classes: []string{"x"}})
 	}
-	d.router.List(threadglade.ServerList{Servers: list})
+	d.router.UpdateServers(threadglade.ServerList{Servers: list})
 	if d.watch != nil {
 		d.watch.Listed(d.p.clock(d.w.now), watched)
 	}
@@ -280,7 +280,7 @@
 	switch e.Kind {
 	case router.Arrived:
 		d.slot = e.Slot
-	case router.Over:
+	case router.Closed:
 		if d.p.gate != nil {
 			d.p.gate.Over(e.Slot)
 		}
@@ -291,7 +291,7 @@
 	switch e.Kind {
 	case router.Sent:
 		d.watch.Sent(now, e.Slot, e.Server)
-	case router.Stood:
+	case router.Established:
 		d.watch.Answered(now, e.Slot)
 	case router.AttemptEnded:
 		d.watch.Ended(now, e.Slot, verdict.EndOf(e.Outcome, e.Cause))
@@ -374,7 +374,7 @@
 }
 
 // Stood implements router.Front.
-func (d *desk) Stood(id string, _ []byte) {
+func (d *desk) Established(id string, _ []byte) {
 	a := d.open[id]
 	delete(d.open, id)
 	called := &d.w.res.Called
@@ -488,7 +488,7 @@
 			w.res.Called.Lifts = grow(w.res.Called.Lifts, slot)
 			w.res.Called.Lifts[slot]++
 		}
-		d.router.Care(threadglade.Care{Server: c.Server, Started: c.Started, Until: w.unix() + until}, router.Word{})
+		d.router.Avoid(threadglade.Care{Server: c.Server, Started: c.Started, Until: w.unix() + until}, router.AvoidanceEvidence{})
 		d.cared[c.Server] = w.now + until
 	}
 	alone := 0
--- a/internal/ledgerio/carrier_test.go
+++ b/internal/ledgerio/carrier_test.go
@@ -83,12 +83,12 @@
 		return
 	}
 	d.seen[id] = true
-	d.tell(router.Stood, id, router.Event{})
+	d.tell(router.Established, id, router.Event{})
 	d.up = append(d.up, id)
 	if len(d.up) > 2 {
 		id, d.up = d.up[0], d.up[1:]
 		d.tell(router.Ended, id, router.Event{Outcome: threadglade.Concluded})
-		d.tell(router.Over, id, router.Event{})
+		d.tell(router.Closed, id, router.Event{})
 	}
 	if d.turn() {
 		d.stood[id] = true
@@ -123,13 +123,13 @@
 	require.NoError(d.t, d.open(), name)
 	d.clock += time.Second
 	for call := range d.offered { // the case server's releases come on the next connection, those heard before once more
-		d.tell(router.OrphanRelease, call, router.Event{Outcome: threadglade.Concluded})
+		d.tell(router.UnknownServerRelease, call, router.Event{Outcome: threadglade.Concluded})
 	}
 	d.up = nil
 	d.call()
 	for _, id := range d.up {
 		d.tell(router.Ended, id, router.Event{Outcome: threadglade.Concluded})
-		d.tell(router.Over, id, router.Event{})
+		d.tell(router.Closed, id, router.Event{})
 	}
 	d.minutes(11) // whatever is open still is closed as unknown
 	d.minutes(2)
@@ -286,9 +286,9 @@
 				if i > 2 { // the first batch may still be on its way to the writer
 					require.True(t, p >= ticket, "calls go on")
 				}
-				d.tell(router.Stood, id, router.Event{})
+				d.tell(router.Established, id, router.Event{})
 				d.tell(router.Ended, id, router.Event{Outcome: threadglade.Concluded})
-				d.tell(router.Over, id, router.Event{})
+				d.tell(router.Closed, id, router.Event{})
 				most = max(most, d.c.Counters().Waiting+int(d.c.Counters().Queued))
 			}
 			require.Less(t, most, 3*handedMost, "what waits is bounded")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -103,7 +103,7 @@
 	n.trunk = sip.NewTrunk(sip.TrunkConfig{Loop: l, Clock: clock, ConnectTimeout: c.ConnectTimeout, Free: c.Free,
 		Total: c.Total, Log: log, Loads: c.Product.Trace != nil})
 	rc := router.Config{Settings: c.Settings, Seed: c.Seed, Clock: clock, Trunk: n.trunk, Log: log,
-		Orphan: n.orphan, Stray: n.stray}
+		OnUnknownServerRelease: n.orphan, OnUnknownCallerRelease: n.stray}
 	if c.Product.Ledger != nil {
 		if err := n.openLedger(&rc); err != nil {
 			return nil, err
@@ -136,7 +136,7 @@
 		n.trace.List(c.Cursor, len(c.Servers))
 	}
 	n.list(c.Servers, true)
-	if n.names, err = registry.Follow(l, c.Resolver, c.Cursor, clock, n.Router.At, rand.New(rand.NewPCG(c.Seed, 1)).Float64, log,
+	if n.names, err = registry.Follow(l, c.Resolver, c.Cursor, clock, n.Router.Schedule, rand.New(rand.NewPCG(c.Seed, 1)).Float64, log,
 		func(serial uint32, servers []sip.Server) {
 			if n.trace != nil {
 				n.trace.List(serial, len(servers))
@@ -145,13 +145,13 @@
 		}); err != nil {
 		return nil, err
 	}
-	n.life.Listed()
+	n.life.ServersListed()
 	if err = n.open(inherited); err != nil {
 		return nil, err
 	}
 	n.life.Listening()
 	if c.Mgmt.IsValid() {
-		if n.door, err = mgmt.Open(mgmt.Config{Loop: l, Addr: c.Mgmt, Clock: clock, At: n.Router.At, Process: operated{n}, Log: log}); err != nil {
+		if n.door, err = mgmt.Open(mgmt.Config{Loop: l, Addr: c.Mgmt, Clock: clock, At: n.Router.Schedule, Process: operated{n}, Log: log}); err != nil {
 			return nil, err
 		}
 		log.Info().Str("event", "mgmt_serving").Stringer("address", n.door.Addr()).Msgf("operators' door on %s", n.door.Addr())
@@ -170,7 +170,7 @@
 
 func (o operated) Ready() (bool, string) {
 	// Who stands by will have all callers at once: it first hears from the case servers what they have free.
-	if n := o.n; n.turn.successor.Standby() && n.life.Ready() && n.clock() < n.turn.began+reachWithin && !n.trunk.Reached() {
+	if n := o.n; n.turn.successor.InStandby() && n.life.Ready() && n.clock() < n.turn.began+reachWithin && !n.trunk.Reached() {
 		return false, "standing by, case servers are not reached yet"
 	}
 	return o.n.life.Ready(), o.n.life.State().String()
@@ -179,8 +179,8 @@
 func (o operated) Drain() error {
 	changed, err := o.n.life.Drain(o.n.clock())
 	if changed {
-		o.n.log.Info().Str("event", "draining").Int("open", o.n.Router.Open()).
-			Msgf("told to drain: %d requests open, %d connections", o.n.Router.Open(), o.n.front.Counters().Open)
+		o.n.log.Info().Str("event", "draining").Int("open", o.n.Router.OpenRequests()).
+			Msgf("told to drain: %d requests open, %d connections", o.n.Router.OpenRequests(), o.n.front.Counters().Open)
 	}
 	return err
 }
@@ -221,7 +221,7 @@
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	listen.Hold(n.turn.successor.Standby())
+	listen.Hold(n.turn.successor.InStandby())
 	n.other = listen
 	n.log.Info().Str("event", "callcontrol_serving").Msgf("call control on %s", listen.Addr())
 	return listen.Addr(), nil
@@ -237,7 +237,7 @@
 			n.log.Info().Str("event", "server_listed").Str("server", s.ID).Int("state", int(s.State)).Msgf("list: server %s number %d state %d started %d", s.ID, s.Number, s.State, s.Started.Milliseconds())
 		}
 	}
-	n.Router.List(ev)
+	n.Router.UpdateServers(ev)
 	if n.fleet != nil && n.fleet.Limited() {
 		n.cold(servers)
 	}
@@ -277,7 +277,7 @@
 // Shutdown ends Run once nothing is owed, and not before callers have had time to turn elsewhere. Where another process stands by, it is asked to
 // take the callers.
 func (n *Node) Shutdown() {
-	n.log.Info().Str("event", "ending").Msgf("told to end: %d requests open", n.Router.Open())
+	n.log.Info().Str("event", "ending").Msgf("told to end: %d requests open", n.Router.OpenRequests())
 	n.life.End(n.clock())
 	earliest := n.clock() + stayFor
 	latest := earliest + flushFor
@@ -285,12 +285,12 @@
 	closing, resting, parting := false, false, false
 	var look func()
 	look = func() {
-		if n.Router.Open() > 0 {
+		if n.Router.OpenRequests() > 0 {
 			latest = max(latest, n.clock()+flushFor)
 		}
-		over := n.Router.Open() == 0 && n.clock() >= earliest && (!n.front.Unsent() && !n.front.Unread() || n.clock() >= latest)
+		over := n.Router.OpenRequests() == 0 && n.clock() >= earliest && (!n.front.Unsent() && !n.front.Unread() || n.clock() >= latest)
 		switch {
-		case n.turn.elder.Handing():
+		case n.turn.elder.HandedOver():
 			over = n.handed()
 		case over && !closing: // what has been accepted for this process is taken, and what it has sent already is read in the turn after this,
 			closing, over = true, false
@@ -304,7 +304,7 @@
 			over = false
 		case over && !parting: // and idle callers hear the end before it comes
 			parting, over = true, false
-			n.life.Closing()
+			n.life.BeginClosing()
 			n.front.LetGo()
 			earliest = n.clock() + partFor
 		}
@@ -315,7 +315,7 @@
 			n.Loop.Stop()
 			return
 		}
-		n.Router.At(n.clock()+lookEvery, look)
+		n.Router.Schedule(n.clock()+lookEvery, look)
 	}
 	look()
 }
--- a/internal/node/product.go
+++ b/internal/node/product.go
@@ -215,7 +215,7 @@
 
 // further has the decisions told how many further attempts they may make.
 func (n *Node) further(lend func(int) (int, bool)) {
-	n.Router.Further(func(left int) threadglade.Further {
+	n.Router.UpdateRetryBudget(func(left int) threadglade.Further {
 		lent, limited := lend(left)
 		return threadglade.Further{Limited: limited, Left: lent}
 	})
@@ -235,14 +235,14 @@
 
 // care has the decisions leave a server alone for what all routers know of it.
 func (n *Node) care(c verdict.Care, hold time.Duration) {
-	word := router.Word{Found: "fit"}
+	word := router.AvoidanceEvidence{Verdict: "fit"}
 	if v := c.Verdict; v != nil {
-		word = router.Word{Found: v.Kind.String(), Sources: strings.Join(v.Sources, " "), Age: v.Age, Bad: v.Bad, Others: v.Others}
+		word = router.AvoidanceEvidence{Verdict: v.Kind.String(), Sources: strings.Join(v.Sources, " "), Age: v.Age, MissingAnswers: v.Bad, Routers: v.Others}
 		if v.Kind == verdict.Held {
 			word.Sources = v.Why
 		}
 	}
-	n.Router.Care(threadglade.Care{Server: c.Server, Started: c.Started, Until: n.clock() + hold}, word)
+	n.Router.Avoid(threadglade.Care{Server: c.Server, Started: c.Started, Until: n.clock() + hold}, word)
 }
 
 // watched tells the fleet which case servers are up, and what they may take.
@@ -275,7 +275,7 @@
 	switch e.Kind {
 	case router.Sent:
 		f.Sent(e.At, e.Slot, e.Server)
-	case router.Stood:
+	case router.Established:
 		f.Answered(e.At, e.Slot)
 	case router.AttemptEnded:
 		f.AttemptEnded(e.At, e.Slot, verdict.EndOf(e.Outcome, e.Cause))
@@ -315,13 +315,13 @@
 type desk struct{ n *Node }
 
 func (d desk) Cease() []string {
-	standing := d.n.Router.Cease()
+	standing := d.n.Router.RelinquishAll()
 	d.n.trunk.Cease()
 	return standing
 }
 
 func (d desk) Cede() []string {
-	standing := d.n.Router.Cede()
+	standing := d.n.Router.RelinquishEstablished()
 	d.n.trunk.Cede()
 	return standing
 }
@@ -368,7 +368,7 @@
 		return
 	}
 	if d.n.ledger != nil {
-		d.n.ledger.Observe(router.Event{Kind: router.OrphanRelease, At: d.n.clock(), Call: e.Call, Outcome: how})
+		d.n.ledger.Observe(router.Event{Kind: router.UnknownServerRelease, At: d.n.clock(), Call: e.Call, Outcome: how})
 	}
 	if !e.By {
 		d.n.front.Orphan(e.Call, how)
@@ -412,7 +412,7 @@
 	switch e.Kind {
 	case router.Arrived:
 		l.slot = e.Slot
-	case router.Over:
+	case router.Closed:
 		l.n.fleet.Over(e.Slot)
 	}
 }
@@ -500,7 +500,7 @@
 // tickLedger has the ledger close what is due.
 func (n *Node) tickLedger() {
 	n.ledger.Tick()
-	n.Router.At(n.clock()+ledgerEvery, n.tickLedger)
+	n.Router.Schedule(n.clock()+ledgerEvery, n.tickLedger)
 }
 
 // ApplyProduct puts settings that were read anew in force, as far as a running router can: who is let in, the tenants' tables.
--- a/internal/node/turnover.go
+++ b/internal/node/turnover.go
@@ -35,12 +35,12 @@
 type turnover struct {
 	path      string // of the socket; empty: off
 	door      *handover.Door
-	elder     lifecycle.Elder     // this process, as one that is followed
-	successor lifecycle.Successor // and as one that follows
-	next      *handover.Link      // to the process that takes this one's place; nil: none stands by
-	last      *handover.Link      // to the one whose place this takes; nil: there is none, any more
-	since     time.Duration       // when the callers were handed over
-	began     time.Duration       // when this process began to stand by
+	elder     lifecycle.OldProcess // this process, as one that is followed
+	successor lifecycle.NewProcess // and as one that follows
+	next      *handover.Link       // to the process that takes this one's place; nil: none stands by
+	last      *handover.Link       // to the one whose place this takes; nil: there is none, any more
+	since     time.Duration        // when the callers were handed over
+	began     time.Duration        // when this process began to stand by
 	count     turnCounters
 }
 
@@ -77,7 +77,7 @@
 			return -1, errors.New("ledger: another process of this router keeps it; two cannot write one ledger, so end that one first")
 		}
 		n.turn.last, n.turn.began = link, n.clock()
-		n.turn.successor.Wait()
+		n.turn.successor.StandBy()
 		return listen, nil
 	}
 }
@@ -127,7 +127,7 @@
 	if n.fleet != nil && n.fleet.Works() && !n.fleet.Heard(id, uint8(how), false) {
 		return // whose call it is hears of it, and tells its caller
 	}
-	if !n.turn.successor.Standby() { // else it is of the elder's, which hears it, too
+	if !n.turn.successor.InStandby() { // else it is of the elder's, which hears it, too
 		n.front.Orphan(id, how)
 	}
 }
@@ -146,17 +146,17 @@
 
 func (n *Node) welcome(k *handover.Link) bool {
 	t := &n.turn
-	if t.successor.Standby() || n.life.State() == lifecycle.Ending || !t.elder.Welcome() {
+	if t.successor.InStandby() || n.life.State() == lifecycle.Ending || !t.elder.AcceptSuccessor() {
 		return false
 	}
 	t.next = k
 	k.Hear(n.fromSuccessor, func(err error) {
 		t.next = nil
 		t.count.Lost++
-		n.log.Warn().Str("event", "handover_lost").Bool("handed", t.elder.Handing()).Msgf("the process that stood by has gone: %v", err)
-		if !t.elder.Handing() {
-			t.elder.Lost()
-			n.life.Succeeded(false)
+		n.log.Warn().Str("event", "handover_lost").Bool("handed", t.elder.HandedOver()).Msgf("the process that stood by has gone: %v", err)
+		if !t.elder.HandedOver() {
+			t.elder.SuccessorLost()
+			n.life.SetSuccessor(false)
 		}
 		n.front.SuccessorGone()
 	})
@@ -167,20 +167,20 @@
 // handOver asks the process that stands by to take over.
 func (n *Node) handOver() {
 	t := &n.turn
-	if t.next == nil || !t.elder.Ask(n.clock()) {
+	if t.next == nil || !t.elder.RequestTakeover(n.clock()) {
 		return
 	}
-	n.life.Succeeded(true)
+	n.life.SetSuccessor(true)
 	t.next.Send(frameTake, binary.BigEndian.AppendUint32(nil, uint32(n.Router.Counters().Calls)), -1, false)
 	var look func()
 	look = func() {
 		switch {
-		case t.elder.Handing() || t.next == nil:
-		case t.elder.Waiting(n.clock()):
-			n.Router.At(n.clock()+20*time.Millisecond, look)
+		case t.elder.HandedOver() || t.next == nil:
+		case t.elder.AwaitingTakeover(n.clock()):
+			n.Router.Schedule(n.clock()+20*time.Millisecond, look)
 		default:
 			n.log.Warn().Str("event", "handover_late").Msg("the process that stands by does not take over in time: ending without it")
-			n.life.Succeeded(false)
+			n.life.SetSuccessor(false)
 		}
 	}
 	look()
@@ -193,7 +193,7 @@
 	}
 	switch {
 	case kind == frameTaken:
-		if !t.elder.Taken(n.clock()) {
+		if !t.elder.ConfirmTakeover(n.clock()) {
 			return
 		}
 		t.count.Handed++
@@ -209,7 +209,7 @@
 			n.fleet.Yield()
 		}
 		n.front.Pass(t.next)
-		n.log.Info().Str("event", "handed_over").Int("open", n.Router.Open()).Msgf("callers handed over: %d requests are still answered from here", n.Router.Open())
+		n.log.Info().Str("event", "handed_over").Int("open", n.Router.OpenRequests()).Msgf("callers handed over: %d requests are still answered from here", n.Router.OpenRequests())
 	case fd < 0 && n.front.Hear(kind, payload):
 	default:
 		t.count.Malformed++
@@ -232,7 +232,7 @@
 	t := &n.turn
 	switch {
 	case kind == frameTake && fd < 0 && len(payload) == 4:
-		n.Router.Foreign(int(min(binary.BigEndian.Uint32(payload), 1<<20)))
+		n.Router.AllowForeignReleases(int(min(binary.BigEndian.Uint32(payload), 1<<20)))
 		n.take("asked to")
 		t.last.Send(frameTaken, nil, -1, false)
 	case n.front.Take(n.Loop, kind, payload, fd, t.last):
@@ -246,7 +246,7 @@
 
 // take begins to serve callers.
 func (n *Node) take(why string) {
-	if !n.turn.successor.Take() {
+	if !n.turn.successor.TakeOver() {
 		return
 	}
 	n.turn.count.Taken++
@@ -260,7 +260,7 @@
 
 func (n *Node) elderGone(err error) {
 	n.turn.last = nil
-	if n.turn.successor.Lost() {
+	if n.turn.successor.OldProcessLost() {
 		n.take("the process before has gone")
 	}
 	n.front.ElderGone()
--- a/internal/sip/across.go
+++ b/internal/sip/across.go
@@ -55,12 +55,12 @@
 		f.pass(k)
 	}
 	if len(f.conns) > 0 {
-		f.router.At(f.clock()+passEvery, f.passMore)
+		f.router.Schedule(f.clock()+passEvery, f.passMore)
 	}
 }
 
 func (f *Front) pass(k *caller) {
-	if k.lifetime.Ended() || len(k.there) > 0 { // it ends by itself; or set-ups on it are those of a process before this one
+	if k.lifetime.Closing() || len(k.there) > 0 { // it ends by itself; or set-ups on it are those of a process before this one
 		return
 	}
 	fd, in, ok := k.conn.Detach()
@@ -72,7 +72,7 @@
 	f.passed++
 	b := binary.BigEndian.AppendUint32(nil, f.passed)
 	flags := byte(0)
-	if k.lifetime.Spoken() {
+	if k.lifetime.HasValidMessage() {
 		flags |= 1
 	}
 	if k.calls {
@@ -183,7 +183,7 @@
 	l.Adopt(fd, append([]byte(nil), rest[n*idSize:]...), func(c *loop.Conn) loop.Handler {
 		k := f.caller(c, now)
 		if k.calls, k.strikes = flags&2 != 0, int(strikes); flags&1 != 0 {
-			k.lifetime.Known(len(rest) > n*idSize)
+			k.lifetime.Inherited(len(rest) > n*idSize)
 		}
 		if n > 0 {
 			k.elder, k.away, k.there = elder, id, make(map[string]bool, n)
--- a/internal/sip/front.go
+++ b/internal/sip/front.go
@@ -179,7 +179,7 @@
 func (f *Front) evict() bool {
 	var idle *caller
 	for k := range f.conns {
-		if len(k.open)+len(k.there) == 0 && (idle == nil || k.lifetime.Before(&idle.lifetime)) {
+		if len(k.open)+len(k.there) == 0 && (idle == nil || k.lifetime.ClosesBefore(&idle.lifetime)) {
 			idle = k
 		}
 	}
@@ -196,7 +196,7 @@
 	f.count.Accepted++
 	_, share := math.Modf(float64(f.count.Accepted) * math.Phi) // evenly spread, however many there are
 	k := &caller{f: f, conn: c, share: share, rate: loop.Bucket{Rate: ratePerConn, Burst: burstPerConn}}
-	k.lifetime.Came(now)
+	k.lifetime.Connected(now)
 	f.conns[k] = true
 	return k
 }
@@ -206,15 +206,15 @@
 	now := f.clock()
 	for k := range f.conns {
 		for id, l := range k.open {
-			if f.life.Overstays(now, l.came) {
+			if f.life.ShouldEndSetup(now, l.came) {
 				f.count.Overstayed++
 				f.router.Abandon(l, id)
 			}
 		}
-		if k.lifetime.Late(now) || k.conn.Unsent() > unsentMost {
+		if k.lifetime.TimedOut(now) || k.conn.Unsent() > unsentMost {
 			f.count.Late++
 			k.conn.Close(loop.ErrSlow)
-		} else if !k.lifetime.Ended() && f.life.Letting(now, k.state()) {
+		} else if !k.lifetime.Closing() && f.life.ShouldClose(now, k.state()) {
 			f.count.Let++
 			k.finish()
 		} else if len(f.owed) > 0 && k.hears() {
@@ -227,14 +227,14 @@
 	if len(f.owed) == 0 {
 		f.owed = nil
 	}
-	f.router.At(now+sweepEvery, f.sweep)
+	f.router.Schedule(now+sweepEvery, f.sweep)
 }
 
 // LetGo closes connections that may go, without waiting for the next look at them.
 func (f *Front) LetGo() {
 	now := f.clock()
 	for k := range f.conns {
-		if !k.lifetime.Ended() && f.life.Letting(now, k.state()) {
+		if !k.lifetime.Closing() && f.life.ShouldClose(now, k.state()) {
 			f.count.Let++
 			k.finish()
 		}
@@ -348,8 +348,8 @@
 type caller struct {
 	f        *Front
 	conn     *loop.Conn
-	open     map[string]*leg  // set-ups that came by it and are owed an answer; nil while there is none
-	lifetime lifecycle.Caller // how long it may
+	open     map[string]*leg      // set-ups that came by it and are owed an answer; nil while there is none
+	lifetime lifecycle.CallerConn // how long it may
 	heard    time.Duration
 	share    float64 // its place where connections are closed one after the other
 	calls    bool    // something has come that only a caller sends, not just a question whether the router is there
@@ -365,7 +365,7 @@
 }
 
 // state is what decides whether the connection is let go.
-func (k *caller) state() lifecycle.Conn {
+func (k *caller) state() lifecycle.ConnState {
 	last := k.f.life.Leaving()
 	for other := range k.f.conns {
 		if !last {
@@ -373,7 +373,7 @@
 		}
 		last = other == k || !other.hears()
 	}
-	return lifecycle.Conn{Open: len(k.open) + len(k.there), Since: k.lifetime.Since(), Heard: k.lifetime.Last(), Share: k.share, Last: last}
+	return lifecycle.ConnState{OpenSetups: len(k.open) + len(k.there), ConnectedAt: k.lifetime.ConnectedAt(), LastReceived: k.lifetime.LastReceived(), SpreadPosition: k.share, LastForReleases: last}
 }
 
 // leg is one set-up as its caller sees it; it is the request's front.
@@ -425,7 +425,7 @@
 
 func (k *caller) Data(_ *loop.Conn, b []byte) int {
 	k.heard = k.f.clock()
-	k.lifetime.Heard(k.heard)
+	k.lifetime.Received(k.heard)
 	n, err := parse(b, &k.m)
 	if err == nil && n > 0 && !begins(b[n:]) { // its length was wrong: what follows is no message
 		n, err = 0, errFrame
@@ -439,7 +439,7 @@
 		k.refuse(400)
 		return n
 	case n == 0:
-		k.lifetime.Begun(k.heard)
+		k.lifetime.MessageBegun(k.heard)
 		return 0
 	}
 	if len(k.m.headers) > 0 { // else it was white space between messages
@@ -447,7 +447,7 @@
 		if len(k.there) == 0 || !k.elders(&k.m, b[:n]) {
 			k.take(&k.m)
 		}
-		k.lifetime.Whole()
+		k.lifetime.MessageComplete()
 	}
 	return n
 }
@@ -465,7 +465,7 @@
 
 // finish ends the connection so that its last answer can be read.
 func (k *caller) finish() {
-	if k.lifetime.Over(k.f.clock()) {
+	if k.lifetime.BeginClose(k.f.clock()) {
 		k.conn.Finish()
 		k.gone()
 		k.leave()
@@ -477,7 +477,7 @@
 	open := k.open
 	k.open = nil
 	for id, l := range open {
-		k.f.router.Leave(l, id)
+		k.f.router.Cancel(l, id)
 	}
 }
 
@@ -500,7 +500,7 @@
 }
 
 func (k *caller) take(m *message) {
-	k.lifetime.Spoke()
+	k.lifetime.MessageValid()
 	if !k.calls && string(m.method) != "OPTIONS" {
 		if k.calls = true; len(k.f.owed) > 0 {
 			k.pay()
@@ -522,7 +522,7 @@
 		id := string(m.callID)
 		if l := k.open[id]; l != nil {
 			delete(k.open, id)
-			k.f.router.Leave(l, id)
+			k.f.router.Cancel(l, id)
 			k.final(id, append(response(k.f.buf[:0], 487), l.route...).body(nil), nil)
 		}
 	case "BYE":
@@ -568,7 +568,7 @@
 		return l.sum == sum // a repeat of one that is being worked on needs no answer of its own
 	}
 	flooded := !k.rate.Take(k.heard)
-	if flooded || k.f.life.Turning(k.heard, k.state()) {
+	if flooded || k.f.life.RefusesSetup(k.heard, k.state()) {
 		if flooded {
 			k.f.count.Flooded++
 		} else {
@@ -632,13 +632,13 @@
 	}
 	l.on.f.count.Answers++
 	l.on.final(id, b, route)
-	if l.on.f.life.LettingAnswered(l.on.f.clock(), l.on.state()) && !l.on.lifetime.Ended() {
+	if l.on.f.life.ShouldCloseAnswered(l.on.f.clock(), l.on.state()) && !l.on.lifetime.Closing() {
 		l.on.f.count.Let++
 		l.on.finish()
 	}
 }
 
-func (l *leg) Stood(id string, description []byte) {
+func (l *leg) Established(id string, description []byte) {
 	l.final(id, append(response(l.on.f.buf[:0], 200), l.route...).body(description), l.route)
 	l.route = nil
 }
@@ -653,7 +653,7 @@
 
 func (l *leg) Failed(id string, why router.Failure) {
 	status := 500
-	if why == router.Known { // the id is another request's, which goes on
+	if why == router.DuplicateID { // the id is another request's, which goes on
 		l.on.f.count.Malformed++
 		status = 400
 	}
--- a/internal/sip/trunk.go
+++ b/internal/sip/trunk.go
@@ -107,7 +107,7 @@
 	owed      []string      // calls to be released that found no connection
 	legs      int           // attempts of it in Trunk.legs
 	complains time.Duration // when it was last named in the log for what it sent
-	reports   silence.Reports
+	reports   silence.ReportIntervals
 }
 
 // line is one connection to a peer.
@@ -115,7 +115,7 @@
 	p     *peer
 	conn  *loop.Conn
 	since time.Duration // when it was opened
-	sound silence.Line
+	sound silence.Connection
 	by    time.Duration // when the message that has begun must be whole, or a dead line closed; 0: neither
 	dead  bool          // something spoilt came on it, or it went silent
 	left  bool          // its server has closed, though something that it sent before may be unread
@@ -156,7 +156,7 @@
 // Reached says whether every server that takes set-ups has told something on a connection.
 func (t *Trunk) Reached() bool {
 	for _, p := range t.peers {
-		if p.server.State == threadglade.Up && (p.line == nil || !p.line.sound.Spoke()) {
+		if p.server.State == threadglade.Up && (p.line == nil || !p.line.sound.HasReceived()) {
 			return false
 		}
 	}
@@ -321,7 +321,7 @@
 			delete(t.given, id)
 		}
 	}
-	t.router.At(now+watchEvery, t.watch)
+	t.router.Schedule(now+watchEvery, t.watch)
 }
 
 func (p *peer) look(now time.Duration) {
@@ -343,7 +343,7 @@
 		switch {
 		case p.line == nil:
 			p.connect()
-		case p.legs > 0 && p.line.sound.Quiet(now) || p.line.sound.Silent(now, &p.reports):
+		case p.legs > 0 && p.line.sound.NeedsProbe(now) || p.line.sound.MissedReport(now, &p.reports):
 			p.t.count.Silent++
 			p.connect()
 		}
@@ -381,7 +381,7 @@
 	if p.lostSince > 0 {
 		p.t.cfg.Log.Info().Str("event", "server_reached").Str("server", p.server.ID).Msgf("server %s is in reach again", p.server.ID)
 	}
-	if p.line != nil && p.line.sound.Silent(now, &p.reports) {
+	if p.line != nil && p.line.sound.MissedReport(now, &p.reports) {
 		l.mute = p.line
 	}
 	p.retire()
@@ -445,7 +445,7 @@
 			p.failPending()
 		}
 		// Late: a line that is still open is one to a machine that says nothing any more.
-		if p.line != nil && p.line.sound.Quiet(now) {
+		if p.line != nil && p.line.sound.NeedsProbe(now) {
 			p.t.cfg.Log.Warn().Str("event", "server_silent").Str("server", p.server.ID).Msgf("server %s is silent", p.server.ID)
 			p.retire()
 		}
@@ -516,7 +516,7 @@
 	t := p.t
 	l.by = t.cfg.Clock() + t.cfg.ConnectTimeout
 	p.pending = append(p.pending, l)
-	t.router.At(l.by, func() {
+	t.router.Schedule(l.by, func() {
 		if t.legs[l.ID] == l && l.on == nil {
 			t.end(l, threadglade.Unreachable, threadglade.CauseNone)
 		}
@@ -535,7 +535,7 @@
 		return
 	}
 	l.on, l.sent = p.line, now
-	l.on.sound.Asked(now)
+	l.on.sound.SetupSent(now)
 	t.count.Invites++
 	b := request(t.buf[:0], "INVITE", l.Number, l.ID, 1, "INVITE").head("Call-Kind", l.Class)
 	b = b.headInt("Answer-Within", max(1, int64((l.Deadline-now)/time.Millisecond))).body(l.Description)
@@ -581,7 +581,7 @@
 		t.buf = request(t.buf[:0], "CANCEL", l.Number, l.ID, 1, "CANCEL").body(nil)
 		l.on.conn.Write(t.buf)
 		if on := l.on; on.part == l {
-			t.router.At(t.cfg.Clock()+stuckFor, func() {
+			t.router.Schedule(t.cfg.Clock()+stuckFor, func() {
 				if on.part == l && on.conn.Blocked() {
 					t.count.Stuck++
 					t.cfg.Log.Warn().Str("event", "server_stuck").Str("server", l.p.server.ID).Msgf("server %s does not read: connection closed over a set-up that was given up", l.p.server.ID)
@@ -687,12 +687,12 @@
 func (l *line) Data(c *loop.Conn, b []byte) int {
 	t := l.p.t
 	now := t.cfg.Clock()
-	l.sound.Heard(now)
+	l.sound.Received(now)
 	if l.dead {
 		return l.salvage(b)
 	}
 	if old := l.mute; old != nil { // the server speaks, and here
-		if l.mute = nil; old.sound.Mute(&l.sound) && old.conn.Open() && !old.dead {
+		if l.mute = nil; old.sound.Unresponsive(&l.sound) && old.conn.Open() && !old.dead {
 			t.count.Mute++
 			old.end(errMute)
 		}
@@ -888,7 +888,7 @@
 		t.end(leg, how, threadglade.CauseNone)
 		return
 	}
-	t.router.Orphan(id, how)
+	t.router.UnmatchedRelease(id, how)
 }
 
 func causeIs16(reason []byte) bool {
@@ -912,7 +912,7 @@
 		rate, known = field(report, "max_rate")
 	}
 	if (told || known) && ms >= 0 && ms < 1e6 && rate < 1e9 { // also no NaN
-		l.p.t.router.Load(l.p.server.ID, time.Duration(ms*float64(time.Millisecond)), rate)
+		l.p.t.router.ReportLoad(l.p.server.ID, time.Duration(ms*float64(time.Millisecond)), rate)
 	}
 }
 
@@ -928,10 +928,10 @@
 		total, sized = field(report, "x1")
 	}
 	if told && sized {
-		l.sound.Told(t.cfg.Clock(), &l.p.reports)
+		l.sound.ReportReceived(t.cfg.Clock(), &l.p.reports)
 	}
 	if told && sized && free >= 0 && total >= free && total <= agentsMost { // also no NaN
 		t.count.States++
-		t.router.Agents(threadglade.Agents{Server: l.p.server.ID, Free: int(free), Total: int(total)})
+		t.router.ReportAgents(threadglade.Agents{Server: l.p.server.ID, Free: int(free), Total: int(total)})
 	}
 }
--- a/internal/traceio/bench_test.go
+++ b/internal/traceio/bench_test.go
@@ -31,11 +31,11 @@
 		r.Observe(e)
 		s := router.Event{Kind: router.Sent, At: now, Slot: 1, Call: e.Call, Server: servers[i%3], Reason: threadglade.FirstChoice, View: threadglade.View{Rate: -1, Lambda: 5}}
 		r.Observe(s)
-		s = router.Event{Kind: router.Stood, At: now, Slot: 1, Call: e.Call, Server: s.Server}
+		s = router.Event{Kind: router.Established, At: now, Slot: 1, Call: e.Call, Server: s.Server}
 		r.Observe(s)
 		s.Kind = router.Ended
 		r.Observe(s)
-		s.Kind = router.Over
+		s.Kind = router.Closed
 		r.Observe(s)
 		if i++; i%500 == 0 {
 			for r.written.Load()+blockSlack < r.count.Records-r.count.Dropped {
--- a/internal/traceio/recorder.go
+++ b/internal/traceio/recorder.go
@@ -387,17 +387,17 @@
 		}
 		r.put(rec)
 		return
-	case router.Reported:
+	case router.AgentsReported:
 		s := r.server(e.Server)
 		s.free, s.total, s.freeAt = e.Free, e.Total, e.At
 		r.report(&e, s)
 		return
-	case router.Loaded:
+	case router.LoadReported:
 		s := r.server(e.Server)
 		s.latency, s.rate, s.loadAt = e.Latency, e.Rate, e.At
 		r.report(&e, s)
 		return
-	case router.Cared:
+	case router.Avoided:
 		rec := r.next(trace.Care, e.At)
 		rec.server, rec.front = e.Server, strings.TrimSpace(e.Class+" "+e.Front)
 		rec.set(trace.TookUs, e.Latency.Microseconds())
@@ -406,7 +406,7 @@
 		rec.set(trace.Total, int64(e.Total))
 		r.put(rec)
 		return
-	case router.OrphanRelease, router.StrayRelease:
+	case router.UnknownServerRelease, router.UnknownCallerRelease:
 		rec := r.next(trace.Stray, e.At)
 		rec.call = e.Call
 		rec.set(trace.Outcome, int64(e.Outcome))
@@ -429,9 +429,9 @@
 	case router.Failed:
 		r.decided(c, &e)
 		r.answered(&e, c, trace.EndFailed)
-	case router.Left:
+	case router.CallerLeft:
 		r.answered(&e, c, trace.EndLeft)
-	case router.Stood:
+	case router.Established:
 		c.out, c.stood = false, true
 		r.answered(&e, c, trace.EndStood)
 		c.sent = e.At // it stands from now on
@@ -454,7 +454,7 @@
 		rec.set(trace.Cause, int64(e.Cause))
 		rec.set(trace.TookUs, (e.At - c.sent).Microseconds())
 		r.put(rec)
-	case router.Over:
+	case router.Closed:
 		*c = followed{}
 		r.open--
 	}
@@ -589,7 +589,7 @@
 	rec := r.of(trace.Answer, c, e)
 	rec.server = c.server
 	rec.set(trace.Final, int64(end))
-	rec.set(trace.Why, int64(e.Why))
+	rec.set(trace.Why, int64(e.Failure))
 	rec.set(trace.RetryAfterMs, e.RetryAfter.Milliseconds())
 	rec.set(trace.TookUs, (e.At - c.came).Microseconds())
 	r.put(rec)
--- a/internal/traceio/traceio_test.go
+++ b/internal/traceio/traceio_test.go
@@ -304,10 +304,10 @@
 	tell(router.Arrived, "")
 	tell(router.Sent, "s0")
 	tell(end, "s0")
-	if end == router.Stood {
+	if end == router.Established {
 		tell(router.Ended, "s0")
 	}
-	tell(router.Over, "")
+	tell(router.Closed, "")
 }
 
 func (g *rig) files(t *testing.T, dir string) (list []trace.Record, names []string) {
@@ -323,18 +323,18 @@
 // gap is a record.
 func TestFlood(t *testing.T) {
 	g := record(t, func(*Options) {})
-	g.call("first", router.Stood)
+	g.call("first", router.Established)
 	require.True(t, durabletest.Wait(func() bool { return g.r.Counters().Written > 0 }))
 	again := g.f.Slow()
 	began := time.Now()
 	for i := range 10 * queueMost / 4 {
-		g.call(fmt.Sprintf("%016x", i), router.Stood)
+		g.call(fmt.Sprintf("%016x", i), router.Established)
 	}
 	require.Less(t, time.Since(began), 3*time.Second)
 	dropped := g.r.Counters().Dropped
 	require.Greater(t, int(dropped), 5*queueMost)
 	again()
-	require.True(t, durabletest.Wait(func() bool { g.call("last", router.Stood); return g.r.gap == 0 }))
+	require.True(t, durabletest.Wait(func() bool { g.call("last", router.Established); return g.r.gap == 0 }))
 	require.NoError(t, g.r.Close())
 	list, _ := g.files(t, "trace")
 	gaps := int64(0)
@@ -368,14 +368,14 @@
 		return durabletest.None
 	})
 	set := func(v bool) { mu.Lock(); full = v; mu.Unlock() }
-	g.call("a", router.Stood)
+	g.call("a", router.Established)
 	require.True(t, durabletest.Wait(func() bool { return g.r.Counters().Written >= 4 }))
 	set(true)
-	g.call("b", router.Stood)
+	g.call("b", router.Established)
 	require.True(t, durabletest.Wait(func() bool { return g.log.Has("trace_failed") }))
 	set(false)
 	require.True(t, durabletest.Wait(func() bool {
-		g.call("c", router.Stood)
+		g.call("c", router.Established)
 		time.Sleep(10 * time.Millisecond)
 		return g.r.Counters().Written > 20
 	}))
@@ -391,7 +391,7 @@
 	g := record(t, func(o *Options) { o.FileBytes, o.Total, o.Block = 2000, 9000, 100*time.Millisecond })
 	for i := range 20 {
 		for j := range 40 {
-			g.call(mixed(i*40+j+1), router.Stood)
+			g.call(mixed(i*40+j+1), router.Established)
 		}
 		want := g.r.Counters().Records - g.r.Counters().Dropped
 		require.True(t, durabletest.Wait(func() bool { return g.r.Counters().Written >= want }))
@@ -418,7 +418,7 @@
 		o.Dir, o.Flight, o.FlightDir, o.Records, o.Trigger = "", 2*time.Second, "flight", 1000, 50
 	})
 	for i := range 500 {
-		g.call(fmt.Sprintf("%016x", i), router.Stood)
+		g.call(fmt.Sprintf("%016x", i), router.Established)
 	}
 	g.r.Dump("SIGUSR2")
 	require.True(t, durabletest.Wait(func() bool { return g.r.Counters().Flights == 1 }))
@@ -447,8 +447,8 @@
 	at := func(ms int) time.Duration {
 		return time.Duration(day)*time.Microsecond + time.Duration(ms)*time.Millisecond
 	}
-	g.r.Observe(router.Event{Kind: router.Reported, At: at(0), Server: "s0", Free: 7, Total: 9})
-	g.r.Observe(router.Event{Kind: router.Loaded, At: at(10), Server: "s0", Latency: 240 * time.Millisecond, Rate: 9.5})
+	g.r.Observe(router.Event{Kind: router.AgentsReported, At: at(0), Server: "s0", Free: 7, Total: 9})
+	g.r.Observe(router.Event{Kind: router.LoadReported, At: at(10), Server: "s0", Latency: 240 * time.Millisecond, Rate: 9.5})
 	for i, ms := range []int{100, 150} {
 		id := fmt.Sprint(i)
 		g.r.Observe(router.Event{Kind: router.Arrived, At: at(ms), Call: id, Slot: uint32(i + 1), Class: "voice"})
@@ -512,9 +512,9 @@
 func TestNoAllocation(t *testing.T) {
 	g := record(t, func(o *Options) { o.Dir, o.Flight, o.FlightDir = "", time.Minute, "flight" })
 	for range 100 {
-		g.call("00112233445566ff", router.Stood)
+		g.call("00112233445566ff", router.Established)
 	}
-	require.Zero(t, testing.AllocsPerRun(1000, func() { g.call("00112233445566ff", router.Stood) }))
+	require.Zero(t, testing.AllocsPerRun(1000, func() { g.call("00112233445566ff", router.Established) }))
 	require.NoError(t, g.r.Close())
 }
 
--- a/ledger/keeper.go
+++ b/ledger/keeper.go
@@ -211,7 +211,7 @@
 	case router.Arrived:
 		k.arrived(&e)
 		return
-	case router.OrphanRelease, router.StrayRelease:
+	case router.UnknownServerRelease, router.UnknownCallerRelease:
 		k.released(CallKey(e.Call), e.Outcome)
 		return
 	}
@@ -226,7 +226,7 @@
 	case router.AttemptEnded:
 		l.usage[ended(e.Outcome)]++
 		l.out = false
-	case router.Stood:
+	case router.Established:
 		l.stood, l.answered, l.inTime, l.result = e.At, k.time(), e.At-l.at <= l.earns.Aim, StoodLate
 		if l.inTime {
 			l.result = StoodInTime
@@ -238,9 +238,9 @@
 		l.result = Refused
 	case router.Failed:
 		l.result = Failed
-	case router.Left:
+	case router.CallerLeft:
 		l.result = Left
-	case router.Ghost:
+	case router.OrphanedCall:
 		l.usage[Ghosts]++
 	case router.Ended:
 		l.out = false
@@ -254,9 +254,9 @@
 		if !l.inTime {
 			l.usage[WorthMilli] = l.earns.LateMilli
 		}
-	case router.Ceded:
+	case router.Relinquished:
 		k.cede(e.Call, l)
-	case router.Over:
+	case router.Closed:
 		k.over(e.Call, l)
 	}
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -94,12 +94,12 @@
 func (b *bench) stand(call string) {
 	b.arrive(call)
 	b.tell(router.Sent, call, router.Event{Server: "s0"})
-	b.tell(router.Stood, call, router.Event{Server: "s0"})
+	b.tell(router.Established, call, router.Event{Server: "s0"})
 }
 
 func (b *bench) finish(call string, how threadglade.Outcome) {
 	b.tell(router.Ended, call, router.Event{Outcome: how})
-	b.tell(router.Over, call, router.Event{})
+	b.tell(router.Closed, call, router.Event{})
 }
 
 // statements reads the entries as an exporter does.
@@ -155,35 +155,35 @@
 			b.tell(router.AttemptEnded, "a", router.Event{Outcome: threadglade.Rejected})
 			b.wait(1001)
 			b.tell(router.Sent, "a", router.Event{Server: "s1", Attempt: 1})
-			b.tell(router.Stood, "a", router.Event{})
+			b.tell(router.Established, "a", router.Event{})
 			b.finish("a", threadglade.Cut)
 		}, map[int64]map[string]int64{0: {"offered": 1, "stood_late": 1, "rejected": 1, "cut": 1}}},
 		"stands late": {func(b *bench) {
 			b.arrive("a")
 			b.tell(router.Sent, "a", router.Event{Server: "s0"})
 			b.wait(1001)
-			b.tell(router.Stood, "a", router.Event{})
+			b.tell(router.Established, "a", router.Event{})
 			b.finish("a", threadglade.Concluded)
 		}, map[int64]map[string]int64{0: {"offered": 1, "stood_late": 1, "concluded": 1, "worth_milli": 500}}},
 		"is refused without an attempt, as a repeat": {func(b *bench) {
 			b.tell(router.Arrived, "a", router.Event{Class: "voice", Number: "921", Retry: true})
 			b.tell(router.Refused, "a", router.Event{})
-			b.tell(router.Over, "a", router.Event{})
+			b.tell(router.Closed, "a", router.Event{})
 		}, map[int64]map[string]int64{0: {"offered": 1, "repeats": 1, "refused": 1}}},
 		"is left with an attempt out": {func(b *bench) {
 			b.arrive("a")
 			b.tell(router.Sent, "a", router.Event{Server: "s0"})
-			b.tell(router.Left, "a", router.Event{})
+			b.tell(router.CallerLeft, "a", router.Event{})
 			b.tell(router.AttemptEnded, "a", router.Event{Outcome: threadglade.Cancelled})
-			b.tell(router.Over, "a", router.Event{})
+			b.tell(router.Closed, "a", router.Event{})
 		}, map[int64]map[string]int64{0: {"offered": 1, "left": 1, "cancelled": 1}}},
 		"stood where its answer was lost": {func(b *bench) {
 			b.arrive("a")
 			b.tell(router.Sent, "a", router.Event{Server: "s0"})
-			b.tell(router.Ghost, "a", router.Event{})
+			b.tell(router.OrphanedCall, "a", router.Event{})
 			b.tell(router.Failed, "a", router.Event{})
 			b.tell(router.AttemptEnded, "a", router.Event{Outcome: threadglade.Cancelled})
-			b.tell(router.Over, "a", router.Event{})
+			b.tell(router.Closed, "a", router.Event{})
 		}, map[int64]map[string]int64{0: {"offered": 1, "failed": 1, "ghosts": 1, "cancelled": 1}}},
 		"never ends": {func(b *bench) { b.stand("a"); b.wait(minute) }, nil},
 		"stood before a crash, released after it": {func(b *bench) {
@@ -191,21 +191,21 @@
 			b.take()
 			b.crash()
 			b.wait(minute)
-			b.tell(router.OrphanRelease, "a", router.Event{Outcome: threadglade.Concluded})
-			b.tell(router.OrphanRelease, "a", router.Event{Outcome: threadglade.Concluded}) // again, on the next connection
+			b.tell(router.UnknownServerRelease, "a", router.Event{Outcome: threadglade.Concluded})
+			b.tell(router.UnknownServerRelease, "a", router.Event{Outcome: threadglade.Concluded}) // again, on the next connection
 		}, map[int64]map[string]int64{1: {"offered": 1, "stood_in_time": 1, "recovered": 1, "concluded": 1, "held_ms": minute, "worth_milli": 3000}}},
 		"answered as the crash came, released after it": {func(b *bench) {
 			b.arrive("a")
 			b.tell(router.Sent, "a", router.Event{Server: "s0"})
 			b.take()
 			b.crash()
-			b.tell(router.OrphanRelease, "a", router.Event{Outcome: threadglade.Cut})
+			b.tell(router.UnknownServerRelease, "a", router.Event{Outcome: threadglade.Cut})
 		}, map[int64]map[string]int64{0: {"offered": 1, "stood_late": 1, "recovered": 1, "cut": 1}}},
 		"released by its caller after a crash": {func(b *bench) {
 			b.stand("a")
 			b.take()
 			b.crash()
-			b.tell(router.StrayRelease, "a", router.Event{Outcome: threadglade.Cancelled})
+			b.tell(router.UnknownCallerRelease, "a", router.Event{Outcome: threadglade.Cancelled})
 		}, map[int64]map[string]int64{0: {"offered": 1, "stood_in_time": 1, "recovered": 1, "concluded": 1, "worth_milli": 3000}}},
 		"cut off by a crash for good": {func(b *bench) {
 			b.stand("a")
@@ -215,10 +215,10 @@
 			b.crash() // and once more
 			b.wait(90_000)
 			b.keeper.Tick()
-			b.tell(router.OrphanRelease, "a", router.Event{Outcome: threadglade.Concluded}) // after it was closed
+			b.tell(router.UnknownServerRelease, "a", router.Event{Outcome: threadglade.Concluded}) // after it was closed
 		}, map[int64]map[string]int64{1: {"offered": 1, "unknown": 1, "lost": 1}}},
 		"a release of nobody's call": {func(b *bench) {
-			b.tell(router.OrphanRelease, "z", router.Event{Outcome: threadglade.Concluded})
+			b.tell(router.UnknownServerRelease, "z", router.Event{Outcome: threadglade.Concluded})
 		}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -300,7 +300,7 @@
 	require.Len(t, b.book(t).Calls, 10)
 	b.crash()
 	for i := range 10 {
-		b.tell(router.OrphanRelease, fmt.Sprint(10*i), router.Event{Outcome: threadglade.Concluded})
+		b.tell(router.UnknownServerRelease, fmt.Sprint(10*i), router.Event{Outcome: threadglade.Concluded})
 	}
 	b.take()
 	list, c := b.statements(t)
@@ -326,22 +326,22 @@
 	b.take()
 	b.crash()
 	require.Equal(t, ids, b.keeper.Sleep())
-	b.tell(router.OrphanRelease, ids[0], router.Event{Outcome: threadglade.Concluded})
-	b.tell(router.OrphanRelease, ids[1], router.Event{Outcome: threadglade.Concluded})
+	b.tell(router.UnknownServerRelease, ids[0], router.Event{Outcome: threadglade.Concluded})
+	b.tell(router.UnknownServerRelease, ids[1], router.Event{Outcome: threadglade.Concluded})
 	require.Zero(t, b.keeper.Counters().Recovered, "nobody knows yet whose they are")
 	b.keeper.Wake([]string{ids[1]})
 	require.Equal(t, uint64(1), b.keeper.Counters().Recovered)
-	b.tell(router.OrphanRelease, ids[2], router.Event{Outcome: threadglade.Cut})
+	b.tell(router.UnknownServerRelease, ids[2], router.Event{Outcome: threadglade.Cut})
 
 	taken := Taken{ID: "00000000000000b1", Tenant: "kda", Class: "voice", Server: "s9", InTime: true, Stood: b.wall - 500}
 	require.True(t, b.keeper.Adopt(taken))
 	require.False(t, b.keeper.Adopt(taken), "it is in the books")
 	b.take()
 	b.crash() // what was taken over outlives this router, too
-	b.tell(router.OrphanRelease, taken.ID, router.Event{Outcome: threadglade.Concluded})
+	b.tell(router.UnknownServerRelease, taken.ID, router.Event{Outcome: threadglade.Concluded})
 
 	b.stand("00000000000000c1")
-	b.tell(router.Ceded, "00000000000000c1", router.Event{})
+	b.tell(router.Relinquished, "00000000000000c1", router.Event{})
 	b.finish("00000000000000c1", threadglade.Cancelled) // as its router lets go: no end
 	b.take()
 	require.Len(t, b.book(t).Calls, 1)
@@ -368,7 +368,7 @@
 		id := fmt.Sprint(i)
 		b.arrive(id)
 		b.tell(router.Sent, id, router.Event{Server: "s" + id})
-		b.tell(router.Stood, id, router.Event{})
+		b.tell(router.Established, id, router.Event{})
 		if i != 30 {
 			b.finish(id, threadglade.Concluded)
 		}
@@ -414,18 +414,18 @@
 				out[id] = true
 			case what == 3 && len(out) > 0:
 				id := pick(out)
-				b.tell(router.Stood, id, router.Event{})
+				b.tell(router.Established, id, router.Event{})
 				stood++
 				up[id] = true
 			case what == 4 && len(out) > 0:
 				id := pick(out)
 				b.tell(router.AttemptEnded, id, router.Event{Outcome: threadglade.TimedOut})
 				b.tell(router.Failed, id, router.Event{})
-				b.tell(router.Over, id, router.Event{})
+				b.tell(router.Closed, id, router.Event{})
 			case what == 5 && len(up) > 0:
 				b.finish(pick(up), threadglade.Concluded)
 			case what == 6 && len(old) > 0:
-				b.tell(router.OrphanRelease, pick(old), router.Event{Outcome: threadglade.Concluded})
+				b.tell(router.UnknownServerRelease, pick(old), router.Event{Outcome: threadglade.Concluded})
 				before++
 			case what == 7:
 				b.wait(rapid.Int64Range(0, minute).Draw(t, "ms"))
--- a/lifecycle/caller.go
+++ b/lifecycle/caller.go
@@ -19,7 +19,7 @@
 
 // CallerConn tracks the timeouts of a caller's connection and its rank when connections must be closed to free
 // descriptors. Connected initializes it. It is not safe for concurrent use.
-type Caller struct {
+type CallerConn struct {
 	connectedAt     time.Duration
 	lastReceived    time.Duration // when data last arrived; when it connected if none has
 	deadline        time.Duration // of the message in progress, or of the close; 0: no message has begun
@@ -28,13 +28,13 @@
 }
 
 // Connected resets the state for a connection accepted at now.
-func (c *Caller) Came(now time.Duration) {
-	*c = Caller{connectedAt: now, lastReceived: now, deadline: now + messageTimeout}
+func (c *CallerConn) Connected(now time.Duration) {
+	*c = CallerConn{connectedAt: now, lastReceived: now, deadline: now + messageTimeout}
 }
 
 // Inherited records that the connection was taken over from another process, where it has delivered a valid message.
 // messageBegun is whether it is in the middle of another one.
-func (c *Caller) Known(messageBegun bool) {
+func (c *CallerConn) Inherited(messageBegun bool) {
 	c.hasValidMessage = true
 	if !messageBegun {
 		c.deadline = 0
@@ -42,21 +42,21 @@
 }
 
 // Received records that bytes arrived.
-func (c *Caller) Heard(now time.Duration) { c.lastReceived = now }
+func (c *CallerConn) Received(now time.Duration) { c.lastReceived = now }
 
 // MessageBegun records that a message has arrived in part, which starts its timeout unless one is running.
-func (c *Caller) Begun(now time.Duration) {
+func (c *CallerConn) MessageBegun(now time.Duration) {
 	if c.deadline == 0 {
 		c.deadline = now + messageTimeout
 	}
 }
 
 // MessageValid records that a valid message was received.
-func (c *Caller) Spoke() { c.hasValidMessage = true }
+func (c *CallerConn) MessageValid() { c.hasValidMessage = true }
 
 // MessageComplete stops the message timeout, so that the next message has its own. It has no effect before a valid
 // message was received or once the connection is closing.
-func (c *Caller) Whole() {
+func (c *CallerConn) MessageComplete() {
 	if c.hasValidMessage && !c.closing {
 		c.deadline = 0
 	}
@@ -64,7 +64,7 @@
 
 // BeginClose records that the peer was notified of the close and starts the linger timeout. It returns false if
 // that has happened before.
-func (c *Caller) Over(now time.Duration) bool {
+func (c *CallerConn) BeginClose(now time.Duration) bool {
 	if c.closing {
 		return false
 	}
@@ -73,20 +73,20 @@
 }
 
 // Closing reports whether the peer was notified of the close.
-func (c *Caller) Ended() bool { return c.closing }
+func (c *CallerConn) Closing() bool { return c.closing }
 
 // HasValidMessage reports whether a valid message was received.
-func (c *Caller) Spoken() bool { return c.hasValidMessage }
+func (c *CallerConn) HasValidMessage() bool { return c.hasValidMessage }
 
 // ConnectedAt returns when the caller connected.
-func (c *Caller) Since() time.Duration { return c.connectedAt }
+func (c *CallerConn) ConnectedAt() time.Duration { return c.connectedAt }
 
 // LastReceived returns when data last arrived.
-func (c *Caller) Last() time.Duration { return c.lastReceived }
+func (c *CallerConn) LastReceived() time.Duration { return c.lastReceived }
 
 // TimedOut reports whether the connection has exceeded its deadline. A message whose bytes keep arriving is given
 // slowMessageExtension more.
-func (c *Caller) Late(now time.Duration) bool {
+func (c *CallerConn) TimedOut(now time.Duration) bool {
 	slow := !c.closing && now < c.deadline+slowMessageExtension && now-c.lastReceived < maxSlowMessagePause
 	return c.deadline > 0 && now >= c.deadline && !slow
 }
@@ -94,7 +94,7 @@
 // ClosesBefore reports whether the connection is to be closed before another one when descriptors run out and
 // neither has a set-up: first those that are closing, then those without a valid message, and among equals the
 // one that has been silent longest.
-func (c *Caller) Before(other *Caller) bool {
+func (c *CallerConn) ClosesBefore(other *CallerConn) bool {
 	if rank, otherRank := c.closeRank(), other.closeRank(); rank != otherRank {
 		return rank < otherRank
 	}
@@ -102,7 +102,7 @@
 }
 
 // closeRank returns the class by which connections are closed, lowest first.
-func (c *Caller) closeRank() int {
+func (c *CallerConn) closeRank() int {
 	switch {
 	case c.closing:
 		return 0
--- a/lifecycle/caller_test.go
+++ b/lifecycle/caller_test.go
@@ -14,32 +14,32 @@
 // last byte, but not before 2 s. A caller whose message is complete in time may stay idle.
 func TestCallerTimeouts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var c Caller
+		var c CallerConn
 		now := time.Hour
-		c.Came(now)
+		c.Connected(now)
 		last, whole := now, now+time.Duration(rapid.IntRange(0, 5000).Draw(t, "whole after"))*ms
 		for now < time.Hour+6*time.Second {
 			now += time.Duration(rapid.IntRange(20, 900).Draw(t, "pause")) * ms
-			late := c.Late(now)
+			late := c.TimedOut(now)
 			age, pause := now-time.Hour, now-last
 			require.Equal(t, age >= 2*time.Second && (pause >= 700*ms || age >= 2750*ms), late)
 			if late {
 				return
 			}
 			last = now
-			c.Heard(now)
+			c.Received(now)
 			if now >= whole {
-				c.Spoke()
-				c.Whole()
-				require.False(t, c.Late(now+time.Hour), "an idle connection with a valid message timed out")
-				c.Begun(now)
-				require.True(t, c.Late(now+2*time.Second))
-				require.True(t, c.Over(now) && !c.Over(now))
-				c.Whole()
-				require.True(t, c.Late(now+lingerTimeout))
+				c.MessageValid()
+				c.MessageComplete()
+				require.False(t, c.TimedOut(now+time.Hour), "an idle connection with a valid message timed out")
+				c.MessageBegun(now)
+				require.True(t, c.TimedOut(now+2*time.Second))
+				require.True(t, c.BeginClose(now) && !c.BeginClose(now))
+				c.MessageComplete()
+				require.True(t, c.TimedOut(now+lingerTimeout))
 				return
 			}
-			c.Begun(now)
+			c.MessageBegun(now)
 		}
 		require.Fail(t, "never timed out")
 	})
@@ -49,33 +49,33 @@
 // among equals, the one that has been silent longest comes first.
 func TestCloseOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var all []*Caller
+		var all []*CallerConn
 		for range rapid.IntRange(2, 20).Draw(t, "connections") {
-			c := &Caller{}
-			c.Came(time.Hour)
-			c.Heard(time.Hour + time.Duration(rapid.IntRange(0, 50).Draw(t, "heard"))*ms)
+			c := &CallerConn{}
+			c.Connected(time.Hour)
+			c.Received(time.Hour + time.Duration(rapid.IntRange(0, 50).Draw(t, "heard"))*ms)
 			if rapid.Bool().Draw(t, "spoke") {
-				c.Spoke()
+				c.MessageValid()
 			}
 			if rapid.Bool().Draw(t, "over") {
-				c.Over(time.Hour)
+				c.BeginClose(time.Hour)
 			}
 			all = append(all, c)
 		}
-		first := slices.MinFunc(all, func(a, b *Caller) int {
+		first := slices.MinFunc(all, func(a, b *CallerConn) int {
 			switch {
-			case a.Before(b):
+			case a.ClosesBefore(b):
 				return -1
-			case b.Before(a):
+			case b.ClosesBefore(a):
 				return 1
 			}
 			return 0
 		})
 		for _, c := range all {
-			require.False(t, c.Ended() && !first.Ended())
-			require.False(t, !c.Ended() && !c.Spoken() && !first.Ended() && first.Spoken())
-			if c.Ended() == first.Ended() && (c.Ended() || c.Spoken() == first.Spoken()) {
-				require.LessOrEqual(t, first.Last(), c.Last())
+			require.False(t, c.Closing() && !first.Closing())
+			require.False(t, !c.Closing() && !c.HasValidMessage() && !first.Closing() && first.HasValidMessage())
+			if c.Closing() == first.Closing() && (c.Closing() || c.HasValidMessage() == first.HasValidMessage()) {
+				require.LessOrEqual(t, first.LastReceived(), c.LastReceived())
 			}
 		}
 	})
--- a/lifecycle/handover.go
+++ b/lifecycle/handover.go
@@ -10,7 +10,7 @@
 
 // OldProcess is the side of a hot restart that serves callers and may have a successor. It decides to whom
 // callers are handed over and when. The zero value has no successor. It is not safe for concurrent use.
-type Elder struct {
+type OldProcess struct {
 	hasSuccessor bool
 	requestedAt  time.Duration // when the successor was asked to take over; 0: not yet
 	confirmed    bool          // the successor has confirmed that it accepts callers
@@ -18,7 +18,7 @@
 
 // AcceptSuccessor reports whether a process that asks to become the successor is accepted. There is one successor
 // at a time; any other has to wait, and has come too late once the callers are being handed over.
-func (e *Elder) Welcome() bool {
+func (e *OldProcess) AcceptSuccessor() bool {
 	if e.hasSuccessor {
 		return false
 	}
@@ -27,11 +27,11 @@
 }
 
 // SuccessorLost records that the successor is gone.
-func (e *Elder) Lost() { *e = Elder{} }
+func (e *OldProcess) SuccessorLost() { *e = OldProcess{} }
 
 // RequestTakeover begins the hand-over when the process is told to shut down. It returns false if there is no
 // successor or it was asked before.
-func (e *Elder) Ask(now time.Duration) bool {
+func (e *OldProcess) RequestTakeover(now time.Duration) bool {
 	if !e.hasSuccessor || e.requestedAt > 0 {
 		return false
 	}
@@ -41,14 +41,14 @@
 
 // AwaitingTakeover reports whether the successor's confirmation is still pending. Until then this process serves as
 // before.
-func (e *Elder) Waiting(now time.Duration) bool {
+func (e *OldProcess) AwaitingTakeover(now time.Duration) bool {
 	return e.requestedAt > 0 && !e.confirmed && now < e.requestedAt+takeoverTimeout
 }
 
 // ConfirmTakeover records the successor's confirmation that it accepts callers. It returns false if it was not
 // asked to, or if the confirmation came too late.
-func (e *Elder) Taken(now time.Duration) bool {
-	if !e.Waiting(now) {
+func (e *OldProcess) ConfirmTakeover(now time.Duration) bool {
+	if !e.AwaitingTakeover(now) {
 		return false
 	}
 	e.confirmed = true
@@ -56,27 +56,27 @@
 }
 
 // HandedOver reports whether the successor now accepts the callers.
-func (e *Elder) Handing() bool { return e.confirmed }
+func (e *OldProcess) HandedOver() bool { return e.confirmed }
 
 // NewProcess is the side of a hot restart that serves once the old process is told to shut down, or dies. The
 // zero value has no old process and serves. It is not safe for concurrent use.
-type Successor struct {
+type NewProcess struct {
 	standby         bool // the old process decides
 	oldProcessAlive bool // the old process still runs
 }
 
 // StandBy records that an old process has accepted this one as its successor.
-func (h *Successor) Wait() { h.standby, h.oldProcessAlive = true, true }
+func (h *NewProcess) StandBy() { h.standby, h.oldProcessAlive = true, true }
 
 // InStandby reports whether the old process still decides. Until it doesn't, no callers are accepted here, and
 // messages of servers about calls unknown here are left to the old process.
-func (h *Successor) Standby() bool { return h.standby }
+func (h *NewProcess) InStandby() bool { return h.standby }
 
 // OldProcessAlive reports whether the old process still runs, with calls of its own.
-func (h *Successor) Elder() bool { return h.oldProcessAlive }
+func (h *NewProcess) OldProcessAlive() bool { return h.oldProcessAlive }
 
 // TakeOver makes this process serve. It returns false if it already does.
-func (h *Successor) Take() bool {
+func (h *NewProcess) TakeOver() bool {
 	wasStandby := h.standby
 	h.standby = false
 	return wasStandby
@@ -84,7 +84,7 @@
 
 // OldProcessLost records that the old process is gone. It returns whether this process has to take over because
 // of that.
-func (h *Successor) Lost() (mustTakeOver bool) {
+func (h *NewProcess) OldProcessLost() (mustTakeOver bool) {
 	h.oldProcessAlive = false
 	return h.standby
 }
--- a/lifecycle/lifecycle.go
+++ b/lifecycle/lifecycle.go
@@ -66,7 +66,7 @@
 func (p *Process) Listening() { p.listening = true }
 
 // ServersListed records that the list of case servers is known.
-func (p *Process) Listed() { p.serversListed = true }
+func (p *Process) ServersListed() { p.serversListed = true }
 
 // State returns the current state.
 func (p *Process) State() State {
@@ -89,7 +89,7 @@
 func (p *Process) Leaving() bool { return p.draining || p.ending && !p.hasSuccessor }
 
 // SetSuccessor sets whether a new process accepts the callers of this one when it shuts down.
-func (p *Process) Succeeded(hasSuccessor bool) { p.hasSuccessor = hasSuccessor }
+func (p *Process) SetSuccessor(hasSuccessor bool) { p.hasSuccessor = hasSuccessor }
 
 // Drain begins a drain. changed is false if one is already under way, which continues unchanged. The error is
 // ErrEnding or nil.
@@ -131,54 +131,54 @@
 func (p *Process) Changes() uint64 { return p.changes }
 
 // ConnState describes a caller's connection.
-type Conn struct {
-	Open  int           // pending set-ups on it
-	Since time.Duration // when it was accepted
-	Heard time.Duration // when data last arrived on it
-	Share float64       // its position within idleCloseSpread, from 0 to 1
-	Last  bool          // releases of established calls can't arrive on any other connection
+type ConnState struct {
+	OpenSetups      int           // pending set-ups on it
+	ConnectedAt     time.Duration // when it was accepted
+	LastReceived    time.Duration // when data last arrived on it
+	SpreadPosition  float64       // its position within idleCloseSpread, from 0 to 1
+	LastForReleases bool          // releases of established calls can't arrive on any other connection
 }
 
 // BeginClosing records that a process that is shutting down accepts no new callers any more. From then on idle
 // connections are closed at once and the others when their set-ups are answered. It has no effect in other states.
-func (p *Process) Closing() { p.closingIdle = p.ending }
+func (p *Process) BeginClosing() { p.closingIdle = p.ending }
 
 // ShouldClose reports whether the connection is to be closed now because the process is draining or shutting
 // down. In a drain that is once callers are sent elsewhere, at the connection's position in the spread. It is
 // never while a set-up on the connection is pending.
-func (p *Process) Letting(now time.Duration, conn Conn) bool {
+func (p *Process) ShouldClose(now time.Duration, conn ConnState) bool {
 	if p.closingIdle {
-		return conn.Open == 0
+		return conn.OpenSetups == 0
 	}
-	if !p.draining || p.ending || conn.Open > 0 {
+	if !p.draining || p.ending || conn.OpenSetups > 0 {
 		return false
 	}
-	if conn.Last && now < p.leavingSince+lastConnCloseDelay {
+	if conn.LastForReleases && now < p.leavingSince+lastConnCloseDelay {
 		return false
 	}
-	if conn.Since > p.leavingSince { // it may be about to send its first set-up
-		return now >= max(conn.Heard, conn.Since)+newConnIdleTimeout && now >= p.leavingSince+drainSettleDelay
+	if conn.ConnectedAt > p.leavingSince { // it may be about to send its first set-up
+		return now >= max(conn.LastReceived, conn.ConnectedAt)+newConnIdleTimeout && now >= p.leavingSince+drainSettleDelay
 	}
-	return now >= p.leavingSince+drainSettleDelay+time.Duration(conn.Share*float64(idleCloseSpread))
+	return now >= p.leavingSince+drainSettleDelay+time.Duration(conn.SpreadPosition*float64(idleCloseSpread))
 }
 
 // ShouldCloseAnswered is ShouldClose for a connection whose last pending set-up was just answered. It doesn't
 // wait for the connection's position in the spread.
-func (p *Process) LettingAnswered(now time.Duration, conn Conn) bool {
-	return p.closingIdle && conn.Open == 0 ||
-		p.draining && !p.ending && conn.Open == 0 && now >= p.leavingSince+drainSettleDelay &&
-			!(conn.Last && now < p.leavingSince+lastConnCloseDelay)
+func (p *Process) ShouldCloseAnswered(now time.Duration, conn ConnState) bool {
+	return p.closingIdle && conn.OpenSetups == 0 ||
+		p.draining && !p.ending && conn.OpenSetups == 0 && now >= p.leavingSince+drainSettleDelay &&
+			!(conn.LastForReleases && now < p.leavingSince+lastConnCloseDelay)
 }
 
 // RefusesSetup reports whether a set-up that arrives now on the connection is refused because it would keep the
 // connection open too long.
-func (p *Process) Turning(now time.Duration, conn Conn) bool {
+func (p *Process) RefusesSetup(now time.Duration, conn ConnState) bool {
 	return p.draining && !p.ending && now >= p.leavingSince+setupRefusalDelay
 }
 
 // ShouldEndSetup reports whether a set-up that arrived at arrivedAt and is still pending has to end now for its
 // connection to be closed in time.
-func (p *Process) Overstays(now, arrivedAt time.Duration) bool {
+func (p *Process) ShouldEndSetup(now, arrivedAt time.Duration) bool {
 	return p.draining && !p.ending && arrivedAt >= p.leavingSince+recentSetupFrom &&
 		now >= p.leavingSince+recentSetupEndDelay
 }
--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -13,7 +13,7 @@
 func newServingProcess() *Process {
 	p := &Process{}
 	p.Listening()
-	p.Listed()
+	p.ServersListed()
 	return p
 }
 
@@ -24,7 +24,7 @@
 	require.Equal(t, Starting, p.State())
 	p.Listening()
 	require.False(t, p.Ready())
-	p.Listed()
+	p.ServersListed()
 	require.True(t, p.Ready())
 	for _, want := range []bool{true, false} {
 		changed, err := p.Drain(time.Hour)
@@ -41,7 +41,7 @@
 	_, err = p.Resume()
 	require.ErrorIs(t, err, ErrEnding)
 	require.True(t, p.Leaving())
-	p.Succeeded(true)
+	p.SetSuccessor(true)
 	require.False(t, p.Leaving())
 }
 
@@ -51,34 +51,34 @@
 func TestDrainPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, began := newServingProcess(), time.Hour
-		c := Conn{Share: rapid.Float64Range(0, 1).Draw(t, "share"),
-			Since: began - time.Duration(rapid.IntRange(-300, 5000).Draw(t, "since"))*ms,
-			Last:  rapid.Bool().Draw(t, "last")}
-		c.Heard = c.Since
-		require.False(t, p.Letting(began, c))
+		c := ConnState{SpreadPosition: rapid.Float64Range(0, 1).Draw(t, "share"),
+			ConnectedAt:     began - time.Duration(rapid.IntRange(-300, 5000).Draw(t, "since"))*ms,
+			LastForReleases: rapid.Bool().Draw(t, "last")}
+		c.LastReceived = c.ConnectedAt
+		require.False(t, p.ShouldClose(began, c))
 		p.Drain(began)
 		type setUp struct{ came, answered time.Duration }
 		var open []setUp
 		gone := false
 		for now := began; now <= began+4*time.Second && !gone; now += 20 * ms {
 			for i := 0; i < len(open); {
-				if now >= open[i].answered || p.Overstays(now, open[i].came) {
+				if now >= open[i].answered || p.ShouldEndSetup(now, open[i].came) {
 					open = append(open[:i], open[i+1:]...)
-					if c.Open = len(open); p.LettingAnswered(now, c) {
+					if c.OpenSetups = len(open); p.ShouldCloseAnswered(now, c) {
 						gone = true
 					}
 					continue
 				}
 				i++
 			}
-			if c.Open = len(open); now%(100*ms) == 0 && p.Letting(now, c) {
-				require.Zero(t, c.Open)
+			if c.OpenSetups = len(open); now%(100*ms) == 0 && p.ShouldClose(now, c) {
+				require.Zero(t, c.OpenSetups)
 				require.GreaterOrEqual(t, now, began+drainSettleDelay)
 				gone = true
 			}
-			if !gone && now >= c.Since && rapid.IntRange(0, 5).Draw(t, "set-up") == 0 {
-				c.Heard = now
-				if !p.Turning(now, c) {
+			if !gone && now >= c.ConnectedAt && rapid.IntRange(0, 5).Draw(t, "set-up") == 0 {
+				c.LastReceived = now
+				if !p.RefusesSetup(now, c) {
 					open = append(open, setUp{now, now + time.Duration(rapid.IntRange(1, 9000).Draw(t, "takes"))*ms})
 				}
 			}
@@ -88,7 +88,7 @@
 		}
 		require.True(t, gone || len(open) > 0, "an idle connection is left")
 		p.Resume()
-		require.False(t, p.Letting(began+5*time.Second, Conn{}))
+		require.False(t, p.ShouldClose(began+5*time.Second, ConnState{}))
 	})
 }
 
@@ -97,45 +97,45 @@
 // gone.
 func TestOneProcessServes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var old Elder
-		var next Successor
-		now, linked := time.Hour, old.Welcome()
-		next.Wait()
-		require.False(t, old.Welcome(), "a third process has to wait")
+		var old OldProcess
+		var next NewProcess
+		now, linked := time.Hour, old.AcceptSuccessor()
+		next.StandBy()
+		require.False(t, old.AcceptSuccessor(), "a third process has to wait")
 		var take, taken bool // messages in transit
 		for range rapid.IntRange(1, 20).Draw(t, "events") {
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				take = old.Ask(now) || take
+				take = old.RequestTakeover(now) || take
 			case 1:
-				if take && linked && next.Take() {
+				if take && linked && next.TakeOver() {
 					taken = true
 				}
 			case 2:
 				if taken {
-					old.Taken(now)
+					old.ConfirmTakeover(now)
 				}
 			case 3:
 				now += time.Duration(rapid.IntRange(1, 200).Draw(t, "wait")) * ms
 			case 4:
 				if linked && rapid.IntRange(0, 9).Draw(t, "break") == 0 {
 					linked = false
-					if next.Lost() {
-						require.True(t, next.Take())
+					if next.OldProcessLost() {
+						require.True(t, next.TakeOver())
 					}
 				}
 			}
-			require.False(t, old.Handing() && next.Standby(), "callers handed over to a process in standby")
+			require.False(t, old.HandedOver() && next.InStandby(), "callers handed over to a process in standby")
 			if !linked {
-				require.False(t, next.Standby())
-				require.False(t, next.Elder())
+				require.False(t, next.InStandby())
+				require.False(t, next.OldProcessAlive())
 			}
 			if !take && linked {
-				require.True(t, next.Standby(), "took over without being asked")
+				require.True(t, next.InStandby(), "took over without being asked")
 			}
 		}
-		if old.Ask(now) {
-			require.False(t, old.Taken(now+takeoverTimeout), "too late")
+		if old.RequestTakeover(now) {
+			require.False(t, old.ConfirmTakeover(now+takeoverTimeout), "too late")
 		}
 	})
 }
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -121,10 +121,10 @@
 func (c *Core) Close() { c.once.Do(func() { close(c.done) }) }
 
 // List tells the core of its servers.
-func (c *Core) List(list threadglade.ServerList) { c.router.List(list) }
+func (c *Core) List(list threadglade.ServerList) { c.router.UpdateServers(list) }
 
 // Agents tells the core of a server's free agents.
-func (c *Core) Agents(a threadglade.Agents) { c.router.Agents(a) }
+func (c *Core) Agents(a threadglade.Agents) { c.router.ReportAgents(a) }
 
 // Counters returns the core's counters.
 func (c *Core) Counters() router.Counters { return c.router.Counters() }
@@ -153,7 +153,7 @@
 	why        router.Failure
 }
 
-func (k *call) Stood(string, []byte)                 {}
+func (k *call) Established(string, []byte)           {}
 func (k *call) Released(string, threadglade.Outcome) {}
 func (k *call) Refused(_ string, retryAfter time.Duration) {
 	k.verdicts <- verdict{refused: true, retryAfter: retryAfter}
@@ -218,7 +218,7 @@
 			return
 		}
 		defer func() {
-			c.router.Leave(k, req.ID) // does nothing once there was a final answer
+			c.router.Cancel(k, req.ID) // does nothing once there was a final answer
 			c.mu.Lock()
 			delete(c.calls, req.ID)
 			c.mu.Unlock()
@@ -247,7 +247,7 @@
 				case last != nil && last.status >= 500:
 					last.finish()
 					return
-				case v.why == router.DeadlinePast:
+				case v.why == router.DeadlineExceeded:
 					http.Error(w, "no server answered in time", http.StatusGatewayTimeout)
 					return
 				default:
--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -11,7 +11,7 @@
 // sink is a front and a trunk that record only the latest attempt.
 type sink struct{ sent Attempt }
 
-func (m *sink) Stood(string, []byte)                 {}
+func (m *sink) Established(string, []byte)           {}
 func (m *sink) Refused(string, time.Duration)        {}
 func (m *sink) Failed(string, Failure)               {}
 func (m *sink) Released(string, threadglade.Outcome) {}
@@ -40,9 +40,9 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	r.List(threadglade.ServerList{Servers: servers})
+	r.UpdateServers(threadglade.ServerList{Servers: servers})
 	for _, s := range servers {
-		r.Agents(threadglade.Agents{Server: s.ID, Free: 100, Total: 100})
+		r.ReportAgents(threadglade.Agents{Server: s.ID, Free: 100, Total: 100})
 	}
 	description := []byte("v=0")
 	const standing = 300
--- a/router/clone.go
+++ b/router/clone.go
@@ -132,7 +132,7 @@
 }
 
 // SetRandomSource makes the Controller draw its random choices from source instead of from the seed.
-func (r *Router) Draw(source rand.Source) { r.controller.Draw(source) }
+func (r *Router) SetRandomSource(source rand.Source) { r.controller.Draw(source) }
 
 // isLive reports whether a timer can still have an effect, and for which call.
 func (r *Router) isLive(t *timer) (id string, isLive bool) {
@@ -150,7 +150,7 @@
 }
 
 // NextActiveTimer returns when the first timer is due that can still have an effect; false if there is none.
-func (r *Router) NextLive() (at time.Duration, found bool) {
+func (r *Router) NextActiveTimer() (at time.Duration, found bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range r.timers {
--- a/router/observer.go
+++ b/router/observer.go
@@ -25,25 +25,25 @@
 // with one AttemptEnded unless the attempt is answered; one of Established, Refused, Failed and CallerLeft; after
 // Established one Ended; last Closed.
 const (
-	Arrived       Kind = iota + 1 // a request was accepted for processing
-	Sent                          // an attempt is about to be sent to Server
-	AttemptEnded                  // an attempt has ended unanswered, with Outcome and Cause
-	Stood                         // Server has answered: the call is established
-	Refused                       // the final answer is a refusal, with RetryAfter
-	Failed                        // the final answer is a failure, for the reason Failure
-	Left                          // the caller has given the request up
-	Ghost                         // a server released a call whose answer was lost; Failed follows
-	Ended                         // an established call has ended, with Outcome
-	Over                          // no more events of this request follow
-	OrphanRelease                 // a server released a call that this router never knew
-	StrayRelease                  // a caller released a call that this router never knew
-	Listed                        // Server is listed in State
-	Reported                      // Server has Free of Total agents
-	Held                          // a request waits, for Reason; Server is its first choice
-	Withdrawn                     // the attempt at Server is given up, for Reason; AttemptEnded follows
-	Loaded                        // Server reports its processor's wait and the rate it can accept
-	Cared                         // Server is avoided because of what all routers know about it
-	Ceded                         // an established call passed to another router; the Ended that follows isn't its end
+	Arrived              Kind = iota + 1 // a request was accepted for processing
+	Sent                                 // an attempt is about to be sent to Server
+	AttemptEnded                         // an attempt has ended unanswered, with Outcome and Cause
+	Established                          // Server has answered: the call is established
+	Refused                              // the final answer is a refusal, with RetryAfter
+	Failed                               // the final answer is a failure, for the reason Failure
+	CallerLeft                           // the caller has given the request up
+	OrphanedCall                         // a server released a call whose answer was lost; Failed follows
+	Ended                                // an established call has ended, with Outcome
+	Closed                               // no more events of this request follow
+	UnknownServerRelease                 // a server released a call that this router never knew
+	UnknownCallerRelease                 // a caller released a call that this router never knew
+	Listed                               // Server is listed in State
+	AgentsReported                       // Server has Free of Total agents
+	Held                                 // a request waits, for Reason; Server is its first choice
+	Withdrawn                            // the attempt at Server is given up, for Reason; AttemptEnded follows
+	LoadReported                         // Server reports its processor's wait and the rate it can accept
+	Avoided                              // Server is avoided because of what all routers know about it
+	Relinquished                         // an established call passed to another router; the Ended that follows isn't its end
 )
 
 // Event is an event of a Router. Fields that its Kind doesn't use are zero.
@@ -64,7 +64,7 @@
 
 	Outcome    threadglade.Outcome
 	Cause      threadglade.Cause
-	Why        Failure
+	Failure    Failure
 	RetryAfter time.Duration
 	State      threadglade.ServerState
 	Free       int
--- a/router/observer_test.go
+++ b/router/observer_test.go
@@ -13,14 +13,14 @@
 // recordingObserver is an observer that records its events as text.
 type recordingObserver struct{ events []string }
 
-var kindNames = map[Kind]string{Arrived: "arrived", Sent: "sent", AttemptEnded: "attempt ended", Stood: "stood",
-	Refused: "refused", Failed: "failed", Left: "left", Ghost: "ghost", Ended: "ended", Over: "over",
-	OrphanRelease: "orphan", StrayRelease: "stray",
-	Listed: "listed", Reported: "reported", Held: "held", Withdrawn: "withdrawn"}
+var kindNames = map[Kind]string{Arrived: "arrived", Sent: "sent", AttemptEnded: "attempt ended", Established: "stood",
+	Refused: "refused", Failed: "failed", CallerLeft: "left", OrphanedCall: "ghost", Ended: "ended", Closed: "over",
+	UnknownServerRelease: "orphan", UnknownCallerRelease: "stray",
+	Listed: "listed", AgentsReported: "reported", Held: "held", Withdrawn: "withdrawn"}
 
 func (w *recordingObserver) Observe(e Event) {
 	text := kindNames[e.Kind] + " " + e.Call
-	if e.Kind == Listed || e.Kind == Reported || e.Kind == Sent {
+	if e.Kind == Listed || e.Kind == AgentsReported || e.Kind == Sent {
 		text += " " + e.Server
 	}
 	if e.Kind == AttemptEnded || e.Kind == Ended {
@@ -36,19 +36,19 @@
 	r, d, now := startRouter(t)
 	w := &recordingObserver{}
 	r.cfg.Observer = w
-	r.cfg.Orphan, r.cfg.Stray = func(string, threadglade.Outcome) {}, func(string) {}
+	r.cfg.OnUnknownServerRelease, r.cfg.OnUnknownCallerRelease = func(string, threadglade.Outcome) {}, func(string) {}
 	r.Answered("a", 0, nil)
 	r.Ended("a", 0, threadglade.Concluded, 0)
 	r.Ended("a", 0, threadglade.Concluded, 0)
 	require.Equal(t, []string{"stood a", "ended a 0", "over a"}, w.take())
 	r.Arrive(d, d.request("b", *now+time.Second))
-	r.Leave(d, "b")
+	r.Cancel(d, "b")
 	require.Equal(t, []string{"arrived b", "sent b s0", "left b", "attempt ended b 6", "over b"}, w.take())
 	r.Arrive(d, d.request("c", *now+time.Second))
-	r.Orphan("c", threadglade.Concluded)
+	r.UnmatchedRelease("c", threadglade.Concluded)
 	require.Equal(t, []string{"arrived c", "sent c s0", "ghost c", "failed c", "attempt ended c 6", "over c"}, w.take())
-	r.Orphan("y", threadglade.Cut)
-	r.Orphan("y", threadglade.Cut)
+	r.UnmatchedRelease("y", threadglade.Cut)
+	r.UnmatchedRelease("y", threadglade.Cut)
 	r.Release("z")
 	r.Release("a")
 	require.Equal(t, []string{"orphan y", "stray z"}, w.take())
@@ -57,13 +57,13 @@
 	r.Tick()
 	require.Equal(t, "over e", w.events[len(w.events)-1])
 	w.take()
-	r.Agents(threadglade.Agents{Server: "s0", Free: 1, Total: 2})
-	r.List(threadglade.ServerList{Delta: true, Servers: []threadglade.Server{{ID: "s0", State: threadglade.Draining}}})
+	r.ReportAgents(threadglade.Agents{Server: "s0", Free: 1, Total: 2})
+	r.UpdateServers(threadglade.ServerList{Delta: true, Servers: []threadglade.Server{{ID: "s0", State: threadglade.Draining}}})
 	require.Equal(t, []string{"reported  s0", "listed  s0"}, w.take())
 	r.cfg.Admit = func(Request) (threadglade.Reason, time.Duration) { return threadglade.Unbillable, time.Second }
 	d.take()
 	r.Arrive(d, d.request("f", *now+time.Second))
 	require.Equal(t, []string{"arrived f", "refused f", "over f"}, w.take())
 	require.Equal(t, []string{"refused f"}, d.take())
-	require.Zero(t, r.Open())
+	require.Zero(t, r.OpenRequests())
 }
--- a/router/router.go
+++ b/router/router.go
@@ -83,9 +83,9 @@
 
 // The reasons of a failure.
 const (
-	GivenUp      Failure = iota // a server may have processed an attempt, and no retry attempt is left
-	DeadlinePast                // the deadline of the request passed
-	Known                       // the ID is or was that of another request, which is not affected
+	GivenUp          Failure = iota // a server may have processed an attempt, and no retry attempt is left
+	DeadlineExceeded                // the deadline of the request passed
+	DuplicateID                     // the ID is or was that of another request, which is not affected
 )
 
 // Front is the side that a request came from. For each request the router calls exactly one of Established,
@@ -94,7 +94,7 @@
 type Front interface {
 	// Established passes on the server's answer: the call is established. description is only valid during the
 	// method call.
-	Stood(id string, description []byte)
+	Established(id string, description []byte)
 	// Refused refuses the request, with advice on when to retry (0: none).
 	Refused(id string, retryAfter time.Duration)
 	// Failed fails the request.
@@ -124,9 +124,9 @@
 	Log      zerolog.Logger // the zero value logs nothing
 	// OnUnknownServerRelease, if set, is called when a server releases a call that this router never knew, which
 	// is one of an earlier incarnation.
-	Orphan func(id string, outcome threadglade.Outcome)
+	OnUnknownServerRelease func(id string, outcome threadglade.Outcome)
 	// OnUnknownCallerRelease, if set, is called when a caller releases a call that this router never knew.
-	Stray func(id string)
+	OnUnknownCallerRelease func(id string)
 	// Observer, if set, receives the router's events. Without one they cost nothing.
 	Observer Observer
 	// Admit, if set, is called for each request after the observer has received it and before the Controller
@@ -290,7 +290,7 @@
 	r.serialize(nil, func([]byte) {
 		if r.calls[req.ID] != nil || r.endedCalls[req.ID].answered {
 			r.counters.Repeated++
-			front.Failed(req.ID, Known)
+			front.Failed(req.ID, DuplicateID)
 			return
 		}
 		now := r.cfg.Clock()
@@ -313,13 +313,13 @@
 
 // Cancel records that the caller has given the request up, so that it gets no answer. If front is not nil, only a
 // request of that front is affected.
-func (r *Router) Leave(front Front, id string) {
+func (r *Router) Cancel(front Front, id string) {
 	r.serialize(nil, func([]byte) {
 		if call := r.calls[id]; call != nil && !call.settled && (front == nil || front == call.front) &&
 			mutant != "deaf-to-leave" {
 			r.counters.Left++
 			call.callerLeft = true
-			r.observeCall(Left, call)
+			r.observeCall(CallerLeft, call)
 			r.withdraw(call)
 		}
 	})
@@ -329,9 +329,9 @@
 func (r *Router) Abandon(front Front, id string) {
 	r.serialize(nil, func([]byte) {
 		if call := r.calls[id]; call != nil && !call.settled && call.front == front {
-			r.observeDecision(Failed, call, call.attempt.Server, threadglade.OutOfTime, Event{Why: DeadlinePast})
+			r.observeDecision(Failed, call, call.attempt.Server, threadglade.OutOfTime, Event{Failure: DeadlineExceeded})
 			r.counters.Failed++
-			call.front.Failed(id, DeadlinePast)
+			call.front.Failed(id, DeadlineExceeded)
 			r.withdraw(call)
 		}
 	})
@@ -350,18 +350,18 @@
 			}
 			r.endAttempt(call, threadglade.Cancelled, threadglade.CauseNone, false)
 		}
-		if _, known := r.endedCalls[id]; !known && call == nil && r.cfg.Stray != nil && r.allowUnexpectedRelease() {
+		if _, known := r.endedCalls[id]; !known && call == nil && r.cfg.OnUnknownCallerRelease != nil && r.allowUnexpectedRelease() {
 			r.counters.Orphans++
 			r.rememberEnded(id, true)
-			r.observeRelease(StrayRelease, id, threadglade.Cancelled)
-			r.cfg.Stray(id)
+			r.observeRelease(UnknownCallerRelease, id, threadglade.Cancelled)
+			r.cfg.OnUnknownCallerRelease(id)
 		}
 	})
 }
 
 // RelinquishEstablished removes all established calls, which another router takes over, and returns their IDs.
 // Neither callers nor servers are notified of it. Pending set-ups continue.
-func (r *Router) Cede() []string {
+func (r *Router) RelinquishEstablished() []string {
 	return r.relinquish(func(c *callState) bool { return c.established })
 }
 
@@ -369,7 +369,7 @@
 // Requests without a final answer are refused and pending attempts given up; of established calls neither callers
 // nor servers are notified. The owner of the trunk has to make it drop its calls in the same step. RelinquishAll
 // must not be called concurrently with other methods, nor from within them.
-func (r *Router) Cease() []string { return r.relinquish(func(*callState) bool { return true }) }
+func (r *Router) RelinquishAll() []string { return r.relinquish(func(*callState) bool { return true }) }
 
 // relinquish removes the calls that selects is true for and returns the IDs of the established ones.
 func (r *Router) relinquish(selects func(*callState) bool) (established []string) {
@@ -381,7 +381,7 @@
 			case call.established:
 				r.counters.Ceded++
 				established = append(established, id)
-				r.observeCall(Ceded, call)
+				r.observeCall(Relinquished, call)
 				r.endAttempt(call, threadglade.Cancelled, threadglade.CauseNone, false)
 				delete(r.endedCalls, id) // its release may still arrive here, then as one of another router's call
 			case !call.settled:
@@ -419,7 +419,9 @@
 }
 
 // AllowForeignReleases allows that many releases of calls of another process beyond maxUnexpectedReleases.
-func (r *Router) Foreign(calls int) { r.serialize(nil, func([]byte) { r.foreignReleases += calls }) }
+func (r *Router) AllowForeignReleases(calls int) {
+	r.serialize(nil, func([]byte) { r.foreignReleases += calls })
+}
 
 // withdraw ends a request that gets no answer any more, and gives up its pending attempt.
 func (r *Router) withdraw(call *callState) {
@@ -446,15 +448,15 @@
 	r.counters.Overdue++
 	r.cfg.Log.Error().Str("event", "request_overdue").Str("call", call.ID).
 		Msgf("request %s: no answer by its deadline, failed here", call.ID)
-	r.observeDecision(Failed, call, call.attempt.Server, threadglade.OutOfTime, Event{Why: DeadlinePast})
-	call.front.Failed(call.ID, DeadlinePast)
+	r.observeDecision(Failed, call, call.attempt.Server, threadglade.OutOfTime, Event{Failure: DeadlineExceeded})
+	call.front.Failed(call.ID, DeadlineExceeded)
 	r.withdraw(call)
 }
 
 // ---- events from trunks and the server list ----
 
 // UpdateServers processes the server list or a change of it.
-func (r *Router) List(list threadglade.ServerList) {
+func (r *Router) UpdateServers(list threadglade.ServerList) {
 	r.serialize(nil, func([]byte) {
 		now, named := r.cfg.Clock(), map[string]bool{}
 		for i := range list.Servers {
@@ -483,9 +485,9 @@
 
 // ReportLoad processes a server's load report: the wait at its processor and the set-ups per second that it can
 // accept from all senders. It is only passed to the observer.
-func (r *Router) Load(server string, latency time.Duration, rate float64) {
+func (r *Router) ReportLoad(server string, latency time.Duration, rate float64) {
 	if r.cfg.Observer != nil {
-		r.serialize(nil, func([]byte) { r.emit(Event{Kind: Loaded, Server: server, Latency: latency, Rate: rate}) })
+		r.serialize(nil, func([]byte) { r.emit(Event{Kind: LoadReported, Server: server, Latency: latency, Rate: rate}) })
 	}
 }
 
@@ -513,7 +515,7 @@
 
 // UpdateRetryBudget replaces the number of retry attempts that this router's calls may make by what grant returns
 // for the number left.
-func (r *Router) Further(grant func(left int) threadglade.Further) {
+func (r *Router) UpdateRetryBudget(grant func(left int) threadglade.Further) {
 	r.serialize(nil, func([]byte) {
 		previous := r.controller.FurtherLeft()
 		if budget := grant(previous.Left); budget != previous {
@@ -523,38 +525,38 @@
 }
 
 // AvoidanceEvidence is what the avoidance of a server is based on. It is only passed to the observer.
-type Word struct {
-	Found   string        // verdict on the server
-	Sources string        // routers that supplied the evidence
-	Age     time.Duration // of the evidence
-	Bad     int           // routers that miss answers of the server
-	Others  int           // routers that were considered
+type AvoidanceEvidence struct {
+	Verdict        string        // verdict on the server
+	Sources        string        // routers that supplied the evidence
+	Age            time.Duration // of the evidence
+	MissingAnswers int           // routers that miss answers of the server
+	Routers        int           // routers that were considered
 }
 
 // Avoid sets until when a server is to be avoided because of what all routers together know about it.
-func (r *Router) Care(avoid threadglade.Care, evidence Word) {
+func (r *Router) Avoid(avoid threadglade.Care, evidence AvoidanceEvidence) {
 	r.serialize(nil, func([]byte) {
 		r.notifyController(avoid)
 		if r.cfg.Observer != nil {
 			r.emit(Event{
-				Kind:       Cared,
+				Kind:       Avoided,
 				Server:     avoid.Server,
-				Class:      evidence.Found,
+				Class:      evidence.Verdict,
 				Front:      evidence.Sources,
 				Latency:    evidence.Age,
 				RetryAfter: max(avoid.Until-r.cfg.Clock(), 0),
-				Free:       evidence.Bad,
-				Total:      evidence.Others,
+				Free:       evidence.MissingAnswers,
+				Total:      evidence.Routers,
 			})
 		}
 	})
 }
 
 // ReportAgents processes a server's report of its free agents.
-func (r *Router) Agents(agents threadglade.Agents) {
+func (r *Router) ReportAgents(agents threadglade.Agents) {
 	r.serialize(nil, func([]byte) {
 		if r.cfg.Observer != nil {
-			r.emit(Event{Kind: Reported, Server: agents.Server, Free: agents.Free, Total: agents.Total})
+			r.emit(Event{Kind: AgentsReported, Server: agents.Server, Free: agents.Free, Total: agents.Total})
 		}
 		r.notifyController(agents)
 	})
@@ -565,7 +567,7 @@
 	r.serialize(description, func(answer []byte) {
 		call := r.calls[id]
 		if mutant == "second-answer" && call != nil && call.established {
-			call.front.Stood(id, answer)
+			call.front.Established(id, answer)
 		}
 		if call == nil || !call.pending || call.attempt.Index != index {
 			return
@@ -574,8 +576,8 @@
 		r.settle(call)
 		call.Description, call.attempt.Description = nil, nil
 		r.counters.Stood++
-		r.observeCall(Stood, call)
-		call.front.Stood(id, answer)
+		r.observeCall(Established, call)
+		call.front.Established(id, answer)
 		r.notifyController(threadglade.Stood{Call: id, Attempt: index, Server: call.attempt.Server,
 			After: r.cfg.Clock() - call.sentAt})
 	})
@@ -595,25 +597,25 @@
 // If the request is still unanswered, the server's answer was lost or malformed: the call was established there
 // and has ended, so the request fails rather than being sent again. A call that was never known is one of an
 // earlier incarnation and is passed to Config.OnUnknownServerRelease.
-func (r *Router) Orphan(id string, outcome threadglade.Outcome) {
+func (r *Router) UnmatchedRelease(id string, outcome threadglade.Outcome) {
 	r.serialize(nil, func([]byte) {
 		if call := r.calls[id]; call != nil {
 			if !call.settled {
 				r.counters.Ghosts++
-				r.observeEnd(Ghost, call, outcome, threadglade.CauseNone)
-				r.observeDecision(Failed, call, call.attempt.Server, threadglade.Overtaken, Event{Why: GivenUp})
+				r.observeEnd(OrphanedCall, call, outcome, threadglade.CauseNone)
+				r.observeDecision(Failed, call, call.attempt.Server, threadglade.Overtaken, Event{Failure: GivenUp})
 				call.front.Failed(id, GivenUp)
 				r.withdraw(call)
 			}
 			return
 		}
-		if _, known := r.endedCalls[id]; known || r.cfg.Orphan == nil {
+		if _, known := r.endedCalls[id]; known || r.cfg.OnUnknownServerRelease == nil {
 			return
 		}
 		r.counters.Orphans++
 		r.rememberEnded(id, true)
-		r.observeRelease(OrphanRelease, id, outcome)
-		r.cfg.Orphan(id, outcome)
+		r.observeRelease(UnknownServerRelease, id, outcome)
+		r.cfg.OnUnknownServerRelease(id, outcome)
 	})
 }
 
@@ -646,7 +648,7 @@
 func (r *Router) removeIfDone(call *callState) {
 	if call.settled && !call.pending && !call.established && r.calls[call.ID] == call && mutant != "table-leak" {
 		delete(r.calls, call.ID)
-		if r.observeCall(Over, call); call.slot > 0 {
+		if r.observeCall(Closed, call); call.slot > 0 {
 			r.freeSlots = append(r.freeSlots, call.slot)
 		}
 		call.Description, call.attempt.Description = nil, nil // timers may reference the call for a while
@@ -709,9 +711,9 @@
 				r.counters.Failed++
 				failure := GivenUp
 				if r.cfg.Clock()+call.settings.Rules.ReleaseWait >= call.Deadline {
-					failure = DeadlinePast
+					failure = DeadlineExceeded
 				}
-				r.observeDecision(Failed, call, call.attempt.Server, action.Why, Event{Why: failure})
+				r.observeDecision(Failed, call, call.attempt.Server, action.Why, Event{Failure: failure})
 				if mutant == "told-refused" {
 					call.front.Refused(call.ID, 0)
 				} else {
@@ -856,7 +858,7 @@
 
 // OpenRequests returns the number of requests without a final answer. It is current also when called from within
 // a step, as by a timer's callback.
-func (r *Router) Open() int { return int(r.openRequests.Load()) }
+func (r *Router) OpenRequests() int { return int(r.openRequests.Load()) }
 
 // ---- timers ----
 
@@ -924,7 +926,9 @@
 }
 
 // Schedule makes Tick call callback at a time on the router's clock, or soon after.
-func (r *Router) At(at time.Duration, callback func()) { r.addTimer(timer{at: at, callback: callback}) }
+func (r *Router) Schedule(at time.Duration, callback func()) {
+	r.addTimer(timer{at: at, callback: callback})
+}
 
 // addTimer sets a timer and calls Config.Wake if it is due before all others.
 func (r *Router) addTimer(t timer) {
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -16,7 +16,7 @@
 func (d *recorder) note(format string, args ...any) {
 	d.calls = append(d.calls, fmt.Sprintf(format, args...))
 }
-func (d *recorder) Stood(id string, b []byte)                 { d.note("stood %s %s", id, b) }
+func (d *recorder) Established(id string, b []byte)           { d.note("stood %s %s", id, b) }
 func (d *recorder) Refused(id string, _ time.Duration)        { d.note("refused %s", id) }
 func (d *recorder) Failed(id string, why Failure)             { d.note("failed %s %d", id, why) }
 func (d *recorder) Released(id string, _ threadglade.Outcome) { d.note("released %s", id) }
@@ -37,7 +37,7 @@
 		Classes: []threadglade.Class{{Name: "x", Aim: time.Second, Deadline: 5 * time.Second, Holding: time.Second,
 			Worth: 1, Servers: []int{0}}}}})
 	require.NoError(t, err)
-	r.List(threadglade.ServerList{Servers: []threadglade.Server{{ID: "s0"}, {ID: "s1", Number: 1}}})
+	r.UpdateServers(threadglade.ServerList{Servers: []threadglade.Server{{ID: "s0"}, {ID: "s1", Number: 1}}})
 	r.Arrive(d, d.request("a", now+3*time.Second))
 	require.Equal(t, []string{"send a 0 to s0"}, d.take())
 	return r, d, &now
@@ -59,11 +59,11 @@
 			*now += 201 * time.Millisecond
 		}, "s9"},
 		"a drained server": {func(r *Router, now *time.Duration) {
-			r.List(threadglade.ServerList{Delta: true, Servers: []threadglade.Server{
+			r.UpdateServers(threadglade.ServerList{Delta: true, Servers: []threadglade.Server{
 				{ID: "s1", Number: 1, State: threadglade.Draining}}})
 			*now += 500 * time.Millisecond
 			// From draining to removed: the grace period runs from the first of the two.
-			r.List(threadglade.ServerList{Servers: []threadglade.Server{{ID: "s0"}}})
+			r.UpdateServers(threadglade.ServerList{Servers: []threadglade.Server{{ID: "s0"}}})
 			r.Ended("a", 0, threadglade.Cut, 0)
 			*now += 450 * time.Millisecond
 		}, "s1"},
@@ -110,7 +110,7 @@
 	require.Equal(t, []string{"failed a 1", "give up a 0"}, d.take())
 	r.Tick()
 	require.Empty(t, d.take())
-	require.Equal(t, 0, r.Open())
+	require.Equal(t, 0, r.OpenRequests())
 }
 
 // A method called from within a callback is queued until the current step is complete, and its slice is copied.
@@ -124,7 +124,7 @@
 	})
 	require.Equal(t, []string{"stood a one"}, d.take())
 	r.Answered("a", 0, b)
-	r.Leave(d, "a")
+	r.Cancel(d, "a")
 	require.Empty(t, d.take())
 	r.Release("a")
 	r.Release("a")
@@ -136,7 +136,7 @@
 func TestControllerPanic(t *testing.T) {
 	r, d, now := startRouter(t)
 	r.controller = nil
-	r.Agents(threadglade.Agents{})
+	r.ReportAgents(threadglade.Agents{})
 	require.EqualValues(t, 1, r.Counters().Faults)
 	*now += 4 * time.Second
 	r.Tick()
@@ -147,13 +147,13 @@
 // flight at its server forever, and probation there would never end.
 func TestRelinquishAllEndsAttempts(t *testing.T) {
 	r, d, _ := startRouter(t)
-	require.Empty(t, r.Cease())
+	require.Empty(t, r.RelinquishAll())
 	require.ElementsMatch(t, []string{"refused a", "give up a 0"}, d.take())
 	view, _ := r.controller.View("s0")
 	require.Zero(t, view.Out)
 	require.Empty(t, r.calls)
-	require.Equal(t, 0, r.Open())
-	r.Cease()
+	require.Equal(t, 0, r.OpenRequests())
+	r.RelinquishAll()
 	require.Empty(t, d.take(), "once")
 }
 
@@ -165,10 +165,10 @@
 	r.Arrive(d, d.request("b", *now+3*time.Second))
 	d.take()
 	var orphans []string
-	r.cfg.Orphan = func(id string, _ threadglade.Outcome) { orphans = append(orphans, id) }
-	require.Equal(t, []string{"a"}, r.Cede())
+	r.cfg.OnUnknownServerRelease = func(id string, _ threadglade.Outcome) { orphans = append(orphans, id) }
+	require.Equal(t, []string{"a"}, r.RelinquishEstablished())
 	require.Empty(t, d.take())
-	r.Orphan("a", threadglade.Concluded)
+	r.UnmatchedRelease("a", threadglade.Concluded)
 	require.Equal(t, []string{"a"}, orphans)
 	r.Answered("b", 0, nil)
 	require.Equal(t, []string{"stood b "}, d.take())
--- a/silence/silence.go
+++ b/silence/silence.go
@@ -12,7 +12,7 @@
 
 const (
 	// MaxSilence is how long a connection may be silent when the report intervals of its server are not known.
-	After = 1500 * time.Millisecond
+	MaxSilence = 1500 * time.Millisecond
 	// minTimeout is the lower bound of ReportIntervals.Timeout.
 	minTimeout = 300 * time.Millisecond
 	// timeoutMargin is the factor by which a report may exceed the longest recent interval. A server reports its
@@ -25,22 +25,22 @@
 
 // ReportIntervals holds the latest intervals between a server's state reports, over all of its connections. The zero
 // value holds none.
-type Reports struct {
+type ReportIntervals struct {
 	intervals [keptIntervals]time.Duration // ring buffer; each between two reports on the same connection
 	count     int
 }
 
 // Timeout returns how long a connection that has carried reports may be silent while a set-up waits on it. It
 // returns false while too few intervals are known.
-func (r *Reports) Within() (time.Duration, bool) {
+func (r *ReportIntervals) Timeout() (time.Duration, bool) {
 	if r.count < keptIntervals {
 		return 0, false
 	}
-	return min(After, max(minTimeout, time.Duration(timeoutMargin*float64(slices.Max(r.intervals[:]))))), true
+	return min(MaxSilence, max(minTimeout, time.Duration(timeoutMargin*float64(slices.Max(r.intervals[:]))))), true
 }
 
 // Connection tracks the traffic of one connection to a server. Opened initializes it.
-type Line struct {
+type Connection struct {
 	opened       time.Duration
 	lastReceived time.Duration // when data last arrived; when it was opened if none has
 	pendingSince time.Duration // when the longest waiting set-up was sent; none waits unless it is after lastReceived
@@ -48,16 +48,16 @@
 }
 
 // Opened resets the state for a connection opened at now.
-func (l *Line) Opened(now time.Duration) { *l = Line{opened: now, lastReceived: now} }
+func (l *Connection) Opened(now time.Duration) { *l = Connection{opened: now, lastReceived: now} }
 
 // Received records that data arrived.
-func (l *Line) Heard(now time.Duration) { l.lastReceived = now }
+func (l *Connection) Received(now time.Duration) { l.lastReceived = now }
 
 // HasReceived reports whether any data has arrived since the connection was opened.
-func (l *Line) Spoke() bool { return l.lastReceived > l.opened }
+func (l *Connection) HasReceived() bool { return l.lastReceived > l.opened }
 
 // SetupSent records that a set-up was sent. The first one since data last arrived is the one that waits longest.
-func (l *Line) Asked(now time.Duration) {
+func (l *Connection) SetupSent(now time.Duration) {
 	if l.pendingSince <= l.lastReceived {
 		l.pendingSince = max(now, l.lastReceived+1)
 	}
@@ -65,7 +65,7 @@
 
 // ReportReceived records a state report of the server and adds its distance from the previous one to the server's
 // intervals.
-func (l *Line) Told(now time.Duration, reports *Reports) {
+func (l *Connection) ReportReceived(now time.Duration, reports *ReportIntervals) {
 	if l.lastReport > 0 {
 		reports.intervals[reports.count%keptIntervals] = now - l.lastReport
 		reports.count++
@@ -75,14 +75,14 @@
 
 // NeedsProbe reports whether nothing has arrived for so long that a new connection must be opened to verify that the
 // server is reachable.
-func (l *Line) Quiet(now time.Duration) bool { return now-l.lastReceived > After }
+func (l *Connection) NeedsProbe(now time.Duration) bool { return now-l.lastReceived > MaxSilence }
 
 // MissedReport reports whether the connection has missed a state report while a set-up waits on it.
-func (l *Line) Silent(now time.Duration, reports *Reports) bool {
-	timeout, known := reports.Within()
+func (l *Connection) MissedReport(now time.Duration, reports *ReportIntervals) bool {
+	timeout, known := reports.Timeout()
 	return known && l.lastReport > 0 && l.pendingSince > l.lastReceived && now-l.pendingSince > timeout
 }
 
 // Unresponsive reports whether nothing has arrived on the connection since another one to the same server was opened
 // because of its silence. The server sends on the other one, so no answer will come on this one.
-func (l *Line) Mute(other *Line) bool { return l.lastReceived <= other.opened }
+func (l *Connection) Unresponsive(other *Connection) bool { return l.lastReceived <= other.opened }
--- a/takeover/rules_test.go
+++ b/takeover/rules_test.go
@@ -126,7 +126,7 @@
 	},
 	"end-before-word": func() bool { // holders keep a call as standing until its caller was told that it is over
 		g := &Giver{Terms: DefaultTerms(), Wall: func() int64 { return 0 }}
-		for _, e := range []router.Event{{Kind: router.Arrived, Class: "voice"}, {Kind: router.Sent, Server: "s1"}, {Kind: router.Stood}, {Kind: router.Ended}, {Kind: router.Over}} {
+		for _, e := range []router.Event{{Kind: router.Arrived, Class: "voice"}, {Kind: router.Sent, Server: "s1"}, {Kind: router.Established}, {Kind: router.Ended}, {Kind: router.Closed}} {
 			e.Call, e.Slot = "a", 1
 			g.Observe(e)
 		}
--- a/takeover/takeover.go
+++ b/takeover/takeover.go
@@ -145,12 +145,12 @@
 		if s.recorded = g.add(Record{Out, Call{ID: e.Call, Server: e.Server, Class: s.class, Tenant: s.tenant, Attempt: uint32(e.Attempt), Retry: s.retry, Since: g.Wall()}}, false); !s.recorded {
 			g.Count.Dropped++
 		}
-	case router.Stood:
+	case router.Established:
 		if s.recorded {
 			s.stands = true
 			g.add(Record{Stands, Call{ID: e.Call, Stood: g.Wall(), InTime: g.Aim == nil || e.At-s.at <= g.Aim(s.class)}}, s.kept)
 		}
-	case router.Over:
+	case router.Closed:
 		switch {
 		case s.recorded && s.stands:
 			g.Settle(e.Call)
--- a/takeover/takeover_test.go
+++ b/takeover/takeover_test.go
@@ -695,7 +695,7 @@
 			continue
 		}
 		call := fmt.Sprint("c", slot)
-		for _, e := range []router.Event{{Kind: router.Arrived, Class: class, Tenant: "t"}, {Kind: router.Sent, Server: "s1"}, {Kind: router.AttemptEnded}, {Kind: router.Sent, Server: "s2", Attempt: 1}, {Kind: router.Stood, At: 2 * time.Second}} {
+		for _, e := range []router.Event{{Kind: router.Arrived, Class: class, Tenant: "t"}, {Kind: router.Sent, Server: "s1"}, {Kind: router.AttemptEnded}, {Kind: router.Sent, Server: "s2", Attempt: 1}, {Kind: router.Established, At: 2 * time.Second}} {
 			e.Call, e.Slot = call, uint32(slot)
 			g.Observe(e)
 		}
@@ -709,7 +709,7 @@
 	}
 	require.Equal(t, Call{ID: "c1", Server: "s2", Class: "voice", Tenant: "t", Attempt: 1, Stands: true, Since: 7, Stood: 7}, *made["c1"])
 	g.Cease()
-	g.Observe(router.Event{Kind: router.Over, Slot: 1, Call: "c1"})
+	g.Observe(router.Event{Kind: router.Closed, Slot: 1, Call: "c1"})
 	require.False(t, g.Waiting(), "what becomes of a call that was let go is no news")
 }
 
--- a/trace/record.go
+++ b/trace/record.go
@@ -180,9 +180,9 @@
 	switch f {
 	case router.GivenUp:
 		return "something may have run, and no attempt was left"
-	case router.DeadlinePast:
+	case router.DeadlineExceeded:
 		return "its time was up"
-	case router.Known:
+	case router.DuplicateID:
 		return "its id was another call's"
 	}
 	return "for an unknown reason"
