--- a/takeover/holder.go
+++ b/takeover/holder.go
@@ -10,159 +10,184 @@
 	"threadglade.example/threadglade/takeover/takeoverpb"
 )
 
-// A router's part for others: this file owns the copies it holds, when it lets one go and to whom, and what it has taken over as a successor.
+// This file implements the replica holder: it stores replicas of other routers' calls, hands them over to the
+// successor of a router whose incarnation is over, and takes calls over when this router is the successor.
 
-// dueEvery is how often what waits for others is looked at.
-const dueEvery = 20 * time.Millisecond
+// tickInterval is how often Tick polls for replicas that wait to be handed over or taken over.
+const tickInterval = 20 * time.Millisecond
 
-// passAgain is how long a copy that was let go may stay unconfirmed until it is sent again.
-const passAgain = 500 * time.Millisecond
+// passRetryInterval is how long a handed-over replica may stay unacknowledged before it is sent again.
+const passRetryInterval = 500 * time.Millisecond
 
-type key struct {
+// ownerKey identifies one incarnation of an owner.
+type ownerKey struct {
 	owner       string
 	incarnation uint64
 }
 
-// held is a copy of another's work.
-type held struct {
-	key
-	calls   table
-	number  uint64
-	whole   bool
-	coming  table // a whole copy on its way
-	vouched time.Duration
-	left    bool          // its owner has stopped acting by its own word
-	holders []string      // who is to have a copy, as the owner said last
-	sent    string        // to whom it was let go, and
-	at      time.Duration // when
-}
-
-// gatherMost is how long a successor waits for the copies of all holders that live: the one with the highest number is the truth, a lower one may have calls that are over.
-const gatherMost = 2 * time.Second
-
-// taken is what this router has taken over of one incarnation.
-type taken struct {
-	number  uint64
-	have    map[string]*held // copies that have come, by holder, until it acts on them
-	since   time.Duration    // when the first came
-	calls   map[string]bool  // all that were ever taken
-	coming  map[string]table // pages of copies, by holder
-	told    time.Duration    // when its owner was last told
-	closed  bool             // it has been told: nothing more is taken, what is left is its own again
-	over    bool             // and has dropped from its books what was taken
-	waiting                  // to be answered and kept until what is taken is safe
-}
-
-// waiting are the routers that let copies go, to be answered once what they hold is safe here, and own copies to be kept until then.
-type waiting struct {
+// replica is a copy of the calls of another router's incarnation.
+type replica struct {
+	ownerKey
+	calls           callTable
+	number          uint64        // of the latest record that is applied
+	complete        bool          // calls is a whole snapshot with all records up to number
+	incoming        callTable     // snapshot that is being received, nil if none
+	guaranteedUntil time.Duration // until then the replica is not handed over
+	ownerLeft       bool          // the owner announced that it has stopped acting
+	holders         []string      // all replica holders, as the owner last named them
+	sentTo          string        // successor that the replica was handed over to
+	sentAt          time.Duration // when it was sent there
+}
+
+// gatherTimeout is how long a successor waits for the replicas of all live replica holders. The replica with the
+// highest number is authoritative: one with a lower number may contain calls that are over.
+const gatherTimeout = 2 * time.Second
+
+// takeoverState is what this router has taken over from one incarnation.
+type takeoverState struct {
+	number      uint64               // of the replica that was taken over; 0: none was
+	replicas    map[string]*replica  // received replicas by replica holder, until one is taken over
+	firstAt     time.Duration        // when the first of them arrived
+	calls       map[string]bool      // all calls taken over so far
+	incoming    map[string]callTable // replicas that are being received, by replica holder
+	reportedAt  time.Duration        // when the owner was last told which calls were taken
+	closed      bool                 // the owner was told: nothing more is taken, what remains belongs to it again
+	settled     bool                 // the owner has dropped the taken calls from its ledger
+	pendingAcks                      // answered and dropped once the taken calls are replicated
+}
+
+// pendingAcks are the effects of a take-over that wait until the taken calls are replicated: acknowledgements to the
+// routers that handed replicas over, and this router's own replicas, which are kept until then.
+type pendingAcks struct {
 	replies []Send
-	own     []*held
+	own     []*replica
 }
 
-// owes says whether the owner has still to be told what was taken, once that is known.
-func (t *taken) owes() bool { return !t.over && len(t.have) == 0 && (t.number > 0 || len(t.calls) > 0) }
+// mustReport reports whether the owner has yet to be told which calls were taken, once that is known.
+func (t *takeoverState) mustReport() bool {
+	return !t.settled && len(t.replicas) == 0 && (t.number > 0 || len(t.calls) > 0)
+}
 
-// Log is what a holder knows of the agreed log.
+// FleetLog is a replica holder's view of the fleet's replicated log.
 type Log interface {
-	// Over says whether an incarnation is over.
+	// IsOver reports whether an incarnation is over.
 	Over(name string, incarnation uint64) bool
-	// SuccessorOf names who has taken its place.
+	// SuccessorOf returns the router that succeeds an incarnation and the successor's own incarnation number; over is
+	// false if the log does not have the incarnation as over.
 	SuccessorOf(name string, incarnation uint64) (successor string, number uint64, over bool)
-	// Lives says whether a router acts under the name.
+	// IsLive reports whether a router acts under the name.
 	Lives(name string) bool
 }
 
-// Holder is a router's part for others. Its methods are for one goroutine.
+// ReplicaHolder holds replicas of other routers' calls and takes calls over as a successor. It must be used by one
+// goroutine at a time.
 type Holder struct {
-	Terms  Terms
-	Name   string
-	Log    Log
-	copies map[key]*held
-	calls  int // in all copies
-	taken  map[key]*taken
-	takenN int
-	in     map[string]bool // calls taken and not over
-	ends   []End           // of calls that were unknown where they were heard, oldest first
-	endsAt []time.Duration
-	known  map[string]End // the same by call
-	fresh  []End          // that the loop has still to hear
-	links  []string       // routers that are linked: what was heard goes on to them
-	adopt  []Call
-	drop   []string
-	next   waiting            // what the next Output brings
-	outs   uint64             // Outputs that brought something to take
-	waits  map[uint64]waiting // by those, until what they brought is safe
-	out    []Send
-	backs  map[key]bool // earlier incarnations of this router, whose successors have told
-	Back   func(calls []string)
-	coming []string
-	Count  struct{ Refused, Full, Taken, Dropped, LetGo, Heard, Lost, Guessed uint64 }
-}
-
-// NewHolder makes one that holds nothing.
-func NewHolder(t Terms, name string, log Log) *Holder {
-	return &Holder{Terms: t, Name: name, Log: log, copies: map[key]*held{}, taken: map[key]*taken{}, waits: map[uint64]waiting{}, in: map[string]bool{}, known: map[string]End{}, backs: map[key]bool{}}
-}
-
-// Hear takes a frame of another router. Number is the incarnation by which this router acts, 0 without a lease; now is on its clock.
-func (h *Holder) Hear(now time.Duration, from string, f *takeoverpb.Frame, number uint64) {
-	k := key{f.Owner, f.Incarnation}
+	Terms         Terms
+	Name          string // of this router
+	Log           Log
+	replicas      map[ownerKey]*replica
+	heldCalls     int // in all replicas, incoming ones included
+	taken         map[ownerKey]*takeoverState
+	takenCount    int             // entries in the calls of all takeover states
+	activeTaken   map[string]bool // calls taken over that have not ended
+	ends          []End           // of calls that were unknown where the end was received, oldest first
+	endsAt        []time.Duration // when each of ends was received
+	endByCall     map[string]End  // ends by call ID
+	newEnds       []End           // that the next Output returns
+	links         []string        // linked routers, to which received ends are forwarded
+	adopt         []Call          // that the next Output returns
+	drop          []string        // likewise
+	nextAcks      pendingAcks     // of the batch that the next Output returns
+	batches       uint64          // number of Outputs with calls to take over
+	acksByBatch   map[uint64]pendingAcks
+	sends         []Send            // that the next Output returns
+	reported      map[ownerKey]bool // earlier incarnations of this router whose successors have reported
+	Back          func(calls []string)
+	incomingTaken []string // calls of a report by a successor that is being received
+	Count         struct{ Refused, Full, Taken, Dropped, LetGo, Heard, Lost, Guessed uint64 }
+}
+
+// NewReplicaHolder returns a ReplicaHolder without replicas for the router of that name.
+func NewHolder(settings Terms, name string, fleetLog Log) *Holder {
+	return &Holder{
+		Terms:       settings,
+		Name:        name,
+		Log:         fleetLog,
+		replicas:    map[ownerKey]*replica{},
+		taken:       map[ownerKey]*takeoverState{},
+		acksByBatch: map[uint64]pendingAcks{},
+		activeTaken: map[string]bool{},
+		endByCall:   map[string]End{},
+		reported:    map[ownerKey]bool{},
+	}
+}
+
+// Receive processes a frame of another router. Incarnation is the one by which this router acts, 0 without a lease;
+// now is the time on this router's clock. Frames that are malformed or not the sender's to send are counted as
+// refused.
+func (h *Holder) Hear(now time.Duration, from string, frame *takeoverpb.Frame, incarnation uint64) {
+	key := ownerKey{frame.Owner, frame.Incarnation}
 	reply := func(r *takeoverpb.Frame) {
-		r.Owner, r.Incarnation = f.Owner, f.Incarnation
-		h.out = append(h.out, Send{from, r})
+		r.Owner, r.Incarnation = frame.Owner, frame.Incarnation
+		h.sends = append(h.sends, Send{from, r})
 	}
 	switch {
-	case f.GetGive() != nil:
-		if f.Owner != from || f.Incarnation == 0 {
+	case frame.GetGive() != nil:
+		if frame.Owner != from || frame.Incarnation == 0 {
 			h.Count.Refused++
 			return
 		}
-		c := h.give(now, k, f.GetGive())
-		c.Asked = f.GetGive().Asked
+		c := h.receiveGive(now, key, frame.GetGive())
+		c.Asked = frame.GetGive().Asked
 		reply(&takeoverpb.Frame{What: &takeoverpb.Frame_Confirm{Confirm: c}})
-	case f.GetPass() != nil:
-		if h.pass(now, from, k, f.GetPass(), number) {
-			t := h.takes(k)
-			t.replies = append(t.replies, Send{from, &takeoverpb.Frame{Owner: f.Owner, Incarnation: f.Incarnation, What: &takeoverpb.Frame_Passed{Passed: &takeoverpb.Passed{Number: f.GetPass().Number}}}})
-		}
-	case f.GetPassed() != nil:
-		if c := h.copies[k]; c != nil && c.sent == from && c.number <= f.GetPassed().Number {
-			h.forget(c)
-		}
-	case f.GetHeard() != nil:
-		if len(f.GetHeard().Ends) > pageMost {
+	case frame.GetPass() != nil:
+		if h.receivePass(now, from, key, frame.GetPass(), incarnation) {
+			t := h.stateOf(key)
+			t.replies = append(t.replies, Send{from, &takeoverpb.Frame{
+				Owner:       frame.Owner,
+				Incarnation: frame.Incarnation,
+				What:        &takeoverpb.Frame_Passed{Passed: &takeoverpb.Passed{Number: frame.GetPass().Number}},
+			}})
+		}
+	case frame.GetPassed() != nil:
+		if c := h.replicas[key]; c != nil && c.sentTo == from && c.number <= frame.GetPassed().Number {
+			h.dropReplica(c)
+		}
+	case frame.GetHeard() != nil:
+		if len(frame.GetHeard().Ends) > maxPageRecords {
 			h.Count.Refused++
 			return
 		}
 		var list []End
-		for _, e := range f.GetHeard().Ends {
+		for _, e := range frame.GetHeard().Ends {
 			switch {
-			case len(e.Call) == 0 || len(e.Call) > idMost:
-			case e.Tell: // a caller that its router can tell no more
-				h.fresh = append(h.fresh, End{e.Call, uint8(e.How), e.At, e.ByCaller, true})
+			case len(e.Call) == 0 || len(e.Call) > maxIDLen:
+			case e.Tell: // its own router cannot notify the caller any more
+				h.newEnds = append(h.newEnds, End{e.Call, uint8(e.How), e.At, e.ByCaller, true})
 			default:
 				list = append(list, End{e.Call, uint8(e.How), e.At, e.ByCaller, false})
 			}
 		}
 		h.Ended(now, from, list)
-	case f.GetBack() != nil:
-		if f.Owner != h.Name || len(f.GetBack().Calls) > pageMost || len(h.coming) > takenMost {
-			h.coming = nil
+	case frame.GetBack() != nil:
+		if frame.Owner != h.Name || len(frame.GetBack().Calls) > maxPageRecords ||
+			len(h.incomingTaken) > maxTakenCalls {
+			h.incomingTaken = nil
 			h.Count.Refused++
 			return
 		}
-		if h.coming = append(h.coming, f.GetBack().Calls...); f.GetBack().Last {
+		if h.incomingTaken = append(h.incomingTaken, frame.GetBack().Calls...); frame.GetBack().Last {
 			if h.Back != nil {
-				h.Back(h.coming)
+				h.Back(h.incomingTaken)
 			}
-			h.coming = nil
-			h.backs[k] = true
+			h.incomingTaken = nil
+			h.reported[key] = true
 			reply(&takeoverpb.Frame{What: &takeoverpb.Frame_Settled{Settled: &takeoverpb.Settled{}}})
 		}
-	case f.GetSettled() != nil:
-		if t := h.taken[k]; t != nil && from == f.Owner {
-			h.takenN -= len(t.calls)
-			t.over = true
+	case frame.GetSettled() != nil:
+		if t := h.taken[key]; t != nil && from == frame.Owner {
+			h.takenCount -= len(t.calls)
+			t.settled = true
 			clear(t.calls)
 		}
 	default:
@@ -170,438 +195,521 @@
 	}
 }
 
-// give takes what an owner gives.
-func (h *Holder) give(now time.Duration, k key, g *takeoverpb.Give) *takeoverpb.Confirm {
-	c := h.copies[k]
-	// An old owner is refused by number; but what it still did by this router's vouch counts, and gets it no further.
-	over := h.Log.Over(k.owner, k.incarnation) && mutant != "confirm-the-dead"
-	if over && (c == nil || c.sent != "" || now >= c.vouched || mutant == "deaf-to-the-last") {
+// receiveGive applies records or a snapshot page that an owner sent, and returns the confirmation to send back.
+func (h *Holder) receiveGive(now time.Duration, key ownerKey, msg *takeoverpb.Give) *takeoverpb.Confirm {
+	held := h.replicas[key]
+	// An incarnation that is over is rejected. But what it still did while this router's guarantee held counts; it is
+	// confirmed as over, so that the guarantee is not extended.
+	over := h.Log.Over(key.owner, key.incarnation) && mutant != "confirm-the-dead"
+	if over && (held == nil || held.sentTo != "" || now >= held.guaranteedUntil || mutant == "deaf-to-the-last") {
 		return &takeoverpb.Confirm{Over: true}
 	}
-	if g.Drop {
-		if c != nil {
-			h.forget(c)
+	if msg.Drop {
+		if held != nil {
+			h.dropReplica(held)
 		}
 		return &takeoverpb.Confirm{Dropped: true}
 	}
-	list, ok := read(g.Records)
-	if c == nil && len(h.copies) < ownersMost {
-		c = &held{key: k, calls: table{}}
-		h.copies[k] = c
+	list, ok := decodeRecords(msg.Records)
+	if held == nil && len(h.replicas) < maxOwners {
+		held = &replica{ownerKey: key, calls: callTable{}}
+		h.replicas[key] = held
 	}
-	if !ok || c == nil || h.calls+len(list) > callsMost {
+	if !ok || held == nil || h.heldCalls+len(list) > maxHeldCalls {
 		h.Count.Full++
 		return &takeoverpb.Confirm{Again: true}
 	}
 	if !over && mutant != "no-vouch" {
-		c.vouched = now + h.Terms.Wait()
+		held.guaranteedUntil = now + h.Terms.Wait()
 	}
 	switch {
-	case g.First || g.Last || c.coming != nil:
-		if g.First {
-			h.calls -= len(c.coming)
-			c.coming = table{}
+	case msg.First || msg.Last || held.incoming != nil:
+		if msg.First {
+			h.heldCalls -= len(held.incoming)
+			held.incoming = callTable{}
 		}
-		if c.coming == nil {
+		if held.incoming == nil {
 			return &takeoverpb.Confirm{Again: true}
 		}
-		before := len(c.coming)
+		before := len(held.incoming)
 		for i := range list {
-			c.coming.apply(&list[i])
+			held.incoming.apply(&list[i])
 		}
-		h.calls += len(c.coming) - before
-		if g.Last {
-			h.calls -= len(c.calls)
-			c.calls, c.coming, c.number, c.whole = c.coming, nil, g.From, true
+		h.heldCalls += len(held.incoming) - before
+		if msg.Last {
+			h.heldCalls -= len(held.calls)
+			held.calls, held.incoming, held.number, held.complete = held.incoming, nil, msg.From, true
 		}
-	case !c.whole || g.From > c.number && mutant != "mind-no-gap":
+	case !held.complete || msg.From > held.number && mutant != "mind-no-gap":
 		return &takeoverpb.Confirm{Again: true}
 	default:
-		before := len(c.calls)
-		skip := int(min(c.number-min(g.From, c.number), uint64(len(list)))) // what has come before changes nothing
+		before := len(held.calls)
+		// Records that were already applied are skipped.
+		skip := int(min(held.number-min(msg.From, held.number), uint64(len(list))))
 		for i := range list[skip:] {
-			c.calls.apply(&list[skip+i])
+			held.calls.apply(&list[skip+i])
 		}
-		h.calls += len(c.calls) - before
-		c.number = max(c.number, g.From+uint64(len(list)))
+		h.heldCalls += len(held.calls) - before
+		held.number = max(held.number, msg.From+uint64(len(list)))
 	}
-	if len(g.Holders) > 0 && len(g.Holders) <= 8 {
-		c.holders = g.Holders
+	if len(msg.Holders) > 0 && len(msg.Holders) <= 8 {
+		held.holders = msg.Holders
 	}
-	if g.Leave {
-		c.left, c.vouched = true, 0
+	if msg.Leave {
+		held.ownerLeft, held.guaranteedUntil = true, 0
 	}
-	return &takeoverpb.Confirm{Upto: c.number, Over: over}
+	return &takeoverpb.Confirm{Upto: held.number, Over: over}
 }
 
-func (h *Holder) forget(c *held) {
-	h.calls -= len(c.calls) + len(c.coming)
-	delete(h.copies, c.key)
+// dropReplica deletes a replica.
+func (h *Holder) dropReplica(held *replica) {
+	h.heldCalls -= len(held.calls) + len(held.incoming)
+	delete(h.replicas, held.ownerKey)
 }
 
-// Tick lets go what is due. Number is the incarnation by which this router acts, 0 without a lease: then nothing is let go, and nothing taken.
-func (h *Holder) Tick(now time.Duration, number uint64) {
+// Tick hands over and takes over the replicas whose guarantee has expired, reports taken calls to owners that are
+// back, and forgets ends after their TTL. Incarnation is the one by which this router acts, 0 without a lease: then
+// nothing is handed over or taken over.
+func (h *Holder) Tick(now time.Duration, incarnation uint64) {
 	for len(h.ends) > 0 && now-h.endsAt[0] > h.Terms.Remember {
-		h.lapse()
+		h.forgetOldestEnd()
 	}
-	if number == 0 {
+	if incarnation == 0 {
 		return
 	}
-	for _, k := range slices.SortedFunc(maps.Keys(h.copies), func(a, b key) int {
+	for _, key := range slices.SortedFunc(maps.Keys(h.replicas), func(a, b ownerKey) int {
 		return cmp.Or(cmp.Compare(a.owner, b.owner), cmp.Compare(a.incarnation, b.incarnation))
 	}) {
-		c := h.copies[k]
-		successor, of, over := h.Log.SuccessorOf(k.owner, k.incarnation)
+		held := h.replicas[key]
+		successor, successorIncarnation, over := h.Log.SuccessorOf(key.owner, key.incarnation)
 		switch {
-		case !over && !h.Log.Over(k.owner, k.incarnation), now < c.vouched && mutant != "let-go-early":
+		case !over && !h.Log.Over(key.owner, key.incarnation),
+			now < held.guaranteedUntil && mutant != "let-go-early":
 			continue
-		case !over: // the log has forgotten it
-			h.Count.Lost += uint64(len(c.calls))
-			h.forget(c)
-		case successor == h.Name && of == number || mutant == "every-holder":
-			if c.sent != h.Name {
-				c.sent = h.Name
-				h.gather(now, k, h.Name, &held{number: c.number, calls: maps.Clone(c.calls), holders: c.holders})
-				h.takes(k).own = append(h.takes(k).own, c)
+		case !over: // the log no longer has the incarnation
+			h.Count.Lost += uint64(len(held.calls))
+			h.dropReplica(held)
+		case successor == h.Name && successorIncarnation == incarnation || mutant == "every-holder":
+			if held.sentTo != h.Name {
+				held.sentTo = h.Name
+				h.addReplica(now, key, h.Name,
+					&replica{number: held.number, calls: maps.Clone(held.calls), holders: held.holders})
+				h.stateOf(key).own = append(h.stateOf(key).own, held)
 			}
-		case successor != "" && successor != h.Name && (c.sent != successor || now-c.at > passAgain):
-			c.sent, c.at = successor, now
+		case successor != "" && successor != h.Name &&
+			(held.sentTo != successor || now-held.sentAt > passRetryInterval):
+			held.sentTo, held.sentAt = successor, now
 			h.Count.LetGo++
-			h.letGo(c)
+			h.handOver(held)
 		}
 	}
-	for k, t := range h.taken {
-		h.choose(now, k, t)
-		if _, _, known := h.Log.SuccessorOf(k.owner, k.incarnation); t.over && !known { // the log has forgotten it
-			delete(h.taken, k)
+	for key, state := range h.taken {
+		h.takeBestReplica(now, key, state)
+		// The log no longer has the incarnation.
+		if _, _, known := h.Log.SuccessorOf(key.owner, key.incarnation); state.settled && !known {
+			delete(h.taken, key)
 		}
-		if t.owes() && h.Log.Over(k.owner, k.incarnation) && h.Log.Lives(k.owner) && now-t.told > passAgain {
-			t.told, t.closed = now, mutant != "never-closed"
-			h.tellBack(k, t)
+		if state.mustReport() && h.Log.Over(key.owner, key.incarnation) && h.Log.Lives(key.owner) &&
+			now-state.reportedAt > passRetryInterval {
+			state.reportedAt, state.closed = now, mutant != "never-closed"
+			h.reportTaken(key, state)
 		}
 	}
 }
 
-// letGo sends a copy to the successor, and the ends that are remembered.
-func (h *Holder) letGo(c *held) {
-	for list := range slices.Chunk(h.ends, pageMost) {
-		h.out = append(h.out, heard(c.sent, list))
+// handOver sends a replica to the successor, preceded by the remembered ends.
+func (h *Holder) handOver(held *replica) {
+	for list := range slices.Chunk(h.ends, maxPageRecords) {
+		h.sends = append(h.sends, heardFrame(held.sentTo, list))
 	}
-	ids := slices.Sorted(maps.Keys(c.calls))
+	ids := slices.Sorted(maps.Keys(held.calls))
 	for first := true; first || len(ids) > 0; first = false {
-		n := min(len(ids), pageMost)
-		p := &takeoverpb.Pass{Number: c.number, First: first, Last: n == len(ids), Holders: c.holders}
-		for _, id := range ids[:n] {
-			p.Records = append(p.Records, write(&Record{Out, *c.calls[id]}))
-		}
-		ids = ids[n:]
-		h.out = append(h.out, Send{c.sent, &takeoverpb.Frame{Owner: c.owner, Incarnation: c.incarnation, What: &takeoverpb.Frame_Pass{Pass: p}}})
+		count := min(len(ids), maxPageRecords)
+		page := &takeoverpb.Pass{Number: held.number, First: first, Last: count == len(ids), Holders: held.holders}
+		for _, id := range ids[:count] {
+			page.Records = append(page.Records, encodeRecord(&Record{Out, *held.calls[id]}))
+		}
+		ids = ids[count:]
+		h.sends = append(h.sends, Send{held.sentTo, &takeoverpb.Frame{
+			Owner:       held.owner,
+			Incarnation: held.incarnation,
+			What:        &takeoverpb.Frame_Pass{Pass: page},
+		}})
 	}
 }
 
-// pass takes a page of a copy as the successor; true: the copy is whole and in this router's hands.
-func (h *Holder) pass(now time.Duration, from string, k key, p *takeoverpb.Pass, number uint64) bool {
-	successor, of, over := h.Log.SuccessorOf(k.owner, k.incarnation)
-	list, ok := read(p.Records)
-	if !ok || !over || successor != h.Name || of != number || number == 0 {
+// receivePass processes a page of a replica that is handed over to this router as the successor. It reports whether
+// the replica is now complete.
+func (h *Holder) receivePass(
+	now time.Duration, from string, key ownerKey, page *takeoverpb.Pass, incarnation uint64,
+) bool {
+	successor, successorIncarnation, over := h.Log.SuccessorOf(key.owner, key.incarnation)
+	list, ok := decodeRecords(page.Records)
+	if !ok || !over || successor != h.Name || successorIncarnation != incarnation || incarnation == 0 {
 		h.Count.Refused++
 		return false
 	}
-	t := h.takes(k)
-	if p.First {
-		t.coming[from] = table{}
+	state := h.stateOf(key)
+	if page.First {
+		state.incoming[from] = callTable{}
 	}
-	coming := t.coming[from]
-	if coming == nil || len(coming)+len(list) > callsMost {
+	incoming := state.incoming[from]
+	if incoming == nil || len(incoming)+len(list) > maxHeldCalls {
 		return false
 	}
 	for i := range list {
-		coming.apply(&list[i])
+		incoming.apply(&list[i])
 	}
-	if !p.Last {
+	if !page.Last {
 		return false
 	}
-	delete(t.coming, from)
-	h.gather(now, k, from, &held{number: p.Number, calls: coming, holders: p.Holders})
+	delete(state.incoming, from)
+	h.addReplica(now, key, from, &replica{number: page.Number, calls: incoming, holders: page.Holders})
 	return true
 }
 
-// gather notes a copy that has come.
-func (h *Holder) gather(now time.Duration, k key, from string, c *held) {
-	t := h.takes(k)
-	if len(t.have) == 0 {
-		t.since = now
+// addReplica stores a complete replica that a replica holder handed over.
+func (h *Holder) addReplica(now time.Duration, key ownerKey, from string, held *replica) {
+	state := h.stateOf(key)
+	if len(state.replicas) == 0 {
+		state.firstAt = now
 	}
-	t.have[from] = c
+	state.replicas[from] = held
 }
 
-// choose takes the copy with the highest number, once the copies of all holders that live have come, or have had the time to.
-func (h *Holder) choose(now time.Duration, k key, t *taken) {
-	if len(t.have) == 0 {
+// takeBestReplica takes over the replica with the highest number, once the replicas of all live replica holders have
+// arrived or gatherTimeout has passed.
+func (h *Holder) takeBestReplica(now time.Duration, key ownerKey, state *takeoverState) {
+	if len(state.replicas) == 0 {
 		return
 	}
-	var best *held
-	whole := true
-	for _, from := range slices.Sorted(maps.Keys(t.have)) {
-		c := t.have[from]
-		if best == nil || c.number > best.number {
-			best = c
+	var best *replica
+	complete := true
+	for _, from := range slices.Sorted(maps.Keys(state.replicas)) {
+		held := state.replicas[from]
+		if best == nil || held.number > best.number {
+			best = held
 		}
-		for _, name := range c.holders {
-			whole = whole && (t.have[name] != nil || !h.Log.Lives(name))
+		for _, name := range held.holders {
+			complete = complete && (state.replicas[name] != nil || !h.Log.Lives(name))
 		}
 	}
-	if !whole && now-t.since < gatherMost && mutant != "first-copy" {
+	if !complete && now-state.firstAt < gatherTimeout && mutant != "first-copy" {
 		return
 	}
-	if !whole {
+	if !complete {
 		h.Count.Guessed++
 	}
-	clear(t.have)
-	h.take(now, k, best.number, best.calls)
-	h.next.replies, h.next.own = append(h.next.replies, t.replies...), append(h.next.own, t.own...)
-	t.replies, t.own = nil, nil
+	clear(state.replicas)
+	h.takeCalls(now, key, best.number, best.calls)
+	h.nextAcks.replies, h.nextAcks.own = append(h.nextAcks.replies, state.replies...),
+		append(h.nextAcks.own, state.own...)
+	state.replies, state.own = nil, nil
 }
 
-func (h *Holder) takes(k key) *taken {
-	t := h.taken[k]
-	if t == nil {
-		t = &taken{calls: map[string]bool{}, coming: map[string]table{}, have: map[string]*held{}}
-		h.taken[k] = t
+// stateOf returns the take-over state of an incarnation, which it creates if there is none.
+func (h *Holder) stateOf(key ownerKey) *takeoverState {
+	state := h.taken[key]
+	if state == nil {
+		state = &takeoverState{
+			calls:    map[string]bool{},
+			incoming: map[string]callTable{},
+			replicas: map[string]*replica{},
+		}
+		h.taken[key] = state
 	}
-	return t
+	return state
 }
 
-// take has the calls of a copy be this router's. Of several copies the one with the highest number is the truth: what it lacks is over in its owner's own books.
-func (h *Holder) take(now time.Duration, k key, number uint64, calls table) {
-	t := h.takes(k)
-	if t.closed || t.number > number || t.number == number && len(t.calls) > 0 {
+// takeCalls takes over the calls of a replica. Of several replicas the one with the highest number is authoritative:
+// a call that it lacks is over in the owner's own ledger, and is dropped if a lower replica brought it.
+func (h *Holder) takeCalls(now time.Duration, key ownerKey, number uint64, calls callTable) {
+	state := h.stateOf(key)
+	if state.closed || state.number > number || state.number == number && len(state.calls) > 0 {
 		return
 	}
-	if t.number > 0 && mutant != "lower-copy" { // else what is here came by a successor between
-		for id := range t.calls {
-			if calls[id] == nil && h.in[id] {
+	if state.number > 0 && mutant != "lower-copy" { // otherwise the calls came by way of an intermediate successor
+		for id := range state.calls {
+			if calls[id] == nil && h.activeTaken[id] {
 				h.drop = append(h.drop, id)
-				delete(h.in, id)
-				delete(t.calls, id)
-				h.takenN--
+				delete(h.activeTaken, id)
+				delete(state.calls, id)
+				h.takenCount--
 				h.Count.Dropped++
 			}
 		}
 	}
-	t.number = number
+	state.number = number
 	for _, id := range slices.Sorted(maps.Keys(calls)) {
-		c := *calls[id]
-		if t.calls[id] || h.in[id] { // it came before, by the successor of its successor
+		call := *calls[id]
+		if state.calls[id] || h.activeTaken[id] { // already taken, by way of the successor's own successor
 			continue
 		}
-		if h.takenN >= takenMost {
+		if h.takenCount >= maxTakenCalls {
 			h.Count.Lost++
 			continue
 		}
-		t.calls[id] = true
-		h.takenN++
-		for _, o := range c.Origins { // owners before hear of it, too
-			if one := h.takes(key{o.Owner, o.Incarnation}); !one.calls[id] && !one.closed {
-				one.calls[id] = true
-				h.takenN++
+		state.calls[id] = true
+		h.takenCount++
+		for _, origin := range call.Origins { // earlier owners are told, too
+			if earlier := h.stateOf(ownerKey{origin.Owner, origin.Incarnation}); !earlier.calls[id] &&
+				!earlier.closed {
+				earlier.calls[id] = true
+				h.takenCount++
 			}
 		}
-		c.Origins = append(slices.Clone(c.Origins), Origin{k.owner, k.incarnation})
-		c.Origins = c.Origins[max(0, len(c.Origins)-originsMost):]
-		h.adopt = append(h.adopt, c)
-		if e, ok := h.known[id]; ok {
-			h.fresh = append(h.fresh, e)
-		} else if c.Stands {
-			h.in[id] = true
+		call.Origins = append(slices.Clone(call.Origins), Origin{key.owner, key.incarnation})
+		call.Origins = call.Origins[max(0, len(call.Origins)-maxOrigins):]
+		h.adopt = append(h.adopt, call)
+		if end, ok := h.endByCall[id]; ok {
+			h.newEnds = append(h.newEnds, end)
+		} else if call.Stands {
+			h.activeTaken[id] = true
 		}
 		h.Count.Taken++
 	}
 }
 
-// tellBack tells an owner that is there again what was taken from it.
-func (h *Holder) tellBack(k key, t *taken) {
-	ids := slices.Sorted(maps.Keys(t.calls))
+// reportTaken tells an owner that is back which calls were taken from it.
+func (h *Holder) reportTaken(key ownerKey, state *takeoverState) {
+	ids := slices.Sorted(maps.Keys(state.calls))
 	for first := true; first || len(ids) > 0; first = false {
-		n := min(len(ids), pageMost)
-		h.out = append(h.out, Send{k.owner, &takeoverpb.Frame{Owner: k.owner, Incarnation: k.incarnation, What: &takeoverpb.Frame_Back{Back: &takeoverpb.Back{Calls: ids[:n], Last: n == len(ids)}}}})
-		ids = ids[n:]
+		count := min(len(ids), maxPageRecords)
+		h.sends = append(h.sends, Send{key.owner, &takeoverpb.Frame{
+			Owner:       key.owner,
+			Incarnation: key.incarnation,
+			What:        &takeoverpb.Frame_Back{Back: &takeoverpb.Back{Calls: ids[:count], Last: count == len(ids)}},
+		}})
+		ids = ids[count:]
 	}
 }
 
-// Linked are the routers that there are links to.
+// SetLinks sets the routers to which links are open.
 func (h *Holder) Linked(names []string) { h.links = names }
 
-// Tell has another router tell callers of ends that this one cannot any more; false: none is linked.
+// ForwardEnds has a linked router notify callers of ends that this router can no longer deliver. It returns false if
+// no router is linked.
 func (h *Holder) Tell(list []End) bool {
 	if len(h.links) == 0 {
 		return false
 	}
-	for part := range slices.Chunk(list, pageMost) {
-		h.out = append(h.out, heard(h.links[0], part))
+	for part := range slices.Chunk(list, maxPageRecords) {
+		h.sends = append(h.sends, heardFrame(h.links[0], part))
 	}
 	return true
 }
 
-// Greet tells a router whose link has just opened the ends that are remembered: while there was none they may have passed it by.
+// SendKnownEnds sends the remembered ends to a router whose link has just opened: it may have missed them while there
+// was no link.
 func (h *Holder) Greet(name string) {
-	for list := range slices.Chunk(h.ends, pageMost) {
-		h.out = append(h.out, heard(name, list))
+	for list := range slices.Chunk(h.ends, maxPageRecords) {
+		h.sends = append(h.sends, heardFrame(name, list))
 	}
 }
 
-// Ended takes ends of calls that were unknown where they were heard: here, with no sender, or at another router. What is new goes to the loop, for the call may be this router's, and on to all
-// that are linked; so each router hears of it once.
+// ReceiveEnds takes the ends of calls that were unknown where the ends were received: at this router, if from is
+// empty, or at the router from. New ones are returned by the next Output, since the calls may belong to this router,
+// and are forwarded to all linked routers; so each router receives them once.
 func (h *Holder) Ended(now time.Duration, from string, list []End) {
-	var fresh []End
-	for _, e := range list {
-		if _, ok := h.known[e.Call]; ok {
+	var newEnds []End
+	for _, end := range list {
+		if _, ok := h.endByCall[end.Call]; ok {
 			continue
 		}
-		if len(h.ends) >= endsMost {
+		if len(h.ends) >= maxRememberedEnds {
 			h.Count.Lost++
-			h.lapse()
+			h.forgetOldestEnd()
 		}
-		h.known[e.Call] = e
-		h.ends, h.endsAt = append(h.ends, e), append(h.endsAt, now)
+		h.endByCall[end.Call] = end
+		h.ends, h.endsAt = append(h.ends, end), append(h.endsAt, now)
 		h.Count.Heard++
-		fresh = append(fresh, e)
-		delete(h.in, e.Call)
+		newEnds = append(newEnds, end)
+		delete(h.activeTaken, end.Call)
 	}
-	if from != "" || mutant != "heard-before-taken" { // the loop may have heard of one here before it was told that the call is this router's
-		h.fresh = append(h.fresh, fresh...)
+	// The loop may have received an end at this router before it was notified that the call is now this router's, so
+	// ends without a sender are returned to it, too.
+	if from != "" || mutant != "heard-before-taken" {
+		h.newEnds = append(h.newEnds, newEnds...)
 	}
-	for part := range slices.Chunk(fresh, pageMost) {
+	for part := range slices.Chunk(newEnds, maxPageRecords) {
 		for _, to := range h.links {
 			if to != from {
-				h.out = append(h.out, heard(to, part))
+				h.sends = append(h.sends, heardFrame(to, part))
 			}
 		}
 	}
 }
 
-// lapse forgets the oldest end.
-func (h *Holder) lapse() {
-	delete(h.known, h.ends[0].Call)
+// forgetOldestEnd deletes the oldest remembered end.
+func (h *Holder) forgetOldestEnd() {
+	delete(h.endByCall, h.ends[0].Call)
 	h.ends, h.endsAt = h.ends[1:], h.endsAt[1:]
 }
 
-func heard(to string, list []End) Send {
-	m := &takeoverpb.Heard{}
-	for _, e := range list {
-		m.Ends = append(m.Ends, &takeoverpb.End{Call: e.Call, How: uint32(e.How), At: e.At, ByCaller: e.By, Tell: e.Tell})
+// heardFrame returns a frame that informs a router of ends.
+func heardFrame(to string, list []End) Send {
+	msg := &takeoverpb.Heard{}
+	for _, end := range list {
+		msg.Ends = append(msg.Ends, &takeoverpb.End{
+			Call:     end.Call,
+			How:      uint32(end.How),
+			At:       end.At,
+			ByCaller: end.By,
+			Tell:     end.Tell,
+		})
 	}
-	return Send{to, &takeoverpb.Frame{What: &takeoverpb.Frame_Heard{Heard: m}}}
+	return Send{to, &takeoverpb.Frame{What: &takeoverpb.Frame_Heard{Heard: msg}}}
 }
 
-// Acts is what there is to do, in this order: calls to take, calls taken that are over in their owner's books, and ends that were heard, of calls that may be this router's.
+// Actions is what the loop has to do, in the order of the fields.
 type Acts struct {
-	Take  uint64 // what is to be safe before it is acted on: Safe has to be told; 0: nothing is
-	Adopt []Call
-	Drop  []string
-	Ends  []End
+	Take  uint64   // batch to pass to ConfirmBatch once its calls are replicated; 0: nothing to confirm
+	Adopt []Call   // calls to take over
+	Drop  []string // calls taken over that are over in their owner's ledger
+	Ends  []End    // received ends of calls that may be this router's
 }
 
-// Safe is told that what an Output brought to take is in the copies of this router's own holders: whoever let it go is answered before anything is done about it, so that nobody takes it again.
-func (h *Holder) Safe(take uint64) {
-	w := h.waits[take]
-	delete(h.waits, take)
-	h.out = append(h.out, w.replies...)
-	for _, c := range w.own {
-		if h.copies[c.key] == c {
-			h.forget(c)
+// ConfirmBatch is called when the calls of a batch are in the replicas of this router's own replica holders. It
+// acknowledges the replicas to the routers that handed them over before the loop acts on the calls, so that nobody
+// else takes them over.
+func (h *Holder) Safe(batchID uint64) {
+	acks := h.acksByBatch[batchID]
+	delete(h.acksByBatch, batchID)
+	h.sends = append(h.sends, acks.replies...)
+	for _, held := range acks.own {
+		if h.replicas[held.ownerKey] == held {
+			h.dropReplica(held)
 		}
 	}
 }
 
-// Output returns what is to be sent and done.
-func (h *Holder) Output() (send []Send, acts Acts) {
-	send, acts = h.out, Acts{Adopt: h.adopt, Drop: h.drop, Ends: h.fresh}
-	if len(h.adopt)+len(h.next.replies)+len(h.next.own) > 0 {
-		h.outs++
-		acts.Take = h.outs
-		h.waits[h.outs], h.next = h.next, waiting{}
+// Output returns the frames to send and the actions for the loop since the last call.
+func (h *Holder) Output() (sends []Send, actions Acts) {
+	sends, actions = h.sends, Acts{Adopt: h.adopt, Drop: h.drop, Ends: h.newEnds}
+	if len(h.adopt)+len(h.nextAcks.replies)+len(h.nextAcks.own) > 0 {
+		h.batches++
+		actions.Take = h.batches
+		h.acksByBatch[h.batches], h.nextAcks = h.nextAcks, pendingAcks{}
 	}
-	h.out, h.adopt, h.drop, h.fresh = nil, nil, nil, nil
-	return send, acts
+	h.sends, h.adopt, h.drop, h.newEnds = nil, nil, nil, nil
+	return sends, actions
 }
 
-// Due is when Tick has something to do, should nothing come before.
+// NextTick returns the time by which Tick has to be called if nothing is received before.
 func (h *Holder) Due(now time.Duration) time.Duration {
 	at := time.Duration(math.MaxInt64)
-	for k, c := range h.copies {
-		if successor, _, over := h.Log.SuccessorOf(k.owner, k.incarnation); over && successor != "" {
-			at = min(at, max(c.vouched, c.at+passAgain, now+dueEvery))
+	for key, held := range h.replicas {
+		if successor, _, over := h.Log.SuccessorOf(key.owner, key.incarnation); over && successor != "" {
+			at = min(at, max(held.guaranteedUntil, held.sentAt+passRetryInterval, now+tickInterval))
 		}
 	}
-	for k, t := range h.taken {
-		if len(t.have) > 0 {
-			at = min(at, now+dueEvery)
+	for key, state := range h.taken {
+		if len(state.replicas) > 0 {
+			at = min(at, now+tickInterval)
 		}
-		if t.owes() && h.Log.Lives(k.owner) {
-			at = min(at, t.told+passAgain)
+		if state.mustReport() && h.Log.Lives(key.owner) {
+			at = min(at, state.reportedAt+passRetryInterval)
 		}
 	}
 	return at
 }
 
-// Names are routers that links are wanted to: successors of what is held, and owners of what was taken that may be back.
+// WantedLinks returns the routers to which links are needed: successors for held replicas, and owners of taken calls,
+// which may be back.
 func (h *Holder) Names() (list []string) {
-	for k := range h.copies {
-		if successor, _, over := h.Log.SuccessorOf(k.owner, k.incarnation); over && successor != "" && successor != h.Name {
+	for key := range h.replicas {
+		if successor, _, over := h.Log.SuccessorOf(key.owner, key.incarnation); over && successor != "" &&
+			successor != h.Name {
 			list = append(list, successor)
 		}
 	}
-	for k, t := range h.taken {
-		if t.owes() {
-			list = append(list, k.owner)
+	for key, state := range h.taken {
+		if state.mustReport() {
+			list = append(list, key.owner)
 		}
 	}
 	return list
 }
 
-// Told says whether the successor of an earlier incarnation of this router has told what it took.
-func (h *Holder) Told(incarnation uint64) bool { return h.backs[key{h.Name, incarnation}] }
+// HasReported reports whether the successor of an earlier incarnation of this router has told it which calls it took.
+func (h *Holder) Told(incarnation uint64) bool {
+	return h.reported[ownerKey{h.Name, incarnation}]
+}
 
-// Report is what an operator is told of both parts.
-func Report(now time.Duration, o *Owner, h *Holder) *takeoverpb.Report {
-	r := &takeoverpb.Report{Incarnation: o.incarnation, Number: o.number, Calls: uint64(len(o.calls)), Counts: map[string]uint64{"given": o.Count.Given, "whole": o.Count.Whole, "taken": h.Count.Taken,
-		"dropped": h.Count.Dropped, "let-go": h.Count.LetGo, "heard": h.Count.Heard, "lost": h.Count.Lost, "full": h.Count.Full, "guessed": h.Count.Guessed, "refused": h.Count.Refused + o.Count.Refused}}
-	if !o.Alone() {
-		r.Confirmed = o.Confirmed()
-	}
-	for _, name := range o.Names() {
-		one := o.holders[name]
-		r.Holders = append(r.Holders, &takeoverpb.Held{Name: name, Incarnation: one.incarnation, Number: one.confirmed, Whole: one.started, Vouched: int64((one.vouched - now) / time.Microsecond)})
+// Report returns the state of a router's Owner and ReplicaHolder for operators.
+func Report(now time.Duration, owner *Owner, holder *Holder) *takeoverpb.Report {
+	report := &takeoverpb.Report{
+		Incarnation: owner.incarnation,
+		Number:      owner.number,
+		Calls:       uint64(len(owner.calls)),
+		Counts: map[string]uint64{
+			"given":   owner.Count.Given,
+			"whole":   owner.Count.Whole,
+			"taken":   holder.Count.Taken,
+			"dropped": holder.Count.Dropped,
+			"let-go":  holder.Count.LetGo,
+			"heard":   holder.Count.Heard,
+			"lost":    holder.Count.Lost,
+			"full":    holder.Count.Full,
+			"guessed": holder.Count.Guessed,
+			"refused": holder.Count.Refused + owner.Count.Refused,
+		},
+	}
+	if !owner.Alone() {
+		report.Confirmed = owner.Confirmed()
+	}
+	for _, name := range owner.Names() {
+		state := owner.holders[name]
+		report.Holders = append(report.Holders, &takeoverpb.Held{
+			Name:        name,
+			Incarnation: state.incarnation,
+			Number:      state.confirmed,
+			Whole:       state.snapshotSent,
+			Vouched:     int64((state.guaranteedUntil - now) / time.Microsecond),
+		})
 	}
-	for k, c := range h.copies {
-		successor, _, _ := h.Log.SuccessorOf(k.owner, k.incarnation)
-		r.Held = append(r.Held, &takeoverpb.Held{Name: k.owner, Incarnation: k.incarnation, Number: c.number, Calls: uint64(len(c.calls)), Whole: c.whole, Vouched: int64((c.vouched - now) / time.Microsecond), Successor: successor})
+	for key, held := range holder.replicas {
+		successor, _, _ := holder.Log.SuccessorOf(key.owner, key.incarnation)
+		report.Held = append(report.Held, &takeoverpb.Held{
+			Name:        key.owner,
+			Incarnation: key.incarnation,
+			Number:      held.number,
+			Calls:       uint64(len(held.calls)),
+			Whole:       held.complete,
+			Vouched:     int64((held.guaranteedUntil - now) / time.Microsecond),
+			Successor:   successor,
+		})
 	}
-	for k, t := range h.taken {
-		r.Taken = append(r.Taken, &takeoverpb.Held{Name: k.owner, Incarnation: k.incarnation, Number: t.number, Calls: uint64(len(t.calls))})
+	for key, state := range holder.taken {
+		report.Taken = append(report.Taken, &takeoverpb.Held{
+			Name:        key.owner,
+			Incarnation: key.incarnation,
+			Number:      state.number,
+			Calls:       uint64(len(state.calls)),
+		})
 	}
-	for _, list := range [][]*takeoverpb.Held{r.Held, r.Taken} {
+	for _, list := range [][]*takeoverpb.Held{report.Held, report.Taken} {
 		slices.SortFunc(list, func(a, b *takeoverpb.Held) int {
 			return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 		})
 	}
-	return r
+	return report
 }
 
-// Find says what is known here of a call: who has it in hand, and how far.
-func Find(id string, o *Owner, h *Holder) (where []string) {
-	if c := o.calls[id]; c != nil {
-		where = append(where, "in hand of "+o.Name+" at "+c.Server)
+// FindCall describes where a call is known at this router: as its own call in progress, in a replica, or as taken
+// over.
+func Find(id string, owner *Owner, holder *Holder) (where []string) {
+	if held := owner.calls[id]; held != nil {
+		where = append(where, "in hand of "+owner.Name+" at "+held.Server)
 	}
-	for k, c := range h.copies {
-		if one := c.calls[id]; one != nil {
-			where = append(where, "held for "+k.owner+" at "+one.Server)
+	for key, held := range holder.replicas {
+		if call := held.calls[id]; call != nil {
+			where = append(where, "held for "+key.owner+" at "+call.Server)
 		}
 	}
-	for k, t := range h.taken {
-		if t.calls[id] {
-			where = append(where, "taken over from "+k.owner)
+	for key, state := range holder.taken {
+		if state.calls[id] {
+			where = append(where, "taken over from "+key.owner)
 		}
 	}
 	slices.Sort(where)
--- a/takeover/mutant_off.go
+++ b/takeover/mutant_off.go
@@ -2,5 +2,5 @@
 
 package takeover
 
-// mutant is the fault that is built in: none but in builds for tests.
+// mutant is the name of the injected fault; builds without the mutant tag have none.
 const mutant = ""
--- a/takeover/mutant_on.go
+++ b/takeover/mutant_on.go
@@ -4,29 +4,29 @@
 
 import "os"
 
-// mutant is the fault that is built in.
+// mutant is the name of the injected fault, empty for none.
 var mutant = os.Getenv("TAKEOVER_MUTANT")
 
-// Mutants are the faults that a build for tests can have, by name.
+// Mutants are the faults that can be injected into a build for tests: a description by name.
 var Mutants = map[string]string{
-	"confirm-the-dead": "a holder goes on confirming to an incarnation that is over",
-	"no-vouch":         "a holder does not note that it has vouched",
-	"let-go-early":     "a holder lets a copy go although it vouches still",
-	"every-holder":     "whoever holds a copy takes it over, successor or not",
-	"mind-no-gap":      "a holder takes records after a gap",
-	"first-copy":       "a successor takes the first copy that comes, which may have calls that are over",
-	"never-closed":     "a successor goes on taking calls of an owner that is back and was told",
-	"old-work":         "a router that acts by a new incarnation keeps what it had in hand by the one before",
-	"deaf-to-the-last": "a holder does not hear what an owner still did by its vouch",
-	"lower-copy":       "what a later copy lacks stays in the successor's hands",
-	"act-at-once":      "a successor acts before its own holders have what it took",
-	"act-on":           "an owner acts on although nobody vouches and its lease is over",
+	"confirm-the-dead": "a replica holder goes on confirming to an incarnation that is over",
+	"no-vouch":         "a replica holder does not note its guarantee",
+	"let-go-early":     "a replica holder hands a replica over although its guarantee has not expired",
+	"every-holder":     "every replica holder takes the calls over, successor or not",
+	"mind-no-gap":      "a replica holder applies records after a gap",
+	"first-copy":       "a successor takes over the first replica it receives, which may contain calls that are over",
+	"never-closed":     "a successor goes on taking calls of an owner that is back and was told which were taken",
+	"old-work":         "a router that acts by a new incarnation keeps the calls of the one before",
+	"deaf-to-the-last": "a replica holder ignores what an owner still did while the guarantee held",
+	"lower-copy":       "a successor keeps taken calls that a replica with a higher number lacks",
+	"act-at-once":      "a successor acts before its own replica holders have the calls it took over",
+	"act-on":           "an owner continues to act although its lease is over and all guarantees have expired",
 
-	"end-before-word":    "holders are told of an end before its caller is",
-	"heard-before-taken": "an end that is heard between a take-over and the loop's word of it is lost",
-	"withdrawn-alive":    "a router that is evacuated has others withdraw the set-ups that it goes on with",
-	"late-words":         "what waits for holders leaves although it is another's to tell",
+	"end-before-word":    "replica holders are told of an end before the caller is notified",
+	"heard-before-taken": "an end that is received between a take-over and its notification to the loop is lost",
+	"withdrawn-alive":    "a router that is evacuated has others withdraw the set-ups that it continues",
+	"late-words":         "output that waits for replica holders is sent although another router notifies the callers",
 }
 
-// Mutate builds a fault in, or with an empty name none.
+// Mutate injects the fault of that name, or none if name is empty. It must not be called while routers run.
 func Mutate(name string) { mutant = name }
--- a/takeover/mutant_test.go
+++ b/takeover/mutant_test.go
@@ -8,10 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// worlds are seeds whose troubles find the faults that no single step shows.
+// worlds are seeds of simulations that detect the faults which no single rule detects.
 var worlds = map[string]uint64{"act-on": 2, "every-holder": 1, "let-go-early": 4, "old-work": 30}
 
-// TestMutants finds every fault, by a rule or by a world, and none without it.
+// TestMutants checks that each injected fault is detected, by a rule or by a simulation that finds nothing without
+// it.
 func TestMutants(t *testing.T) {
 	defer Mutate("")
 	for name := range Mutants {
@@ -22,10 +23,10 @@
 				return
 			}
 			Mutate("")
-			w, _ := play(t, worlds[name], 60)
+			w, _ := simulate(t, worlds[name], 60)
 			require.Empty(t, w.broken)
 			Mutate(name)
-			w, _ = play(t, worlds[name], 60)
+			w, _ = simulate(t, worlds[name], 60)
 			require.NotEmpty(t, w.broken, "the fault is not found")
 			t.Log(w.broken)
 		})
--- a/takeover/owner.go
+++ b/takeover/owner.go
@@ -9,108 +9,119 @@
 	"threadglade.example/threadglade/takeover/takeoverpb"
 )
 
-// An owner's part: this file owns who holds copies of its work, how far they have confirmed it, and until when it may act by their word.
+// This file implements the owner's side of replication: which routers hold replicas of this router's calls, how far
+// they have confirmed the records, and until when the router may act by their guarantees.
 
-// keepEvery is the part of a vouch after which it is asked for anew, should there be nothing to give.
-const keepEvery = 3
+// renewalsPerGuarantee is how often a guarantee is renewed within its duration when there are no records to send.
+const renewalsPerGuarantee = 3
 
-// wholeAgain is how long after the last word a holder that wants a whole copy gets it.
-const wholeAgain = 50 * time.Millisecond
+// snapshotRetryDelay is the time from the last frame sent to a replica holder until it is sent a snapshot that it has
+// asked for.
+const snapshotRetryDelay = 50 * time.Millisecond
 
-// holding is one router that has, or may have, a copy.
-type holding struct {
-	name        string
-	incarnation uint64
-	wanted      bool // it is to have one
-	linked      bool
-	given       bool          // it may have one
-	started     bool          // since the link opened, a whole copy has been sent
-	sent        uint64        // number up to which it was given records
-	confirmed   uint64        // and up to which it has them
-	asked       time.Duration // when it was last written to
-	vouched     time.Duration // until when it lets nothing go
-	drop        bool          // it was told to drop its copy
+// holderState is the state of one router that has, or may have, a replica.
+type holderState struct {
+	name            string
+	incarnation     uint64
+	wanted          bool // it is to hold a replica
+	linked          bool
+	mayHold         bool          // it may have a replica: one was sent and is not known to be dropped
+	snapshotSent    bool          // a snapshot was sent since the link opened
+	sentNumber      uint64        // number of the latest record sent to it
+	confirmed       uint64        // number of the latest record that it has confirmed
+	lastSent        time.Duration // when the latest frame was sent to it, 0 if none was
+	guaranteedUntil time.Duration // until then it does not hand its replica over
+	dropSent        bool          // it was told to drop its replica
 }
 
-// Owner gives this router's work to its holders. Its methods are for one goroutine.
+// Owner replicates this router's calls to its replica holders. It must be used by one goroutine at a time.
 type Owner struct {
 	Terms       Terms
-	Name        string
-	incarnation uint64
-	calls       table
-	number      uint64
-	tail        []Record // the latest records, that holders have still to be given
-	tailAt      uint64   // number before the first of them
-	holders     map[string]*holding
-	links       map[string]bool // routers that are linked
-	names       []string        // of who is to have a copy
+	Name        string // of this router
+	incarnation uint64 // by which it acts, 0 if by none
+	calls       callTable
+	number      uint64   // of the latest record
+	tail        []Record // the latest records, not yet sent to replica holders
+	tailStart   uint64   // number before the first record of tail
+	holders     map[string]*holderState
+	links       map[string]bool // linked routers
+	holderNames []string        // routers that are to hold a replica
 	Count       struct{ Given, Whole, Refused uint64 }
 }
 
-// NewOwner makes one that has nothing in hand.
-func NewOwner(t Terms, name string) *Owner {
-	return &Owner{Terms: t, Name: name, calls: table{}, holders: map[string]*holding{}, links: map[string]bool{}}
+// NewOwner returns an Owner without calls.
+func NewOwner(settings Terms, name string) *Owner {
+	return &Owner{
+		Terms:   settings,
+		Name:    name,
+		calls:   callTable{},
+		holders: map[string]*holderState{},
+		links:   map[string]bool{},
+	}
 }
 
-// Acts is told by which incarnation the router acts from now on; its holders get a whole copy under it. While the loop has not let go of what is in hand by an earlier one, that goes on: its last
-// records are the earlier one's.
+// SetIncarnation sets the incarnation by which the router acts from now on; its replica holders get a snapshot under
+// it. It has no effect while the loop has not relinquished the calls of an earlier incarnation, as the last records
+// still belong to that one.
 func (o *Owner) Acts(incarnation uint64) {
 	if o.incarnation != 0 && mutant != "old-work" {
 		return
 	}
 	if incarnation != o.incarnation {
 		o.incarnation = incarnation
-		for _, h := range o.holders { // what they hold of an earlier one is the log's to let go
-			h.given, h.started, h.confirmed, h.vouched, h.drop = false, false, 0, 0, false
+		for _, h := range o.holders { // replicas of earlier incarnations are handed over as the log decides
+			h.mayHold, h.snapshotSent, h.confirmed, h.guaranteedUntil, h.dropSent = false, false, 0, 0, false
 		}
 	}
 }
 
-// Holders are the routers that are to hold copies, by name and incarnation; over says which incarnations the log has ended.
+// SetHolders sets the routers that are to hold replicas, by name and incarnation; over reports whether the log has an
+// incarnation as over.
 func (o *Owner) Holders(want map[string]uint64, over func(name string, incarnation uint64) bool) {
-	o.names = slices.Sorted(maps.Keys(want))
-	for name, h := range o.holders {
-		if over(name, h.incarnation) { // its lease is over: it lets nothing go any more
+	o.holderNames = slices.Sorted(maps.Keys(want))
+	for name, holder := range o.holders {
+		if over(name, holder.incarnation) { // its lease is over: it hands nothing over any more
 			delete(o.holders, name)
-		} else if want[name] != 0 && !h.wanted { // a copy anew
-			h.wanted, h.drop, h.started = true, false, false
-		} else if h.wanted = want[name] != 0; !h.wanted && !h.given {
+		} else if want[name] != 0 && !holder.wanted { // it is to hold a replica again
+			holder.wanted, holder.dropSent, holder.snapshotSent = true, false, false
+		} else if holder.wanted = want[name] != 0; !holder.wanted && !holder.mayHold {
 			delete(o.holders, name)
 		}
 	}
 	for name, incarnation := range want {
 		if o.holders[name] == nil {
-			o.holders[name] = &holding{name: name, incarnation: incarnation, wanted: true, linked: o.links[name]}
+			o.holders[name] = &holderState{name: name, incarnation: incarnation, wanted: true, linked: o.links[name]}
 		}
 	}
 }
 
-// Names are those that links are wanted to.
+// HolderNames returns the routers to which links are needed.
 func (o *Owner) Names() []string { return slices.Sorted(maps.Keys(o.holders)) }
 
-// Linked is told that there is a link to a router, or none any more; calling it again starts the copy anew.
+// SetLinked reports that a link to a router is open, or that there is none any more. Each call makes the replica
+// start anew with a snapshot.
 func (o *Owner) Linked(name string, linked bool) {
 	o.links[name] = linked
 	if h := o.holders[name]; h != nil {
-		h.linked, h.started, h.asked = linked, false, 0
+		h.linked, h.snapshotSent, h.lastSent = linked, false, 0
 	}
 }
 
-// Add takes records from the loop; first is the number of the first.
+// Add applies records from the loop and queues them for the replica holders; first is the number of the first record.
 func (o *Owner) Add(first uint64, list []Record) {
 	for i := range list {
 		o.calls.apply(&list[i])
 	}
 	o.number = first + uint64(len(list)) - 1
-	if !slices.ContainsFunc(o.active(), func(h *holding) bool { return h.started }) {
-		o.tail, o.tailAt = nil, o.number
+	if !slices.ContainsFunc(o.linkedHolders(), func(h *holderState) bool { return h.snapshotSent }) {
+		o.tail, o.tailStart = nil, o.number
 		return
 	}
 	o.tail = append(o.tail, list...)
 }
 
-// active are the holders that a copy can be given to.
-func (o *Owner) active() (list []*holding) {
+// linkedHolders returns the replica holders to which there is a link, by name.
+func (o *Owner) linkedHolders() (list []*holderState) {
 	for _, name := range slices.Sorted(maps.Keys(o.holders)) {
 		if h := o.holders[name]; h.linked {
 			list = append(list, h)
@@ -119,61 +130,68 @@
 	return list
 }
 
-// Tick returns what is to be sent now: records as they have come, whole copies to those that have none, and a word in time for the next vouch.
-func (o *Owner) Tick(now time.Duration) (out []Send) {
+// Tick returns the frames to send now: new records, snapshots for replica holders that need one, and empty frames
+// that renew guarantees in time.
+func (o *Owner) Tick(now time.Duration) (sends []Send) {
 	if o.incarnation == 0 {
 		return nil
 	}
-	give := func(h *holding, g *takeoverpb.Give) {
-		g.Asked = int64(now)
-		if g.First || len(g.Records) == 0 {
-			g.Holders = o.names
+	give := func(holder *holderState, msg *takeoverpb.Give) {
+		msg.Asked = int64(now)
+		if msg.First || len(msg.Records) == 0 {
+			msg.Holders = o.holderNames
 		}
-		h.asked = now
-		out = append(out, Send{h.name, &takeoverpb.Frame{Owner: o.Name, Incarnation: o.incarnation, What: &takeoverpb.Frame_Give{Give: g}}})
+		holder.lastSent = now
+		sends = append(sends, Send{holder.name, &takeoverpb.Frame{
+			Owner:       o.Name,
+			Incarnation: o.incarnation,
+			What:        &takeoverpb.Frame_Give{Give: msg},
+		}})
 	}
-	for _, h := range o.active() {
+	for _, holder := range o.linkedHolders() {
 		switch {
-		case !h.wanted:
-			if h.given && now-h.asked >= o.Terms.Vouch/keepEvery {
-				h.drop = true
-				give(h, &takeoverpb.Give{Drop: true})
+		case !holder.wanted:
+			if holder.mayHold && now-holder.lastSent >= o.Terms.Vouch/renewalsPerGuarantee {
+				holder.dropSent = true
+				give(holder, &takeoverpb.Give{Drop: true})
 			}
-		case !h.started && h.asked != 0 && now-h.asked < wholeAgain: // it had no room, or a gap
-		case !h.started:
-			h.started, h.given, h.sent = true, true, o.number
+		case !holder.snapshotSent && holder.lastSent != 0 && now-holder.lastSent < snapshotRetryDelay:
+			// It asked for a snapshot since it had no room, or a gap in the records: wait.
+		case !holder.snapshotSent:
+			holder.snapshotSent, holder.mayHold, holder.sentNumber = true, true, o.number
 			o.Count.Whole++
 			ids := slices.Sorted(maps.Keys(o.calls))
 			for first := true; first || len(ids) > 0; first = false {
-				n := min(len(ids), pageMost)
-				g := &takeoverpb.Give{From: o.number, First: first, Last: n == len(ids)}
-				for _, id := range ids[:n] {
-					g.Records = append(g.Records, write(&Record{Out, *o.calls[id]}))
+				count := min(len(ids), maxPageRecords)
+				msg := &takeoverpb.Give{From: o.number, First: first, Last: count == len(ids)}
+				for _, id := range ids[:count] {
+					msg.Records = append(msg.Records, encodeRecord(&Record{Out, *o.calls[id]}))
 				}
-				ids = ids[n:]
-				give(h, g)
+				ids = ids[count:]
+				give(holder, msg)
 			}
-		case h.sent < o.number:
-			for h.sent < o.number {
-				from := h.sent - o.tailAt
-				list := o.tail[from:min(from+pageMost, uint64(len(o.tail)))]
-				g := &takeoverpb.Give{From: h.sent}
+		case holder.sentNumber < o.number:
+			for holder.sentNumber < o.number {
+				from := holder.sentNumber - o.tailStart
+				list := o.tail[from:min(from+maxPageRecords, uint64(len(o.tail)))]
+				msg := &takeoverpb.Give{From: holder.sentNumber}
 				for i := range list {
-					g.Records = append(g.Records, write(&list[i]))
+					msg.Records = append(msg.Records, encodeRecord(&list[i]))
 				}
-				h.sent += uint64(len(list))
+				holder.sentNumber += uint64(len(list))
 				o.Count.Given += uint64(len(list))
-				give(h, g)
+				give(holder, msg)
 			}
-		case now-h.asked >= o.Terms.Vouch/keepEvery:
-			give(h, &takeoverpb.Give{From: h.sent})
+		case now-holder.lastSent >= o.Terms.Vouch/renewalsPerGuarantee:
+			give(holder, &takeoverpb.Give{From: holder.sentNumber})
 		}
 	}
-	o.tail, o.tailAt = o.tail[:0], o.number // all that are linked have been given it; others begin with a whole copy
-	return out
+	// All linked replica holders have been sent the tail; others start with a snapshot.
+	o.tail, o.tailStart = o.tail[:0], o.number
+	return sends
 }
 
-// Due is when Tick has something to do, should nothing come before.
+// NextTick returns the time by which Tick has to be called if nothing happens before.
 func (o *Owner) Due() time.Duration {
 	at := time.Duration(math.MaxInt64)
 	if o.incarnation == 0 {
@@ -181,46 +199,48 @@
 	}
 	for _, h := range o.holders {
 		switch {
-		case !h.linked || !h.wanted && !h.given:
-		case h.wanted && !h.started:
-			at = min(at, h.asked+wholeAgain)
-		case h.wanted && h.sent < o.number:
+		case !h.linked || !h.wanted && !h.mayHold:
+		case h.wanted && !h.snapshotSent:
+			at = min(at, h.lastSent+snapshotRetryDelay)
+		case h.wanted && h.sentNumber < o.number:
 			return 0
 		default:
-			at = min(at, h.asked+o.Terms.Vouch/keepEvery)
+			at = min(at, h.lastSent+o.Terms.Vouch/renewalsPerGuarantee)
 		}
 	}
 	return at
 }
 
-// Hear takes a holder's confirmation; over: the incarnation is, as it knows.
-func (o *Owner) Hear(from string, incarnation uint64, c *takeoverpb.Confirm) (over bool) {
-	h := o.holders[from]
-	if h == nil || incarnation != o.incarnation || c.Upto > o.number {
+// ReceiveConfirm processes a replica holder's confirmation. It reports whether the replica holder has the incarnation
+// as over.
+func (o *Owner) Hear(from string, incarnation uint64, confirm *takeoverpb.Confirm) (over bool) {
+	holder := o.holders[from]
+	if holder == nil || incarnation != o.incarnation || confirm.Upto > o.number {
 		o.Count.Refused++
 		return false
 	}
-	if c.Over { // what it has counts, its word no longer
-		h.confirmed = max(h.confirmed, c.Upto)
+	if confirm.Over { // its records count, but its guarantee is not extended
+		holder.confirmed = max(holder.confirmed, confirm.Upto)
 		return true
 	}
 	switch {
-	case c.Dropped:
-		h.given = h.given && !h.drop
-		if !h.given && !h.wanted {
+	case confirm.Dropped:
+		holder.mayHold = holder.mayHold && !holder.dropSent
+		if !holder.mayHold && !holder.wanted {
 			delete(o.holders, from)
 		}
 		return false
-	case c.Again:
-		h.started = false
+	case confirm.Again:
+		holder.snapshotSent = false
 	default:
-		h.confirmed = max(h.confirmed, c.Upto)
+		holder.confirmed = max(holder.confirmed, confirm.Upto)
 	}
-	h.vouched = max(h.vouched, time.Duration(c.Asked)+o.Terms.Vouch)
+	holder.guaranteedUntil = max(holder.guaranteedUntil, time.Duration(confirm.Asked)+o.Terms.Vouch)
 	return false
 }
 
-// Confirmed is the number up to which a holder at the least has all records; the highest there is where nobody can hold them.
+// Confirmed returns the number up to which at least one replica holder has all records, or the maximum if there is
+// nobody to hold them.
 func (o *Owner) Confirmed() uint64 {
 	if o.Alone() {
 		return math.MaxUint64
@@ -232,65 +252,75 @@
 	return most
 }
 
-// Alone says whether no holder is linked: calls go on unrecorded.
+// Unreplicated reports whether no replica holder is linked: calls then proceed without being replicated.
 func (o *Owner) Alone() bool {
-	return o.incarnation == 0 || !slices.ContainsFunc(o.active(), func(h *holding) bool { return h.wanted })
+	return o.incarnation == 0 || !slices.ContainsFunc(o.linkedHolders(), func(h *holderState) bool { return h.wanted })
 }
 
-// Vouched is until when this router may act by its holders' word alone: a patience before any that may have a copy lets it go, so that what it does last still reaches them. The end of time where
-// nobody has one.
+// GuaranteedUntil returns the time until which this router may act by the guarantees of its replica holders alone. It
+// is one ConfirmTimeout before the first that may have a replica could hand it over, so that the router's last
+// records still arrive there. Without any replica it is the maximum.
 func (o *Owner) Vouched() time.Duration {
 	until := time.Duration(math.MaxInt64)
 	for _, h := range o.holders {
-		if h.given {
-			until = min(until, h.vouched-o.Terms.Patience)
+		if h.mayHold {
+			until = min(until, h.guaranteedUntil-o.Terms.Patience)
 		}
 	}
 	return until
 }
 
-// Cease lets go of all that is in hand: it is others' now. What it returns are its last records.
-func (o *Owner) Cease(now time.Duration) (out []Send) {
-	out = o.Tick(now)
+// RelinquishAll gives up all calls, which other routers may take over now, and returns the frames with the last
+// records.
+func (o *Owner) Cease(now time.Duration) (sends []Send) {
+	sends = o.Tick(now)
 	clear(o.calls)
 	o.incarnation = 0
-	o.tail, o.tailAt = nil, o.number
+	o.tail, o.tailStart = nil, o.number
 	for _, h := range o.holders {
-		h.given, h.started = false, false
+		h.mayHold, h.snapshotSent = false, false
 	}
-	return out
+	return sends
 }
 
-// Evacuate lets go of the calls that stand: what it returns are the last records of this incarnation, behind which holders need not wait. Set-ups that are out go on by the next one; holders are
-// told that they are over, so that nobody withdraws them.
-func (o *Owner) Evacuate(now time.Duration) (out []Send) {
-	stay, number := table{}, o.number
+// Evacuate gives up the established calls and returns the last frames of this incarnation, after which replica
+// holders need not wait for their guarantees to expire. Set-ups in flight continue under the next incarnation;
+// replica holders are told that they are over, so that nobody withdraws them.
+func (o *Owner) Evacuate(now time.Duration) (sends []Send) {
+	pending, number := callTable{}, o.number
 	var over []Record
 	for _, id := range slices.Sorted(maps.Keys(o.calls)) {
-		if c := o.calls[id]; !c.Stands && mutant != "withdrawn-alive" {
-			stay[id] = c
+		if call := o.calls[id]; !call.Stands && mutant != "withdrawn-alive" {
+			pending[id] = call
 			over = append(over, Record{Over, Call{ID: id}})
 		}
 	}
 	if len(over) > 0 {
 		o.Add(o.number+1, over)
 	}
-	out = o.Leave(now)
-	o.calls, o.incarnation, o.number = stay, 0, number
-	o.tail, o.tailAt = nil, o.number
-	for _, h := range o.holders {
-		h.given, h.started = false, false
+	sends = o.Leave(now)
+	o.calls, o.incarnation, o.number = pending, 0, number
+	o.tail, o.tailStart = nil, o.number
+	for _, holder := range o.holders {
+		holder.mayHold, holder.snapshotSent = false, false
 	}
-	return out
+	return sends
 }
 
-// Leave tells the holders that the router has stopped acting: they need not wait.
-func (o *Owner) Leave(now time.Duration) (out []Send) {
-	out = o.Tick(now)
-	for _, h := range o.active() {
-		if h.given && h.wanted {
-			out = append(out, Send{h.name, &takeoverpb.Frame{Owner: o.Name, Incarnation: o.incarnation, What: &takeoverpb.Frame_Give{Give: &takeoverpb.Give{From: h.sent, Asked: int64(now), Leave: true}}}})
+// AnnounceLeave returns frames that tell the replica holders that the router has stopped acting: they need not wait
+// for their guarantees to expire.
+func (o *Owner) Leave(now time.Duration) (sends []Send) {
+	sends = o.Tick(now)
+	for _, h := range o.linkedHolders() {
+		if h.mayHold && h.wanted {
+			sends = append(sends, Send{h.name, &takeoverpb.Frame{
+				Owner:       o.Name,
+				Incarnation: o.incarnation,
+				What: &takeoverpb.Frame_Give{
+					Give: &takeoverpb.Give{From: h.sentNumber, Asked: int64(now), Leave: true},
+				},
+			}})
 		}
 	}
-	return out
+	return sends
 }
--- /dev/null
+++ b/takeover/ownership.go
@@ -0,0 +1,259 @@
+package takeover
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// This file decides, on the event loop, for which calls a router acts: which calls of other routers it has taken
+// over, which of its own it may reclaim, and what happens when their ends are received.
+
+// CallHandler carries out the decisions of an OwnershipManager on the router's own state: its ledger, its callers and
+// its connections to servers. It is called on the event loop.
+type Desk interface {
+	// RelinquishAll gives up all calls in progress and returns the IDs of those that are established.
+	Cease() (established []string)
+	// RelinquishEstablished gives up the established calls alone and returns their IDs.
+	Cede() (established []string)
+	// RetractEnds is called after RelinquishAll. It removes and returns the ends that have not been sent yet, of
+	// which nobody was notified.
+	Unsay() []End
+	// Adopt enters a call that was taken over into the ledger. It returns false if the call is in the ledger already,
+	// or if nobody waits for its answer.
+	Adopt(c Call) bool
+	// Drop removes a call from the ledger that is in another router's.
+	Drop(id string)
+	// EndCall ends a call whose end was received at another router; taken: this router has taken the call over,
+	// otherwise it may be established here.
+	Ended(e End, taken bool)
+	// NotifyCaller notifies a caller whose own router cannot do so any more.
+	Tell(e End)
+	// RequestReports asks the servers to send what they have to report.
+	Renew()
+	// MarkTaken names calls of earlier incarnations that other routers have taken over.
+	Taken(ids []string)
+	// ReclaimRemaining is called when no more calls of earlier incarnations were taken over.
+	Awake()
+}
+
+// OwnershipManager decides for which calls a router acts. Its methods must be called on the event loop.
+type Actor struct {
+	Desk         Desk
+	Giver        *Giver
+	incarnation  uint64 // by which the router acts, or acted last
+	relinquished bool
+	adopted      map[string]bool // calls taken over that have not ended
+	pending      []pendingTake   // calls taken over that are not yet replicated
+	pendingEnds  map[string]*End // calls that may become this router's; their ends, nil if none was received
+	Count        struct{ Ceased, Adopted, Again, Evacuated uint64 }
+}
+
+// pendingTake is a list of calls taken over that wait until a replica holder has confirmed the records up to number.
+type pendingTake struct {
+	number uint64
+	calls  []Call
+}
+
+// NewOwnershipManager returns the OwnershipManager of a router that has started. Open lists the calls of earlier
+// incarnations whose ends are not known.
+func NewActor(handler Desk, recorder *Giver, open []string) *Actor {
+	m := &Actor{
+		Desk:        handler,
+		Giver:       recorder,
+		adopted:     map[string]bool{},
+		pendingEnds: map[string]*End{},
+	}
+	for _, id := range open {
+		m.pendingEnds[id] = nil
+	}
+	return m
+}
+
+// CheckOwnership must be called first in each loop iteration and after each wait. Incarnation is the one by which the
+// router acts now, 0 without a lease. A router without a lease relinquishes its calls once over says that its own
+// incarnation has ended, or once not all replica holders guarantee any more, at guaranteedUntil; so does a router that
+// acts by another incarnation than before. It reports whether the router has just relinquished its calls.
+func (m *Actor) Look(
+	now time.Duration, incarnation uint64, over bool, guaranteedUntil time.Duration,
+) bool {
+	lapsed := m.Lapsed(now, incarnation, over, guaranteedUntil)
+	if incarnation != 0 {
+		m.incarnation = incarnation
+	}
+	if !lapsed {
+		m.relinquished = m.relinquished && incarnation == 0
+		return false
+	}
+	m.relinquished = incarnation == 0
+	m.Count.Ceased++
+	m.Giver.Cease()
+	for _, id := range m.Desk.Cease() {
+		m.pendingEnds[id] = nil
+	}
+	m.releaseAdopted()
+	if mutant != "late-words" {
+		// Replica holders have these calls as established: the end is notified by whoever takes the call over, or by
+		// this router once it knows that nobody has.
+		for _, e := range m.Desk.Unsay() {
+			m.pendingEnds[e.Call] = &e
+		}
+	}
+	return true
+}
+
+// releaseAdopted gives up the calls taken over, also those not yet replicated: the routers that handed them over will
+// pass them to this router's own successor.
+func (m *Actor) releaseAdopted() {
+	for id := range m.adopted {
+		m.pendingEnds[id] = nil
+	}
+	clear(m.adopted)
+	m.pending = nil
+}
+
+// Evacuate relinquishes the established calls at an operator's request and returns their number. It must be called
+// while no notification of an end is pending. Set-ups that are in flight continue, and the router acts by its next
+// incarnation.
+func (m *Actor) Evacuate() (calls int) {
+	m.Count.Evacuated++
+	m.Giver.Cede()
+	established := m.Desk.Cede()
+	for _, id := range established {
+		m.pendingEnds[id] = nil
+	}
+	calls = len(established) + len(m.adopted)
+	m.releaseAdopted()
+	m.relinquished = true
+	return calls
+}
+
+// Lapsed reports whether CheckOwnership would relinquish the calls now: until it has, no output about them may be
+// sent.
+func (m *Actor) Lapsed(
+	now time.Duration, incarnation uint64, over bool, guaranteedUntil time.Duration,
+) bool {
+	switch {
+	case incarnation != 0:
+		return !m.relinquished && m.incarnation != 0 && m.incarnation != incarnation && mutant != "old-work"
+	case m.relinquished || mutant == "act-on":
+		return false
+	}
+	return over && m.incarnation != 0 || now >= guaranteedUntil
+}
+
+// Relinquished reports whether the router has relinquished its calls and has not acquired ownership anew.
+func (m *Actor) Ceased() bool { return m.relinquished }
+
+// Apply applies the actions that a ReplicaHolder has output. Calls to take over are recorded; AdoptConfirmed adopts
+// them once a replica holder has the records.
+func (m *Actor) Take(actions Acts) {
+	if actions.Take != 0 {
+		for _, c := range actions.Adopt {
+			m.Giver.Adopt(c)
+			m.pendingEnds[c.ID] = nil
+		}
+		m.pending = append(m.pending, pendingTake{m.Giver.Number(), actions.Adopt})
+	}
+	for _, id := range actions.Drop {
+		delete(m.adopted, id)
+		delete(m.pendingEnds, id)
+		m.Desk.Drop(id)
+		m.Giver.Settle(id)
+	}
+	for _, end := range actions.Ends {
+		m.Ended(end)
+	}
+}
+
+// AdoptConfirmed adopts the taken calls whose records, up to number, this router's own replica holders have
+// confirmed.
+func (m *Actor) Confirmed(number uint64) {
+	for len(m.pending) > 0 && (number >= m.pending[0].number || mutant == "act-at-once") {
+		list := m.pending[0].calls
+		m.pending = m.pending[1:]
+		for _, call := range list {
+			end, present := m.pendingEnds[call.ID]
+			delete(m.pendingEnds, call.ID)
+			if !present { // dropped in the meantime
+				continue
+			}
+			if !m.Desk.Adopt(call) {
+				m.Giver.Settle(call.ID)
+				continue
+			}
+			m.Count.Adopted++
+			m.adopted[call.ID] = true
+			if end != nil {
+				m.Ended(*end)
+			}
+		}
+		if len(list) > 0 {
+			m.Desk.Renew()
+		}
+	}
+}
+
+// MarkTaken names calls of earlier incarnations that other routers have taken over.
+func (m *Actor) Taken(ids []string) {
+	for _, id := range ids {
+		delete(m.pendingEnds, id)
+	}
+	m.Desk.Taken(ids)
+}
+
+// ReclaimRemaining is called when no more calls were taken over by others: those that remain of what this router
+// relinquished, or had open before a start, belong to it again.
+func (m *Actor) Awake() {
+	m.Desk.Awake()
+	for _, id := range slices.Sorted(maps.Keys(m.pendingEnds)) {
+		if slices.ContainsFunc(m.pending, func(s pendingTake) bool {
+			return slices.ContainsFunc(s.calls, func(c Call) bool { return c.ID == id })
+		}) {
+			continue
+		}
+		end := m.pendingEnds[id]
+		delete(m.pendingEnds, id)
+		m.adopted[id] = true
+		m.Count.Again++
+		if end != nil {
+			m.Ended(*end)
+		}
+	}
+}
+
+// ReceiveEnd processes the end of a call that another router has received.
+func (m *Actor) Ended(end End) {
+	if end.Tell {
+		m.Desk.Tell(end)
+		return
+	}
+	if _, waits := m.pendingEnds[end.Call]; waits {
+		m.pendingEnds[end.Call] = &end
+		return
+	}
+	m.Desk.Ended(end, m.endAdopted(end.Call))
+}
+
+// ClaimEnd processes the end of a call that this router's own Router does not know. It reports whether this router
+// has to notify the caller: it has taken the call over, or no other router is linked that could know of it.
+func (m *Actor) Heard(end End, linked bool) bool {
+	if _, waits := m.pendingEnds[end.Call]; waits {
+		m.pendingEnds[end.Call] = &end
+		return false
+	}
+	return m.endAdopted(end.Call) || !linked
+}
+
+// endAdopted removes a call that was taken over and has ended. It returns false if the call was not taken over.
+func (m *Actor) endAdopted(id string) bool {
+	mine := m.adopted[id]
+	if mine {
+		delete(m.adopted, id)
+		m.Giver.Settle(id)
+	}
+	return mine
+}
+
+// HasAdopted reports whether a call was taken over and has not ended.
+func (m *Actor) Has(id string) bool { return m.adopted[id] }
--- a/takeover/takeover.go
+++ b/takeover/takeover.go
@@ -1,6 +1,9 @@
-// Package takeover keeps copies of what a call router has in hand at other routers, and says whose turn it is when the log says that an incarnation is over. A Giver turns what happens to calls
-// into numbered records, an Owner gives them to holders, a Holder keeps copies and lets them go, an Successor takes them. Events and absolute times go in; frames to send and calls to take come out.
-// It must never answer or release a call itself, do I/O, start a goroutine or read a clock. docs/design/takeover.md states what it promises and why that holds.
+// Package takeover replicates the calls in progress of a call router to other routers, and decides which router takes
+// them over when the fleet's log says that an incarnation is over. A Recorder turns events of calls into numbered
+// records, an Owner sends them to replica holders, a ReplicaHolder keeps replicas, hands them over and takes calls
+// over as a successor, and an OwnershipManager decides for which calls a router acts. Events and absolute times go
+// in; frames to send and calls to take over come out. The package must never answer or release a call itself, do I/O,
+// start a goroutine or read a clock. docs/design/takeover.md states its guarantees and why they hold.
 package takeover
 
 import (
@@ -11,270 +14,325 @@
 	"threadglade.example/threadglade/takeover/takeoverpb"
 )
 
-// Bounds of what comes from outside and of what is held.
+// Limits of received messages and of the state kept for other routers.
 const (
-	idMost      = 64
-	textMost    = 128
-	pageMost    = 512     // records of one frame
-	callsMost   = 1 << 16 // that one router holds for others
-	ownersMost  = 4096
-	endsMost    = 1 << 16 // ends of unknown calls that are remembered
-	takenMost   = 1 << 17 // calls that owners have still to be told of
-	originsMost = 4
-	slotsMost   = 1 << 20
+	maxIDLen          = 64
+	maxTextLen        = 128
+	maxPageRecords    = 512     // records, ends or call IDs in a frame
+	maxHeldCalls      = 1 << 16 // in all replicas that one router holds
+	maxOwners         = 4096    // incarnations that one router holds replicas of
+	maxRememberedEnds = 1 << 16 // ends of unknown calls
+	maxTakenCalls     = 1 << 17 // taken calls of which the owners have yet to be told
+	maxOrigins        = 4       // earlier owners of a call that are kept
+	maxSlots          = 1 << 20
 )
 
-// Terms are what all routers of a fleet agree on.
+// Settings are the parameters of replication and take-over. All routers of a fleet have to agree on them.
 type Terms struct {
-	Holders  int             // routers that hold a copy
-	Vouch    time.Duration   // V: what a holder does not let its copy go for, from before it was asked
-	Patience time.Duration   // how long the answer of a kept class waits for a holder
+	Holders  int             // number of routers that hold a replica
+	Vouch    time.Duration   // V: how long a replica is not handed over, from before the guarantee was requested
+	Patience time.Duration   // how long an answer waits until a replica holder has confirmed its record
 	Fast     map[string]bool // classes whose answers do not wait
-	AllFast  bool            // none does
-	Drift    float64
-	Remember time.Duration // ends of unknown calls are told to successors that are named within it
-	Wake     time.Duration // how long a router that has started waits for word of what was taken from it
+	AllFast  bool            // answers of no class wait
+	Drift    float64         // r: maximum relative error of the routers' clocks
+	Remember time.Duration   // how long ends of unknown calls are kept, to be sent to successors named meanwhile
+	Wake     time.Duration   // how long a router that has started waits for reports of calls taken from it
 }
 
-// DefaultTerms are those without a word in the settings.
+// DefaultSettings returns the settings that are in force without a configuration.
 func DefaultTerms() Terms {
-	return Terms{Holders: 2, Vouch: 3 * time.Second, Patience: 50 * time.Millisecond, Drift: 0.01, Remember: time.Minute, Wake: 10 * time.Second}
+	return Terms{
+		Holders:  2,
+		Vouch:    3 * time.Second,
+		Patience: 50 * time.Millisecond,
+		Drift:    0.01,
+		Remember: time.Minute,
+		Wake:     10 * time.Second,
+	}
 }
 
-// Wait is W = V (1+r) / (1-r): how long a holder keeps to its vouch by its own clock.
+// HolderGuaranteeTTL returns W = V (1+r) / (1-r): how long a replica holder keeps its guarantee by its own clock, so
+// that it expires after the owner's even if one clock is slow and the other fast by r.
 func (t Terms) Wait() time.Duration {
 	return time.Duration(float64(t.Vouch)*(1+t.Drift)/(1-t.Drift)) + time.Nanosecond
 }
 
-// Validate says what is wrong with them.
+// Validate returns an error if a setting is out of range.
 func (t Terms) Validate() error {
 	switch {
 	case t.Holders < 1 || t.Holders > 4:
-		return errors.New("work is held by 1 to 4 other routers")
+		return errors.New("holders must be between 1 and 4")
 	case t.Vouch < 200*time.Millisecond || t.Patience <= 0 || t.Patience > t.Vouch:
-		return errors.New("a vouch is 200ms at the least, and patience within it")
+		return errors.New("vouch must be at least 200ms, patience above 0 and at most vouch")
 	}
 	return nil
 }
 
-// Origin is an incarnation that a call was in the hands of.
+// Origin is an incarnation that owned a call earlier.
 type Origin struct {
 	Owner       string
 	Incarnation uint64
 }
 
-// Call is what others know of a call in hand.
+// Call is the state of a call in progress that is replicated to other routers.
 type Call struct {
 	ID, Server, Class, Tenant string
 	Attempt                   uint32
 	Retry, InTime, Stands     bool
-	Since, Stood              int64 // Unix milliseconds, of the attempt and its answer
+	Since, Stood              int64 // Unix milliseconds, when the attempt was sent and when the answer came
 	Origins                   []Origin
 }
 
-// Kind of a Record.
+// Kind is the kind of a Record.
 type Kind uint8
 
-// What a record says.
+// Kinds of records, with the fields that they carry.
 const (
-	Out    Kind = iota + 1 // an attempt is out: all of Call
-	Stands                 // it was answered: ID, Stood, InTime
-	Over                   // nothing is left of it: ID
+	Out    Kind = iota + 1 // an attempt is in flight: all fields of Call
+	Stands                 // the attempt was answered, the call is established: ID, EstablishedAt, InTime
+	Over                   // the call or attempt is over: ID
 )
 
-// Record is one step of a call.
+// Record is one state change of a call.
 type Record struct {
 	Kind
 	Call
 }
 
-// End is the end of a call that nobody here knew.
+// End is the end of a call that was unknown to the router that received it.
 type End struct {
 	Call string
-	How  uint8
+	How  uint8 // outcome of the call, as the router's users number it
 	At   int64 // Unix milliseconds
-	By   bool  // its caller has released it
-	Tell bool  // its books are closed, but its caller has still to hear
+	By   bool  // the caller has released the call
+	Tell bool  // the call is closed in its ledger, but the caller has yet to be notified
 }
 
-// Giver turns what the router tells into records. It is the loop's.
+// Recorder turns the router's events into records. It must be used on the event loop.
 type Giver struct {
 	Terms  Terms
-	Tenant func(e router.Event) string // whose call it is; nil: as the caller says
-	Aim    func(class string) time.Duration
-	Wall   func() int64
-
-	slots  []given
-	out    []Record
-	later  []string // standing calls that have ended, the word of which has still to leave: until then holders have them as standing
-	ended  uint64   // number of the latest of these
-	number uint64   // of the latest record
-	kept   uint64   // of the latest that an answer waits for
-	Count  struct{ Records, Dropped uint64 }
+	Tenant func(e router.Event) string      // tenant of a call; nil: as the event says
+	Aim    func(class string) time.Duration // set-up time within which an answer is in time; nil: always
+	Wall   func() int64                     // Unix milliseconds
+
+	slots       []slotState
+	queued      []Record
+	unsentEnds  []string // established calls that have ended, unsent as yet; replica holders keep them as established
+	lastEnd     uint64   // number of the latest of these
+	lastNumber  uint64   // of the latest record
+	lastAwaited uint64   // number of the latest record that an answer waits for
+	Count       struct{ Records, Dropped uint64 }
 }
 
-type given struct {
+// slotState is the state of the call in one slot of the router's events.
+type slotState struct {
 	class, tenant string
-	at            time.Duration
+	arrivedAt     time.Duration
 	retry         bool
 	recorded      bool
-	kept          bool
-	stands        bool
+	awaitHolder   bool
+	established   bool
 }
 
-// waitingMost records wait for the core; what does not fit is dropped, its call unrecorded.
-const waitingMost = 1 << 16
+// maxQueuedRecords is the limit of records that wait to be taken; a new attempt beyond it is not recorded, and its
+// call is not replicated.
+const maxQueuedRecords = 1 << 16
 
 // Observe implements router.Observer.
-func (g *Giver) Observe(e router.Event) {
-	if e.Slot == 0 || e.Slot >= slotsMost {
+func (g *Giver) Observe(event router.Event) {
+	if event.Slot == 0 || event.Slot >= maxSlots {
 		return
 	}
-	for int(e.Slot) >= len(g.slots) {
-		g.slots = append(g.slots, given{})
+	for int(event.Slot) >= len(g.slots) {
+		g.slots = append(g.slots, slotState{})
 	}
-	s := &g.slots[e.Slot]
-	switch e.Kind {
+	slot := &g.slots[event.Slot]
+	switch event.Kind {
 	case router.Arrived:
-		tenant := e.Tenant
+		tenant := event.Tenant
 		if g.Tenant != nil {
-			tenant = g.Tenant(e)
+			tenant = g.Tenant(event)
+		}
+		*slot = slotState{
+			class:       event.Class,
+			tenant:      tenant,
+			arrivedAt:   event.At,
+			retry:       event.Retry,
+			awaitHolder: !g.Terms.AllFast && !g.Terms.Fast[event.Class],
 		}
-		*s = given{class: e.Class, tenant: tenant, at: e.At, retry: e.Retry, kept: !g.Terms.AllFast && !g.Terms.Fast[e.Class]}
 	case router.Sent:
-		if s.recorded = g.add(Record{Out, Call{ID: e.Call, Server: e.Server, Class: s.class, Tenant: s.tenant, Attempt: uint32(e.Attempt), Retry: s.retry, Since: g.Wall()}}, false); !s.recorded {
+		if slot.recorded = g.add(Record{Out, Call{
+			ID:      event.Call,
+			Server:  event.Server,
+			Class:   slot.class,
+			Tenant:  slot.tenant,
+			Attempt: uint32(event.Attempt),
+			Retry:   slot.retry,
+			Since:   g.Wall(),
+		}}, false); !slot.recorded {
 			g.Count.Dropped++
 		}
 	case router.Established:
-		if s.recorded {
-			s.stands = true
-			g.add(Record{Stands, Call{ID: e.Call, Stood: g.Wall(), InTime: g.Aim == nil || e.At-s.at <= g.Aim(s.class)}}, s.kept)
+		if slot.recorded {
+			slot.established = true
+			g.add(Record{Stands, Call{
+				ID:     event.Call,
+				Stood:  g.Wall(),
+				InTime: g.Aim == nil || event.At-slot.arrivedAt <= g.Aim(slot.class),
+			}}, slot.awaitHolder)
 		}
 	case router.Closed:
 		switch {
-		case s.recorded && s.stands:
-			g.Settle(e.Call)
-		case s.recorded:
-			g.add(Record{Over, Call{ID: e.Call}}, false)
+		case slot.recorded && slot.established:
+			g.Settle(event.Call)
+		case slot.recorded:
+			g.add(Record{Over, Call{ID: event.Call}}, false)
 		}
-		*s = given{}
+		*slot = slotState{}
 	}
 }
 
-func (g *Giver) add(r Record, kept bool) bool {
-	if len(g.out) >= waitingMost && r.Kind == Out {
+func (g *Giver) add(r Record, awaited bool) bool {
+	if len(g.queued) >= maxQueuedRecords && r.Kind == Out {
 		return false
 	}
-	g.out = append(g.out, r)
-	g.number++
+	g.queued = append(g.queued, r)
+	g.lastNumber++
 	g.Count.Records++
-	if kept {
-		g.kept = g.number
+	if awaited {
+		g.lastAwaited = g.lastNumber
 	}
 	return true
 }
 
-// Adopt has a call that was taken over be in this router's hands.
-func (g *Giver) Adopt(c Call) {
-	g.add(Record{Out, c}, false)
+// Adopt records a call that was taken over as this router's.
+func (g *Giver) Adopt(call Call) {
+	g.add(Record{Out, call}, false)
 }
 
-// Settle notes the end of a standing call. It is recorded once Left says that the word of it has left: were holders to let go of the call before, and this router to die in
-// between, nobody would tell its caller. Should it die after, its successor may tell it once more.
+// QueueEnd notes the end of an established call. It is recorded only when RecordEnds reports that the notification
+// was sent: if replica holders dropped the call earlier and this router then died, nobody would notify the caller. If
+// the router dies after sending, its successor may notify the caller a second time.
 func (g *Giver) Settle(id string) {
 	if mutant == "end-before-word" {
 		g.add(Record{Over, Call{ID: id}}, true)
 		return
 	}
-	g.later = append(g.later, id)
-	g.ended++
+	g.unsentEnds = append(g.unsentEnds, id)
+	g.lastEnd++
 }
 
-// Ended is the number of the latest end that was noted.
-func (g *Giver) Ended() uint64 { return g.ended }
+// LastEnd returns the number of the latest end that was noted.
+func (g *Giver) Ended() uint64 { return g.lastEnd }
 
-// Ending is how many ends there are whose word has still to leave.
-func (g *Giver) Ending() int { return len(g.later) }
+// PendingEnds returns the number of ends whose notifications have not been sent yet.
+func (g *Giver) Ending() int { return len(g.unsentEnds) }
 
-// Left says that the word of all ends up to a number has left.
+// RecordEnds records all ends up to a number, whose notifications have been sent.
 func (g *Giver) Left(upto uint64) {
-	first := g.ended - uint64(len(g.later)) + 1
-	for ; len(g.later) > 0 && first <= upto; first++ {
-		g.add(Record{Over, Call{ID: g.later[0]}}, false)
-		g.later = g.later[1:]
+	first := g.lastEnd - uint64(len(g.unsentEnds)) + 1
+	for ; len(g.unsentEnds) > 0 && first <= upto; first++ {
+		g.add(Record{Over, Call{ID: g.unsentEnds[0]}}, false)
+		g.unsentEnds = g.unsentEnds[1:]
 	}
-	if len(g.later) == 0 {
-		g.later = nil
+	if len(g.unsentEnds) == 0 {
+		g.unsentEnds = nil
 	}
 }
 
-// Cede has what stands be recorded no more: it is another's.
+// StopRecordingEstablished stops recording the established calls: they are another router's now.
 func (g *Giver) Cede() {
 	for i := range g.slots {
-		g.slots[i].recorded = g.slots[i].recorded && !g.slots[i].stands
+		g.slots[i].recorded = g.slots[i].recorded && !g.slots[i].established
 	}
 }
 
-// Cease has all that is in hand be recorded no more: what becomes of it here is no news to holders.
+// StopRecording stops recording all calls in progress: what becomes of them here does not concern replica holders.
 func (g *Giver) Cease() {
-	g.later = nil
+	g.unsentEnds = nil
 	for i := range g.slots {
 		g.slots[i].recorded = false
 	}
 }
 
-// Kept is the number of the latest record that an answer waits for.
-func (g *Giver) Kept() uint64 { return g.kept }
+// LastAwaited returns the number of the latest record that an answer waits for.
+func (g *Giver) Kept() uint64 { return g.lastAwaited }
 
-// Take returns the records since the last time, with the number of the first, in place of which it fills the given slice. Kept is the number of the latest that an answer waits for.
-func (g *Giver) Take(next []Record) (first uint64, list []Record, kept uint64) {
-	list = g.out
-	g.out = next[:0]
-	return g.number - uint64(len(list)) + 1, list, g.kept
+// Take returns the records since the last call, the number of the first, and the number of the latest record that an
+// answer waits for. New records are appended to next, whose contents are overwritten.
+func (g *Giver) Take(next []Record) (first uint64, list []Record, awaited uint64) {
+	list = g.queued
+	g.queued = next[:0]
+	return g.lastNumber - uint64(len(list)) + 1, list, g.lastAwaited
 }
 
-// Number is that of the latest record.
-func (g *Giver) Number() uint64 { return g.number }
-
-// Waiting says whether there is something to take.
-func (g *Giver) Waiting() bool { return len(g.out) > 0 }
-
-// ---- frames ----
-
-func write(r *Record) *takeoverpb.Record {
-	c := &r.Call
-	p := &takeoverpb.Record{Kind: uint32(r.Kind), Call: c.ID, Server: c.Server, Class: c.Class, Tenant: c.Tenant, Attempt: c.Attempt, Retry: c.Retry, InTime: c.InTime, Since: c.Since, Stood: c.Stood, Stands: c.Stands}
-	for _, o := range c.Origins {
-		p.Origins = append(p.Origins, &takeoverpb.Origin{Owner: o.Owner, Incarnation: o.Incarnation})
+// LastNumber returns the number of the latest record.
+func (g *Giver) Number() uint64 { return g.lastNumber }
+
+// HasRecords reports whether there are records to take.
+func (g *Giver) Waiting() bool { return len(g.queued) > 0 }
+
+// encodeRecord converts a record to its protobuf message.
+func encodeRecord(r *Record) *takeoverpb.Record {
+	call := &r.Call
+	msg := &takeoverpb.Record{
+		Kind:    uint32(r.Kind),
+		Call:    call.ID,
+		Server:  call.Server,
+		Class:   call.Class,
+		Tenant:  call.Tenant,
+		Attempt: call.Attempt,
+		Retry:   call.Retry,
+		InTime:  call.InTime,
+		Since:   call.Since,
+		Stood:   call.Stood,
+		Stands:  call.Stands,
+	}
+	for _, origin := range call.Origins {
+		msg.Origins = append(msg.Origins, &takeoverpb.Origin{Owner: origin.Owner, Incarnation: origin.Incarnation})
 	}
-	return p
+	return msg
 }
 
-// read takes records that came; false: there is one that cannot be.
-func read(in []*takeoverpb.Record) (list []Record, ok bool) {
-	if len(in) > pageMost {
+// decodeRecords converts received records. It returns false if there are too many or one is malformed.
+func decodeRecords(in []*takeoverpb.Record) (list []Record, ok bool) {
+	if len(in) > maxPageRecords {
 		return nil, false
 	}
-	for _, p := range in {
-		r := Record{Kind(p.Kind), Call{ID: p.Call, Server: p.Server, Class: p.Class, Tenant: p.Tenant, Attempt: p.Attempt, Retry: p.Retry, InTime: p.InTime, Since: p.Since, Stood: p.Stood, Stands: p.Stands}}
-		if r.Kind < Out || r.Kind > Over || r.ID == "" || len(r.ID) > idMost || len(r.Server) > textMost || len(r.Class) > textMost || len(r.Tenant) > textMost || len(p.Origins) > originsMost {
+	for _, msg := range in {
+		record := Record{Kind(msg.Kind), Call{
+			ID:      msg.Call,
+			Server:  msg.Server,
+			Class:   msg.Class,
+			Tenant:  msg.Tenant,
+			Attempt: msg.Attempt,
+			Retry:   msg.Retry,
+			InTime:  msg.InTime,
+			Since:   msg.Since,
+			Stood:   msg.Stood,
+			Stands:  msg.Stands,
+		}}
+		if record.Kind < Out || record.Kind > Over || record.ID == "" || len(record.ID) > maxIDLen ||
+			len(record.Server) > maxTextLen || len(record.Class) > maxTextLen || len(record.Tenant) > maxTextLen ||
+			len(msg.Origins) > maxOrigins {
 			return nil, false
 		}
-		for _, o := range p.Origins {
-			if len(o.Owner) > textMost {
+		for _, origin := range msg.Origins {
+			if len(origin.Owner) > maxTextLen {
 				return nil, false
 			}
-			r.Origins = append(r.Origins, Origin{o.Owner, o.Incarnation})
+			record.Origins = append(record.Origins, Origin{origin.Owner, origin.Incarnation})
 		}
-		list = append(list, r)
+		list = append(list, record)
 	}
 	return list, true
 }
 
-// table is calls by id, as records make them.
-type table map[string]*Call
+// callTable holds calls by ID, as built from records.
+type callTable map[string]*Call
 
-func (t table) apply(r *Record) {
+// apply updates the table by a record. Answers to unknown calls are ignored.
+func (t callTable) apply(r *Record) {
 	switch r.Kind {
 	case Out:
 		c := r.Call
@@ -288,7 +346,7 @@
 	}
 }
 
-// Send is a frame to another router.
+// Send is a frame to be sent to another router.
 type Send struct {
 	To    string
 	Frame *takeoverpb.Frame
--- a/takeover/takeover_test.go
+++ b/takeover/takeover_test.go
@@ -21,117 +21,119 @@
 
 const ms = time.Millisecond
 
-// world is routers' pure parts with calls in hand, the fleet's own state machine for their log, and links that are cut, all on one clock and from one seed.
+// world simulates routers by the pure parts of this package, with calls in progress and the fleet's own state machine
+// as their log, over links that can be cut. All run on one clock and from one seed.
 type world struct {
-	t       *testing.T
-	random  *rand.Rand
-	now     time.Duration
-	entries []*fleetpb.Entry
-	log     *fleet.Machine
-	granted map[string]time.Duration // by the keepers, of live incarnations
-	nodes   []*node
-	calls   map[string]*truth
-	order   []string
-	links   map[[2]string][]frame
-	cut     map[string]bool          // from other routers
-	keeps   map[string]bool          // cut off from keepers
-	lost    map[string]time.Duration // when a router was last killed or cut off
-	again   int                      // callers told twice, as the page allows
-	broken  string
-}
-
-// flight is the longest way of what a router has said last, and the step in which it said it.
-const flight = 30 * ms
-
-// word is the end of a call, on its way out: to its caller, and to its server that it was heard.
-type word struct {
-	id           string
-	after, ended uint64
-	since        time.Duration
-}
-
-type frame struct {
+	t              *testing.T
+	random         *rand.Rand
+	now            time.Duration
+	entries        []*fleetpb.Entry
+	log            *fleet.Machine
+	grantedAt      map[string]time.Duration // when the keepers last renewed the lease of a live incarnation
+	nodes          []*node
+	calls          map[string]*callState
+	order          []string
+	links          map[[2]string][]delayedFrame
+	cutFromRouters map[string]bool          // routers without links to other routers
+	cutFromKeepers map[string]bool          // routers without links to keepers
+	lostAt         map[string]time.Duration // when a router was last killed or cut off
+	notifiedTwice  int                      // callers notified twice, as the specification allows
+	broken         string
+}
+
+// notifyWindow is the longest delay of a router's last output, plus the step in which it was sent.
+const notifyWindow = 30 * ms
+
+// pendingEnd is the end of a call whose notification waits to be sent to its caller, and to be acknowledged to its
+// server.
+type pendingEnd struct {
+	id                     string
+	afterRecord, endNumber uint64
+	since                  time.Duration
+}
+
+type delayedFrame struct {
 	at time.Duration
 	f  *takeoverpb.Frame
 }
 
-// truth is a call as its server and its caller know it.
-type truth struct {
-	id, at string
-	number uint64
-	record bool // a holder had confirmed that it stands
-	over   bool
-	told   int // releases that came to its caller
-	overAt time.Duration
-	unsaid bool // a router that had it in its books was lost before, or as, it said so
-	lastBy string
-	lastAt time.Duration // when its caller was last told
-	by     []string
+// callState is the state of a call as its server and its caller know it.
+type callState struct {
+	id, at         string
+	number         uint64
+	confirmed      bool // a replica holder had confirmed that it is established
+	over           bool
+	notified       int // releases that reached its caller
+	overAt         time.Duration
+	retracted      bool // a router with the call in its ledger was lost before it sent the end, or as it did
+	lastNotifiedBy string
+	lastNotifiedAt time.Duration // when its caller was last notified
+	notifiedBy     []string
 }
 
 type node struct {
-	w       *world
-	name    string
-	zone    string
-	process uint64
-	rate    float64 // of its clock
-	dead    bool
-	stopped bool
-	applied int
-	machine *fleet.Machine
-	lease   fleet.Lease
-	asked   time.Duration
-	owner   *Owner
-	holder  *Holder
-	giver   *Giver
-	actor   *Actor
-	own     map[string]bool   // calls in hand of its own Router
-	books   map[string]string // of all calls that it has, or had: open, billed
-	safe    []struct{ take, number uint64 }
-	words   []word
-	woken   bool
-	began   time.Duration
-	past    []uint64
-}
-
-func (n *node) clock() time.Duration { return time.Duration(float64(n.w.now) * n.rate) }
-
-// The router's own side, as the Actor decides.
-func (n *node) Cease() (standing []string) {
-	standing = slices.Sorted(maps.Keys(n.own))
+	w                *world
+	name             string
+	zone             string
+	process          uint64
+	clockRate        float64 // speed of its clock
+	dead             bool
+	stopped          bool
+	applied          int
+	machine          *fleet.Machine
+	lease            fleet.Lease
+	renewedAt        time.Duration
+	owner            *Owner
+	holder           *Holder
+	recorder         *Giver
+	ownership        *Actor
+	own              map[string]bool   // calls in progress of its own Router
+	ledger           map[string]string // state of all calls that it has, or had: open, billed
+	pendingBatches   []struct{ take, number uint64 }
+	pendingEnds      []pendingEnd
+	reclaimed        bool
+	incarnationBegan time.Duration
+}
+
+func (n *node) clock() time.Duration { return time.Duration(float64(n.w.now) * n.clockRate) }
+
+// The following methods implement CallHandler.
+func (n *node) Cease() (established []string) {
+	established = slices.Sorted(maps.Keys(n.own))
 	clear(n.own)
-	return standing
+	return established
 }
 
 func (n *node) Cede() []string { return n.Cease() }
 
-func (n *node) Unsay() (unsaid []End) {
-	for _, one := range n.words {
-		unsaid = append(unsaid, End{Call: one.id, How: 1})
+func (n *node) Unsay() (retracted []End) {
+	for _, one := range n.pendingEnds {
+		retracted = append(retracted, End{Call: one.id, How: 1})
 	}
-	n.unsay()
-	return unsaid
+	n.retractPendingEnds()
+	return retracted
 }
 
-// unsay forgets the words that have not left: their servers have not heard that they were heard, and say so again.
-func (n *node) unsay() {
-	for _, one := range n.words {
-		n.w.calls[one.id].unsaid, n.w.calls[one.id].over = true, false
+// retractPendingEnds drops the ends that have not been sent: their servers got no acknowledgement and report them
+// again.
+func (n *node) retractPendingEnds() {
+	for _, one := range n.pendingEnds {
+		n.w.calls[one.id].retracted, n.w.calls[one.id].over = true, false
 	}
-	n.words = nil
+	n.pendingEnds = nil
 }
 
 func (n *node) Adopt(c Call) bool {
-	if n.books[c.ID] != "" {
+	if n.ledger[c.ID] != "" {
 		return false
 	}
-	n.books[c.ID] = "open"
+	n.ledger[c.ID] = "open"
 	return true
 }
 
 func (n *node) Drop(id string) {
-	if n.books[id] == "open" {
-		delete(n.books, id)
+	if n.ledger[id] == "open" {
+		delete(n.ledger, id)
 	}
 }
 
@@ -142,33 +144,36 @@
 }
 
 func (n *node) settle(id string) {
-	if n.books[id] == "open" {
-		n.books[id] = "billed"
+	if n.ledger[id] == "open" {
+		n.ledger[id] = "billed"
 	}
 	if n.own[id] {
 		delete(n.own, id)
-		n.giver.Settle(id)
+		n.recorder.Settle(id)
 	}
-	n.words = append(n.words, word{id, n.giver.Kept(), n.giver.Ended(), n.clock()})
+	n.pendingEnds = append(n.pendingEnds, pendingEnd{id, n.recorder.Kept(), n.recorder.Ended(), n.clock()})
 }
 
-// say lets words leave that holders have the records before, as the gate before the loop does.
-func (n *node) say(now time.Duration) {
-	if n.actor.Lapsed(now, n.number(now), n.lease.Incarnation == 0, n.owner.Vouched()) {
+// sendEnds sends the ends whose records the replica holders have confirmed, as the output gate of the event loop
+// does.
+func (n *node) sendEnds(now time.Duration) {
+	if n.ownership.Lapsed(now, n.heldIncarnation(now), n.lease.Incarnation == 0, n.owner.Vouched()) {
 		return
 	}
-	for len(n.words) > 0 && (n.words[0].after <= n.owner.Confirmed() || now-n.words[0].since >= n.giver.Terms.Patience) {
-		c := n.w.calls[n.words[0].id]
-		c.told++
-		c.by = append(c.by, fmt.Sprintf("%s at %v", n.name, n.w.now))
-		if at, lost := n.w.lost[c.lastBy]; c.told > 1 && lost && c.lastAt > at-flight && c.lastAt <= at+n.giver.Terms.Patience {
-			c.told-- // whoever told it first was lost before others could have heard that
-			c.unsaid = true
-			n.w.again++
+	for len(n.pendingEnds) > 0 && (n.pendingEnds[0].afterRecord <= n.owner.Confirmed() ||
+		now-n.pendingEnds[0].since >= n.recorder.Terms.Patience) {
+		c := n.w.calls[n.pendingEnds[0].id]
+		c.notified++
+		c.notifiedBy = append(c.notifiedBy, fmt.Sprintf("%s at %v", n.name, n.w.now))
+		if at, lost := n.w.lostAt[c.lastNotifiedBy]; c.notified > 1 && lost &&
+			c.lastNotifiedAt > at-notifyWindow && c.lastNotifiedAt <= at+n.recorder.Terms.Patience {
+			c.notified-- // the router that notified it first was lost before others could learn of that
+			c.retracted = true
+			n.w.notifiedTwice++
 		}
-		c.lastBy, c.lastAt = n.name, n.w.now
-		n.giver.Left(n.words[0].ended)
-		n.words = n.words[1:]
+		c.lastNotifiedBy, c.lastNotifiedAt = n.name, n.w.now
+		n.recorder.Left(n.pendingEnds[0].endNumber)
+		n.pendingEnds = n.pendingEnds[1:]
 	}
 }
 
@@ -187,43 +192,47 @@
 }
 func (n *node) Lives(name string) bool { return n.machine.Member(name).GetLive() }
 
-func (n *node) record(r Record) { n.giver.add(r, true) }
+func (n *node) record(r Record) { n.recorder.add(r, true) }
 
-func (n *node) start(process uint64) {
-	n.process, n.dead, n.stopped, n.lease, n.machine, n.applied = process, false, false, fleet.Lease{}, fleet.NewMachine(&fleetpb.State{}), 0
-	terms := DefaultTerms()
-	n.owner, n.holder = NewOwner(terms, n.name), NewHolder(terms, n.name, n)
-	n.giver = &Giver{Terms: terms, Wall: func() int64 { return int64(n.w.now / ms) }}
-	n.own, n.safe, n.words, n.woken, n.began = map[string]bool{}, nil, nil, false, n.clock()
+func (n *node) startProcess(process uint64) {
+	n.process, n.dead, n.stopped, n.lease, n.machine, n.applied = process, false, false, fleet.Lease{},
+		fleet.NewMachine(&fleetpb.State{}), 0
+	settings := DefaultTerms()
+	n.owner, n.holder = NewOwner(settings, n.name), NewHolder(settings, n.name, n)
+	n.recorder = &Giver{Terms: settings, Wall: func() int64 { return int64(n.w.now / ms) }}
+	n.own, n.pendingBatches, n.pendingEnds, n.reclaimed, n.incarnationBegan = map[string]bool{}, nil, nil, false,
+		n.clock()
 	var open []string
-	for id, how := range n.books {
+	for id, how := range n.ledger {
 		if how == "open" {
 			open = append(open, id)
 		}
 	}
-	n.actor = NewActor(n, n.giver, open)
-	n.holder.Back = func(calls []string) { n.actor.Taken(calls) }
+	n.ownership = NewActor(n, n.recorder, open)
+	n.holder.Back = func(calls []string) { n.ownership.Taken(calls) }
 }
 
-// apply is the log's, for all who are linked to it.
+// apply appends an entry to the log, which all routers with a link to the keepers see.
 func (w *world) apply(e *fleetpb.Entry) uint64 {
 	e.Id = uint64(len(w.entries) + 1)
 	w.entries = append(w.entries, e)
 	return w.log.Apply(uint64(len(w.entries)), proto.CloneOf(e))
 }
 
-// step is 10 ms.
+// step advances the simulation by 10 ms.
 func (w *world) step() {
 	w.now += 10 * ms
-	terms := fleet.DefaultTerms()
-	for _, m := range w.log.Members() { // keepers
-		if m.Live && w.now-w.granted[m.Name] > terms.Wait() {
-			w.apply(&fleetpb.Entry{What: &fleetpb.Entry_End{End: &fleetpb.End{Name: m.Name, Incarnation: m.Incarnation}}})
+	fleetSettings := fleet.DefaultTerms()
+	for _, m := range w.log.Members() { // keepers end expired leases
+		if m.Live && w.now-w.grantedAt[m.Name] > fleetSettings.Wait() {
+			w.apply(&fleetpb.Entry{What: &fleetpb.Entry_End{
+				End: &fleetpb.End{Name: m.Name, Incarnation: m.Incarnation},
+			}})
 		}
 	}
 	for _, n := range w.nodes {
 		if !n.dead && !n.stopped {
-			n.turn(terms)
+			n.runIteration(fleetSettings)
 		}
 	}
 	acting := make(map[string]int, len(w.calls))
@@ -234,15 +243,16 @@
 		for id := range n.own {
 			acting[id]++
 		}
-		for id := range n.actor.mine {
+		for id := range n.ownership.adopted {
 			if !n.own[id] {
 				acting[id]++
 			}
 		}
 	}
 	for id, c := range w.calls {
-		if acting[id] > 1 || c.told > 1 {
-			w.fail("%s of %s: %d routers act for it, its caller was told %d times: %v", id, c.at, acting[id], c.told, c.by)
+		if acting[id] > 1 || c.notified > 1 {
+			w.fail("%s of %s: %d routers act for it, its caller was notified %d times: %v",
+				id, c.at, acting[id], c.notified, c.notifiedBy)
 		}
 	}
 }
@@ -253,36 +263,44 @@
 	}
 }
 
-func (n *node) turn(terms fleet.Terms) {
+func (n *node) runIteration(fleetSettings fleet.Terms) {
 	w, now := n.w, n.clock()
-	// First the look, as after each wait.
-	n.look(now)
-	if !w.keeps[n.name] { // the log, and the lease
-		news := n.applied == 0 || n.applied < len(w.entries)
+	// Ownership is checked first, as after each wait.
+	n.checkOwnership(now)
+	if !w.cutFromKeepers[n.name] { // receive the log and renew the lease
+		logChanged := n.applied == 0 || n.applied < len(w.entries)
 		for ; n.applied < len(w.entries); n.applied++ {
 			n.machine.Apply(uint64(n.applied+1), proto.CloneOf(w.entries[n.applied]))
 		}
-		if m := n.machine.Member(n.name); m.GetProcess() == n.process && !m.Live && n.lease.Incarnation == m.Incarnation {
+		if member := n.machine.Member(n.name); member.GetProcess() == n.process && !member.Live &&
+			n.lease.Incarnation == member.Incarnation {
 			n.lease = fleet.Lease{}
 		}
-		if n.asked == 0 || now-n.asked > terms.Renew {
-			n.asked = now
-			m := w.log.Member(n.name)
-			if !m.GetLive() && n.lease.Incarnation == 0 {
-				w.apply(&fleetpb.Entry{What: &fleetpb.Entry_Begin{Begin: &fleetpb.Begin{Name: n.name, Process: n.process, After: m.GetIncarnation(), Address: "a", Zone: n.zone}}})
-				m = w.log.Member(n.name)
+		if n.renewedAt == 0 || now-n.renewedAt > fleetSettings.Renew {
+			n.renewedAt = now
+			member := w.log.Member(n.name)
+			if !member.GetLive() && n.lease.Incarnation == 0 {
+				w.apply(&fleetpb.Entry{What: &fleetpb.Entry_Begin{Begin: &fleetpb.Begin{
+					Name:    n.name,
+					Process: n.process,
+					After:   member.GetIncarnation(),
+					Address: "a",
+					Zone:    n.zone,
+				}}})
+				member = w.log.Member(n.name)
 			}
-			if m.GetLive() && m.Process == n.process && (n.lease.Incarnation == 0 || n.lease.Incarnation == m.Incarnation) {
-				w.granted[n.name] = w.now
-				was := n.lease
-				n.lease = fleet.Lease{Incarnation: m.Incarnation, Until: now + terms.Lease}
-				if was.Incarnation != m.Incarnation || n.owner.incarnation == 0 {
-					n.owner.Acts(m.Incarnation)
-					n.woken, n.began = false, now
+			if member.GetLive() && member.Process == n.process &&
+				(n.lease.Incarnation == 0 || n.lease.Incarnation == member.Incarnation) {
+				w.grantedAt[n.name] = w.now
+				previous := n.lease
+				n.lease = fleet.Lease{Incarnation: member.Incarnation, Until: now + fleetSettings.Lease}
+				if previous.Incarnation != member.Incarnation || n.owner.incarnation == 0 {
+					n.owner.Acts(member.Incarnation)
+					n.reclaimed, n.incarnationBegan = false, now
 				}
 			}
 		}
-		if news {
+		if logChanged {
 			want := map[string]uint64{}
 			for _, one := range fleet.Successors(n.name, n.zone, n.machine.Members(), 2) {
 				want[one.Name] = one.Incarnation
@@ -290,31 +308,33 @@
 			n.owner.Holders(want, n.machine.Over)
 		}
 	}
-	for _, other := range w.nodes { // what has come
+	for _, other := range w.nodes { // receive frames
 		key := [2]string{other.name, n.name}
-		for len(w.links[key]) > 0 && w.links[key][0].at <= w.now && !w.cut[n.name] && !w.cut[other.name] {
-			f := w.links[key][0].f
+		for len(w.links[key]) > 0 && w.links[key][0].at <= w.now &&
+			!w.cutFromRouters[n.name] && !w.cutFromRouters[other.name] {
+			frame := w.links[key][0].f
 			w.links[key] = w.links[key][1:]
-			if c := f.GetConfirm(); c != nil {
-				if f.Owner == n.name {
-					n.owner.Hear(other.name, f.Incarnation, c)
+			if c := frame.GetConfirm(); c != nil {
+				if frame.Owner == n.name {
+					n.owner.Hear(other.name, frame.Incarnation, c)
 				}
 				continue
 			}
-			n.holder.Hear(now, other.name, f, n.number(now))
+			n.holder.Hear(now, other.name, frame, n.heldIncarnation(now))
 		}
 	}
 	n.flush()
-	n.holder.Tick(now, n.number(now))
+	n.holder.Tick(now, n.heldIncarnation(now))
 	send, acts := n.holder.Output()
 	n.send(append(send, n.owner.Tick(now)...))
-	n.actor.Take(acts)
+	n.ownership.Take(acts)
 	if acts.Take != 0 {
 		n.flush()
-		n.safe = append(n.safe, struct{ take, number uint64 }{acts.Take, n.giver.Number()})
+		n.pendingBatches = append(n.pendingBatches,
+			struct{ take, number uint64 }{acts.Take, n.recorder.Number()})
 	}
 	confirmed := n.owner.Confirmed()
-	n.safe = slices.DeleteFunc(n.safe, func(s struct{ take, number uint64 }) bool {
+	n.pendingBatches = slices.DeleteFunc(n.pendingBatches, func(s struct{ take, number uint64 }) bool {
 		if confirmed >= s.number {
 			n.holder.Safe(s.take)
 		}
@@ -322,34 +342,34 @@
 	})
 	send, acts = n.holder.Output()
 	n.send(send)
-	n.actor.Confirmed(confirmed)
-	n.say(now)
+	n.ownership.Confirmed(confirmed)
+	n.sendEnds(now)
 	n.flush()
 	n.send(n.owner.Tick(now))
 	for _, id := range w.order {
 		if c := w.calls[id]; c.at == n.name && n.own[id] && confirmed >= c.number && !n.owner.Alone() {
-			c.record = true
+			c.confirmed = true
 		}
 	}
-	if !n.woken && n.lease.Holds(now) && n.told(now) {
-		n.woken = true
-		n.actor.Awake()
+	if !n.reclaimed && n.lease.Holds(now) && n.allReported(now) {
+		n.reclaimed = true
+		n.ownership.Awake()
 	}
 }
 
-func (n *node) look(now time.Duration) {
-	if n.actor.Look(now, n.number(now), n.lease.Incarnation == 0, n.owner.Vouched()) {
+func (n *node) checkOwnership(now time.Duration) {
+	if n.ownership.Look(now, n.heldIncarnation(now), n.lease.Incarnation == 0, n.owner.Vouched()) {
 		n.flush()
 		n.send(n.owner.Cease(now))
-		if i := n.number(now); i != 0 {
+		if i := n.heldIncarnation(now); i != 0 {
 			n.owner.Acts(i)
 		}
-		n.safe, n.woken, n.began = nil, false, now
+		n.pendingBatches, n.reclaimed, n.incarnationBegan = nil, false, now
 	}
 }
 
-func (n *node) told(now time.Duration) bool {
-	if now-n.began > DefaultTerms().Wake {
+func (n *node) allReported(now time.Duration) bool {
+	if now-n.incarnationBegan > DefaultTerms().Wake {
 		return true
 	}
 	m := n.machine.Member(n.name)
@@ -364,7 +384,7 @@
 	return true
 }
 
-func (n *node) number(now time.Duration) uint64 {
+func (n *node) heldIncarnation(now time.Duration) uint64 {
 	if !n.lease.Holds(now) {
 		return 0
 	}
@@ -372,7 +392,7 @@
 }
 
 func (n *node) flush() {
-	if first, list, _ := n.giver.Take(nil); len(list) > 0 {
+	if first, list, _ := n.recorder.Take(nil); len(list) > 0 {
 		n.owner.Add(first, list)
 	}
 }
@@ -385,15 +405,15 @@
 		require.NoError(n.w.t, proto.Unmarshal(b, f))
 		key := [2]string{n.name, s.To}
 		at := n.w.now + time.Duration(n.w.random.Int64N(int64(20*ms)))
-		if q := n.w.links[key]; len(q) > 0 { // in order
+		if q := n.w.links[key]; len(q) > 0 { // frames of a link arrive in order
 			at = max(at, q[len(q)-1].at)
 		}
-		n.w.links[key] = append(n.w.links[key], frame{at, f})
+		n.w.links[key] = append(n.w.links[key], delayedFrame{at, f})
 	}
 }
 
-// link opens or resets all links of a router.
-func (w *world) link(name string, open bool) {
+// resetLinks opens or closes all links of a router; frames in flight on them are lost.
+func (w *world) resetLinks(name string, open bool) {
 	for key := range w.links {
 		if key[0] == name || key[1] == name {
 			delete(w.links, key)
@@ -420,23 +440,23 @@
 	}
 }
 
-// call begins at a router, if it takes any.
-func (w *world) call() { w.callAt(w.nodes[w.random.IntN(len(w.nodes))]) }
+// startCall starts a call at a random router, if that one accepts calls.
+func (w *world) startCall() { w.startCallAt(w.nodes[w.random.IntN(len(w.nodes))]) }
 
-func (w *world) callAt(n *node) {
+func (w *world) startCallAt(n *node) {
 	if n.dead || n.stopped {
 		return
 	}
 	id := fmt.Sprintf("%016x", len(w.order)+1)
-	n.own[id], n.books[id] = true, "open"
+	n.own[id], n.ledger[id] = true, "open"
 	n.record(Record{Out, Call{ID: id, Server: "s", Class: "c", Tenant: "t"}})
 	n.record(Record{Stands, Call{ID: id, Stood: 1}})
-	w.calls[id] = &truth{id: id, at: n.name, number: n.giver.Number()}
+	w.calls[id] = &callState{id: id, at: n.name, number: n.recorder.Number()}
 	w.order = append(w.order, id)
 }
 
-// end is a server's: its word comes to any router that takes it, most often to the call's own.
-func (w *world) end(id string) {
+// endCall has a server end a call: the end is received by some reachable router, most often by the call's own.
+func (w *world) endCall(id string) {
 	c := w.calls[id]
 	for range 50 {
 		n := w.nodes[w.random.IntN(len(w.nodes))]
@@ -445,19 +465,19 @@
 				n = one
 			}
 		}
-		if n.dead || n.stopped || w.cut[n.name] {
+		if n.dead || n.stopped || w.cutFromRouters[n.name] {
 			continue
 		}
-		// The loop looks before it takes what has come.
+		// The loop checks ownership before it processes what it has received.
 		now := n.clock()
-		n.look(now)
+		n.checkOwnership(now)
 		c.over, c.overAt = true, w.now
 		if n.own[id] {
 			n.settle(id)
 			return
 		}
 		e := End{Call: id, How: 1}
-		if n.actor.Heard(e, true) {
+		if n.ownership.Heard(e, true) {
 			n.settle(id)
 		}
 		n.holder.Ended(now, "", []End{e})
@@ -466,35 +486,52 @@
 }
 
 func newWorld(t *testing.T, seed uint64, routers int) *world {
-	w := &world{t: t, random: rand.New(rand.NewPCG(seed, 5)), log: fleet.NewMachine(&fleetpb.State{}), granted: map[string]time.Duration{}, calls: map[string]*truth{}, links: map[[2]string][]frame{},
-		cut: map[string]bool{}, keeps: map[string]bool{}, lost: map[string]time.Duration{}, now: time.Second}
+	w := &world{
+		t:              t,
+		random:         rand.New(rand.NewPCG(seed, 5)),
+		log:            fleet.NewMachine(&fleetpb.State{}),
+		grantedAt:      map[string]time.Duration{},
+		calls:          map[string]*callState{},
+		links:          map[[2]string][]delayedFrame{},
+		cutFromRouters: map[string]bool{},
+		cutFromKeepers: map[string]bool{},
+		lostAt:         map[string]time.Duration{},
+		now:            time.Second,
+	}
 	for i := range routers {
-		n := &node{w: w, name: fmt.Sprint("r", i), zone: fmt.Sprint("z", i%3), rate: 0.99 + 0.02*w.random.Float64(), books: map[string]string{}}
+		n := &node{
+			w:         w,
+			name:      fmt.Sprint("r", i),
+			zone:      fmt.Sprint("z", i%3),
+			clockRate: 0.99 + 0.02*w.random.Float64(),
+			ledger:    map[string]string{},
+		}
 		w.nodes = append(w.nodes, n)
-		n.start(uint64(i + 1))
+		n.startProcess(uint64(i + 1))
 	}
 	for _, n := range w.nodes {
-		w.link(n.name, true)
+		w.resetLinks(n.name, true)
 	}
 	return w
 }
 
-// play is a world with one trouble after the other, each over before the next; at its end each call that stood and was recorded has been ended, told to its caller once, and is in one router's books.
-func play(t *testing.T, seed uint64, seconds int) (w *world, troubles []string) {
+// simulate runs a world with one fault after the other, each repaired before the next. At the end each established
+// call that was recorded must have ended, with one notification to its caller, in the ledger of one router.
+func simulate(t *testing.T, seed uint64, seconds int) (w *world, troubles []string) {
 	w = newWorld(t, seed, 5)
 	process := uint64(100)
-	for range 300 { // it forms
+	for range 300 { // the fleet forms
 		w.step()
 	}
 	var undo func()
 	undoAt, next := time.Duration(0), w.now+time.Second
-	for end := w.now + time.Duration(seconds)*time.Second; w.now < end && w.broken == ""; w.step() {
+	for endAt := w.now + time.Duration(seconds)*time.Second; w.now < endAt && w.broken == ""; w.step() {
 		if w.random.IntN(10) == 0 {
-			w.call()
+			w.startCall()
 		}
 		for _, id := range w.order {
 			if c := w.calls[id]; !c.over && w.random.IntN(400) == 0 {
-				w.end(id)
+				w.endCall(id)
 			}
 		}
 		if undo != nil && w.now >= undoAt {
@@ -505,53 +542,57 @@
 			continue
 		}
 		n := w.nodes[w.random.IntN(len(w.nodes))]
-		kind := w.random.IntN(5)
-		if kind != 1 && kind != 3 {
-			w.lost[n.name] = w.now
-			for _, c := range w.calls { // a server says it once more on the next connection opened
-				if c.lastBy == n.name && c.lastAt > w.now-flight {
+		trouble := w.random.IntN(5)
+		if trouble != 1 && trouble != 3 {
+			w.lostAt[n.name] = w.now
+			for _, c := range w.calls { // a server reports it again on the next connection
+				if c.lastNotifiedBy == n.name && c.lastNotifiedAt > w.now-notifyWindow {
 					c.over = false
 				}
 			}
 		}
 		undoAt = w.now + time.Duration(100+w.random.IntN(9000))*ms
-		troubles = append(troubles, fmt.Sprintf("%v %s %s until %v", w.now, []string{"kill", "stop", "cut", "no-keepers", "routers"}[kind], n.name, undoAt))
-		switch kind {
+		troubles = append(troubles, fmt.Sprintf("%v %s %s until %v", w.now,
+			[]string{"kill", "stop", "cut", "no-keepers", "routers"}[trouble], n.name, undoAt))
+		switch trouble {
 		case 0:
 			n.dead = true
-			n.unsay()
-			w.link(n.name, false)
+			n.retractPendingEnds()
+			w.resetLinks(n.name, false)
 			undo = func() {
 				process++
-				n.start(process)
-				w.link(n.name, true)
+				n.startProcess(process)
+				w.resetLinks(n.name, true)
 			}
 		case 1:
 			n.stopped = true
-			for _, one := range n.words { // their servers hear nothing, and say so on the next connection opened
-				w.calls[one.id].unsaid, w.calls[one.id].over = true, false
+			for _, one := range n.pendingEnds { // their servers get no acknowledgement and report them again
+				w.calls[one.id].retracted, w.calls[one.id].over = true, false
 			}
 			undo = func() { n.stopped = false }
-		case 2: // off from all
-			w.cut[n.name], w.keeps[n.name] = true, true
-			undo = func() { delete(w.cut, n.name); delete(w.keeps, n.name) }
+		case 2: // cut off from keepers and routers
+			w.cutFromRouters[n.name], w.cutFromKeepers[n.name] = true, true
+			undo = func() {
+				delete(w.cutFromRouters, n.name)
+				delete(w.cutFromKeepers, n.name)
+			}
 		case 3:
 			for _, one := range w.nodes {
-				w.keeps[one.name] = true
+				w.cutFromKeepers[one.name] = true
 			}
 			undo = func() {
-				clear(w.keeps)
-				for _, one := range w.nodes { // keepers that are back take all leases for running
-					w.granted[one.name] = w.now
+				clear(w.cutFromKeepers)
+				for _, one := range w.nodes { // keepers that are back consider all leases valid
+					w.grantedAt[one.name] = w.now
 				}
 			}
-		case 4: // off from routers alone
-			w.cut[n.name] = true
-			undo = func() { delete(w.cut, n.name) }
+		case 4: // cut off from routers alone
+			w.cutFromRouters[n.name] = true
+			undo = func() { delete(w.cutFromRouters, n.name) }
 		}
-		if kind == 3 {
-			for _, one := range w.nodes { // no keeper ends a lease meanwhile
-				w.granted[one.name] = time.Hour
+		if trouble == 3 {
+			for _, one := range w.nodes { // no keeper ends a lease in the meantime
+				w.grantedAt[one.name] = time.Hour
 			}
 		}
 	}
@@ -565,7 +606,7 @@
 	}
 	for _, id := range w.order {
 		if !w.calls[id].over {
-			w.end(id)
+			w.endCall(id)
 		}
 	}
 	for range 1500 {
@@ -575,87 +616,92 @@
 		c := w.calls[id]
 		billed := 0
 		for _, n := range w.nodes {
-			if n.books[id] == "billed" {
+			if n.ledger[id] == "billed" {
 				billed++
 			}
 		}
-		if billed > 1 && !c.unsaid || billed > 2 || c.record && (billed == 0 || c.told != 1) {
+		if billed > 1 && !c.retracted || billed > 2 || c.confirmed && (billed == 0 || c.notified != 1) {
 			var where []string
 			for _, n := range w.nodes {
-				where = append(where, fmt.Sprintf("%s:%s/%v", n.name, n.books[id], n.actor.Has(id)))
+				where = append(where, fmt.Sprintf("%s:%s/%v", n.name, n.ledger[id], n.ownership.Has(id)))
 			}
-			w.fail("%s of %s, recorded %v, over at %v: %d books, told %d times: %v", id, c.at, c.record, c.overAt, billed, c.told, where)
+			w.fail("%s of %s, recorded %v, over at %v: in %d ledgers, notified %d times: %v",
+				id, c.at, c.confirmed, c.overAt, billed, c.notified, where)
 		}
 	}
 	return w, troubles
 }
 
-// TestWorlds plays random troubles: no call is two routers' at once, and each that a holder had confirmed ends once, for its caller and in the books.
+// TestWorlds simulates random faults. It guards against two routers acting for one call, and against a call that a
+// replica holder had confirmed whose end is lost or repeated, for its caller or in the ledgers.
 func TestWorlds(t *testing.T) {
-	from := size("TAKEOVER_FROM", 1)
-	calls, recorded, again, taken := 0, 0, 0, uint64(0)
-	for seed := range uint64(size("TAKEOVER_SEEDS", 6)) {
-		w, troubles := play(t, uint64(from)+seed, 60)
+	from := envInt("TAKEOVER_FROM", 1)
+	calls, recorded, notifiedTwice, taken := 0, 0, 0, uint64(0)
+	for seed := range uint64(envInt("TAKEOVER_SEEDS", 6)) {
+		w, troubles := simulate(t, uint64(from)+seed, 60)
 		require.Empty(t, w.broken, "seed %d: %v", uint64(from)+seed, troubles)
 		for _, c := range w.calls {
 			calls++
-			if c.record {
+			if c.confirmed {
 				recorded++
 			}
 		}
-		again += w.again
+		notifiedTwice += w.notifiedTwice
 		for _, n := range w.nodes {
 			taken += n.holder.Count.Taken
 		}
 	}
-	t.Logf("%d calls, %d confirmed by a holder, %d taken over, %d told twice by routers lost within %v of it", calls, recorded, taken, again, flight)
+	t.Logf("%d calls, %d confirmed by a replica holder, %d taken over, "+
+		"%d notified twice by routers lost within %v of it",
+		calls, recorded, taken, notifiedTwice, notifyWindow)
 	require.Greater(t, taken, uint64(20))
 	require.Greater(t, recorded, calls*9/10)
 }
 
-// TestZoneLost loses a third of all routers, a whole zone, in one moment, all with calls that stand. Their calls are in good hands within the lease and two seconds, spread over many
-// routers, and end once each.
+// TestZoneLost loses a whole zone, a third of all routers, at once while all have established calls. It guards
+// against take-overs that need longer than the lease and two seconds or go to few routers, and against calls that end
+// twice.
 func TestZoneLost(t *testing.T) {
-	routers, each := size("TAKEOVER_ROUTERS", 45), size("TAKEOVER_CALLS", 20)
+	routers, callsPerRouter := envInt("TAKEOVER_ROUTERS", 45), envInt("TAKEOVER_CALLS", 20)
 	w := newWorld(t, 7, routers)
-	for range 400 { // it forms
+	for range 400 { // the fleet forms
 		w.step()
 	}
 	for _, n := range w.nodes {
-		for range each {
-			w.callAt(n)
+		for range callsPerRouter {
+			w.startCallAt(n)
 		}
 	}
-	for range 100 { // records are held
+	for range 100 { // records are replicated
 		w.step()
 	}
 	lost := map[string]bool{}
 	for _, n := range w.nodes {
 		if n.zone == "z0" {
 			lost[n.name], n.dead = true, true
-			w.lost[n.name] = w.now
-			n.unsay()
+			w.lostAt[n.name] = w.now
+			n.retractPendingEnds()
 			clear(n.own)
-			w.link(n.name, false)
+			w.resetLinks(n.name, false)
 		}
 	}
-	at := w.now
+	lostAt := w.now
 	var first, last time.Duration
-	waits := map[string]bool{}
+	waiting := map[string]bool{}
 	for _, c := range w.calls {
 		if lost[c.at] {
-			require.True(t, c.record, "a call of %s was held by nobody", c.at)
-			waits[c.id] = true
+			require.True(t, c.confirmed, "a call of %s had no replica", c.at)
+			waiting[c.id] = true
 		}
 	}
-	taken := len(waits)
-	for steps := 0; len(waits) > 0 && steps < 1500; steps++ {
+	taken := len(waiting)
+	for steps := 0; len(waiting) > 0 && steps < 1500; steps++ {
 		w.step()
 		for _, n := range w.nodes {
-			for id := range n.actor.mine {
-				if waits[id] && !n.dead {
-					delete(waits, id)
-					if last = w.now - at; first == 0 {
+			for id := range n.ownership.adopted {
+				if waiting[id] && !n.dead {
+					delete(waiting, id)
+					if last = w.now - lostAt; first == 0 {
 						first = last
 					}
 				}
@@ -663,58 +709,80 @@
 		}
 	}
 	require.Empty(t, w.broken)
-	require.Empty(t, waits, "nobody has them")
-	most, takers := 0, 0
+	require.Empty(t, waiting, "calls that nobody took over")
+	maxTaken, takers := 0, 0
 	for _, n := range w.nodes {
-		if own := len(n.actor.mine); own > 0 {
-			most, takers = max(most, own), takers+1
+		if own := len(n.ownership.adopted); own > 0 {
+			maxTaken, takers = max(maxTaken, own), takers+1
 		}
 	}
-	t.Logf("%d routers, %d lost with %d calls: the first in good hands after %v, the last after %v; %d routers took, %d the most", routers, len(lost), taken, first, last, takers, most)
+	t.Logf("%d routers, %d lost with %d calls: the first taken over after %v, the last after %v; "+
+		"%d routers took calls, %d at most", routers, len(lost), taken, first, last, takers, maxTaken)
 	require.Less(t, last, fleet.DefaultTerms().Lease+2*time.Second)
-	require.GreaterOrEqual(t, takers, len(lost)/3, "their work spreads")
-	ended := w.order[:min(len(w.order), 40_000/routers/routers)] // each end goes to each router by each other
+	require.GreaterOrEqual(t, takers, len(lost)/3, "calls are spread over routers")
+	// Each end is forwarded to every router by every other, so only some calls end.
+	ended := w.order[:min(len(w.order), 40_000/routers/routers)]
 	for _, id := range ended {
-		w.end(id)
+		w.endCall(id)
 	}
 	for range 300 {
 		w.step()
 	}
 	require.Empty(t, w.broken)
 	for _, id := range ended {
-		require.Equal(t, 1, w.calls[id].told, "%s of %s: %v", id, w.calls[id].at, w.calls[id].by)
+		require.Equal(t, 1, w.calls[id].notified, "%s of %s: %v", id, w.calls[id].at, w.calls[id].notifiedBy)
 	}
 }
 
-// TestGiver turns what a router tells into records that make the same calls elsewhere.
-func TestGiver(t *testing.T) {
-	g := &Giver{Terms: DefaultTerms(), Wall: func() int64 { return 7 }, Aim: func(string) time.Duration { return time.Second }}
+// TestRecorder guards against records from which other routers build different calls than this router has, and against
+// records of calls that it has relinquished.
+func TestRecorder(t *testing.T) {
+	g := &Giver{
+		Terms: DefaultTerms(),
+		Wall:  func() int64 { return 7 },
+		Aim:   func(string) time.Duration { return time.Second },
+	}
 	g.Terms.Fast = map[string]bool{"data": true}
 	for slot, class := range []string{1: "voice", 2: "data"} {
 		if slot == 0 {
 			continue
 		}
 		call := fmt.Sprint("c", slot)
-		for _, e := range []router.Event{{Kind: router.Arrived, Class: class, Tenant: "t"}, {Kind: router.Sent, Server: "s1"}, {Kind: router.AttemptEnded}, {Kind: router.Sent, Server: "s2", Attempt: 1}, {Kind: router.Established, At: 2 * time.Second}} {
+		for _, e := range []router.Event{
+			{Kind: router.Arrived, Class: class, Tenant: "t"},
+			{Kind: router.Sent, Server: "s1"},
+			{Kind: router.AttemptEnded},
+			{Kind: router.Sent, Server: "s2", Attempt: 1},
+			{Kind: router.Established, At: 2 * time.Second},
+		} {
 			e.Call, e.Slot = call, uint32(slot)
 			g.Observe(e)
 		}
 	}
 	first, list, kept := g.Take(nil)
 	require.Equal(t, uint64(1), first)
-	require.Equal(t, uint64(3), kept, "the answer of the kept class waits, that of the fast one does not")
-	made := table{}
+	require.Equal(t, uint64(3), kept, "the answer of class voice waits, that of class data does not")
+	made := callTable{}
 	for i := range list {
 		made.apply(&list[i])
 	}
-	require.Equal(t, Call{ID: "c1", Server: "s2", Class: "voice", Tenant: "t", Attempt: 1, Stands: true, Since: 7, Stood: 7}, *made["c1"])
+	require.Equal(t, Call{
+		ID:      "c1",
+		Server:  "s2",
+		Class:   "voice",
+		Tenant:  "t",
+		Attempt: 1,
+		Stands:  true,
+		Since:   7,
+		Stood:   7,
+	}, *made["c1"])
 	g.Cease()
 	g.Observe(router.Event{Kind: router.Closed, Slot: 1, Call: "c1"})
-	require.False(t, g.Waiting(), "what becomes of a call that was let go is no news")
+	require.False(t, g.Waiting(), "events of a relinquished call are not recorded")
 }
 
-// TestStrangers: frames that cannot be, or are not the sender's to send, change nothing and are counted.
-func TestStrangers(t *testing.T) {
+// TestRejectsInvalidFrames: frames that are malformed, or not the sender's to send, change nothing and are counted.
+func TestRejectsInvalidFrames(t *testing.T) {
 	w := newWorld(t, 1, 3)
 	for range 300 {
 		w.step()
@@ -722,26 +790,35 @@
 	h := w.nodes[0].holder
 	was := h.Count.Refused
 	give := &takeoverpb.Frame{Owner: "r1", Incarnation: 2, What: &takeoverpb.Frame_Give{Give: &takeoverpb.Give{}}}
-	for _, f := range []*takeoverpb.Frame{give, {}, {Owner: "r1", Incarnation: 2, What: &takeoverpb.Frame_Pass{Pass: &takeoverpb.Pass{First: true, Last: true}}}, {Owner: "r1", What: &takeoverpb.Frame_Back{Back: &takeoverpb.Back{Last: true}}}} {
+	for _, f := range []*takeoverpb.Frame{
+		give,
+		{},
+		{Owner: "r1", Incarnation: 2, What: &takeoverpb.Frame_Pass{Pass: &takeoverpb.Pass{First: true, Last: true}}},
+		{Owner: "r1", What: &takeoverpb.Frame_Back{Back: &takeoverpb.Back{Last: true}}},
+	} {
 		h.Hear(w.now, "r2", f, 1)
 	}
 	require.Equal(t, was+4, h.Count.Refused)
 	h.Output()
-	for i := range 300 { // a copy too large is no copy
-		g := &takeoverpb.Give{From: uint64(i) * pageMost, First: i == 0}
-		for k := range pageMost {
-			g.Records = append(g.Records, write(&Record{Out, Call{ID: fmt.Sprint(i, "-", k)}}))
+	for i := range 300 { // a snapshot above the limit is not stored
+		g := &takeoverpb.Give{From: uint64(i) * maxPageRecords, First: i == 0}
+		for k := range maxPageRecords {
+			g.Records = append(g.Records, encodeRecord(&Record{Out, Call{ID: fmt.Sprint(i, "-", k)}}))
 		}
-		h.Hear(w.now, "r2", &takeoverpb.Frame{Owner: "r2", Incarnation: 77, What: &takeoverpb.Frame_Give{Give: g}}, 1)
+		h.Hear(w.now, "r2", &takeoverpb.Frame{
+			Owner:       "r2",
+			Incarnation: 77,
+			What:        &takeoverpb.Frame_Give{Give: g},
+		}, 1)
 	}
 	total := 0
-	for _, c := range h.copies {
-		total += len(c.calls) + len(c.coming)
+	for _, c := range h.replicas {
+		total += len(c.calls) + len(c.incoming)
 	}
-	require.LessOrEqual(t, total, callsMost+pageMost)
+	require.LessOrEqual(t, total, maxHeldCalls+maxPageRecords)
 }
 
-func size(name string, usual int) int {
+func envInt(name string, usual int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
