--- a/internal/fleetio/fleet.go
+++ b/internal/fleetio/fleet.go
@@ -50,7 +50,7 @@
 	Care func(c verdict.Care, hold time.Duration)
 	Now  func() time.Duration
 	// Work in hand, all on the loop: what does as it decides, and calls of before a start whose ends are not known.
-	Desk   takeover.Desk
+	Desk   takeover.CallHandler
 	Open   []string
 	Tenant func(router.Event) string // whose call it is
 	Aim    func(class string) time.Duration
--- a/internal/fleetio/settings.go
+++ b/internal/fleetio/settings.go
@@ -15,17 +15,17 @@
 // Options are what the settings say of the fleet.
 type Options struct {
 	Terms     fleet.Terms
-	Dir       string            // a keeper's folder
-	Addresses map[string]string // of keepers
-	Listen    string            // where this process listens: a keeper, if not at its own address; a router, for its neighbours
-	Address   string            // where other routers reach this one, if not where it listens
-	Zone      string            // of this process
-	Reach     map[string]string // routers that this process reaches elsewhere than at their addresses
-	Verdicts  *verdict.Terms    // nil: routers judge alone
-	Work      *takeover.Terms   // nil: nobody else has what is in hand
-	Beacon    netip.AddrPort    // who hears what this process acts as; the zero value: nobody
-	Every     time.Duration     // how often
-	Roll      int64             // size in bytes at which a keeper begins a new file
+	Dir       string             // a keeper's folder
+	Addresses map[string]string  // of keepers
+	Listen    string             // where this process listens: a keeper, if not at its own address; a router, for its neighbours
+	Address   string             // where other routers reach this one, if not where it listens
+	Zone      string             // of this process
+	Reach     map[string]string  // routers that this process reaches elsewhere than at their addresses
+	Verdicts  *verdict.Terms     // nil: routers judge alone
+	Work      *takeover.Settings // nil: nobody else has what is in hand
+	Beacon    netip.AddrPort     // who hears what this process acts as; the zero value: nobody
+	Every     time.Duration      // how often
+	Roll      int64              // size in bytes at which a keeper begins a new file
 }
 
 // Keeper says whether a process of that name is a keeper.
--- a/internal/fleetio/work.go
+++ b/internal/fleetio/work.go
@@ -32,21 +32,21 @@
 )
 
 // ReadTakeover reads a (takeover ...) section; docs/operators/takeover.md has every field.
-func ReadTakeover(s *settings.Section, o *Options) *takeover.Terms {
-	t := takeover.DefaultTerms()
-	t.Drift, t.Vouch = o.Terms.Drift, o.Terms.Lease
-	s.Int("holders", &t.Holders, 1, 4)
-	s.Span("vouch", &t.Vouch, 200*time.Millisecond, time.Minute)
-	s.Span("patience", &t.Patience, time.Millisecond, time.Second)
-	s.Span("remember", &t.Remember, time.Second, 10*time.Minute)
-	s.Span("wake", &t.Wake, time.Second, 10*time.Minute)
+func ReadTakeover(s *settings.Section, o *Options) *takeover.Settings {
+	t := takeover.DefaultSettings()
+	t.ClockDrift, t.GuaranteeTTL = o.Terms.Drift, o.Terms.Lease
+	s.Int("holders", &t.Replicas, 1, 4)
+	s.Span("vouch", &t.GuaranteeTTL, 200*time.Millisecond, time.Minute)
+	s.Span("patience", &t.ConfirmTimeout, time.Millisecond, time.Second)
+	s.Span("remember", &t.EndTTL, time.Second, 10*time.Minute)
+	s.Span("wake", &t.ReclaimTimeout, time.Second, 10*time.Minute)
 	mode := "kept"
 	s.Choice("mode", &mode, "kept", "fast")
-	t.Fast = map[string]bool{}
+	t.NoWaitClasses = map[string]bool{}
 	for _, class := range s.Strings("fast") {
-		t.Fast[class] = true
+		t.NoWaitClasses[class] = true
 	}
-	t.AllFast = mode == "fast"
+	t.NoWait = mode == "fast"
 	if err := t.Validate(); err != nil {
 		s.Errorf("", "%v", err)
 	}
@@ -67,17 +67,17 @@
 
 // work is a router's part between the loop and the core.
 type work struct {
-	terms takeover.Terms
+	terms takeover.Settings
 	// Of the loop.
-	giver   *takeover.Giver
+	giver   *takeover.Recorder
 	waiting []ticket
 	ticket  uint64
-	actor   *takeover.Actor
+	actor   *takeover.OwnershipManager
 	late    []batch // that the core has had no room for
 	served  uint64  // of an operator's wants
 	// Of the core.
 	owner  *takeover.Owner
-	holder *takeover.Holder
+	holder *takeover.ReplicaHolder
 	began  time.Duration // when this incarnation did
 	safe   []batch       // that have been given and not confirmed
 	woken  bool
@@ -88,7 +88,7 @@
 	up     map[string]bool
 	// Between them.
 	records *xsync.SPSCQueue[batch]
-	acts    *xsync.SPSCQueue[takeover.Acts]
+	acts    *xsync.SPSCQueue[takeover.Actions]
 	heard   *xsync.SPSCQueue[takeover.End] // by the loop
 	vouched atomic.Int64                   // until when all holders vouch
 	upto    atomic.Uint64
@@ -110,12 +110,12 @@
 }
 
 func (f *Fleet) openWork(now time.Duration) {
-	w := &work{terms: *f.cfg.Work, giver: &takeover.Giver{Terms: *f.cfg.Work, Wall: func() int64 { return time.Now().UnixMilli() }}, owner: takeover.NewOwner(*f.cfg.Work, f.cfg.Name), all: map[string][]*link{}, links: map[string]*link{}, up: map[string]bool{},
-		records: xsync.NewSPSCQueue[batch](workMost), acts: xsync.NewSPSCQueue[takeover.Acts](workMost), heard: xsync.NewSPSCQueue[takeover.End](heardMost), poke: make(chan struct{}, 1)}
-	w.giver.Tenant, w.giver.Aim = f.cfg.Tenant, f.cfg.Aim
-	w.actor = takeover.NewActor(f.cfg.Desk, w.giver, f.cfg.Open)
-	w.holder = takeover.NewHolder(*f.cfg.Work, f.cfg.Name, logOf{f})
-	w.holder.Back = func(calls []string) { f.woke(calls) }
+	w := &work{terms: *f.cfg.Work, giver: &takeover.Recorder{Settings: *f.cfg.Work, WallClock: func() int64 { return time.Now().UnixMilli() }}, owner: takeover.NewOwner(*f.cfg.Work, f.cfg.Name), all: map[string][]*link{}, links: map[string]*link{}, up: map[string]bool{},
+		records: xsync.NewSPSCQueue[batch](workMost), acts: xsync.NewSPSCQueue[takeover.Actions](workMost), heard: xsync.NewSPSCQueue[takeover.End](heardMost), poke: make(chan struct{}, 1)}
+	w.giver.Tenant, w.giver.SetupTarget = f.cfg.Tenant, f.cfg.Aim
+	w.actor = takeover.NewOwnershipManager(f.cfg.Desk, w.giver, f.cfg.Open)
+	w.holder = takeover.NewReplicaHolder(*f.cfg.Work, f.cfg.Name, logOf{f})
+	w.holder.OnTaken = func(calls []string) { f.woke(calls) }
 	w.vouched.Store(math.MaxInt64)
 	w.upto.Store(math.MaxUint64)
 	w.began = now
@@ -125,11 +125,11 @@
 // logOf is the log as the member has heard it.
 type logOf struct{ f *Fleet }
 
-func (l logOf) Over(name string, incarnation uint64) bool {
+func (l logOf) IsOver(name string, incarnation uint64) bool {
 	return l.f.member.Machine.Over(name, incarnation)
 }
 
-func (l logOf) Lives(name string) bool { return l.f.member.Machine.Member(name).GetLive() }
+func (l logOf) IsLive(name string) bool { return l.f.member.Machine.Member(name).GetLive() }
 
 func (l logOf) SuccessorOf(name string, incarnation uint64) (string, uint64, bool) {
 	return l.f.member.Machine.SuccessorOf(name, incarnation)
@@ -153,7 +153,7 @@
 	w := f.work
 	switch n.Kind {
 	case fleet.Granted, fleet.Regained:
-		w.owner.Acts(n.Incarnation)
+		w.owner.SetIncarnation(n.Incarnation)
 		w.began, w.woken = now, false
 	}
 	switch n.Kind {
@@ -167,10 +167,10 @@
 func (f *Fleet) successors() {
 	want := map[string]uint64{}
 	m := f.member.Machine
-	for _, one := range fleet.Successors(f.cfg.Name, f.cfg.Zone, m.Members(), f.work.terms.Holders) {
+	for _, one := range fleet.Successors(f.cfg.Name, f.cfg.Zone, m.Members(), f.work.terms.Replicas) {
 		want[one.Name] = one.Incarnation
 	}
-	f.work.owner.Holders(want, m.Over)
+	f.work.owner.SetHolders(want, m.Over)
 }
 
 // worksWith are routers that links are wanted to.
@@ -182,7 +182,7 @@
 			ring = append(ring, m.Name)
 		}
 	}
-	names = append(verdict.Neighbours(f.cfg.Name, ring), append(w.owner.Names(), w.holder.Names()...)...)
+	names = append(verdict.Neighbours(f.cfg.Name, ring), append(w.owner.HolderNames(), w.holder.WantedLinks()...)...)
 	slices.Sort(names)
 	return slices.Compact(names)
 }
@@ -198,7 +198,7 @@
 	}
 	if c := frame.GetConfirm(); c != nil {
 		if frame.Owner == f.cfg.Name {
-			w.owner.Hear(l.name, frame.Incarnation, c)
+			w.owner.ReceiveConfirm(l.name, frame.Incarnation, c)
 		}
 		return
 	}
@@ -206,7 +206,7 @@
 	if !ok {
 		incarnation = 0
 	}
-	w.holder.Hear(now, l.name, frame, incarnation)
+	w.holder.Receive(now, l.name, frame, incarnation)
 }
 
 // labour has the pure parts do what is due, and carries out what they want.
@@ -219,10 +219,10 @@
 		}
 		w.owner.Add(b.first, b.records)
 		if b.cease {
-			f.sendWork(w.owner.Cease(now))
+			f.sendWork(w.owner.RelinquishAll(now))
 			w.safe = nil
 			if l := f.member.Lease(); l.Holds(now) {
-				w.owner.Acts(l.Incarnation)
+				w.owner.SetIncarnation(l.Incarnation)
 			}
 		}
 		if b.passOn {
@@ -247,12 +247,12 @@
 		}
 		ends = append(ends, e)
 	}
-	w.holder.Ended(now, "", ends)
+	w.holder.ReceiveEnds(now, "", ends)
 	for name, l := range w.links {
 		if !w.up[name] && l != nil {
 			w.up[name] = true
-			w.owner.Linked(name, true)
-			w.holder.Greet(name)
+			w.owner.SetLinked(name, true)
+			w.holder.SendKnownEnds(name)
 		}
 	}
 	incarnation := f.member.Lease().Incarnation
@@ -269,7 +269,7 @@
 		w.safe = slices.DeleteFunc(w.safe, func(b batch) bool {
 			ok := confirmed >= b.first+uint64(len(b.records))-1
 			if ok {
-				w.holder.Safe(b.take)
+				w.holder.ConfirmBatch(b.take)
 			}
 			return ok
 		})
@@ -277,7 +277,7 @@
 		f.sendWork(sends)
 		acts.Ends = append(acts.Ends, more.Ends...)
 	}
-	if acts.Take != 0 || len(acts.Drop)+len(acts.Ends) > 0 {
+	if acts.BatchID != 0 || len(acts.Drop)+len(acts.Ends) > 0 {
 		if len(acts.Adopt) > 0 {
 			f.cfg.Log.Warn().Str("event", "work_taken").Int("calls", len(acts.Adopt)).Msgf("work in hand: %d calls of routers that are lost are this one's now", len(acts.Adopt))
 		}
@@ -290,7 +290,7 @@
 		w.upto.Store(w.owner.Confirmed())
 		f.cfg.Wake()
 	}
-	w.vouched.Store(int64(w.owner.Vouched()))
+	w.vouched.Store(int64(w.owner.GuaranteedUntil()))
 	if !w.woken && f.told(now) {
 		w.woken = true
 		w.awake.Store(true)
@@ -301,7 +301,7 @@
 // told says whether all that may have taken work from this router have said so, or have had the time to.
 func (f *Fleet) told(now time.Duration) bool {
 	w := f.work
-	if now-w.began > w.terms.Wake {
+	if now-w.began > w.terms.ReclaimTimeout {
 		return true
 	}
 	m := f.member.Machine.Member(f.cfg.Name)
@@ -309,7 +309,7 @@
 		return false
 	}
 	for _, p := range m.GetPast() {
-		if p.Successor != "" && p.Successor != f.cfg.Name && !w.holder.Told(p.Incarnation) {
+		if p.Successor != "" && p.Successor != f.cfg.Name && !w.holder.HasReported(p.Incarnation) {
 			return false
 		}
 	}
@@ -327,7 +327,7 @@
 
 // worksDue is when labour has something to do.
 func (f *Fleet) worksDue(now time.Duration) time.Duration {
-	return min(f.work.owner.Due(), f.work.holder.Due(now))
+	return min(f.work.owner.NextTick(), f.work.holder.NextTick(now))
 }
 
 // linkedWork is told of a link to a router that has opened or ended: of several the latest is used.
@@ -340,11 +340,11 @@
 	if w.all[l.name] = list; len(list) == 0 {
 		delete(w.all, l.name)
 		delete(w.links, l.name)
-		w.owner.Linked(l.name, false)
+		w.owner.SetLinked(l.name, false)
 	} else if last := list[len(list)-1]; w.links[l.name] != last {
 		w.links[l.name], w.up[l.name] = last, false
 	}
-	w.holder.Linked(slices.Sorted(maps.Keys(w.links)))
+	w.holder.SetLinks(slices.Sorted(maps.Keys(w.links)))
 	w.linked.Store(len(w.links) > 0)
 }
 
@@ -354,7 +354,7 @@
 func (f *Fleet) Works() bool { return f.work != nil }
 
 // Giver hears the router, as its observer.
-func (f *Fleet) Giver() *takeover.Giver { return f.work.giver }
+func (f *Fleet) Giver() *takeover.Recorder { return f.work.giver }
 
 // toil is the work's part of a turn of the loop: a router that may not act any more lets go, and what was taken over comes.
 func (f *Fleet) toil(now time.Duration) (wait time.Duration) {
@@ -363,7 +363,7 @@
 	f.LookAtWork(now)
 	if lease := f.lease.Load(); lease.Holds(now) {
 		wait = lease.Until - now
-	} else if !w.actor.Ceased() {
+	} else if !w.actor.Relinquished() {
 		wait = max(time.Duration(w.vouched.Load())-now, 0)
 	}
 	f.takeWork()
@@ -380,7 +380,7 @@
 	if !ok {
 		incarnation = 0
 	}
-	if !w.actor.Look(now, incarnation, f.lease.Load().Incarnation == 0, time.Duration(w.vouched.Load())) {
+	if !w.actor.CheckOwnership(now, incarnation, f.lease.Load().Incarnation == 0, time.Duration(w.vouched.Load())) {
 		return
 	}
 	f.cfg.Log.Warn().Str("event", "work_ceased").Msg("work in hand: no lease, and nobody vouches: what was in hand is another's, new calls go on")
@@ -407,24 +407,24 @@
 		if !ok {
 			break
 		}
-		w.actor.Take(acts)
-		if acts.Take != 0 {
-			f.flushWork(acts.Take, false)
+		w.actor.Apply(acts)
+		if acts.BatchID != 0 {
+			f.flushWork(acts.BatchID, false)
 		}
 	}
-	w.actor.Confirmed(w.upto.Load())
+	w.actor.AdoptConfirmed(w.upto.Load())
 	if ids := w.woke.Swap(nil); ids != nil {
-		w.actor.Taken(*ids)
+		w.actor.MarkTaken(*ids)
 	}
 	if w.awake.Swap(false) {
-		w.actor.Awake()
+		w.actor.ReclaimRemaining()
 	}
 }
 
 // Heard is the loop's: the end of a call that this router's Router does not know. True: it is this router's to tell.
 func (f *Fleet) Heard(id string, how uint8, byCaller bool) bool {
 	w := f.work
-	e := takeover.End{Call: id, How: how, At: time.Now().UnixMilli(), By: byCaller}
+	e := takeover.End{Call: id, Outcome: how, At: time.Now().UnixMilli(), ByCaller: byCaller}
 	if !w.heard.TryEnqueue(e) {
 		w.count.Missed.Add(1)
 	}
@@ -432,7 +432,7 @@
 	case w.poke <- struct{}{}:
 	default:
 	}
-	return w.actor.Heard(e, w.linked.Load())
+	return w.actor.ClaimEnd(e, w.linked.Load())
 }
 
 // flushWork hands the core what has been recorded.
@@ -445,7 +445,7 @@
 	w.hand()
 	if b.take != 0 || b.cease || b.passOn || len(w.late) == 0 { // else they stay with the giver: none may be missing among those that holders have
 		if b.first, b.records, _ = w.giver.Take(nil); len(b.records) == 0 && b.take == 0 && !b.cease && !b.passOn {
-			return w.giver.Kept()
+			return w.giver.LastAwaited()
 		}
 		w.late = append(w.late, b)
 		w.hand()
@@ -457,7 +457,7 @@
 	case w.poke <- struct{}{}:
 	default:
 	}
-	return w.giver.Kept()
+	return w.giver.LastAwaited()
 }
 
 // hand gives the core what it has room for.
@@ -486,7 +486,7 @@
 	if g.inner != nil {
 		inner = g.inner.Commit()
 	}
-	kept, ended := g.f.flushWork(0, false), w.giver.Ended()
+	kept, ended := g.f.flushWork(0, false), w.giver.LastEnd()
 	if kept == g.kept && inner == g.last && ended == g.ended { // nothing has come that this turn's bytes would have to wait for beyond the turn before
 		return w.ticket
 	}
@@ -511,7 +511,7 @@
 	for done < len(w.waiting) && w.waiting[done].inner <= inner {
 		t := &w.waiting[done]
 		if t.record > upto {
-			if now-t.since < w.terms.Patience && len(w.waiting) < waitMost {
+			if now-t.since < w.terms.ConfirmTimeout && len(w.waiting) < waitMost {
 				break
 			}
 			w.count.Hurried.Add(1)
@@ -531,7 +531,7 @@
 	if g.inner != nil {
 		g.inner.Left()
 	}
-	if w.giver.Left(g.gone); w.giver.Waiting() {
+	if w.giver.RecordEnds(g.gone); w.giver.HasRecords() {
 		g.f.flushWork(0, false)
 		runtime.Gosched() // on one core the core gets to run at once
 	}
@@ -542,7 +542,7 @@
 func (f *Fleet) evacuate() {
 	w := f.work
 	want := w.wanted.Load()
-	if want == w.served || w.giver.Ending() > 0 || len(w.late) > 0 {
+	if want == w.served || w.giver.PendingEnds() > 0 || len(w.late) > 0 {
 		return
 	}
 	if _, ok := f.Holds(Clock()); !ok {
@@ -555,7 +555,7 @@
 
 // Patience implements loop.Gate.
 func (g *workGate) Patience() time.Duration {
-	p := g.f.work.terms.Patience
+	p := g.f.work.terms.ConfirmTimeout
 	if g.inner != nil {
 		p = min(p, g.inner.Patience())
 	}
@@ -567,12 +567,12 @@
 	f.labour(now)
 	if f.owed != nil {
 		w := f.work
-		w.holder.Tell(f.owed)
+		w.holder.ForwardEnds(f.owed)
 		sends, _ := w.holder.Output()
 		f.sendWork(sends)
 	}
 	f.work.left = true
-	f.sendWork(f.work.owner.Leave(now))
+	f.sendWork(f.work.owner.AnnounceLeave(now))
 }
 
 // wantEvacuation is the core's: an operator wants it to pass on what stands. Empty: it will.
@@ -582,7 +582,7 @@
 		return "nobody else has what this router has in hand: no (takeover ...) section"
 	case !f.member.Lease().Holds(now):
 		return "it has no lease: what stands could not be passed on"
-	case w.owner.Alone():
+	case w.owner.Unreplicated():
 		return "no other router holds its work"
 	case w.wanted.Load() == w.done.Load(): // else it is about to
 		w.wanted.Add(1)
@@ -598,12 +598,12 @@
 	r.Evacuated, r.Passed, r.Evacuating, r.Refused = w.gone, w.passed.Load(), w.wanted.Load() != w.done.Load(), refused
 	if w.gone != 0 {
 		r.Successor, _, _ = logOf{f}.SuccessorOf(f.cfg.Name, w.gone)
-		r.Told = w.holder.Told(w.gone)
+		r.Told = w.holder.HasReported(w.gone)
 	}
 	c := &f.work.count
 	r.Counts["hurried"], r.Counts["alone"], r.Counts["missed"] = c.Hurried.Load(), c.Alone.Load(), c.Missed.Load()
 	if find != "" {
-		r.Found = takeover.Find(find, f.work.owner, f.work.holder)
+		r.Found = takeover.FindCall(find, f.work.owner, f.work.holder)
 	}
 	b, _ := proto.Marshal(r)
 	return b
--- a/internal/node/product.go
+++ b/internal/node/product.go
@@ -162,12 +162,12 @@
 	if p.Fleet != nil && p.Fleet.Work != nil {
 		t := p.Fleet.Work
 		mode := "kept"
-		if t.AllFast {
+		if t.NoWait {
 			mode = "fast"
 		}
-		fmt.Fprintf(w, "  (takeover (mode %s) (holders %d) (vouch %q) (patience %q) (remember %q) (wake %q)", mode, t.Holders, t.Vouch, t.Patience, t.Remember, t.Wake)
-		if len(t.Fast) > 0 {
-			fmt.Fprintf(w, " (fast%s)", quote(slices.Sorted(maps.Keys(t.Fast))))
+		fmt.Fprintf(w, "  (takeover (mode %s) (holders %d) (vouch %q) (patience %q) (remember %q) (wake %q)", mode, t.Replicas, t.GuaranteeTTL, t.ConfirmTimeout, t.EndTTL, t.ReclaimTimeout)
+		if len(t.NoWaitClasses) > 0 {
+			fmt.Fprintf(w, " (fast%s)", quote(slices.Sorted(maps.Keys(t.NoWaitClasses))))
 		}
 		fmt.Fprintln(w, ")")
 	}
@@ -314,20 +314,20 @@
 // desk is the node as takeover's Actor knows it.
 type desk struct{ n *Node }
 
-func (d desk) Cease() []string {
+func (d desk) RelinquishAll() []string {
 	standing := d.n.Router.RelinquishAll()
 	d.n.trunk.Cease()
 	return standing
 }
 
-func (d desk) Cede() []string {
+func (d desk) RelinquishEstablished() []string {
 	standing := d.n.Router.RelinquishEstablished()
 	d.n.trunk.Cede()
 	return standing
 }
 
 // Unsay takes back what waits to be told of calls that are another's from now on. Whoever was to hear that a call stands hears that it failed, and the call is released.
-func (d desk) Unsay() (unsaid []takeover.End) {
+func (d desk) RetractEnds() (unsaid []takeover.End) {
 	failed := map[string]bool{}
 	for _, what := range d.n.Loop.Recall() {
 		id, how, answer, mine := d.n.front.Recalled(what)
@@ -339,20 +339,20 @@
 		case answer:
 			failed[id] = true
 			d.n.stray(id)
-			unsaid = append(unsaid, takeover.End{Call: id, How: uint8(threadglade.Cancelled), By: true})
+			unsaid = append(unsaid, takeover.End{Call: id, Outcome: uint8(threadglade.Cancelled), ByCaller: true})
 		case !failed[id]:
-			unsaid = append(unsaid, takeover.End{Call: id, How: uint8(how)})
+			unsaid = append(unsaid, takeover.End{Call: id, Outcome: uint8(how)})
 		}
 	}
 	return unsaid
 }
 
 func (d desk) Adopt(t takeover.Call) bool {
-	if !t.Stands { // nobody waits for its answer any more
+	if !t.Established { // nobody waits for its answer any more
 		d.n.trunk.Withdraw(t.Server, t.ID, "0")
 		return false
 	}
-	return d.n.ledger == nil || d.n.ledger.Adopt(ledger.Taken{ID: t.ID, Tenant: t.Tenant, Class: t.Class, Server: t.Server, Attempt: t.Attempt, Retry: t.Retry, InTime: t.InTime, Stood: t.Stood})
+	return d.n.ledger == nil || d.n.ledger.Adopt(ledger.Taken{ID: t.ID, Tenant: t.Tenant, Class: t.Class, Server: t.Server, Attempt: t.Attempt, Retry: t.Retry, InTime: t.InTime, Stood: t.EstablishedAt})
 }
 
 func (d desk) Drop(id string) {
@@ -361,31 +361,31 @@
 	}
 }
 
-func (d desk) Ended(e takeover.End, taken bool) {
-	how := threadglade.Outcome(e.How)
+func (d desk) EndCall(e takeover.End, taken bool) {
+	how := threadglade.Outcome(e.Outcome)
 	if !taken {
-		d.n.trunk.Ended(e.Call, how, e.By)
+		d.n.trunk.Ended(e.Call, how, e.ByCaller)
 		return
 	}
 	if d.n.ledger != nil {
 		d.n.ledger.Observe(router.Event{Kind: router.UnknownServerRelease, At: d.n.clock(), Call: e.Call, Outcome: how})
 	}
-	if !e.By {
+	if !e.ByCaller {
 		d.n.front.Orphan(e.Call, how)
 	}
 }
 
-func (d desk) Tell(e takeover.End) { d.n.front.Orphan(e.Call, threadglade.Outcome(e.How)) }
+func (d desk) NotifyCaller(e takeover.End) { d.n.front.Orphan(e.Call, threadglade.Outcome(e.Outcome)) }
 
-func (d desk) Renew() { d.n.trunk.Renew() }
+func (d desk) RequestReports() { d.n.trunk.Renew() }
 
-func (d desk) Taken(ids []string) {
+func (d desk) MarkTaken(ids []string) {
 	for _, id := range ids {
 		d.Drop(id)
 	}
 }
 
-func (d desk) Awake() {
+func (d desk) ReclaimRemaining() {
 	if d.n.ledger != nil {
 		d.n.ledger.Wake(nil)
 	}
@@ -395,7 +395,7 @@
 func (n *Node) owe() {
 	var list []takeover.End
 	for _, o := range n.front.Owed() {
-		list = append(list, takeover.End{Call: o.ID, How: uint8(o.How), Tell: true})
+		list = append(list, takeover.End{Call: o.ID, Outcome: uint8(o.How), NotifyCaller: true})
 	}
 	n.fleet.Owe(list)
 }
--- a/takeover/holder.go
+++ b/takeover/holder.go
@@ -69,22 +69,22 @@
 }
 
 // FleetLog is a replica holder's view of the fleet's replicated log.
-type Log interface {
+type FleetLog interface {
 	// IsOver reports whether an incarnation is over.
-	Over(name string, incarnation uint64) bool
+	IsOver(name string, incarnation uint64) bool
 	// SuccessorOf returns the router that succeeds an incarnation and the successor's own incarnation number; over is
 	// false if the log does not have the incarnation as over.
 	SuccessorOf(name string, incarnation uint64) (successor string, number uint64, over bool)
 	// IsLive reports whether a router acts under the name.
-	Lives(name string) bool
+	IsLive(name string) bool
 }
 
 // ReplicaHolder holds replicas of other routers' calls and takes calls over as a successor. It must be used by one
 // goroutine at a time.
-type Holder struct {
-	Terms         Terms
+type ReplicaHolder struct {
+	Settings      Settings
 	Name          string // of this router
-	Log           Log
+	Log           FleetLog
 	replicas      map[ownerKey]*replica
 	heldCalls     int // in all replicas, incoming ones included
 	taken         map[ownerKey]*takeoverState
@@ -102,15 +102,15 @@
 	acksByBatch   map[uint64]pendingAcks
 	sends         []Send            // that the next Output returns
 	reported      map[ownerKey]bool // earlier incarnations of this router whose successors have reported
-	Back          func(calls []string)
+	OnTaken       func(calls []string)
 	incomingTaken []string // calls of a report by a successor that is being received
 	Count         struct{ Refused, Full, Taken, Dropped, LetGo, Heard, Lost, Guessed uint64 }
 }
 
 // NewReplicaHolder returns a ReplicaHolder without replicas for the router of that name.
-func NewHolder(settings Terms, name string, fleetLog Log) *Holder {
-	return &Holder{
-		Terms:       settings,
+func NewReplicaHolder(settings Settings, name string, fleetLog FleetLog) *ReplicaHolder {
+	return &ReplicaHolder{
+		Settings:    settings,
 		Name:        name,
 		Log:         fleetLog,
 		replicas:    map[ownerKey]*replica{},
@@ -125,7 +125,7 @@
 // Receive processes a frame of another router. Incarnation is the one by which this router acts, 0 without a lease;
 // now is the time on this router's clock. Frames that are malformed or not the sender's to send are counted as
 // refused.
-func (h *Holder) Hear(now time.Duration, from string, frame *takeoverpb.Frame, incarnation uint64) {
+func (h *ReplicaHolder) Receive(now time.Duration, from string, frame *takeoverpb.Frame, incarnation uint64) {
 	key := ownerKey{frame.Owner, frame.Incarnation}
 	reply := func(r *takeoverpb.Frame) {
 		r.Owner, r.Incarnation = frame.Owner, frame.Incarnation
@@ -168,7 +168,7 @@
 				list = append(list, End{e.Call, uint8(e.How), e.At, e.ByCaller, false})
 			}
 		}
-		h.Ended(now, from, list)
+		h.ReceiveEnds(now, from, list)
 	case frame.GetBack() != nil:
 		if frame.Owner != h.Name || len(frame.GetBack().Calls) > maxPageRecords ||
 			len(h.incomingTaken) > maxTakenCalls {
@@ -177,8 +177,8 @@
 			return
 		}
 		if h.incomingTaken = append(h.incomingTaken, frame.GetBack().Calls...); frame.GetBack().Last {
-			if h.Back != nil {
-				h.Back(h.incomingTaken)
+			if h.OnTaken != nil {
+				h.OnTaken(h.incomingTaken)
 			}
 			h.incomingTaken = nil
 			h.reported[key] = true
@@ -196,11 +196,11 @@
 }
 
 // receiveGive applies records or a snapshot page that an owner sent, and returns the confirmation to send back.
-func (h *Holder) receiveGive(now time.Duration, key ownerKey, msg *takeoverpb.Give) *takeoverpb.Confirm {
+func (h *ReplicaHolder) receiveGive(now time.Duration, key ownerKey, msg *takeoverpb.Give) *takeoverpb.Confirm {
 	held := h.replicas[key]
 	// An incarnation that is over is rejected. But what it still did while this router's guarantee held counts; it is
 	// confirmed as over, so that the guarantee is not extended.
-	over := h.Log.Over(key.owner, key.incarnation) && mutant != "confirm-the-dead"
+	over := h.Log.IsOver(key.owner, key.incarnation) && mutant != "confirm-the-dead"
 	if over && (held == nil || held.sentTo != "" || now >= held.guaranteedUntil || mutant == "deaf-to-the-last") {
 		return &takeoverpb.Confirm{Over: true}
 	}
@@ -220,7 +220,7 @@
 		return &takeoverpb.Confirm{Again: true}
 	}
 	if !over && mutant != "no-vouch" {
-		held.guaranteedUntil = now + h.Terms.Wait()
+		held.guaranteedUntil = now + h.Settings.HolderGuaranteeTTL()
 	}
 	switch {
 	case msg.First || msg.Last || held.incoming != nil:
@@ -262,7 +262,7 @@
 }
 
 // dropReplica deletes a replica.
-func (h *Holder) dropReplica(held *replica) {
+func (h *ReplicaHolder) dropReplica(held *replica) {
 	h.heldCalls -= len(held.calls) + len(held.incoming)
 	delete(h.replicas, held.ownerKey)
 }
@@ -270,8 +270,8 @@
 // Tick hands over and takes over the replicas whose guarantee has expired, reports taken calls to owners that are
 // back, and forgets ends after their TTL. Incarnation is the one by which this router acts, 0 without a lease: then
 // nothing is handed over or taken over.
-func (h *Holder) Tick(now time.Duration, incarnation uint64) {
-	for len(h.ends) > 0 && now-h.endsAt[0] > h.Terms.Remember {
+func (h *ReplicaHolder) Tick(now time.Duration, incarnation uint64) {
+	for len(h.ends) > 0 && now-h.endsAt[0] > h.Settings.EndTTL {
 		h.forgetOldestEnd()
 	}
 	if incarnation == 0 {
@@ -283,7 +283,7 @@
 		held := h.replicas[key]
 		successor, successorIncarnation, over := h.Log.SuccessorOf(key.owner, key.incarnation)
 		switch {
-		case !over && !h.Log.Over(key.owner, key.incarnation),
+		case !over && !h.Log.IsOver(key.owner, key.incarnation),
 			now < held.guaranteedUntil && mutant != "let-go-early":
 			continue
 		case !over: // the log no longer has the incarnation
@@ -309,7 +309,7 @@
 		if _, _, known := h.Log.SuccessorOf(key.owner, key.incarnation); state.settled && !known {
 			delete(h.taken, key)
 		}
-		if state.mustReport() && h.Log.Over(key.owner, key.incarnation) && h.Log.Lives(key.owner) &&
+		if state.mustReport() && h.Log.IsOver(key.owner, key.incarnation) && h.Log.IsLive(key.owner) &&
 			now-state.reportedAt > passRetryInterval {
 			state.reportedAt, state.closed = now, mutant != "never-closed"
 			h.reportTaken(key, state)
@@ -318,7 +318,7 @@
 }
 
 // handOver sends a replica to the successor, preceded by the remembered ends.
-func (h *Holder) handOver(held *replica) {
+func (h *ReplicaHolder) handOver(held *replica) {
 	for list := range slices.Chunk(h.ends, maxPageRecords) {
 		h.sends = append(h.sends, heardFrame(held.sentTo, list))
 	}
@@ -327,7 +327,7 @@
 		count := min(len(ids), maxPageRecords)
 		page := &takeoverpb.Pass{Number: held.number, First: first, Last: count == len(ids), Holders: held.holders}
 		for _, id := range ids[:count] {
-			page.Records = append(page.Records, encodeRecord(&Record{Out, *held.calls[id]}))
+			page.Records = append(page.Records, encodeRecord(&Record{Pending, *held.calls[id]}))
 		}
 		ids = ids[count:]
 		h.sends = append(h.sends, Send{held.sentTo, &takeoverpb.Frame{
@@ -340,7 +340,7 @@
 
 // receivePass processes a page of a replica that is handed over to this router as the successor. It reports whether
 // the replica is now complete.
-func (h *Holder) receivePass(
+func (h *ReplicaHolder) receivePass(
 	now time.Duration, from string, key ownerKey, page *takeoverpb.Pass, incarnation uint64,
 ) bool {
 	successor, successorIncarnation, over := h.Log.SuccessorOf(key.owner, key.incarnation)
@@ -369,7 +369,7 @@
 }
 
 // addReplica stores a complete replica that a replica holder handed over.
-func (h *Holder) addReplica(now time.Duration, key ownerKey, from string, held *replica) {
+func (h *ReplicaHolder) addReplica(now time.Duration, key ownerKey, from string, held *replica) {
 	state := h.stateOf(key)
 	if len(state.replicas) == 0 {
 		state.firstAt = now
@@ -379,7 +379,7 @@
 
 // takeBestReplica takes over the replica with the highest number, once the replicas of all live replica holders have
 // arrived or gatherTimeout has passed.
-func (h *Holder) takeBestReplica(now time.Duration, key ownerKey, state *takeoverState) {
+func (h *ReplicaHolder) takeBestReplica(now time.Duration, key ownerKey, state *takeoverState) {
 	if len(state.replicas) == 0 {
 		return
 	}
@@ -391,7 +391,7 @@
 			best = held
 		}
 		for _, name := range held.holders {
-			complete = complete && (state.replicas[name] != nil || !h.Log.Lives(name))
+			complete = complete && (state.replicas[name] != nil || !h.Log.IsLive(name))
 		}
 	}
 	if !complete && now-state.firstAt < gatherTimeout && mutant != "first-copy" {
@@ -408,7 +408,7 @@
 }
 
 // stateOf returns the take-over state of an incarnation, which it creates if there is none.
-func (h *Holder) stateOf(key ownerKey) *takeoverState {
+func (h *ReplicaHolder) stateOf(key ownerKey) *takeoverState {
 	state := h.taken[key]
 	if state == nil {
 		state = &takeoverState{
@@ -423,7 +423,7 @@
 
 // takeCalls takes over the calls of a replica. Of several replicas the one with the highest number is authoritative:
 // a call that it lacks is over in the owner's own ledger, and is dropped if a lower replica brought it.
-func (h *Holder) takeCalls(now time.Duration, key ownerKey, number uint64, calls callTable) {
+func (h *ReplicaHolder) takeCalls(now time.Duration, key ownerKey, number uint64, calls callTable) {
 	state := h.stateOf(key)
 	if state.closed || state.number > number || state.number == number && len(state.calls) > 0 {
 		return
@@ -463,7 +463,7 @@
 		h.adopt = append(h.adopt, call)
 		if end, ok := h.endByCall[id]; ok {
 			h.newEnds = append(h.newEnds, end)
-		} else if call.Stands {
+		} else if call.Established {
 			h.activeTaken[id] = true
 		}
 		h.Count.Taken++
@@ -471,7 +471,7 @@
 }
 
 // reportTaken tells an owner that is back which calls were taken from it.
-func (h *Holder) reportTaken(key ownerKey, state *takeoverState) {
+func (h *ReplicaHolder) reportTaken(key ownerKey, state *takeoverState) {
 	ids := slices.Sorted(maps.Keys(state.calls))
 	for first := true; first || len(ids) > 0; first = false {
 		count := min(len(ids), maxPageRecords)
@@ -485,11 +485,11 @@
 }
 
 // SetLinks sets the routers to which links are open.
-func (h *Holder) Linked(names []string) { h.links = names }
+func (h *ReplicaHolder) SetLinks(names []string) { h.links = names }
 
 // ForwardEnds has a linked router notify callers of ends that this router can no longer deliver. It returns false if
 // no router is linked.
-func (h *Holder) Tell(list []End) bool {
+func (h *ReplicaHolder) ForwardEnds(list []End) bool {
 	if len(h.links) == 0 {
 		return false
 	}
@@ -501,7 +501,7 @@
 
 // SendKnownEnds sends the remembered ends to a router whose link has just opened: it may have missed them while there
 // was no link.
-func (h *Holder) Greet(name string) {
+func (h *ReplicaHolder) SendKnownEnds(name string) {
 	for list := range slices.Chunk(h.ends, maxPageRecords) {
 		h.sends = append(h.sends, heardFrame(name, list))
 	}
@@ -510,7 +510,7 @@
 // ReceiveEnds takes the ends of calls that were unknown where the ends were received: at this router, if from is
 // empty, or at the router from. New ones are returned by the next Output, since the calls may belong to this router,
 // and are forwarded to all linked routers; so each router receives them once.
-func (h *Holder) Ended(now time.Duration, from string, list []End) {
+func (h *ReplicaHolder) ReceiveEnds(now time.Duration, from string, list []End) {
 	var newEnds []End
 	for _, end := range list {
 		if _, ok := h.endByCall[end.Call]; ok {
@@ -541,7 +541,7 @@
 }
 
 // forgetOldestEnd deletes the oldest remembered end.
-func (h *Holder) forgetOldestEnd() {
+func (h *ReplicaHolder) forgetOldestEnd() {
 	delete(h.endByCall, h.ends[0].Call)
 	h.ends, h.endsAt = h.ends[1:], h.endsAt[1:]
 }
@@ -552,27 +552,27 @@
 	for _, end := range list {
 		msg.Ends = append(msg.Ends, &takeoverpb.End{
 			Call:     end.Call,
-			How:      uint32(end.How),
+			How:      uint32(end.Outcome),
 			At:       end.At,
-			ByCaller: end.By,
-			Tell:     end.Tell,
+			ByCaller: end.ByCaller,
+			Tell:     end.NotifyCaller,
 		})
 	}
 	return Send{to, &takeoverpb.Frame{What: &takeoverpb.Frame_Heard{Heard: msg}}}
 }
 
 // Actions is what the loop has to do, in the order of the fields.
-type Acts struct {
-	Take  uint64   // batch to pass to ConfirmBatch once its calls are replicated; 0: nothing to confirm
-	Adopt []Call   // calls to take over
-	Drop  []string // calls taken over that are over in their owner's ledger
-	Ends  []End    // received ends of calls that may be this router's
+type Actions struct {
+	BatchID uint64   // batch to pass to ConfirmBatch once its calls are replicated; 0: nothing to confirm
+	Adopt   []Call   // calls to take over
+	Drop    []string // calls taken over that are over in their owner's ledger
+	Ends    []End    // received ends of calls that may be this router's
 }
 
 // ConfirmBatch is called when the calls of a batch are in the replicas of this router's own replica holders. It
 // acknowledges the replicas to the routers that handed them over before the loop acts on the calls, so that nobody
 // else takes them over.
-func (h *Holder) Safe(batchID uint64) {
+func (h *ReplicaHolder) ConfirmBatch(batchID uint64) {
 	acks := h.acksByBatch[batchID]
 	delete(h.acksByBatch, batchID)
 	h.sends = append(h.sends, acks.replies...)
@@ -584,11 +584,11 @@
 }
 
 // Output returns the frames to send and the actions for the loop since the last call.
-func (h *Holder) Output() (sends []Send, actions Acts) {
-	sends, actions = h.sends, Acts{Adopt: h.adopt, Drop: h.drop, Ends: h.newEnds}
+func (h *ReplicaHolder) Output() (sends []Send, actions Actions) {
+	sends, actions = h.sends, Actions{Adopt: h.adopt, Drop: h.drop, Ends: h.newEnds}
 	if len(h.adopt)+len(h.nextAcks.replies)+len(h.nextAcks.own) > 0 {
 		h.batches++
-		actions.Take = h.batches
+		actions.BatchID = h.batches
 		h.acksByBatch[h.batches], h.nextAcks = h.nextAcks, pendingAcks{}
 	}
 	h.sends, h.adopt, h.drop, h.newEnds = nil, nil, nil, nil
@@ -596,7 +596,7 @@
 }
 
 // NextTick returns the time by which Tick has to be called if nothing is received before.
-func (h *Holder) Due(now time.Duration) time.Duration {
+func (h *ReplicaHolder) NextTick(now time.Duration) time.Duration {
 	at := time.Duration(math.MaxInt64)
 	for key, held := range h.replicas {
 		if successor, _, over := h.Log.SuccessorOf(key.owner, key.incarnation); over && successor != "" {
@@ -607,7 +607,7 @@
 		if len(state.replicas) > 0 {
 			at = min(at, now+tickInterval)
 		}
-		if state.mustReport() && h.Log.Lives(key.owner) {
+		if state.mustReport() && h.Log.IsLive(key.owner) {
 			at = min(at, state.reportedAt+passRetryInterval)
 		}
 	}
@@ -616,7 +616,7 @@
 
 // WantedLinks returns the routers to which links are needed: successors for held replicas, and owners of taken calls,
 // which may be back.
-func (h *Holder) Names() (list []string) {
+func (h *ReplicaHolder) WantedLinks() (list []string) {
 	for key := range h.replicas {
 		if successor, _, over := h.Log.SuccessorOf(key.owner, key.incarnation); over && successor != "" &&
 			successor != h.Name {
@@ -632,12 +632,12 @@
 }
 
 // HasReported reports whether the successor of an earlier incarnation of this router has told it which calls it took.
-func (h *Holder) Told(incarnation uint64) bool {
+func (h *ReplicaHolder) HasReported(incarnation uint64) bool {
 	return h.reported[ownerKey{h.Name, incarnation}]
 }
 
 // Report returns the state of a router's Owner and ReplicaHolder for operators.
-func Report(now time.Duration, owner *Owner, holder *Holder) *takeoverpb.Report {
+func Report(now time.Duration, owner *Owner, holder *ReplicaHolder) *takeoverpb.Report {
 	report := &takeoverpb.Report{
 		Incarnation: owner.incarnation,
 		Number:      owner.number,
@@ -655,10 +655,10 @@
 			"refused": holder.Count.Refused + owner.Count.Refused,
 		},
 	}
-	if !owner.Alone() {
+	if !owner.Unreplicated() {
 		report.Confirmed = owner.Confirmed()
 	}
-	for _, name := range owner.Names() {
+	for _, name := range owner.HolderNames() {
 		state := owner.holders[name]
 		report.Holders = append(report.Holders, &takeoverpb.Held{
 			Name:        name,
@@ -698,7 +698,7 @@
 
 // FindCall describes where a call is known at this router: as its own call in progress, in a replica, or as taken
 // over.
-func Find(id string, owner *Owner, holder *Holder) (where []string) {
+func FindCall(id string, owner *Owner, holder *ReplicaHolder) (where []string) {
 	if held := owner.calls[id]; held != nil {
 		where = append(where, "in hand of "+owner.Name+" at "+held.Server)
 	}
--- a/takeover/owner.go
+++ b/takeover/owner.go
@@ -36,7 +36,7 @@
 
 // Owner replicates this router's calls to its replica holders. It must be used by one goroutine at a time.
 type Owner struct {
-	Terms       Terms
+	Settings    Settings
 	Name        string // of this router
 	incarnation uint64 // by which it acts, 0 if by none
 	calls       callTable
@@ -50,20 +50,20 @@
 }
 
 // NewOwner returns an Owner without calls.
-func NewOwner(settings Terms, name string) *Owner {
+func NewOwner(settings Settings, name string) *Owner {
 	return &Owner{
-		Terms:   settings,
-		Name:    name,
-		calls:   callTable{},
-		holders: map[string]*holderState{},
-		links:   map[string]bool{},
+		Settings: settings,
+		Name:     name,
+		calls:    callTable{},
+		holders:  map[string]*holderState{},
+		links:    map[string]bool{},
 	}
 }
 
 // SetIncarnation sets the incarnation by which the router acts from now on; its replica holders get a snapshot under
 // it. It has no effect while the loop has not relinquished the calls of an earlier incarnation, as the last records
 // still belong to that one.
-func (o *Owner) Acts(incarnation uint64) {
+func (o *Owner) SetIncarnation(incarnation uint64) {
 	if o.incarnation != 0 && mutant != "old-work" {
 		return
 	}
@@ -77,7 +77,7 @@
 
 // SetHolders sets the routers that are to hold replicas, by name and incarnation; over reports whether the log has an
 // incarnation as over.
-func (o *Owner) Holders(want map[string]uint64, over func(name string, incarnation uint64) bool) {
+func (o *Owner) SetHolders(want map[string]uint64, over func(name string, incarnation uint64) bool) {
 	o.holderNames = slices.Sorted(maps.Keys(want))
 	for name, holder := range o.holders {
 		if over(name, holder.incarnation) { // its lease is over: it hands nothing over any more
@@ -96,11 +96,11 @@
 }
 
 // HolderNames returns the routers to which links are needed.
-func (o *Owner) Names() []string { return slices.Sorted(maps.Keys(o.holders)) }
+func (o *Owner) HolderNames() []string { return slices.Sorted(maps.Keys(o.holders)) }
 
 // SetLinked reports that a link to a router is open, or that there is none any more. Each call makes the replica
 // start anew with a snapshot.
-func (o *Owner) Linked(name string, linked bool) {
+func (o *Owner) SetLinked(name string, linked bool) {
 	o.links[name] = linked
 	if h := o.holders[name]; h != nil {
 		h.linked, h.snapshotSent, h.lastSent = linked, false, 0
@@ -151,7 +151,7 @@
 	for _, holder := range o.linkedHolders() {
 		switch {
 		case !holder.wanted:
-			if holder.mayHold && now-holder.lastSent >= o.Terms.Vouch/renewalsPerGuarantee {
+			if holder.mayHold && now-holder.lastSent >= o.Settings.GuaranteeTTL/renewalsPerGuarantee {
 				holder.dropSent = true
 				give(holder, &takeoverpb.Give{Drop: true})
 			}
@@ -165,7 +165,7 @@
 				count := min(len(ids), maxPageRecords)
 				msg := &takeoverpb.Give{From: o.number, First: first, Last: count == len(ids)}
 				for _, id := range ids[:count] {
-					msg.Records = append(msg.Records, encodeRecord(&Record{Out, *o.calls[id]}))
+					msg.Records = append(msg.Records, encodeRecord(&Record{Pending, *o.calls[id]}))
 				}
 				ids = ids[count:]
 				give(holder, msg)
@@ -182,7 +182,7 @@
 				o.Count.Given += uint64(len(list))
 				give(holder, msg)
 			}
-		case now-holder.lastSent >= o.Terms.Vouch/renewalsPerGuarantee:
+		case now-holder.lastSent >= o.Settings.GuaranteeTTL/renewalsPerGuarantee:
 			give(holder, &takeoverpb.Give{From: holder.sentNumber})
 		}
 	}
@@ -192,7 +192,7 @@
 }
 
 // NextTick returns the time by which Tick has to be called if nothing happens before.
-func (o *Owner) Due() time.Duration {
+func (o *Owner) NextTick() time.Duration {
 	at := time.Duration(math.MaxInt64)
 	if o.incarnation == 0 {
 		return at
@@ -205,7 +205,7 @@
 		case h.wanted && h.sentNumber < o.number:
 			return 0
 		default:
-			at = min(at, h.lastSent+o.Terms.Vouch/renewalsPerGuarantee)
+			at = min(at, h.lastSent+o.Settings.GuaranteeTTL/renewalsPerGuarantee)
 		}
 	}
 	return at
@@ -213,7 +213,7 @@
 
 // ReceiveConfirm processes a replica holder's confirmation. It reports whether the replica holder has the incarnation
 // as over.
-func (o *Owner) Hear(from string, incarnation uint64, confirm *takeoverpb.Confirm) (over bool) {
+func (o *Owner) ReceiveConfirm(from string, incarnation uint64, confirm *takeoverpb.Confirm) (over bool) {
 	holder := o.holders[from]
 	if holder == nil || incarnation != o.incarnation || confirm.Upto > o.number {
 		o.Count.Refused++
@@ -235,14 +235,14 @@
 	default:
 		holder.confirmed = max(holder.confirmed, confirm.Upto)
 	}
-	holder.guaranteedUntil = max(holder.guaranteedUntil, time.Duration(confirm.Asked)+o.Terms.Vouch)
+	holder.guaranteedUntil = max(holder.guaranteedUntil, time.Duration(confirm.Asked)+o.Settings.GuaranteeTTL)
 	return false
 }
 
 // Confirmed returns the number up to which at least one replica holder has all records, or the maximum if there is
 // nobody to hold them.
 func (o *Owner) Confirmed() uint64 {
-	if o.Alone() {
+	if o.Unreplicated() {
 		return math.MaxUint64
 	}
 	var most uint64
@@ -253,18 +253,18 @@
 }
 
 // Unreplicated reports whether no replica holder is linked: calls then proceed without being replicated.
-func (o *Owner) Alone() bool {
+func (o *Owner) Unreplicated() bool {
 	return o.incarnation == 0 || !slices.ContainsFunc(o.linkedHolders(), func(h *holderState) bool { return h.wanted })
 }
 
 // GuaranteedUntil returns the time until which this router may act by the guarantees of its replica holders alone. It
 // is one ConfirmTimeout before the first that may have a replica could hand it over, so that the router's last
 // records still arrive there. Without any replica it is the maximum.
-func (o *Owner) Vouched() time.Duration {
+func (o *Owner) GuaranteedUntil() time.Duration {
 	until := time.Duration(math.MaxInt64)
 	for _, h := range o.holders {
 		if h.mayHold {
-			until = min(until, h.guaranteedUntil-o.Terms.Patience)
+			until = min(until, h.guaranteedUntil-o.Settings.ConfirmTimeout)
 		}
 	}
 	return until
@@ -272,7 +272,7 @@
 
 // RelinquishAll gives up all calls, which other routers may take over now, and returns the frames with the last
 // records.
-func (o *Owner) Cease(now time.Duration) (sends []Send) {
+func (o *Owner) RelinquishAll(now time.Duration) (sends []Send) {
 	sends = o.Tick(now)
 	clear(o.calls)
 	o.incarnation = 0
@@ -290,15 +290,15 @@
 	pending, number := callTable{}, o.number
 	var over []Record
 	for _, id := range slices.Sorted(maps.Keys(o.calls)) {
-		if call := o.calls[id]; !call.Stands && mutant != "withdrawn-alive" {
+		if call := o.calls[id]; !call.Established && mutant != "withdrawn-alive" {
 			pending[id] = call
-			over = append(over, Record{Over, Call{ID: id}})
+			over = append(over, Record{Ended, Call{ID: id}})
 		}
 	}
 	if len(over) > 0 {
 		o.Add(o.number+1, over)
 	}
-	sends = o.Leave(now)
+	sends = o.AnnounceLeave(now)
 	o.calls, o.incarnation, o.number = pending, 0, number
 	o.tail, o.tailStart = nil, o.number
 	for _, holder := range o.holders {
@@ -309,7 +309,7 @@
 
 // AnnounceLeave returns frames that tell the replica holders that the router has stopped acting: they need not wait
 // for their guarantees to expire.
-func (o *Owner) Leave(now time.Duration) (sends []Send) {
+func (o *Owner) AnnounceLeave(now time.Duration) (sends []Send) {
 	sends = o.Tick(now)
 	for _, h := range o.linkedHolders() {
 		if h.mayHold && h.wanted {
--- a/takeover/ownership.go
+++ b/takeover/ownership.go
@@ -11,14 +11,14 @@
 
 // CallHandler carries out the decisions of an OwnershipManager on the router's own state: its ledger, its callers and
 // its connections to servers. It is called on the event loop.
-type Desk interface {
+type CallHandler interface {
 	// RelinquishAll gives up all calls in progress and returns the IDs of those that are established.
-	Cease() (established []string)
+	RelinquishAll() (established []string)
 	// RelinquishEstablished gives up the established calls alone and returns their IDs.
-	Cede() (established []string)
+	RelinquishEstablished() (established []string)
 	// RetractEnds is called after RelinquishAll. It removes and returns the ends that have not been sent yet, of
 	// which nobody was notified.
-	Unsay() []End
+	RetractEnds() []End
 	// Adopt enters a call that was taken over into the ledger. It returns false if the call is in the ledger already,
 	// or if nobody waits for its answer.
 	Adopt(c Call) bool
@@ -26,21 +26,21 @@
 	Drop(id string)
 	// EndCall ends a call whose end was received at another router; taken: this router has taken the call over,
 	// otherwise it may be established here.
-	Ended(e End, taken bool)
+	EndCall(e End, taken bool)
 	// NotifyCaller notifies a caller whose own router cannot do so any more.
-	Tell(e End)
+	NotifyCaller(e End)
 	// RequestReports asks the servers to send what they have to report.
-	Renew()
+	RequestReports()
 	// MarkTaken names calls of earlier incarnations that other routers have taken over.
-	Taken(ids []string)
+	MarkTaken(ids []string)
 	// ReclaimRemaining is called when no more calls of earlier incarnations were taken over.
-	Awake()
+	ReclaimRemaining()
 }
 
 // OwnershipManager decides for which calls a router acts. Its methods must be called on the event loop.
-type Actor struct {
-	Desk         Desk
-	Giver        *Giver
+type OwnershipManager struct {
+	Handler      CallHandler
+	Recorder     *Recorder
 	incarnation  uint64 // by which the router acts, or acted last
 	relinquished bool
 	adopted      map[string]bool // calls taken over that have not ended
@@ -57,10 +57,10 @@
 
 // NewOwnershipManager returns the OwnershipManager of a router that has started. Open lists the calls of earlier
 // incarnations whose ends are not known.
-func NewActor(handler Desk, recorder *Giver, open []string) *Actor {
-	m := &Actor{
-		Desk:        handler,
-		Giver:       recorder,
+func NewOwnershipManager(handler CallHandler, recorder *Recorder, open []string) *OwnershipManager {
+	m := &OwnershipManager{
+		Handler:     handler,
+		Recorder:    recorder,
 		adopted:     map[string]bool{},
 		pendingEnds: map[string]*End{},
 	}
@@ -74,7 +74,7 @@
 // router acts now, 0 without a lease. A router without a lease relinquishes its calls once over says that its own
 // incarnation has ended, or once not all replica holders guarantee any more, at guaranteedUntil; so does a router that
 // acts by another incarnation than before. It reports whether the router has just relinquished its calls.
-func (m *Actor) Look(
+func (m *OwnershipManager) CheckOwnership(
 	now time.Duration, incarnation uint64, over bool, guaranteedUntil time.Duration,
 ) bool {
 	lapsed := m.Lapsed(now, incarnation, over, guaranteedUntil)
@@ -87,15 +87,15 @@
 	}
 	m.relinquished = incarnation == 0
 	m.Count.Ceased++
-	m.Giver.Cease()
-	for _, id := range m.Desk.Cease() {
+	m.Recorder.StopRecording()
+	for _, id := range m.Handler.RelinquishAll() {
 		m.pendingEnds[id] = nil
 	}
 	m.releaseAdopted()
 	if mutant != "late-words" {
 		// Replica holders have these calls as established: the end is notified by whoever takes the call over, or by
 		// this router once it knows that nobody has.
-		for _, e := range m.Desk.Unsay() {
+		for _, e := range m.Handler.RetractEnds() {
 			m.pendingEnds[e.Call] = &e
 		}
 	}
@@ -104,7 +104,7 @@
 
 // releaseAdopted gives up the calls taken over, also those not yet replicated: the routers that handed them over will
 // pass them to this router's own successor.
-func (m *Actor) releaseAdopted() {
+func (m *OwnershipManager) releaseAdopted() {
 	for id := range m.adopted {
 		m.pendingEnds[id] = nil
 	}
@@ -115,10 +115,10 @@
 // Evacuate relinquishes the established calls at an operator's request and returns their number. It must be called
 // while no notification of an end is pending. Set-ups that are in flight continue, and the router acts by its next
 // incarnation.
-func (m *Actor) Evacuate() (calls int) {
+func (m *OwnershipManager) Evacuate() (calls int) {
 	m.Count.Evacuated++
-	m.Giver.Cede()
-	established := m.Desk.Cede()
+	m.Recorder.StopRecordingEstablished()
+	established := m.Handler.RelinquishEstablished()
 	for _, id := range established {
 		m.pendingEnds[id] = nil
 	}
@@ -130,7 +130,7 @@
 
 // Lapsed reports whether CheckOwnership would relinquish the calls now: until it has, no output about them may be
 // sent.
-func (m *Actor) Lapsed(
+func (m *OwnershipManager) Lapsed(
 	now time.Duration, incarnation uint64, over bool, guaranteedUntil time.Duration,
 ) bool {
 	switch {
@@ -143,32 +143,32 @@
 }
 
 // Relinquished reports whether the router has relinquished its calls and has not acquired ownership anew.
-func (m *Actor) Ceased() bool { return m.relinquished }
+func (m *OwnershipManager) Relinquished() bool { return m.relinquished }
 
 // Apply applies the actions that a ReplicaHolder has output. Calls to take over are recorded; AdoptConfirmed adopts
 // them once a replica holder has the records.
-func (m *Actor) Take(actions Acts) {
-	if actions.Take != 0 {
+func (m *OwnershipManager) Apply(actions Actions) {
+	if actions.BatchID != 0 {
 		for _, c := range actions.Adopt {
-			m.Giver.Adopt(c)
+			m.Recorder.Adopt(c)
 			m.pendingEnds[c.ID] = nil
 		}
-		m.pending = append(m.pending, pendingTake{m.Giver.Number(), actions.Adopt})
+		m.pending = append(m.pending, pendingTake{m.Recorder.LastNumber(), actions.Adopt})
 	}
 	for _, id := range actions.Drop {
 		delete(m.adopted, id)
 		delete(m.pendingEnds, id)
-		m.Desk.Drop(id)
-		m.Giver.Settle(id)
+		m.Handler.Drop(id)
+		m.Recorder.QueueEnd(id)
 	}
 	for _, end := range actions.Ends {
-		m.Ended(end)
+		m.ReceiveEnd(end)
 	}
 }
 
 // AdoptConfirmed adopts the taken calls whose records, up to number, this router's own replica holders have
 // confirmed.
-func (m *Actor) Confirmed(number uint64) {
+func (m *OwnershipManager) AdoptConfirmed(number uint64) {
 	for len(m.pending) > 0 && (number >= m.pending[0].number || mutant == "act-at-once") {
 		list := m.pending[0].calls
 		m.pending = m.pending[1:]
@@ -178,34 +178,34 @@
 			if !present { // dropped in the meantime
 				continue
 			}
-			if !m.Desk.Adopt(call) {
-				m.Giver.Settle(call.ID)
+			if !m.Handler.Adopt(call) {
+				m.Recorder.QueueEnd(call.ID)
 				continue
 			}
 			m.Count.Adopted++
 			m.adopted[call.ID] = true
 			if end != nil {
-				m.Ended(*end)
+				m.ReceiveEnd(*end)
 			}
 		}
 		if len(list) > 0 {
-			m.Desk.Renew()
+			m.Handler.RequestReports()
 		}
 	}
 }
 
 // MarkTaken names calls of earlier incarnations that other routers have taken over.
-func (m *Actor) Taken(ids []string) {
+func (m *OwnershipManager) MarkTaken(ids []string) {
 	for _, id := range ids {
 		delete(m.pendingEnds, id)
 	}
-	m.Desk.Taken(ids)
+	m.Handler.MarkTaken(ids)
 }
 
 // ReclaimRemaining is called when no more calls were taken over by others: those that remain of what this router
 // relinquished, or had open before a start, belong to it again.
-func (m *Actor) Awake() {
-	m.Desk.Awake()
+func (m *OwnershipManager) ReclaimRemaining() {
+	m.Handler.ReclaimRemaining()
 	for _, id := range slices.Sorted(maps.Keys(m.pendingEnds)) {
 		if slices.ContainsFunc(m.pending, func(s pendingTake) bool {
 			return slices.ContainsFunc(s.calls, func(c Call) bool { return c.ID == id })
@@ -217,27 +217,27 @@
 		m.adopted[id] = true
 		m.Count.Again++
 		if end != nil {
-			m.Ended(*end)
+			m.ReceiveEnd(*end)
 		}
 	}
 }
 
 // ReceiveEnd processes the end of a call that another router has received.
-func (m *Actor) Ended(end End) {
-	if end.Tell {
-		m.Desk.Tell(end)
+func (m *OwnershipManager) ReceiveEnd(end End) {
+	if end.NotifyCaller {
+		m.Handler.NotifyCaller(end)
 		return
 	}
 	if _, waits := m.pendingEnds[end.Call]; waits {
 		m.pendingEnds[end.Call] = &end
 		return
 	}
-	m.Desk.Ended(end, m.endAdopted(end.Call))
+	m.Handler.EndCall(end, m.endAdopted(end.Call))
 }
 
 // ClaimEnd processes the end of a call that this router's own Router does not know. It reports whether this router
 // has to notify the caller: it has taken the call over, or no other router is linked that could know of it.
-func (m *Actor) Heard(end End, linked bool) bool {
+func (m *OwnershipManager) ClaimEnd(end End, linked bool) bool {
 	if _, waits := m.pendingEnds[end.Call]; waits {
 		m.pendingEnds[end.Call] = &end
 		return false
@@ -246,14 +246,14 @@
 }
 
 // endAdopted removes a call that was taken over and has ended. It returns false if the call was not taken over.
-func (m *Actor) endAdopted(id string) bool {
+func (m *OwnershipManager) endAdopted(id string) bool {
 	mine := m.adopted[id]
 	if mine {
 		delete(m.adopted, id)
-		m.Giver.Settle(id)
+		m.Recorder.QueueEnd(id)
 	}
 	return mine
 }
 
 // HasAdopted reports whether a call was taken over and has not ended.
-func (m *Actor) Has(id string) bool { return m.adopted[id] }
+func (m *OwnershipManager) HasAdopted(id string) bool { return m.adopted[id] }
--- a/takeover/rules_test.go
+++ b/takeover/rules_test.go
@@ -14,23 +14,23 @@
 // fakeLog is a log with one router, r1.1, which is over if the flag is set and whose successor is me.7.
 type fakeLog struct{ over, ownerBack bool }
 
-func (l fakeLog) Over(name string, n uint64) bool { return l.over && name == "r1" }
+func (l fakeLog) IsOver(name string, n uint64) bool { return l.over && name == "r1" }
 func (l fakeLog) SuccessorOf(name string, n uint64) (string, uint64, bool) {
 	return "me", 7, l.over && name == "r1"
 }
-func (l fakeLog) Lives(name string) bool { return name != "r1" || l.ownerBack }
+func (l fakeLog) IsLive(name string) bool { return name != "r1" || l.ownerBack }
 
 func encodedRecords(ids ...string) (list []*takeoverpb.Record) {
 	for _, id := range ids {
-		list = append(list, encodeRecord(&Record{Out, Call{ID: id, Stands: true}}))
+		list = append(list, encodeRecord(&Record{Pending, Call{ID: id, Established: true}}))
 	}
 	return list
 }
 
 // newHolderWithReplica returns a replica holder with a replica of r1's calls a and b, up to number 5, whose guarantee
 // has not expired.
-func newHolderWithReplica(fleetLog *fakeLog) *Holder {
-	h := NewHolder(DefaultTerms(), "me", fleetLog)
+func newHolderWithReplica(fleetLog *fakeLog) *ReplicaHolder {
+	h := NewReplicaHolder(DefaultSettings(), "me", fleetLog)
 	sendGive(h, time.Second, &takeoverpb.Give{
 		From:    5,
 		First:   true,
@@ -42,16 +42,16 @@
 	return h
 }
 
-func sendGive(h *Holder, now time.Duration, g *takeoverpb.Give) *takeoverpb.Confirm {
-	h.Hear(now, "r1", &takeoverpb.Frame{Owner: "r1", Incarnation: 1, What: &takeoverpb.Frame_Give{Give: g}}, 7)
+func sendGive(h *ReplicaHolder, now time.Duration, g *takeoverpb.Give) *takeoverpb.Confirm {
+	h.Receive(now, "r1", &takeoverpb.Frame{Owner: "r1", Incarnation: 1, What: &takeoverpb.Frame_Give{Give: g}}, 7)
 	out, _ := h.Output()
 	return out[len(out)-1].Frame.GetConfirm()
 }
 
 func sendPass(
-	h *Holder, now time.Duration, from string, number uint64, ids ...string,
-) (adopted []string, acts Acts) {
-	h.Hear(now, from, &takeoverpb.Frame{
+	h *ReplicaHolder, now time.Duration, from string, number uint64, ids ...string,
+) (adopted []string, acts Actions) {
+	h.Receive(now, from, &takeoverpb.Frame{
 		Owner:       "r1",
 		Incarnation: 1,
 		What: &takeoverpb.Frame_Pass{Pass: &takeoverpb.Pass{
@@ -75,29 +75,29 @@
 	retracted                      []End
 }
 
-func (d *fakeHandler) Cease() []string { return d.established }
-func (d *fakeHandler) Cede() []string  { return d.established }
-func (d *fakeHandler) Unsay() []End    { return d.retracted }
+func (d *fakeHandler) RelinquishAll() []string         { return d.established }
+func (d *fakeHandler) RelinquishEstablished() []string { return d.established }
+func (d *fakeHandler) RetractEnds() []End              { return d.retracted }
 func (d *fakeHandler) Adopt(c Call) bool {
 	d.adopted = append(d.adopted, c.ID)
 	return true
 }
 func (d *fakeHandler) Drop(string) {}
-func (d *fakeHandler) Ended(e End, taken bool) {
+func (d *fakeHandler) EndCall(e End, taken bool) {
 	if taken {
 		d.notified = append(d.notified, e.Call)
 	}
 }
-func (d *fakeHandler) Tell(End)       {}
-func (d *fakeHandler) Renew()         {}
-func (d *fakeHandler) Taken([]string) {}
-func (d *fakeHandler) Awake()         {}
+func (d *fakeHandler) NotifyCaller(End)   {}
+func (d *fakeHandler) RequestReports()    {}
+func (d *fakeHandler) MarkTaken([]string) {}
+func (d *fakeHandler) ReclaimRemaining()  {}
 
 // rules are the properties that single steps keep, by the name of the injected fault that violates each.
 var rules = map[string]func() bool{
 	"confirm-the-dead": func() bool { // an owner whose incarnation is over is rejected and gets no guarantee
 		l := &fakeLog{over: true}
-		h := NewHolder(DefaultTerms(), "me", l)
+		h := NewReplicaHolder(DefaultSettings(), "me", l)
 		return sendGive(h, time.Second, &takeoverpb.Give{
 			From:    5,
 			First:   true,
@@ -110,13 +110,13 @@
 		return sendGive(h, time.Second, &takeoverpb.Give{From: 8, Records: encodedRecords("c")}).Again
 	},
 	"first-copy": func() bool { // r2's replica has b, which r3 knows to be over
-		h := NewHolder(DefaultTerms(), "me", &fakeLog{over: true})
+		h := NewReplicaHolder(DefaultSettings(), "me", &fakeLog{over: true})
 		first, _ := sendPass(h, time.Second, "r2", 5, "a", "b")
 		second, _ := sendPass(h, time.Second+100*ms, "r3", 6, "a")
 		return len(first) == 0 && fmt.Sprint(second) == "[a]"
 	},
 	"lower-copy": func() bool { // r3's replica arrives after the gather timeout
-		h := NewHolder(DefaultTerms(), "me", &fakeLog{over: true})
+		h := NewReplicaHolder(DefaultSettings(), "me", &fakeLog{over: true})
 		sendPass(h, time.Second, "r2", 5, "a", "b")
 		h.Tick(4*time.Second, 7)
 		_, acts := h.Output()
@@ -127,7 +127,7 @@
 	},
 	"never-closed": func() bool { // the owner was told that a was taken, and owns b itself
 		l := &fakeLog{over: true}
-		h := NewHolder(DefaultTerms(), "me", l)
+		h := NewReplicaHolder(DefaultSettings(), "me", l)
 		sendPass(h, time.Second, "r2", 5, "a")
 		sendPass(h, time.Second, "r3", 5, "a")
 		l.ownerBack = true
@@ -143,7 +143,7 @@
 		l.over = true
 		c := sendGive(h, 2*time.Second, &takeoverpb.Give{
 			From:    5,
-			Records: []*takeoverpb.Record{encodeRecord(&Record{Over, Call{ID: "a"}})},
+			Records: []*takeoverpb.Record{encodeRecord(&Record{Ended, Call{ID: "a"}})},
 		})
 		return c.Over && c.Upto == 6 && len(h.replicas[ownerKey{"r1", 1}].calls) == 1
 	},
@@ -156,7 +156,7 @@
 	},
 	// Replica holders keep a call as established until its caller was notified of its end.
 	"end-before-word": func() bool {
-		g := &Giver{Terms: DefaultTerms(), Wall: func() int64 { return 0 }}
+		g := &Recorder{Settings: DefaultSettings(), WallClock: func() int64 { return 0 }}
 		for _, e := range []router.Event{
 			{Kind: router.Arrived, Class: "voice"},
 			{Kind: router.Sent, Server: "s1"},
@@ -168,9 +168,9 @@
 			g.Observe(e)
 		}
 		_, before, _ := g.Take(nil)
-		g.Left(g.Ended())
+		g.RecordEnds(g.LastEnd())
 		_, after, _ := g.Take(nil)
-		return len(before) == 2 && len(after) == 1 && after[0].Kind == Over
+		return len(before) == 2 && len(after) == 1 && after[0].Kind == Ended
 	},
 	// The core has taken a and b over; the loop, not notified yet, receives the end of a.
 	"heard-before-taken": func() bool {
@@ -180,49 +180,49 @@
 		h.Tick(9*time.Second, 7)
 		h.Tick(12*time.Second, 7)
 		_, acts := h.Output()
-		h.Ended(12*time.Second, "", []End{{Call: "a", How: 1}})
+		h.ReceiveEnds(12*time.Second, "", []End{{Call: "a", Outcome: 1}})
 		_, more := h.Output()
 		return len(acts.Adopt) == 2 && len(more.Ends) == 1 && more.Ends[0].Call == "a"
 	},
 	// The owner notifies the caller of a retracted end if nobody has taken the call over.
 	"late-words": func() bool {
 		d := &fakeHandler{retracted: []End{{Call: "b"}}}
-		h := NewActor(d, &Giver{}, nil)
-		h.Look(time.Second, 1, false, 2*time.Second)
-		h.Look(2*time.Second, 0, false, 2*time.Second)
-		h.Awake()
+		h := NewOwnershipManager(d, &Recorder{}, nil)
+		h.CheckOwnership(time.Second, 1, false, 2*time.Second)
+		h.CheckOwnership(2*time.Second, 0, false, 2*time.Second)
+		h.ReclaimRemaining()
 		return fmt.Sprint(d.notified) == "[b]"
 	},
 	"withdrawn-alive": func() bool { // a is established and passed on, b is in flight and continues
-		o := NewOwner(DefaultTerms(), "r1")
-		o.Acts(1)
-		o.Holders(map[string]uint64{"me": 7}, func(string, uint64) bool { return false })
-		o.Linked("me", true)
-		h := NewHolder(DefaultTerms(), "me", &fakeLog{})
+		o := NewOwner(DefaultSettings(), "r1")
+		o.SetIncarnation(1)
+		o.SetHolders(map[string]uint64{"me": 7}, func(string, uint64) bool { return false })
+		o.SetLinked("me", true)
+		h := NewReplicaHolder(DefaultSettings(), "me", &fakeLog{})
 		receive := func(list []Send) {
 			for _, s := range list {
-				h.Hear(time.Second, "r1", s.Frame, 7)
+				h.Receive(time.Second, "r1", s.Frame, 7)
 			}
 		}
-		o.Add(1, []Record{{Out, Call{ID: "a"}}, {Stands, Call{ID: "a"}}, {Out, Call{ID: "b"}}})
+		o.Add(1, []Record{{Pending, Call{ID: "a"}}, {Established, Call{ID: "a"}}, {Pending, Call{ID: "b"}}})
 		receive(o.Tick(time.Second))
 		receive(o.Evacuate(time.Second))
 		passed := h.replicas[ownerKey{"r1", 1}]
-		o.Acts(2)
-		o.Add(4, []Record{{Stands, Call{ID: "b"}}})
+		o.SetIncarnation(2)
+		o.Add(4, []Record{{Established, Call{ID: "b"}}})
 		receive(o.Tick(2 * time.Second))
 		on := h.replicas[ownerKey{"r1", 2}]
 		return passed.ownerLeft && len(passed.calls) == 1 && passed.calls["a"] != nil &&
-			on != nil && len(on.calls) == 1 && on.calls["b"].Stands
+			on != nil && len(on.calls) == 1 && on.calls["b"].Established
 	},
 	"act-at-once": func() bool {
 		d := &fakeHandler{}
-		g := &Giver{Wall: func() int64 { return 0 }}
-		actor := NewActor(d, g, nil)
-		actor.Take(Acts{Take: 1, Adopt: []Call{{ID: "a", Stands: true}}})
-		actor.Confirmed(g.Number() - 1)
+		g := &Recorder{WallClock: func() int64 { return 0 }}
+		actor := NewOwnershipManager(d, g, nil)
+		actor.Apply(Actions{BatchID: 1, Adopt: []Call{{ID: "a", Established: true}}})
+		actor.AdoptConfirmed(g.LastNumber() - 1)
 		early := len(d.adopted)
-		actor.Confirmed(g.Number())
+		actor.AdoptConfirmed(g.LastNumber())
 		return early == 0 && len(d.adopted) == 1
 	},
 }
@@ -232,16 +232,16 @@
 // ones.
 func TestRetractedEnds(t *testing.T) {
 	d := &fakeHandler{established: []string{"c"}, retracted: []End{{Call: "a"}, {Call: "b"}}}
-	h := NewActor(d, &Giver{}, nil)
-	require.False(t, h.Look(time.Second, 1, false, 2*time.Second))
+	h := NewOwnershipManager(d, &Recorder{}, nil)
+	require.False(t, h.CheckOwnership(time.Second, 1, false, 2*time.Second))
 	require.False(t, h.Lapsed(2*time.Second, 1, false, 2*time.Second), "it has a lease")
 	require.True(t, h.Lapsed(2*time.Second, 0, false, 2*time.Second))
-	require.True(t, h.Look(2*time.Second, 0, false, 2*time.Second))
+	require.True(t, h.CheckOwnership(2*time.Second, 0, false, 2*time.Second))
 	require.False(t, h.Lapsed(2*time.Second, 0, false, 2*time.Second), "it has relinquished its calls already")
-	h.Heard(End{Call: "b"}, true)
+	h.ClaimEnd(End{Call: "b"}, true)
 	require.Empty(t, d.notified)
-	h.Taken([]string{"a"})
-	h.Awake()
+	h.MarkTaken([]string{"a"})
+	h.ReclaimRemaining()
 	require.Equal(t, []string{"b"}, d.notified)
 }
 
--- a/takeover/takeover.go
+++ b/takeover/takeover.go
@@ -28,41 +28,41 @@
 )
 
 // Settings are the parameters of replication and take-over. All routers of a fleet have to agree on them.
-type Terms struct {
-	Holders  int             // number of routers that hold a replica
-	Vouch    time.Duration   // V: how long a replica is not handed over, from before the guarantee was requested
-	Patience time.Duration   // how long an answer waits until a replica holder has confirmed its record
-	Fast     map[string]bool // classes whose answers do not wait
-	AllFast  bool            // answers of no class wait
-	Drift    float64         // r: maximum relative error of the routers' clocks
-	Remember time.Duration   // how long ends of unknown calls are kept, to be sent to successors named meanwhile
-	Wake     time.Duration   // how long a router that has started waits for reports of calls taken from it
+type Settings struct {
+	Replicas       int             // number of routers that hold a replica
+	GuaranteeTTL   time.Duration   // V: how long a replica is not handed over, from before the guarantee was requested
+	ConfirmTimeout time.Duration   // how long an answer waits until a replica holder has confirmed its record
+	NoWaitClasses  map[string]bool // classes whose answers do not wait
+	NoWait         bool            // answers of no class wait
+	ClockDrift     float64         // r: maximum relative error of the routers' clocks
+	EndTTL         time.Duration   // how long ends of unknown calls are kept, to be sent to successors named meanwhile
+	ReclaimTimeout time.Duration   // how long a router that has started waits for reports of calls taken from it
 }
 
 // DefaultSettings returns the settings that are in force without a configuration.
-func DefaultTerms() Terms {
-	return Terms{
-		Holders:  2,
-		Vouch:    3 * time.Second,
-		Patience: 50 * time.Millisecond,
-		Drift:    0.01,
-		Remember: time.Minute,
-		Wake:     10 * time.Second,
+func DefaultSettings() Settings {
+	return Settings{
+		Replicas:       2,
+		GuaranteeTTL:   3 * time.Second,
+		ConfirmTimeout: 50 * time.Millisecond,
+		ClockDrift:     0.01,
+		EndTTL:         time.Minute,
+		ReclaimTimeout: 10 * time.Second,
 	}
 }
 
 // HolderGuaranteeTTL returns W = V (1+r) / (1-r): how long a replica holder keeps its guarantee by its own clock, so
 // that it expires after the owner's even if one clock is slow and the other fast by r.
-func (t Terms) Wait() time.Duration {
-	return time.Duration(float64(t.Vouch)*(1+t.Drift)/(1-t.Drift)) + time.Nanosecond
+func (t Settings) HolderGuaranteeTTL() time.Duration {
+	return time.Duration(float64(t.GuaranteeTTL)*(1+t.ClockDrift)/(1-t.ClockDrift)) + time.Nanosecond
 }
 
 // Validate returns an error if a setting is out of range.
-func (t Terms) Validate() error {
+func (t Settings) Validate() error {
 	switch {
-	case t.Holders < 1 || t.Holders > 4:
+	case t.Replicas < 1 || t.Replicas > 4:
 		return errors.New("holders must be between 1 and 4")
-	case t.Vouch < 200*time.Millisecond || t.Patience <= 0 || t.Patience > t.Vouch:
+	case t.GuaranteeTTL < 200*time.Millisecond || t.ConfirmTimeout <= 0 || t.ConfirmTimeout > t.GuaranteeTTL:
 		return errors.New("vouch must be at least 200ms, patience above 0 and at most vouch")
 	}
 	return nil
@@ -76,11 +76,11 @@
 
 // Call is the state of a call in progress that is replicated to other routers.
 type Call struct {
-	ID, Server, Class, Tenant string
-	Attempt                   uint32
-	Retry, InTime, Stands     bool
-	Since, Stood              int64 // Unix milliseconds, when the attempt was sent and when the answer came
-	Origins                   []Origin
+	ID, Server, Class, Tenant  string
+	Attempt                    uint32
+	Retry, InTime, Established bool
+	AttemptedAt, EstablishedAt int64 // Unix milliseconds, when the attempt was sent and when the answer came
+	Origins                    []Origin
 }
 
 // Kind is the kind of a Record.
@@ -88,9 +88,9 @@
 
 // Kinds of records, with the fields that they carry.
 const (
-	Out    Kind = iota + 1 // an attempt is in flight: all fields of Call
-	Stands                 // the attempt was answered, the call is established: ID, EstablishedAt, InTime
-	Over                   // the call or attempt is over: ID
+	Pending     Kind = iota + 1 // an attempt is in flight: all fields of Call
+	Established                 // the attempt was answered, the call is established: ID, EstablishedAt, InTime
+	Ended                       // the call or attempt is over: ID
 )
 
 // Record is one state change of a call.
@@ -101,19 +101,19 @@
 
 // End is the end of a call that was unknown to the router that received it.
 type End struct {
-	Call string
-	How  uint8 // outcome of the call, as the router's users number it
-	At   int64 // Unix milliseconds
-	By   bool  // the caller has released the call
-	Tell bool  // the call is closed in its ledger, but the caller has yet to be notified
+	Call         string
+	Outcome      uint8 // outcome of the call, as the router's users number it
+	At           int64 // Unix milliseconds
+	ByCaller     bool  // the caller has released the call
+	NotifyCaller bool  // the call is closed in its ledger, but the caller has yet to be notified
 }
 
 // Recorder turns the router's events into records. It must be used on the event loop.
-type Giver struct {
-	Terms  Terms
-	Tenant func(e router.Event) string      // tenant of a call; nil: as the event says
-	Aim    func(class string) time.Duration // set-up time within which an answer is in time; nil: always
-	Wall   func() int64                     // Unix milliseconds
+type Recorder struct {
+	Settings    Settings
+	Tenant      func(e router.Event) string      // tenant of a call; nil: as the event says
+	SetupTarget func(class string) time.Duration // set-up time within which an answer is in time; nil: always
+	WallClock   func() int64                     // Unix milliseconds
 
 	slots       []slotState
 	queued      []Record
@@ -139,7 +139,7 @@
 const maxQueuedRecords = 1 << 16
 
 // Observe implements router.Observer.
-func (g *Giver) Observe(event router.Event) {
+func (g *Recorder) Observe(event router.Event) {
 	if event.Slot == 0 || event.Slot >= maxSlots {
 		return
 	}
@@ -158,42 +158,42 @@
 			tenant:      tenant,
 			arrivedAt:   event.At,
 			retry:       event.Retry,
-			awaitHolder: !g.Terms.AllFast && !g.Terms.Fast[event.Class],
+			awaitHolder: !g.Settings.NoWait && !g.Settings.NoWaitClasses[event.Class],
 		}
 	case router.Sent:
-		if slot.recorded = g.add(Record{Out, Call{
-			ID:      event.Call,
-			Server:  event.Server,
-			Class:   slot.class,
-			Tenant:  slot.tenant,
-			Attempt: uint32(event.Attempt),
-			Retry:   slot.retry,
-			Since:   g.Wall(),
+		if slot.recorded = g.add(Record{Pending, Call{
+			ID:          event.Call,
+			Server:      event.Server,
+			Class:       slot.class,
+			Tenant:      slot.tenant,
+			Attempt:     uint32(event.Attempt),
+			Retry:       slot.retry,
+			AttemptedAt: g.WallClock(),
 		}}, false); !slot.recorded {
 			g.Count.Dropped++
 		}
 	case router.Established:
 		if slot.recorded {
 			slot.established = true
-			g.add(Record{Stands, Call{
-				ID:     event.Call,
-				Stood:  g.Wall(),
-				InTime: g.Aim == nil || event.At-slot.arrivedAt <= g.Aim(slot.class),
+			g.add(Record{Established, Call{
+				ID:            event.Call,
+				EstablishedAt: g.WallClock(),
+				InTime:        g.SetupTarget == nil || event.At-slot.arrivedAt <= g.SetupTarget(slot.class),
 			}}, slot.awaitHolder)
 		}
 	case router.Closed:
 		switch {
 		case slot.recorded && slot.established:
-			g.Settle(event.Call)
+			g.QueueEnd(event.Call)
 		case slot.recorded:
-			g.add(Record{Over, Call{ID: event.Call}}, false)
+			g.add(Record{Ended, Call{ID: event.Call}}, false)
 		}
 		*slot = slotState{}
 	}
 }
 
-func (g *Giver) add(r Record, awaited bool) bool {
-	if len(g.queued) >= maxQueuedRecords && r.Kind == Out {
+func (g *Recorder) add(r Record, awaited bool) bool {
+	if len(g.queued) >= maxQueuedRecords && r.Kind == Pending {
 		return false
 	}
 	g.queued = append(g.queued, r)
@@ -206,16 +206,16 @@
 }
 
 // Adopt records a call that was taken over as this router's.
-func (g *Giver) Adopt(call Call) {
-	g.add(Record{Out, call}, false)
+func (g *Recorder) Adopt(call Call) {
+	g.add(Record{Pending, call}, false)
 }
 
 // QueueEnd notes the end of an established call. It is recorded only when RecordEnds reports that the notification
 // was sent: if replica holders dropped the call earlier and this router then died, nobody would notify the caller. If
 // the router dies after sending, its successor may notify the caller a second time.
-func (g *Giver) Settle(id string) {
+func (g *Recorder) QueueEnd(id string) {
 	if mutant == "end-before-word" {
-		g.add(Record{Over, Call{ID: id}}, true)
+		g.add(Record{Ended, Call{ID: id}}, true)
 		return
 	}
 	g.unsentEnds = append(g.unsentEnds, id)
@@ -223,16 +223,16 @@
 }
 
 // LastEnd returns the number of the latest end that was noted.
-func (g *Giver) Ended() uint64 { return g.lastEnd }
+func (g *Recorder) LastEnd() uint64 { return g.lastEnd }
 
 // PendingEnds returns the number of ends whose notifications have not been sent yet.
-func (g *Giver) Ending() int { return len(g.unsentEnds) }
+func (g *Recorder) PendingEnds() int { return len(g.unsentEnds) }
 
 // RecordEnds records all ends up to a number, whose notifications have been sent.
-func (g *Giver) Left(upto uint64) {
+func (g *Recorder) RecordEnds(upto uint64) {
 	first := g.lastEnd - uint64(len(g.unsentEnds)) + 1
 	for ; len(g.unsentEnds) > 0 && first <= upto; first++ {
-		g.add(Record{Over, Call{ID: g.unsentEnds[0]}}, false)
+		g.add(Record{Ended, Call{ID: g.unsentEnds[0]}}, false)
 		g.unsentEnds = g.unsentEnds[1:]
 	}
 	if len(g.unsentEnds) == 0 {
@@ -241,14 +241,14 @@
 }
 
 // StopRecordingEstablished stops recording the established calls: they are another router's now.
-func (g *Giver) Cede() {
+func (g *Recorder) StopRecordingEstablished() {
 	for i := range g.slots {
 		g.slots[i].recorded = g.slots[i].recorded && !g.slots[i].established
 	}
 }
 
 // StopRecording stops recording all calls in progress: what becomes of them here does not concern replica holders.
-func (g *Giver) Cease() {
+func (g *Recorder) StopRecording() {
 	g.unsentEnds = nil
 	for i := range g.slots {
 		g.slots[i].recorded = false
@@ -256,21 +256,21 @@
 }
 
 // LastAwaited returns the number of the latest record that an answer waits for.
-func (g *Giver) Kept() uint64 { return g.lastAwaited }
+func (g *Recorder) LastAwaited() uint64 { return g.lastAwaited }
 
 // Take returns the records since the last call, the number of the first, and the number of the latest record that an
 // answer waits for. New records are appended to next, whose contents are overwritten.
-func (g *Giver) Take(next []Record) (first uint64, list []Record, awaited uint64) {
+func (g *Recorder) Take(next []Record) (first uint64, list []Record, awaited uint64) {
 	list = g.queued
 	g.queued = next[:0]
 	return g.lastNumber - uint64(len(list)) + 1, list, g.lastAwaited
 }
 
 // LastNumber returns the number of the latest record.
-func (g *Giver) Number() uint64 { return g.lastNumber }
+func (g *Recorder) LastNumber() uint64 { return g.lastNumber }
 
 // HasRecords reports whether there are records to take.
-func (g *Giver) Waiting() bool { return len(g.queued) > 0 }
+func (g *Recorder) HasRecords() bool { return len(g.queued) > 0 }
 
 // encodeRecord converts a record to its protobuf message.
 func encodeRecord(r *Record) *takeoverpb.Record {
@@ -284,9 +284,9 @@
 		Attempt: call.Attempt,
 		Retry:   call.Retry,
 		InTime:  call.InTime,
-		Since:   call.Since,
-		Stood:   call.Stood,
-		Stands:  call.Stands,
+		Since:   call.AttemptedAt,
+		Stood:   call.EstablishedAt,
+		Stands:  call.Established,
 	}
 	for _, origin := range call.Origins {
 		msg.Origins = append(msg.Origins, &takeoverpb.Origin{Owner: origin.Owner, Incarnation: origin.Incarnation})
@@ -301,18 +301,18 @@
 	}
 	for _, msg := range in {
 		record := Record{Kind(msg.Kind), Call{
-			ID:      msg.Call,
-			Server:  msg.Server,
-			Class:   msg.Class,
-			Tenant:  msg.Tenant,
-			Attempt: msg.Attempt,
-			Retry:   msg.Retry,
-			InTime:  msg.InTime,
-			Since:   msg.Since,
-			Stood:   msg.Stood,
-			Stands:  msg.Stands,
+			ID:            msg.Call,
+			Server:        msg.Server,
+			Class:         msg.Class,
+			Tenant:        msg.Tenant,
+			Attempt:       msg.Attempt,
+			Retry:         msg.Retry,
+			InTime:        msg.InTime,
+			AttemptedAt:   msg.Since,
+			EstablishedAt: msg.Stood,
+			Established:   msg.Stands,
 		}}
-		if record.Kind < Out || record.Kind > Over || record.ID == "" || len(record.ID) > maxIDLen ||
+		if record.Kind < Pending || record.Kind > Ended || record.ID == "" || len(record.ID) > maxIDLen ||
 			len(record.Server) > maxTextLen || len(record.Class) > maxTextLen || len(record.Tenant) > maxTextLen ||
 			len(msg.Origins) > maxOrigins {
 			return nil, false
@@ -334,14 +334,14 @@
 // apply updates the table by a record. Answers to unknown calls are ignored.
 func (t callTable) apply(r *Record) {
 	switch r.Kind {
-	case Out:
+	case Pending:
 		c := r.Call
 		t[r.ID] = &c
-	case Stands:
+	case Established:
 		if c := t[r.ID]; c != nil {
-			c.Stands, c.Stood, c.InTime = true, r.Stood, r.InTime
+			c.Established, c.EstablishedAt, c.InTime = true, r.EstablishedAt, r.InTime
 		}
-	case Over:
+	case Ended:
 		delete(t, r.ID)
 	}
 }
--- a/takeover/takeover_test.go
+++ b/takeover/takeover_test.go
@@ -84,9 +84,9 @@
 	lease            fleet.Lease
 	renewedAt        time.Duration
 	owner            *Owner
-	holder           *Holder
-	recorder         *Giver
-	ownership        *Actor
+	holder           *ReplicaHolder
+	recorder         *Recorder
+	ownership        *OwnershipManager
 	own              map[string]bool   // calls in progress of its own Router
 	ledger           map[string]string // state of all calls that it has, or had: open, billed
 	pendingBatches   []struct{ take, number uint64 }
@@ -98,17 +98,17 @@
 func (n *node) clock() time.Duration { return time.Duration(float64(n.w.now) * n.clockRate) }
 
 // The following methods implement CallHandler.
-func (n *node) Cease() (established []string) {
+func (n *node) RelinquishAll() (established []string) {
 	established = slices.Sorted(maps.Keys(n.own))
 	clear(n.own)
 	return established
 }
 
-func (n *node) Cede() []string { return n.Cease() }
+func (n *node) RelinquishEstablished() []string { return n.RelinquishAll() }
 
-func (n *node) Unsay() (retracted []End) {
+func (n *node) RetractEnds() (retracted []End) {
 	for _, one := range n.pendingEnds {
-		retracted = append(retracted, End{Call: one.id, How: 1})
+		retracted = append(retracted, End{Call: one.id, Outcome: 1})
 	}
 	n.retractPendingEnds()
 	return retracted
@@ -137,7 +137,7 @@
 	}
 }
 
-func (n *node) Ended(e End, taken bool) {
+func (n *node) EndCall(e End, taken bool) {
 	if taken || n.own[e.Call] {
 		n.settle(e.Call)
 	}
@@ -149,57 +149,57 @@
 	}
 	if n.own[id] {
 		delete(n.own, id)
-		n.recorder.Settle(id)
+		n.recorder.QueueEnd(id)
 	}
-	n.pendingEnds = append(n.pendingEnds, pendingEnd{id, n.recorder.Kept(), n.recorder.Ended(), n.clock()})
+	n.pendingEnds = append(n.pendingEnds, pendingEnd{id, n.recorder.LastAwaited(), n.recorder.LastEnd(), n.clock()})
 }
 
 // sendEnds sends the ends whose records the replica holders have confirmed, as the output gate of the event loop
 // does.
 func (n *node) sendEnds(now time.Duration) {
-	if n.ownership.Lapsed(now, n.heldIncarnation(now), n.lease.Incarnation == 0, n.owner.Vouched()) {
+	if n.ownership.Lapsed(now, n.heldIncarnation(now), n.lease.Incarnation == 0, n.owner.GuaranteedUntil()) {
 		return
 	}
 	for len(n.pendingEnds) > 0 && (n.pendingEnds[0].afterRecord <= n.owner.Confirmed() ||
-		now-n.pendingEnds[0].since >= n.recorder.Terms.Patience) {
+		now-n.pendingEnds[0].since >= n.recorder.Settings.ConfirmTimeout) {
 		c := n.w.calls[n.pendingEnds[0].id]
 		c.notified++
 		c.notifiedBy = append(c.notifiedBy, fmt.Sprintf("%s at %v", n.name, n.w.now))
 		if at, lost := n.w.lostAt[c.lastNotifiedBy]; c.notified > 1 && lost &&
-			c.lastNotifiedAt > at-notifyWindow && c.lastNotifiedAt <= at+n.recorder.Terms.Patience {
+			c.lastNotifiedAt > at-notifyWindow && c.lastNotifiedAt <= at+n.recorder.Settings.ConfirmTimeout {
 			c.notified-- // the router that notified it first was lost before others could learn of that
 			c.retracted = true
 			n.w.notifiedTwice++
 		}
 		c.lastNotifiedBy, c.lastNotifiedAt = n.name, n.w.now
-		n.recorder.Left(n.pendingEnds[0].endNumber)
+		n.recorder.RecordEnds(n.pendingEnds[0].endNumber)
 		n.pendingEnds = n.pendingEnds[1:]
 	}
 }
 
-func (n *node) Tell(End) {}
-func (n *node) Renew()   {}
-func (n *node) Taken(ids []string) {
+func (n *node) NotifyCaller(End) {}
+func (n *node) RequestReports()  {}
+func (n *node) MarkTaken(ids []string) {
 	for _, id := range ids {
 		n.Drop(id)
 	}
 }
-func (n *node) Awake() {}
+func (n *node) ReclaimRemaining() {}
 
-func (n *node) Over(name string, incarnation uint64) bool { return n.machine.Over(name, incarnation) }
+func (n *node) IsOver(name string, incarnation uint64) bool { return n.machine.Over(name, incarnation) }
 func (n *node) SuccessorOf(name string, incarnation uint64) (string, uint64, bool) {
 	return n.machine.SuccessorOf(name, incarnation)
 }
-func (n *node) Lives(name string) bool { return n.machine.Member(name).GetLive() }
+func (n *node) IsLive(name string) bool { return n.machine.Member(name).GetLive() }
 
 func (n *node) record(r Record) { n.recorder.add(r, true) }
 
 func (n *node) startProcess(process uint64) {
 	n.process, n.dead, n.stopped, n.lease, n.machine, n.applied = process, false, false, fleet.Lease{},
 		fleet.NewMachine(&fleetpb.State{}), 0
-	settings := DefaultTerms()
-	n.owner, n.holder = NewOwner(settings, n.name), NewHolder(settings, n.name, n)
-	n.recorder = &Giver{Terms: settings, Wall: func() int64 { return int64(n.w.now / ms) }}
+	settings := DefaultSettings()
+	n.owner, n.holder = NewOwner(settings, n.name), NewReplicaHolder(settings, n.name, n)
+	n.recorder = &Recorder{Settings: settings, WallClock: func() int64 { return int64(n.w.now / ms) }}
 	n.own, n.pendingBatches, n.pendingEnds, n.reclaimed, n.incarnationBegan = map[string]bool{}, nil, nil, false,
 		n.clock()
 	var open []string
@@ -208,8 +208,8 @@
 			open = append(open, id)
 		}
 	}
-	n.ownership = NewActor(n, n.recorder, open)
-	n.holder.Back = func(calls []string) { n.ownership.Taken(calls) }
+	n.ownership = NewOwnershipManager(n, n.recorder, open)
+	n.holder.OnTaken = func(calls []string) { n.ownership.MarkTaken(calls) }
 }
 
 // apply appends an entry to the log, which all routers with a link to the keepers see.
@@ -295,7 +295,7 @@
 				previous := n.lease
 				n.lease = fleet.Lease{Incarnation: member.Incarnation, Until: now + fleetSettings.Lease}
 				if previous.Incarnation != member.Incarnation || n.owner.incarnation == 0 {
-					n.owner.Acts(member.Incarnation)
+					n.owner.SetIncarnation(member.Incarnation)
 					n.reclaimed, n.incarnationBegan = false, now
 				}
 			}
@@ -305,7 +305,7 @@
 			for _, one := range fleet.Successors(n.name, n.zone, n.machine.Members(), 2) {
 				want[one.Name] = one.Incarnation
 			}
-			n.owner.Holders(want, n.machine.Over)
+			n.owner.SetHolders(want, n.machine.Over)
 		}
 	}
 	for _, other := range w.nodes { // receive frames
@@ -316,60 +316,60 @@
 			w.links[key] = w.links[key][1:]
 			if c := frame.GetConfirm(); c != nil {
 				if frame.Owner == n.name {
-					n.owner.Hear(other.name, frame.Incarnation, c)
+					n.owner.ReceiveConfirm(other.name, frame.Incarnation, c)
 				}
 				continue
 			}
-			n.holder.Hear(now, other.name, frame, n.heldIncarnation(now))
+			n.holder.Receive(now, other.name, frame, n.heldIncarnation(now))
 		}
 	}
 	n.flush()
 	n.holder.Tick(now, n.heldIncarnation(now))
 	send, acts := n.holder.Output()
 	n.send(append(send, n.owner.Tick(now)...))
-	n.ownership.Take(acts)
-	if acts.Take != 0 {
+	n.ownership.Apply(acts)
+	if acts.BatchID != 0 {
 		n.flush()
 		n.pendingBatches = append(n.pendingBatches,
-			struct{ take, number uint64 }{acts.Take, n.recorder.Number()})
+			struct{ take, number uint64 }{acts.BatchID, n.recorder.LastNumber()})
 	}
 	confirmed := n.owner.Confirmed()
 	n.pendingBatches = slices.DeleteFunc(n.pendingBatches, func(s struct{ take, number uint64 }) bool {
 		if confirmed >= s.number {
-			n.holder.Safe(s.take)
+			n.holder.ConfirmBatch(s.take)
 		}
 		return confirmed >= s.number
 	})
 	send, acts = n.holder.Output()
 	n.send(send)
-	n.ownership.Confirmed(confirmed)
+	n.ownership.AdoptConfirmed(confirmed)
 	n.sendEnds(now)
 	n.flush()
 	n.send(n.owner.Tick(now))
 	for _, id := range w.order {
-		if c := w.calls[id]; c.at == n.name && n.own[id] && confirmed >= c.number && !n.owner.Alone() {
+		if c := w.calls[id]; c.at == n.name && n.own[id] && confirmed >= c.number && !n.owner.Unreplicated() {
 			c.confirmed = true
 		}
 	}
 	if !n.reclaimed && n.lease.Holds(now) && n.allReported(now) {
 		n.reclaimed = true
-		n.ownership.Awake()
+		n.ownership.ReclaimRemaining()
 	}
 }
 
 func (n *node) checkOwnership(now time.Duration) {
-	if n.ownership.Look(now, n.heldIncarnation(now), n.lease.Incarnation == 0, n.owner.Vouched()) {
+	if n.ownership.CheckOwnership(now, n.heldIncarnation(now), n.lease.Incarnation == 0, n.owner.GuaranteedUntil()) {
 		n.flush()
-		n.send(n.owner.Cease(now))
+		n.send(n.owner.RelinquishAll(now))
 		if i := n.heldIncarnation(now); i != 0 {
-			n.owner.Acts(i)
+			n.owner.SetIncarnation(i)
 		}
 		n.pendingBatches, n.reclaimed, n.incarnationBegan = nil, false, now
 	}
 }
 
 func (n *node) allReported(now time.Duration) bool {
-	if now-n.incarnationBegan > DefaultTerms().Wake {
+	if now-n.incarnationBegan > DefaultSettings().ReclaimTimeout {
 		return true
 	}
 	m := n.machine.Member(n.name)
@@ -377,7 +377,7 @@
 		return false
 	}
 	for _, p := range m.GetPast() {
-		if p.Successor != "" && p.Successor != n.name && !n.holder.Told(p.Incarnation) {
+		if p.Successor != "" && p.Successor != n.name && !n.holder.HasReported(p.Incarnation) {
 			return false
 		}
 	}
@@ -430,13 +430,13 @@
 				links = append(links, b.name)
 			}
 			if a.name == name || b.name == name {
-				a.owner.Linked(b.name, up && open)
+				a.owner.SetLinked(b.name, up && open)
 				if up && open {
-					a.holder.Greet(b.name)
+					a.holder.SendKnownEnds(b.name)
 				}
 			}
 		}
-		a.holder.Linked(links)
+		a.holder.SetLinks(links)
 	}
 }
 
@@ -449,9 +449,9 @@
 	}
 	id := fmt.Sprintf("%016x", len(w.order)+1)
 	n.own[id], n.ledger[id] = true, "open"
-	n.record(Record{Out, Call{ID: id, Server: "s", Class: "c", Tenant: "t"}})
-	n.record(Record{Stands, Call{ID: id, Stood: 1}})
-	w.calls[id] = &callState{id: id, at: n.name, number: n.recorder.Number()}
+	n.record(Record{Pending, Call{ID: id, Server: "s", Class: "c", Tenant: "t"}})
+	n.record(Record{Established, Call{ID: id, EstablishedAt: 1}})
+	w.calls[id] = &callState{id: id, at: n.name, number: n.recorder.LastNumber()}
 	w.order = append(w.order, id)
 }
 
@@ -476,11 +476,11 @@
 			n.settle(id)
 			return
 		}
-		e := End{Call: id, How: 1}
-		if n.ownership.Heard(e, true) {
+		e := End{Call: id, Outcome: 1}
+		if n.ownership.ClaimEnd(e, true) {
 			n.settle(id)
 		}
-		n.holder.Ended(now, "", []End{e})
+		n.holder.ReceiveEnds(now, "", []End{e})
 		return
 	}
 }
@@ -623,7 +623,7 @@
 		if billed > 1 && !c.retracted || billed > 2 || c.confirmed && (billed == 0 || c.notified != 1) {
 			var where []string
 			for _, n := range w.nodes {
-				where = append(where, fmt.Sprintf("%s:%s/%v", n.name, n.ledger[id], n.ownership.Has(id)))
+				where = append(where, fmt.Sprintf("%s:%s/%v", n.name, n.ledger[id], n.ownership.HasAdopted(id)))
 			}
 			w.fail("%s of %s, recorded %v, over at %v: in %d ledgers, notified %d times: %v",
 				id, c.at, c.confirmed, c.overAt, billed, c.notified, where)
@@ -737,12 +737,12 @@
 // TestRecorder guards against records from which other routers build different calls than this router has, and against
 // records of calls that it has relinquished.
 func TestRecorder(t *testing.T) {
-	g := &Giver{
-		Terms: DefaultTerms(),
-		Wall:  func() int64 { return 7 },
-		Aim:   func(string) time.Duration { return time.Second },
+	g := &Recorder{
+		Settings:    DefaultSettings(),
+		WallClock:   func() int64 { return 7 },
+		SetupTarget: func(string) time.Duration { return time.Second },
 	}
-	g.Terms.Fast = map[string]bool{"data": true}
+	g.Settings.NoWaitClasses = map[string]bool{"data": true}
 	for slot, class := range []string{1: "voice", 2: "data"} {
 		if slot == 0 {
 			continue
@@ -767,18 +767,18 @@
 		made.apply(&list[i])
 	}
 	require.Equal(t, Call{
-		ID:      "c1",
-		Server:  "s2",
-		Class:   "voice",
-		Tenant:  "t",
-		Attempt: 1,
-		Stands:  true,
-		Since:   7,
-		Stood:   7,
+		ID:            "c1",
+		Server:        "s2",
+		Class:         "voice",
+		Tenant:        "t",
+		Attempt:       1,
+		Established:   true,
+		AttemptedAt:   7,
+		EstablishedAt: 7,
 	}, *made["c1"])
-	g.Cease()
+	g.StopRecording()
 	g.Observe(router.Event{Kind: router.Closed, Slot: 1, Call: "c1"})
-	require.False(t, g.Waiting(), "events of a relinquished call are not recorded")
+	require.False(t, g.HasRecords(), "events of a relinquished call are not recorded")
 }
 
 // TestRejectsInvalidFrames: frames that are malformed, or not the sender's to send, change nothing and are counted.
@@ -796,16 +796,16 @@
 		{Owner: "r1", Incarnation: 2, What: &takeoverpb.Frame_Pass{Pass: &takeoverpb.Pass{First: true, Last: true}}},
 		{Owner: "r1", What: &takeoverpb.Frame_Back{Back: &takeoverpb.Back{Last: true}}},
 	} {
-		h.Hear(w.now, "r2", f, 1)
+		h.Receive(w.now, "r2", f, 1)
 	}
 	require.Equal(t, was+4, h.Count.Refused)
 	h.Output()
 	for i := range 300 { // a snapshot above the limit is not stored
 		g := &takeoverpb.Give{From: uint64(i) * maxPageRecords, First: i == 0}
 		for k := range maxPageRecords {
-			g.Records = append(g.Records, encodeRecord(&Record{Out, Call{ID: fmt.Sprint(i, "-", k)}}))
+			g.Records = append(g.Records, encodeRecord(&Record{Pending, Call{ID: fmt.Sprint(i, "-", k)}}))
 		}
-		h.Hear(w.now, "r2", &takeoverpb.Frame{
+		h.Receive(w.now, "r2", &takeoverpb.Frame{
 			Owner:       "r2",
 			Incarnation: 77,
 			What:        &takeoverpb.Frame_Give{Give: g},
