--- a/quota/mutant_off.go
+++ b/quota/mutant_off.go
@@ -2,5 +2,5 @@
 
 package quota
 
-// mutant is the fault that is built in: none but in builds for tests.
+// mutant is the name of the injected fault. Only builds with the mutant tag inject one.
 const mutant = ""
--- a/quota/mutant_on.go
+++ b/quota/mutant_on.go
@@ -2,21 +2,21 @@
 
 package quota
 
-// mutant is the fault that is built in.
+// mutant is the name of the injected fault; empty: none.
 var mutant string
 
-// Mutants are the faults that a build for tests can have, by name.
+// Mutants describes the faults that a test can inject, by name.
 var Mutants = map[string]string{
-	"lent-for-nothing": "further attempts are lent and not taken out of what first tries have earned",
-	"share-too-early":  "what a router is to give back is given out before it has confirmed",
-	"share-for-ever":   "a router goes on by its share when its lease is over",
-	"forgetful-leader": "a new leading keeper takes what it has not granted itself for free",
-	"places-free":      "the places of a lost life's calls are given out at once",
-	"full-bucket":      "a share that arrives comes with a full bucket",
-	"no-ceiling":       "a new leading keeper does not know of the calls of lives that are over",
-	"last-answer-only": "of the answers on their way to a router only the last counts",
-	"floor-on-top":     "the floors are not kept aside",
+	"lent-for-nothing": "lent retry attempts are not taken from the retries that first tries earned",
+	"share-too-early":  "a decrease of a router's share is granted to others before the router confirms it",
+	"share-for-ever":   "a router keeps its share after its lease has expired",
+	"forgetful-leader": "a new leading keeper ignores what earlier leaders may have granted",
+	"places-free":      "no capacity is reserved for the calls of an ended incarnation",
+	"full-bucket":      "an increased share starts with a full token bucket",
+	"no-ceiling":       "a new leading keeper ignores the committed ceilings",
+	"last-answer-only": "of the unconfirmed answers to a router only the last counts",
+	"floor-on-top":     "the floors are granted on top of the whole limit",
 }
 
-// Mutate builds a fault in.
+// Mutate injects the named fault; the empty name removes it.
 func Mutate(name string) { mutant = name }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,6 +1,8 @@
-// Package quota divides limits that hold for a whole fleet among its routers, as shares that end with their holder's lease. The Divider is the leading
-// keeper's part, the Gate a router's. Events and absolute times go in; what was admitted, granted and has to be written down comes out. It must never choose a
-// server, wait, do I/O, or count more in force than a limit allows. docs/design/quota.md states the bounds and why they hold.
+// Package quota enforces limits of a whole fleet of routers. The Allocator, at the leading keeper, divides each limit
+// into shares for the routers, which expire with the routers' leases. The Limiter, at a router, admits calls by its
+// shares. Both are driven by events and absolute times, and return what was admitted, what was granted and what has
+// to be committed to the log. They must never choose a server, block, do I/O, or have more in force than a limit
+// allows. docs/design/quota.md states the bounds and why they hold.
 package quota
 
 import (
@@ -10,80 +12,85 @@
 	"time"
 )
 
-// Kind is what a limit counts.
+// Kind says what a limit counts.
 type Kind uint8
 
 // Kinds of limits.
 const (
 	Rate    Kind = iota + 1 // set-ups a second
-	Calls                   // calls that are open or stand
-	Retries                 // callers' marked retries, as a share of first tries
-	Cold                    // what case servers that have just started are sent, as parts of what each may be
+	Calls                   // calls that are being set up or established
+	Retries                 // retries marked as such by callers, as a fraction of first tries
+	Cold                    // load of case servers that have just started, as fractions of what each may be sent
 )
 
-// CutOff is what a router does without a lease.
+// CutOff says what a router admits without a lease.
 type CutOff uint8
 
-// Modes.
+// Cut-off modes.
 const (
-	Closed CutOff = iota // it admits nothing
-	Floor                // it has a share that is kept aside for every router
-	Open                 // it has a cap of its own
+	Closed CutOff = iota // nothing
+	Floor                // a share that is reserved for every router
+	Open                 // up to a cap of each router, which may exceed the limit
 )
 
 var (
-	kindNames = [...]string{"", "rate", "calls", "retries", "cold"}
-	modeNames = [...]string{"closed", "floor", "open"}
+	kindNames   = [...]string{"", "rate", "calls", "retries", "cold"}
+	cutOffNames = [...]string{"closed", "floor", "open"}
 )
 
-func (k Kind) String() string   { return kindNames[k] }
-func (c CutOff) String() string { return modeNames[c] }
+// String returns the kind's name in reports.
+func (k Kind) String() string { return kindNames[k] }
 
-// Bounds of what comes from outside.
+// String returns the mode's name in settings and reports.
+func (c CutOff) String() string { return cutOffNames[c] }
+
+// Bounds on input.
 const (
-	LimitsMost = 256    // limits of a fleet, of which those that hold for each tenant, number or class count once
-	EachMost   = 16_384 // tenants, numbers or classes that such limits are active for, at a router
-	NameMost   = 64
-	activeMost = 1 << 17 // at the leading keeper
-	// matchMost limits can meet in one call: what is over that is an error of the settings.
-	matchMost = 8
+	LimitsMost = 256    // limits of a fleet; a limit per field counts once
+	EachMost   = 16_384 // active values of a limit per field, at a router
+	NameMost   = 64     // bytes of a limit's name, and of a value
+
+	maxAllocations = 1 << 17 // at the leading keeper
+	// maxMatchingLimits bounds the limits that one call can match. More are an error of the settings.
+	maxMatchingLimits = 8
 )
 
 // Limit is one limit of the whole fleet.
 type Limit struct {
 	Name    string
 	Kind    Kind
-	Most    float64       // set-ups a second, or calls at once
-	Burst   time.Duration // of Rate: a router's bucket holds its share of so long, and one call
-	Longest time.Duration // of Calls: how long a call of a lost router is taken to stand
+	Most    float64       // of Rate: set-ups a second; of Calls: calls at once; of Retries: per first try
+	Burst   time.Duration // of Rate: a router's token bucket holds its share of this time, and one call
+	Longest time.Duration // of Calls: how long a call of a lost router is assumed to be established
 	CutOff  CutOff
-	Floor   float64 // of Floor: the part of Most that is kept aside, from 0 to 1
-	Routers int     // of Floor: routers that there are at the most
-	Cap     float64 // of Open: what each router has by itself
+	Floor   float64 // of Floor: the fraction of Max that is reserved for all routers together, from 0 to 1
+	Routers int     // of Floor: the largest number of routers
+	Cap     float64 // of Open: what each router admits without a lease, in the unit of Max
 
-	Class, Tenant, Number string // which calls it counts; empty: any. Number is the beginning of the one called
-	Each                  Field  // it holds for each value of a field by itself; what is active of it goes by NAME/VALUE
+	Class, Tenant, Number string // the calls that it counts, empty: any; Number is a prefix of the called number
+	Each                  Field  // it limits each value of this field by itself; a value is named NAME/VALUE in claims
 }
 
-// Field is what a limit can hold for each value of.
+// Field is a property of calls. A limit per field limits the calls of each of its values separately.
 type Field uint8
 
-// Fields.
+// Fields for Limit.PerField.
 const (
-	EachNone Field = iota
+	EachNone Field = iota // one limit for all calls
 	EachTenant
 	EachNumber
 	EachClass
-	eachServer // of Cold: each server that has just started, by each start
+	fieldServer // of Cold: each start of a case server
 )
 
 var fieldNames = [...]string{"", "tenant", "number", "class", "server"}
 
+// String returns the field's name in the settings.
 func (f Field) String() string { return fieldNames[f] }
 
-// FieldOf reads one.
+// ParseField returns the field of a name in the settings, FieldNone for any other.
 func FieldOf(s string) Field {
-	for i, name := range fieldNames[:eachServer] {
+	for i, name := range fieldNames[:fieldServer] {
 		if name == s {
 			return Field(i)
 		}
@@ -91,8 +98,9 @@
 	return EachNone
 }
 
-// value is a call's value of a field; longer ones are told apart by their beginning alone.
-func (f Field) value(class, tenant, number string) string {
+// valueOf returns a call's value of the field, truncated to MaxNameLength bytes: longer values with the same
+// beginning share one limit.
+func (f Field) valueOf(class, tenant, number string) string {
 	var v string
 	switch f {
 	case EachTenant:
@@ -105,32 +113,33 @@
 	return v[:min(len(v), NameMost)]
 }
 
-// Validate says what is wrong with it.
+// Validate returns an error that describes the first rule that the limit breaks, or nil.
 func (l Limit) Validate() error {
 	switch {
 	case l.Name == "" || len(l.Name) > NameMost || strings.Contains(l.Name, "/"):
-		return fmt.Errorf("a limit's name has 1 to %d bytes and no slash", NameMost)
+		return fmt.Errorf("limit name must have 1 to %d bytes and no slash", NameMost)
 	case l.Kind < Rate || l.Kind > Cold:
-		return errors.New("one of rate, calls, retries and cold is wanted")
-	case l.Kind == Cold && (l.Class != "" || l.Tenant != "" || l.Number != "" || l.Each != EachNone || l.CutOff == Open):
-		return errors.New("cold counts what servers are sent, closed or floor: it takes no class, tenant, number or each")
+		return errors.New("kind must be one of rate, calls, retries and cold")
+	case l.Kind == Cold &&
+		(l.Class != "" || l.Tenant != "" || l.Number != "" || l.Each != EachNone || l.CutOff == Open):
+		return errors.New("cold takes the cut-off closed or floor, and no class, tenant, number or each")
 	case l.Kind == Retries && (l.CutOff != Closed || l.Each != EachNone):
-		return errors.New("retries are each router's own: they take neither cut-off nor each")
+		return errors.New("retries are limited by each router alone: cut-off and each must not be set")
 	case !(l.Most > 0 && l.Most <= 1e9):
-		return errors.New("a limit is above 0, and 1e9 at the most")
+		return errors.New("limit must be above 0 and at most 1e9")
 	case l.Kind == Rate && (l.Burst < 0 || l.Burst > time.Minute):
-		return errors.New("a burst is up to 1m")
+		return errors.New("burst must be from 0 to 1m")
 	case l.Kind == Calls && (l.Longest <= 0 || l.Longest > 24*time.Hour):
-		return errors.New("longest is above 0 and up to 24h")
+		return errors.New("longest must be above 0 and at most 24h")
 	case l.CutOff == Floor && (l.Floor <= 0 || l.Floor > 1 || l.Routers < 1):
-		return errors.New("a floor is a part above 0 and up to 1, of a number of routers")
+		return errors.New("floor must be a fraction above 0 and at most 1, of at least 1 router")
 	case l.CutOff == Open && l.Cap <= 0:
-		return errors.New("open wants a cap")
+		return errors.New("open needs a cap above 0")
 	}
 	return nil
 }
 
-// floor is the share that each router has at any time, lease or not.
+// floor returns the share that each router has at any time, with and without a lease.
 func (l *Limit) floor() float64 {
 	if l.CutOff != Floor {
 		return 0
@@ -138,37 +147,39 @@
 	return l.Most * l.Floor / float64(l.Routers)
 }
 
-// divided is the part of the limit that leases divide.
-func (l *Limit) divided() float64 { return l.Most - l.floor()*float64(max(l.Routers, 0)) }
+// divisible returns the part of the limit that is divided by leases: without the floors of all routers.
+func (l *Limit) divisible() float64 { return l.Most - l.floor()*float64(max(l.Routers, 0)) }
 
-// alone is what a router without a lease has.
-func (l *Limit) alone() float64 {
+// shareWithoutLease returns the share of a router without a lease.
+func (l *Limit) shareWithoutLease() float64 {
 	if l.CutOff == Open {
 		return l.Cap
 	}
 	return l.floor()
 }
 
-// matches says whether a call counts.
+// matches reports whether the limit counts a call.
 func (l *Limit) matches(class, tenant, number string) bool {
-	return l.Kind != Cold && (l.Class == "" || l.Class == class) && (l.Tenant == "" || l.Tenant == tenant) && (l.Number == "" || strings.HasPrefix(number, l.Number))
+	return l.Kind != Cold && (l.Class == "" || l.Class == class) && (l.Tenant == "" || l.Tenant == tenant) &&
+		(l.Number == "" || strings.HasPrefix(number, l.Number))
 }
 
-// Claim is what a router says of one limit as it asks.
+// Claim is what a router reports of one limit with a lease request.
 type Claim struct {
 	Limit  string
-	Demand float64 // set-ups a second that came, or calls wanted at once
-	Held   float64 // what it has in force: its share or, of Calls, the calls that it has if they are more
-	Used   float64 // set-ups a second admitted, or calls that it has
+	Demand float64 // set-ups a second that arrived, or concurrent calls wanted
+	Held   float64 // the share in force or, of Calls, the number of open calls if that is larger
+	Used   float64 // set-ups a second that were admitted, or open calls
 }
 
-// Grant is a share of one limit, for as long as the lease that it came with.
+// Grant is a share of one limit, valid as long as the lease that it came with.
 type Grant struct {
 	Limit string
 	Share float64
 }
 
-// Ceiling is the most that a life may have been granted of a limit of Calls, as the log has it.
+// Ceiling is the largest share of a limit of kind Calls that an incarnation may have been granted. It is committed to
+// the log before such a share is granted, so that a new leader knows how many calls may be established.
 type Ceiling struct {
 	Limit       string
 	Incarnation uint64
--- /dev/null
+++ b/quota/rider.go
@@ -0,0 +1,202 @@
+package quota
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"threadglade.example/threadglade/fleet"
+	"threadglade.example/threadglade/fleet/fleetpb"
+	"threadglade.example/threadglade/quota/quotapb"
+)
+
+// This file encodes claims and grants as payloads of lease messages, and connects the Allocator to the replicated
+// log.
+
+// Prefixes of the keys of facts in the log.
+const (
+	// OperatorKeyPrefix begins the keys of limits set by operators.
+	WordKey = "limit/"
+	// ceilingKeyPrefix begins the keys of routers' ceilings, which leading keepers write.
+	ceilingKeyPrefix = fleet.OwnPrefix + "quota/"
+)
+
+// Rider connects the Allocator of a keeper to lease renewals and to the log. It implements fleet.Rider and is not
+// safe for concurrent use.
+type Rider struct {
+	Divider          *Divider
+	machine          func() *fleet.Machine
+	limits           func() []Limit // in force by the log
+	pendingPuts      []*fleetpb.Put
+	proposedVersions map[string]uint64 // by key: 1 + the version that the latest put expects
+}
+
+// NewRider returns the rider of a keeper. limits returns the limits in force; it is called when the keeper begins to
+// lead and when the log changes them.
+func NewRider(t fleet.Terms, machine func() *fleet.Machine, limits func() []Limit) *Rider {
+	return &Rider{
+		Divider: NewDivider(nil, t.Wait(), t.Drift),
+		machine: machine, limits: limits, proposedVersions: map[string]uint64{},
+	}
+}
+
+// Office implements fleet.Rider. The allocator starts a term with the ceilings and the live routers of the log.
+func (r *Rider) Office(now time.Duration) {
+	live, ceilings := map[string]uint64{}, map[string][]Ceiling{}
+	for _, m := range r.machine().Members() {
+		if m.Live {
+			live[m.Name] = m.Incarnation
+		}
+	}
+	for _, f := range r.machine().Facts() {
+		if name, ok := strings.CutPrefix(f.Key, ceilingKeyPrefix); ok {
+			ceilings[name] = unmarshalCeilings(f.Value)
+		}
+	}
+	r.Divider.Change(r.limits())
+	r.Divider.Office(now, ceilings, live)
+	r.pendingPuts, r.proposedVersions = nil, map[string]uint64{}
+}
+
+// Resign implements fleet.Rider. The allocator ends its term.
+func (r *Rider) Resign() { r.Divider.Resign() }
+
+// Over implements fleet.Rider. The lease of an incarnation has expired on every clock.
+func (r *Rider) Over(now time.Duration, name string, incarnation uint64) {
+	r.Divider.Over(now, name, incarnation)
+}
+
+// Applied implements fleet.Rider. It updates the limits when an operator's limit is committed.
+func (r *Rider) Applied(_ time.Duration, e *fleetpb.Entry) {
+	if strings.HasPrefix(e.GetPut().GetKey(), WordKey) {
+		r.Divider.Change(r.limits())
+	}
+}
+
+// Renewed implements fleet.Rider. It decodes the claims of a lease request and returns the encoded grants for the
+// answer, nil if there are no valid claims. Changed ceilings are queued for Puts.
+func (r *Rider) Renewed(now time.Duration, name string, incarnation, process, seq uint64, payload []byte) []byte {
+	var request quotapb.Claims
+	if payload == nil || proto.Unmarshal(payload, &request) != nil {
+		return nil
+	}
+	var claims []Claim
+	for _, claim := range request.Claims {
+		claims = append(claims, Claim{Limit: claim.Limit, Demand: claim.Demand, Held: claim.Held, Used: claim.Used})
+	}
+	key := ceilingKeyPrefix + name
+	fact := r.machine().Fact(key)
+	stored := unmarshalCeilings(fact.GetValue())
+	grants, added := r.Divider.Asked(now, name, incarnation, process, seq, request.Taken, claims, stored)
+	if list := r.Divider.Kept(name, stored, added); (len(added) > 0 || len(list) < len(stored)) &&
+		r.proposedVersions[key] != fact.GetVersion()+1 {
+		// Only one put of a key is pending at a time. If it is lost with the term, the next term starts anew.
+		r.proposedVersions[key] = fact.GetVersion() + 1
+		r.pendingPuts = append(r.pendingPuts, &fleetpb.Put{
+			Key: key, Value: marshalCeilings(list), Expect: fact.GetVersion(),
+		})
+	}
+	var response quotapb.Grants
+	for _, grant := range grants {
+		response.Grants = append(response.Grants, &quotapb.Grant{Limit: grant.Limit, Share: grant.Share})
+	}
+	encoded, _ := proto.Marshal(&response)
+	return encoded
+}
+
+// Puts implements fleet.Rider. It returns the queued writes of ceilings and empties the queue.
+func (r *Rider) Puts() []*fleetpb.Put {
+	puts := r.pendingPuts
+	r.pendingPuts = nil
+	return puts
+}
+
+// Bounds of a report.
+const (
+	maxReportedLimits = 2000
+	maxReportedShares = 8 // of each limit, the largest
+)
+
+// Report implements fleet.Rider. It returns the encoded status of the limits. If there are more than
+// maxReportedLimits, it contains those with the most demand.
+func (r *Rider) Report() []byte {
+	var report quotapb.Standings
+	list := r.Divider.Standings()
+	if len(list) > maxReportedLimits {
+		slices.SortStableFunc(list, func(a, b Standing) int { return cmp.Compare(b.Demand, a.Demand) })
+		report.LeftOut = uint32(len(list) - maxReportedLimits)
+		list = list[:maxReportedLimits]
+		slices.SortFunc(list, func(a, b Standing) int { return cmp.Compare(a.Name, b.Name) })
+	}
+	for _, one := range list {
+		status := &quotapb.Standing{
+			Limit: one.Name, Kind: one.Kind.String(), Most: one.Most, CutOff: one.CutOff.String(),
+			Out: one.Out, Kept: one.Kept, Used: one.Used, Demand: one.Demand,
+			Holders: uint32(len(one.Holders)), Class: one.Class, Tenant: one.Tenant, Number: one.Number,
+		}
+		for _, share := range one.Holders[:min(len(one.Holders), maxReportedShares)] {
+			status.Held = append(status.Held, &quotapb.Holder{
+				Router: share.Name, Share: share.Share, Used: share.Used, Wants: share.Wants,
+				AgeMs: share.Age.Milliseconds(),
+			})
+		}
+		report.Standings = append(report.Standings, status)
+	}
+	encoded, _ := proto.Marshal(&report)
+	return encoded
+}
+
+// unmarshalCeilings decodes the value of a fact; a malformed value holds no ceilings.
+func unmarshalCeilings(b []byte) (list []Ceiling) {
+	var c quotapb.Ceilings
+	if proto.Unmarshal(b, &c) == nil {
+		for _, one := range c.Ceilings {
+			list = append(list, Ceiling{
+				Limit: one.Limit, Incarnation: one.Incarnation, Process: one.Process, Most: one.Most,
+			})
+		}
+	}
+	return list
+}
+
+// marshalCeilings encodes ceilings as the value of a fact. It omits those that exceed the size of a value; this is
+// safe because only shares below a committed ceiling are granted.
+func marshalCeilings(list []Ceiling) []byte {
+	var out quotapb.Ceilings
+	for _, c := range list {
+		out.Ceilings = append(out.Ceilings, &quotapb.Ceiling{
+			Limit: c.Limit, Incarnation: c.Incarnation, Process: c.Process, Most: c.Most,
+		})
+		if proto.Size(&out) > fleet.ValueMost {
+			out.Ceilings = out.Ceilings[:len(out.Ceilings)-1]
+		}
+	}
+	b, _ := proto.Marshal(&out)
+	return b
+}
+
+// MarshalClaims returns the encoded claims for a lease request.
+func (l *Gate) Say(now time.Duration) []byte {
+	claims, appliedSeq := l.Claims(now)
+	out := quotapb.Claims{Taken: appliedSeq}
+	for _, c := range claims {
+		out.Claims = append(out.Claims, &quotapb.Claim{Limit: c.Limit, Demand: c.Demand, Held: c.Held, Used: c.Used})
+	}
+	b, _ := proto.Marshal(&out)
+	return b
+}
+
+// UnmarshalGrants decodes the grants of an answer. ok is false if they are malformed.
+func ReadGrants(b []byte) (grants []Grant, ok bool) {
+	var message quotapb.Grants
+	if proto.Unmarshal(b, &message) != nil {
+		return nil, false
+	}
+	for _, g := range message.Grants {
+		grants = append(grants, Grant{Limit: g.Limit, Share: g.Share})
+	}
+	return grants, true
+}
