--- a/internal/fleetio/fleet.go
+++ b/internal/fleetio/fleet.go
@@ -42,7 +42,7 @@
 	Log    zerolog.Logger
 	Facts  func(fleet.Note) // hears each note on the loop; nil: nobody
 	// Parts hears, on the loop, of this router's parts of what cold case servers may be sent, for how long from now they hold, and what it has without; nil: nobody.
-	Parts func(parts []quota.Part, hold time.Duration, alone float64)
+	Parts func(parts []quota.ColdShare, hold time.Duration, alone float64)
 	// Further has the decisions told, on the loop, of further attempts that they are lent; nil: nobody.
 	Further func(lend func(left int) (lent int, limited bool))
 	// Care hears, on the loop, of a server that is to be left alone for what all routers know, and for how long from now; 0: no more. Now is the clock that the times of
@@ -133,7 +133,7 @@
 		}
 		if f.member != nil {
 			f.shares = xsync.NewSPSCQueue[shares](sharesMost)
-			f.gate = &gate{Gate: quota.NewGate(now, cfg.Limits)}
+			f.gate = &gate{Limiter: quota.NewLimiter(now, cfg.Limits)}
 			f.gate.said.Store(&[]byte{})
 			f.member.Ride = func() []byte { return *f.gate.said.Load() }
 			f.member.Rode = f.rode
@@ -404,7 +404,7 @@
 func (f *Fleet) tell(notes []fleet.Note) {
 	for _, n := range notes {
 		f.log(n)
-		if f.gate != nil && n.Kind == fleet.Written && strings.HasPrefix(n.Name, quota.WordKey) {
+		if f.gate != nil && n.Kind == fleet.Written && strings.HasPrefix(n.Name, quota.OperatorKeyPrefix) {
 			list := inForce(f.cfg.Limits, f.member.Machine.Facts())
 			f.gate.limits.Store(&list)
 			f.gate.changed.Store(true)
--- a/internal/fleetio/limits.go
+++ b/internal/fleetio/limits.go
@@ -32,14 +32,14 @@
 		}
 		list = append(list, l)
 	})
-	if len(list) > quota.LimitsMost {
-		s.Errorf("", "%d limits, %d at the most", len(list), quota.LimitsMost)
+	if len(list) > quota.MaxLimits {
+		s.Errorf("", "%d limits, %d at the most", len(list), quota.MaxLimits)
 	}
 	return list
 }
 
 func readLimit(s *settings.Section) quota.Limit {
-	l := quota.Limit{Name: s.Label(), Burst: 200 * time.Millisecond, Longest: 10 * time.Minute}
+	l := quota.Limit{Name: s.Label(), Burst: 200 * time.Millisecond, MaxCallDuration: 10 * time.Minute}
 	number := func(field string, v *float64) bool {
 		var text string
 		if !s.String(field, &text) {
@@ -52,16 +52,16 @@
 		*v = x
 		return true
 	}
-	if number("rate", &l.Most) {
+	if number("rate", &l.Max) {
 		l.Kind = quota.Rate
 	}
-	if number("calls", &l.Most) {
+	if number("calls", &l.Max) {
 		if l.Kind != 0 {
 			s.Errorf("calls", "one of rate and calls is wanted")
 		}
 		l.Kind = quota.Calls
 	}
-	if number("retries", &l.Most) {
+	if number("retries", &l.Max) {
 		if l.Kind != 0 {
 			s.Errorf("retries", "stands beside another kind")
 		}
@@ -72,19 +72,19 @@
 		if l.Kind != 0 {
 			s.Errorf("cold", "stands beside another kind")
 		}
-		l.Kind, l.Most = quota.Cold, 1
+		l.Kind, l.Max = quota.Cold, 1
 	}
 	s.Span("burst", &l.Burst, 0, time.Minute)
-	s.Span("longest", &l.Longest, time.Second, 24*time.Hour)
+	s.Span("longest", &l.MaxCallDuration, time.Second, 24*time.Hour)
 	mode := "closed"
 	s.Choice("cut-off", &mode, "closed", "floor", "open")
 	l.CutOff = map[string]quota.CutOff{"closed": quota.Closed, "floor": quota.Floor, "open": quota.Open}[mode]
 	number("floor", &l.Floor)
 	number("cap", &l.Cap)
-	s.Int("routers", &l.Routers, 1, 100_000)
+	s.Int("routers", &l.MaxRouters, 1, 100_000)
 	var each string
 	if s.Choice("each", &each, "tenant", "number", "class"); each != "" {
-		l.Each = quota.FieldOf(each)
+		l.PerField = quota.ParseField(each)
 	}
 	s.String("class", &l.Class)
 	s.String("tenant", &l.Tenant)
@@ -124,7 +124,7 @@
 		by[l.Name] = l
 	}
 	for _, f := range facts {
-		name, ok := strings.CutPrefix(f.Key, quota.WordKey)
+		name, ok := strings.CutPrefix(f.Key, quota.OperatorKeyPrefix)
 		if !ok {
 			continue
 		}
@@ -138,7 +138,7 @@
 	}
 	var list []quota.Limit
 	for _, name := range slices.Sorted(maps.Keys(by)) {
-		if len(list) < quota.LimitsMost {
+		if len(list) < quota.MaxLimits {
 			list = append(list, by[name])
 		}
 	}
@@ -147,11 +147,11 @@
 
 // gate is a router's part, between the loop and the core.
 type gate struct {
-	*quota.Gate // of the loop
-	next        time.Duration
-	said        atomic.Pointer[[]byte] // claims, as the core sends them
-	limits      atomic.Pointer[[]quota.Limit]
-	changed     atomic.Bool
+	*quota.Limiter // of the loop
+	next           time.Duration
+	said           atomic.Pointer[[]byte] // claims, as the core sends them
+	limits         atomic.Pointer[[]quota.Limit]
+	changed        atomic.Bool
 }
 
 // shares are an answer's, on their way to the loop.
@@ -163,7 +163,7 @@
 
 // rode gives an answer's shares to the loop. It is the core's.
 func (f *Fleet) rode(seq uint64, until time.Duration, ride []byte) {
-	grants, ok := quota.ReadGrants(ride)
+	grants, ok := quota.UnmarshalGrants(ride)
 	if !ok {
 		return
 	}
@@ -178,7 +178,7 @@
 func (f *Fleet) turn(now time.Duration) time.Duration {
 	g := f.gate
 	if g.changed.Swap(false) {
-		g.Change(now, *g.limits.Load())
+		g.SetLimits(now, *g.limits.Load())
 		f.tellParts(now)
 	}
 	less := false
@@ -187,16 +187,16 @@
 		if !ok {
 			break
 		}
-		less = g.Take(now, s.seq, s.until, s.grants) || less
+		less = g.ApplyGrants(now, s.seq, s.until, s.grants) || less
 		f.tellParts(now)
 	}
-	if f.cfg.Further != nil && g.Retries() {
-		f.cfg.Further(g.Lend)
+	if f.cfg.Further != nil && g.HasRetryLimit() {
+		f.cfg.Further(g.LendRetries)
 	}
 	if now < g.next && !less {
 		return g.next - now
 	}
-	said := g.Say(now)
+	said := g.MarshalClaims(now)
 	g.said.Store(&said)
 	pause := claimEvery * time.Duration(1+len(said)/pacedBytes) // thousands of tenants are said less often
 	g.next = now + pause
@@ -204,7 +204,7 @@
 	if less { // who is given what this router gave back waits for the word of it
 		while = 0
 	}
-	if less || g.Wanting(now) {
+	if less || g.HasUnmetDemand(now) {
 		select {
 		case f.tasks <- func(time.Duration) { f.member.Hurry(while) }:
 		default:
@@ -219,7 +219,7 @@
 	for i := range servers {
 		servers[i].Warm += now
 	}
-	f.gate.Cold(now, servers)
+	f.gate.SetColdServers(now, servers)
 	f.tellParts(now)
 }
 
@@ -228,8 +228,8 @@
 	if f.cfg.Parts == nil {
 		return
 	}
-	if parts, alone, ok := f.gate.Parts(now); ok {
-		f.cfg.Parts(parts, f.gate.Until()-now, alone)
+	if parts, alone, ok := f.gate.ColdShares(now); ok {
+		f.cfg.Parts(parts, f.gate.LeaseUntil()-now, alone)
 	}
 }
 
@@ -242,7 +242,7 @@
 }
 
 // Over is the loop's: an admitted call has come to its end.
-func (f *Fleet) Over(slot uint32) { f.gate.Over(slot) }
+func (f *Fleet) Over(slot uint32) { f.gate.Release(slot) }
 
 // Limits are the loop's to look at.
-func (f *Fleet) Limits() []quota.View { return f.gate.Views(Clock()) }
+func (f *Fleet) Limits() []quota.LimiterStatus { return f.gate.Status(Clock()) }
--- a/internal/fleetsim/calls.go
+++ b/internal/fleetsim/calls.go
@@ -196,7 +196,7 @@
 		d.watch.Listed(d.p.clock(d.w.now), watched)
 	}
 	if d.p.gate != nil {
-		d.p.gate.Cold(d.p.clock(d.w.now), cold)
+		d.p.gate.SetColdServers(d.p.clock(d.w.now), cold)
 		d.parts()
 	}
 }
@@ -204,10 +204,10 @@
 // parts tells the decisions what they may send cold servers.
 func (d *desk) parts() {
 	now := d.p.clock(d.w.now)
-	if parts, alone, ok := d.p.gate.Parts(now); ok {
+	if parts, alone, ok := d.p.gate.ColdShares(now); ok {
 		d.router.ColdPart(threadglade.ColdPart{Part: alone})
 		for _, p := range parts {
-			d.router.ColdPart(threadglade.ColdPart{Server: p.ID, Started: p.Started, Part: p.Part, Until: d.w.unix() + d.p.gate.Until() - now})
+			d.router.ColdPart(threadglade.ColdPart{Server: p.ID, Started: p.Started, Part: p.Share, Until: d.w.unix() + d.p.gate.LeaseUntil() - now})
 		}
 	}
 }
@@ -282,7 +282,7 @@
 		d.slot = e.Slot
 	case router.Closed:
 		if d.p.gate != nil {
-			d.p.gate.Over(e.Slot)
+			d.p.gate.Release(e.Slot)
 		}
 	}
 	if d.watch == nil {
--- a/internal/fleetsim/calls_test.go
+++ b/internal/fleetsim/calls_test.go
@@ -161,7 +161,7 @@
 		cfg := served(1, members, 6, 2, Bad{At: 24 * time.Second, Server: 1, How: "replace"})
 		cfg.For, cfg.Calls.Alone, cfg.Calls.Proxies, cfg.Calls.Agents, cfg.Calls.Serve = 36*time.Second, true, 1, members/2, time.Millisecond
 		if divided {
-			cfg.Limits = []quota.Limit{{Name: "new", Kind: quota.Cold, Most: 1}}
+			cfg.Limits = []quota.Limit{{Name: "new", Kind: quota.Cold, Max: 1}}
 		}
 		r := Run(cfg)
 		require.Empty(t, r.Broken)
@@ -191,9 +191,9 @@
 		cfg := served(1, members, 6, 2)
 		cfg.For, cfg.Calls.Alone, cfg.Calls.Serve, cfg.Calls.Redials = 48*time.Second, true, 500*time.Microsecond, 20
 		cfg.Calls.Rates = []RateAt{{24 * time.Second, 5}, {28 * time.Second, 1}}
-		cfg.Limits = []quota.Limit{{Name: "all", Kind: quota.Rate, Most: 2.6 * float64(members), Burst: time.Second}}
+		cfg.Limits = []quota.Limit{{Name: "all", Kind: quota.Rate, Max: 2.6 * float64(members), Burst: time.Second}}
 		if budget {
-			cfg.Limits = append(cfg.Limits, quota.Limit{Name: "again", Kind: quota.Retries, Most: 0.1})
+			cfg.Limits = append(cfg.Limits, quota.Limit{Name: "again", Kind: quota.Retries, Max: 0.1})
 		}
 		r := Run(cfg)
 		require.Empty(t, r.Broken)
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -109,7 +109,7 @@
 
 type process struct {
 	desk    *desk // its calls; nil: none
-	gate    *quota.Gate
+	gate    *quota.Limiter
 	demand  float64
 	further int // attempts that its decisions have been lent
 	slot    uint32
@@ -189,11 +189,11 @@
 	w.res.Slack, w.res.Heard, w.res.Limited = time.Hour, map[string]uint64{}, map[string]*Limited{}
 	w.res.Demands = map[string]float64{}
 	for _, l := range cfg.Limits {
-		bound := l.Most
+		bound := l.Max
 		if l.Kind == quota.Rate {
-			bound = l.Most*l.Burst.Seconds() + float64(cfg.Members)
+			bound = l.Max*l.Burst.Seconds() + float64(cfg.Members)
 			if l.CutOff == quota.Floor { // a twin without a lease has its floor, too
-				bound = l.Most*l.Burst.Seconds() + float64(l.Routers)
+				bound = l.Max*l.Burst.Seconds() + float64(l.MaxRouters)
 			}
 		}
 		if l.Kind == quota.Retries {
@@ -292,10 +292,10 @@
 	} else {
 		p.member = fleet.NewMember(w.cfg.Terms, p.name, w.random.Uint64()>>1+1)
 		if len(w.cfg.Limits) > 0 {
-			p.gate, p.further = quota.NewGate(p.clock(w.now), w.cfg.Limits), 0
-			p.member.Ride = func() []byte { return p.gate.Say(p.clock(w.now)) }
+			p.gate, p.further = quota.NewLimiter(p.clock(w.now), w.cfg.Limits), 0
+			p.member.Ride = func() []byte { return p.gate.MarshalClaims(p.clock(w.now)) }
 			p.member.Rode = func(seq uint64, until time.Duration, ride []byte) {
-				if grants, ok := quota.ReadGrants(ride); ok && p.gate.Take(p.clock(w.now), seq, until, grants) {
+				if grants, ok := quota.UnmarshalGrants(ride); ok && p.gate.ApplyGrants(p.clock(w.now), seq, until, grants) {
 					p.member.Hurry(0)
 				}
 				if p.desk != nil {
@@ -317,7 +317,7 @@
 			w.act(p)
 			if p.desk != nil {
 				p.desk.look()
-				if p.gate != nil && p.gate.Wanting(now) {
+				if p.gate != nil && p.gate.HasUnmetDemand(now) {
 					p.member.Hurry(250 * time.Millisecond)
 				}
 			} else {
@@ -402,7 +402,7 @@
 		p.demand = w.cfg.Demand * w.random.ExpFloat64()
 	}
 	now := p.clock(w.now)
-	if p.gate.Wanting(now) {
+	if p.gate.HasUnmetDemand(now) {
 		p.member.Hurry(250 * time.Millisecond)
 	}
 	for _, l := range w.cfg.Limits {
@@ -427,15 +427,15 @@
 				have.By[p.name]++
 			}
 			if l.Kind == quota.Rate {
-				have.Level = max(0, have.Level-l.Most*(1+w.cfg.Terms.Drift)*(w.now-have.last).Seconds()) + 1
+				have.Level = max(0, have.Level-l.Max*(1+w.cfg.Terms.Drift)*(w.now-have.last).Seconds()) + 1
 				have.last = w.now
 			} else {
 				have.Level++
 				life := p.serial
-				w.after(time.Duration(w.random.Int64N(int64(l.Longest))), nil, func() {
+				w.after(time.Duration(w.random.Int64N(int64(l.MaxCallDuration))), nil, func() {
 					have.Level--
 					if p.up && p.serial == life { // a router that has died hears of no end
-						p.gate.Over(slot)
+						p.gate.Release(slot)
 					}
 				})
 			}
@@ -469,10 +469,10 @@
 			p.further--
 			have.Further++
 		}
-		p.further, _ = p.gate.Lend(p.further)
+		p.further, _ = p.gate.LendRetries(p.further)
 	}
 	have.Admitted = have.Firsts + have.Further
-	over := float64(have.Further) - l.Most*float64(have.Firsts) // since the beginning: never, for nothing is earned ahead of first tries
+	over := float64(have.Further) - l.Max*float64(have.Firsts) // since the beginning: never, for nothing is earned ahead of first tries
 	have.low = min(have.low, over)
 	have.Level = over - have.low // in the worst time until now: what each had in its bucket
 	if have.Most = max(have.Most, have.Level); over > 1e-6 || have.Level > have.Bound {
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -166,11 +166,11 @@
 // limits of each kind that bind: demand is several times what they allow.
 func limits(members int) []quota.Limit {
 	return []quota.Limit{
-		{Name: "rate", Class: "rate", Kind: quota.Rate, Most: float64(2 * members), Burst: 200 * time.Millisecond},
-		{Name: "slow", Class: "slow", Kind: quota.Rate, Most: float64(members) / 5, Burst: 200 * time.Millisecond}, // less than a call a second each
-		{Name: "calls", Class: "calls", Kind: quota.Calls, Most: float64(3 * members), Longest: 8 * time.Second},
-		{Name: "floor", Class: "floor", Kind: quota.Rate, Most: float64(4 * members), Burst: 200 * time.Millisecond, CutOff: quota.Floor, Floor: 0.5, Routers: 4 * members},
-		{Name: "retries", Kind: quota.Retries, Most: 0.2},
+		{Name: "rate", Class: "rate", Kind: quota.Rate, Max: float64(2 * members), Burst: 200 * time.Millisecond},
+		{Name: "slow", Class: "slow", Kind: quota.Rate, Max: float64(members) / 5, Burst: 200 * time.Millisecond}, // less than a call a second each
+		{Name: "calls", Class: "calls", Kind: quota.Calls, Max: float64(3 * members), MaxCallDuration: 8 * time.Second},
+		{Name: "floor", Class: "floor", Kind: quota.Rate, Max: float64(4 * members), Burst: 200 * time.Millisecond, CutOff: quota.Floor, Floor: 0.5, MaxRouters: 4 * members},
+		{Name: "retries", Kind: quota.Retries, Max: 0.2},
 	}
 }
 
@@ -200,14 +200,14 @@
 		cfg.Cuts, cfg.Pauses, cfg.Kills, cfg.Twins, cfg.Islands, cfg.Loss, cfg.Twice, cfg.Puts = 0, 0, 0, 0, 0, 0, 0, 0
 		cfg.For, cfg.Quiet, cfg.Steady = 30*time.Second, 0, steady
 		cfg.Limits, cfg.Demand = limits(cfg.Members)[:1], 40
-		cfg.Limits[0].Most *= 5
+		cfg.Limits[0].Max *= 5
 		r := check(t, cfg)
 		have := r.Limited["rate"]
-		use := float64(have.Late) / (10 * cfg.Limits[0].Most)
+		use := float64(have.Late) / (10 * cfg.Limits[0].Max)
 		var sum, squares float64 // Jain's index: 1 where all have the same
 		for name, n := range have.By {
 			if steady { // of what a central limiter would give it
-				n /= 10 * ideal(cfg.Limits[0].Most, r.Demands)[name]
+				n /= 10 * ideal(cfg.Limits[0].Max, r.Demands)[name]
 			}
 			sum, squares = sum+n, squares+n*n
 		}
--- a/internal/fleetsim/mutant_test.go
+++ b/internal/fleetsim/mutant_test.go
@@ -98,18 +98,18 @@
 				switch mutant {
 				case "floor-on-top":
 					cfg.Limits = limits(cfg.Members)[3:]
-					cfg.Limits[0].Routers = cfg.Members
+					cfg.Limits[0].MaxRouters = cfg.Members
 					cfg.Twins, cfg.Islands, cfg.Cuts = 0, 0, 0.1
 				case "last-answer-only", "share-too-early":
 					cfg.Far, cfg.Swing = 250*time.Millisecond, 10
 				case "forgetful-leader", "no-ceiling", "places-free":
 					cfg.Kills, cfg.Swing = 1.5, 10
-					cfg.Limits[2].Longest, cfg.MemberKills = 30*time.Second, 0.5
+					cfg.Limits[2].MaxCallDuration, cfg.MemberKills = 30*time.Second, 0.5
 				}
 				for i := range cfg.Limits {
 					if cfg.Limits[i].Kind != quota.Retries {
 						cfg.Limits[i].Burst = 50 * time.Millisecond
-						cfg.Limits[i].Most *= 4
+						cfg.Limits[i].Max *= 4
 					}
 				}
 				cfg.Demand *= 8
--- a/internal/node/product.go
+++ b/internal/node/product.go
@@ -172,7 +172,7 @@
 		fmt.Fprintln(w, ")")
 	}
 	for _, l := range p.Limits {
-		fmt.Fprintf(w, "  ; limit %q: %s %g, cut off %s\n", l.Name, l.Kind, l.Most, l.CutOff)
+		fmt.Fprintf(w, "  ; limit %q: %s %g, cut off %s\n", l.Name, l.Kind, l.Max, l.CutOff)
 	}
 	fmt.Fprintln(w, ")")
 }
@@ -206,10 +206,10 @@
 }
 
 // parts tells the decisions what this router may send of what case servers that have just started may be sent.
-func (n *Node) parts(parts []quota.Part, hold time.Duration, alone float64) {
+func (n *Node) parts(parts []quota.ColdShare, hold time.Duration, alone float64) {
 	n.Router.ColdPart(threadglade.ColdPart{Part: alone})
 	for _, p := range parts {
-		n.Router.ColdPart(threadglade.ColdPart{Server: p.ID, Started: p.Started, Part: p.Part, Until: n.clock() + hold})
+		n.Router.ColdPart(threadglade.ColdPart{Server: p.ID, Started: p.Started, Part: p.Share, Until: n.clock() + hold})
 	}
 }
 
--- a/quota/allocator.go
+++ b/quota/allocator.go
@@ -27,7 +27,7 @@
 // Allocator divides the limits among the routers, at the leading keeper. For each limit it tracks the largest share
 // that each router may have in force, and grants shares whose sum stays within the limit. It is not safe for
 // concurrent use.
-type Divider struct {
+type Allocator struct {
 	limits           map[string]*Limit
 	leaseWait        time.Duration // K: a lease granted this long ago has expired on every clock
 	maxDrift         float64       // bound on how far a clock's rate is from true time
@@ -105,10 +105,10 @@
 
 // limitFor returns the limit that a name in a claim refers to, as NAME or, of a limit per field, NAME/VALUE. It
 // returns nil if there is none.
-func (a *Divider) limitFor(name string) *Limit {
+func (a *Allocator) limitFor(name string) *Limit {
 	base, _, hasValue := strings.Cut(name, "/")
 	limit := a.limits[base]
-	if limit == nil || hasValue != (limit.Each != EachNone) || len(name) > 2*NameMost+1 {
+	if limit == nil || hasValue != (limit.PerField != FieldNone) || len(name) > 2*MaxNameLength+1 {
 		return nil
 	}
 	return limit
@@ -116,7 +116,7 @@
 
 // allocationFor returns the allocation of a name and creates it if needed. It returns nil, and counts a refusal, if
 // no such limit exists or there are too many allocations.
-func (a *Divider) allocationFor(name string) *allocation {
+func (a *Allocator) allocationFor(name string) *allocation {
 	alloc := a.allocations[name]
 	if alloc == nil {
 		limit := a.limitFor(name)
@@ -141,7 +141,7 @@
 }
 
 // removeAllotment removes a router's allotment, and the allocation if nothing else is left of it.
-func (a *Divider) removeAllotment(r *router, alloc *allocation) {
+func (a *Allocator) removeAllotment(r *router, alloc *allocation) {
 	if share := alloc.allotments[r]; share != nil {
 		alloc.inForce -= aboveFloor(alloc.Limit, share.maxInForce())
 		delete(alloc.allotments, r)
@@ -151,7 +151,7 @@
 }
 
 // removeIfEmpty removes an allocation that has neither allotments nor reservations.
-func (a *Divider) removeIfEmpty(alloc *allocation) {
+func (a *Allocator) removeIfEmpty(alloc *allocation) {
 	if len(alloc.allotments) == 0 && len(alloc.reservations) == 0 {
 		delete(a.allocations, alloc.name)
 	}
@@ -159,19 +159,19 @@
 
 // NewAllocator returns an allocator that does not lead yet. wait is the time after which a lease has expired on every
 // clock, drift the bound on the rate error of clocks.
-func NewDivider(limits []Limit, wait time.Duration, drift float64) *Divider {
-	a := &Divider{leaseWait: wait, maxDrift: drift, limits: map[string]*Limit{}}
-	a.Change(limits)
+func NewAllocator(limits []Limit, wait time.Duration, drift float64) *Allocator {
+	a := &Allocator{leaseWait: wait, maxDrift: drift, limits: map[string]*Limit{}}
+	a.SetLimits(limits)
 	return a
 }
 
 // SetLimits replaces the limits. Shares of a limit that became smaller are lowered with the next answers to their
 // routers. Shares of a removed limit end with the next answers, too.
-func (a *Divider) Change(limits []Limit) {
+func (a *Allocator) SetLimits(limits []Limit) {
 	clear(a.limits)
 	for _, l := range limits {
 		if l.Kind == Cold {
-			l.Each, l.Most = fieldServer, 1
+			l.PerField, l.Max = fieldServer, 1
 		}
 		if l.Kind != Retries { // each router enforces them by itself
 			a.limits[l.Name] = &l
@@ -203,7 +203,7 @@
 // StartTerm begins a term as leader. Of earlier terms only the committed ceilings are known, by router name, and the
 // incarnation of each live router. Until leaseWait has passed, no share is raised, because grants of earlier leaders
 // may still be in force.
-func (a *Divider) Office(now time.Duration, ceilings map[string][]Ceiling, live map[string]uint64) {
+func (a *Allocator) StartTerm(now time.Duration, ceilings map[string][]Ceiling, live map[string]uint64) {
 	a.leading, a.recoveryUntil, a.routers, a.allocations, a.reservationCount =
 		true, now+a.leaseWait, map[string]*router{}, map[string]*allocation{}, 0
 	if mutant == "forgetful-leader" {
@@ -216,15 +216,15 @@
 			}
 			if live[name] == c.Incarnation {
 				r := a.routerFor(now, name, c.Incarnation, c.Process)
-				r.ceilings[c.Limit] = c.Most
+				r.ceilings[c.Limit] = c.Max
 				if alloc := a.allocationFor(c.Limit); alloc != nil {
 					share := alloc.allotmentFor(r)
-					share.update(func() { share.held = c.Most })
+					share.update(func() { share.held = c.Max })
 				}
 				continue
 			}
 			if alloc := a.allocationFor(c.Limit); alloc != nil {
-				a.reserve(now, alloc, &router{name: name, incarnation: c.Incarnation, process: c.Process}, c.Most)
+				a.reserve(now, alloc, &router{name: name, incarnation: c.Incarnation, process: c.Process}, c.Max)
 				a.removeIfEmpty(alloc)
 			}
 		}
@@ -232,16 +232,16 @@
 }
 
 // EndTerm ends the term as leader and discards all state of it.
-func (a *Divider) Resign() {
+func (a *Allocator) EndTerm() {
 	a.leading, a.routers, a.allocations, a.reservationCount = false, nil, nil, 0
 }
 
 // routerFor returns the state of a router's incarnation and creates it if needed. It ends any other incarnation of
 // the router.
-func (a *Divider) routerFor(now time.Duration, name string, incarnation, process uint64) *router {
+func (a *Allocator) routerFor(now time.Duration, name string, incarnation, process uint64) *router {
 	r := a.routers[name]
 	if r != nil && r.incarnation != incarnation {
-		a.Over(now, name, r.incarnation)
+		a.EndIncarnation(now, name, r.incarnation)
 		r = nil
 	}
 	if r == nil {
@@ -255,20 +255,20 @@
 }
 
 // reserve keeps capacity for calls of an ended incarnation until the longest of them must have ended on any clock.
-func (a *Divider) reserve(now time.Duration, alloc *allocation, r *router, calls float64) {
+func (a *Allocator) reserve(now time.Duration, alloc *allocation, r *router, calls float64) {
 	if alloc.Kind != Calls || calls <= 0 || mutant == "places-free" {
 		return
 	}
 	alloc.reservations = append(alloc.reservations, reservation{
-		r.name, r.incarnation, r.process, min(calls, alloc.Most),
-		now + time.Duration(float64(alloc.Longest)*(1+a.maxDrift)/(1-a.maxDrift)),
+		r.name, r.incarnation, r.process, min(calls, alloc.Max),
+		now + time.Duration(float64(alloc.MaxCallDuration)*(1+a.maxDrift)/(1-a.maxDrift)),
 	})
 	a.reservationCount++
 }
 
 // EndIncarnation reports that an incarnation's lease has expired on every clock. Its shares end; capacity for its
 // calls, which may still be established, is reserved.
-func (a *Divider) Over(now time.Duration, name string, incarnation uint64) {
+func (a *Allocator) EndIncarnation(now time.Duration, name string, incarnation uint64) {
 	r := a.routers[name]
 	if !a.leading || r == nil || r.incarnation != incarnation {
 		return
@@ -283,9 +283,9 @@
 }
 
 // divisible returns the part of a limit that is divided by leases: without the floors.
-func (a *Divider) divisible(l *Limit) float64 {
+func (a *Allocator) divisible(l *Limit) float64 {
 	if mutant == "floor-on-top" {
-		return l.Most
+		return l.Max
 	}
 	return l.divisible()
 }
@@ -304,7 +304,7 @@
 
 // releaseReservations removes the expired reservations and those for which alsoIf, if not nil, returns true. It
 // returns the calls of the latter.
-func (a *Divider) releaseReservations(
+func (a *Allocator) releaseReservations(
 	now time.Duration, alloc *allocation, alsoIf func(reservation) bool,
 ) (released float64) {
 	before := len(alloc.reservations)
@@ -326,7 +326,7 @@
 // the number of the answer, appliedSeq that of the answer whose shares the router has in force, and ceilings are the
 // router's ceilings in the log. newCeilings have to be committed to the log before more can be granted to a later
 // request. While the allocator does not lead it returns nothing.
-func (a *Divider) Asked(
+func (a *Allocator) Allocate(
 	now time.Duration, name string, incarnation, process, seq, appliedSeq uint64, claims []Claim, ceilings []Ceiling,
 ) (grants []Grant, newCeilings []Ceiling) {
 	if !a.leading {
@@ -338,13 +338,13 @@
 	clear(r.ceilings)
 	for _, ceiling := range ceilings {
 		if ceiling.Incarnation == incarnation {
-			r.ceilings[ceiling.Limit] = ceiling.Most
+			r.ceilings[ceiling.Limit] = ceiling.Max
 		}
 	}
 	claimByLimit := make(map[string]Claim, len(claims))
 	for _, claim := range claims {
 		claimByLimit[claim.Limit] = claim
-		if len(r.allotments) >= EachMost+LimitsMost && r.allotments[claim.Limit] == nil {
+		if len(r.allotments) >= MaxValues+MaxLimits && r.allotments[claim.Limit] == nil {
 			a.Refused++ // one router cannot use up maxAllocations
 		} else if alloc := a.allocationFor(claim.Limit); alloc != nil {
 			alloc.allotmentFor(r)
@@ -367,7 +367,7 @@
 				return pending.seq <= appliedSeq
 			})
 			share.demand, share.used, share.held =
-				clamp(claim.Demand, alloc.maxDemand()), clamp(claim.Used, alloc.Most), clamp(claim.Held, alloc.Most)
+				clamp(claim.Demand, alloc.maxDemand()), clamp(claim.Used, alloc.Max), clamp(claim.Held, alloc.Max)
 			if now >= a.recoveryUntil { // whatever the router claims, it holds no more than it was granted
 				share.held = min(share.held, max(known, inherited))
 			}
@@ -398,7 +398,7 @@
 
 // nextShare returns the share to grant to a router now. If the committed ceiling keeps it below its target, ceiling
 // is the value to commit so that a later grant can be larger; otherwise it is 0.
-func (a *Divider) nextShare(now time.Duration, r *router, share *allotment) (next, ceiling float64) {
+func (a *Allocator) nextShare(now time.Duration, r *router, share *allotment) (next, ceiling float64) {
 	alloc := share.allocation
 	next = share.target
 	if math.Abs(next-share.held) < 0.02*share.held && (share.demand <= share.held || alloc.Kind == Cold) {
@@ -414,7 +414,7 @@
 	}
 	if alloc.Kind == Calls && next > r.ceilings[alloc.name] {
 		if a.reservationCount < maxReservations && now >= a.recoveryUntil {
-			ceiling = min(alloc.Most, math.Ceil(max(next, 1.5*r.ceilings[alloc.name])))
+			ceiling = min(alloc.Max, math.Ceil(max(next, 1.5*r.ceilings[alloc.name])))
 		}
 		next = min(next, r.ceilings[alloc.name])
 	}
@@ -427,7 +427,7 @@
 	if l.Kind == Cold {
 		return 1e6
 	}
-	return l.Most
+	return l.Max
 }
 
 // clamp limits a value to the range from 0 to limit. NaN becomes 0.
@@ -440,7 +440,7 @@
 
 // reallocate computes the target shares of a limit, at most once per reallocationInterval. Shares are max-min fair
 // with equal weights, plus headroom; those for a cold server are proportional to demand.
-func (a *Divider) reallocate(now time.Duration, alloc *allocation) {
+func (a *Allocator) reallocate(now time.Duration, alloc *allocation) {
 	if now < alloc.reallocatedAt+reallocationInterval && alloc.reallocatedAt != 0 {
 		return
 	}
@@ -450,7 +450,7 @@
 	eligible := make([]*allotment, 0, len(alloc.allotments))
 	for _, share := range alloc.allotments {
 		// Of a limit per field, a router without calls of a value gets no share of it.
-		if share.target = 0; alloc.Each != EachNone && share.demand < minActiveDemand {
+		if share.target = 0; alloc.PerField != FieldNone && share.demand < minActiveDemand {
 			continue
 		}
 		eligible = append(eligible, share)
@@ -479,7 +479,7 @@
 }
 
 // needsCeiling reports whether a ceiling has to stay in the log: its incarnation is live or has a reservation.
-func (a *Divider) needsCeiling(name string, ceiling Ceiling) bool {
+func (a *Allocator) needsCeiling(name string, ceiling Ceiling) bool {
 	if r := a.routers[name]; r != nil && r.incarnation == ceiling.Incarnation {
 		return true
 	}
@@ -491,7 +491,7 @@
 
 // RequiredCeilings returns the ceilings of a router that the log has to store from now on: of the stored ones those
 // that still count and are not replaced, followed by the added ones.
-func (a *Divider) Kept(name string, stored, added []Ceiling) (list []Ceiling) {
+func (a *Allocator) RequiredCeilings(name string, stored, added []Ceiling) (list []Ceiling) {
 	for _, c := range stored {
 		if a.needsCeiling(name, c) && !slices.ContainsFunc(added, func(other Ceiling) bool {
 			return other.Limit == c.Limit && other.Incarnation == c.Incarnation
@@ -503,47 +503,47 @@
 }
 
 // AllocationStatus describes the allocation of one limit, for reports.
-type Standing struct {
+type AllocationStatus struct {
 	Limit
-	Out     float64  // sum of the shares that may be in force
-	Kept    float64  // reserved for calls of ended incarnations
-	Used    float64  // as claimed by the routers
-	Demand  float64  // as claimed by the routers
-	Holders []Holder // by falling share
+	InForce  float64       // sum of the shares that may be in force
+	Reserved float64       // reserved for calls of ended incarnations
+	Used     float64       // as claimed by the routers
+	Demand   float64       // as claimed by the routers
+	Shares   []ShareStatus // by falling share
 }
 
 // ShareStatus describes one router's share of a limit.
-type Holder struct {
-	Name  string        // of the router
-	Share float64       // the largest that may be in force
-	Used  float64       // as claimed
-	Wants float64       // as claimed
-	Age   time.Duration // of the router's latest claims
+type ShareStatus struct {
+	Name   string        // of the router
+	Share  float64       // the largest that may be in force
+	Used   float64       // as claimed
+	Demand float64       // as claimed
+	Age    time.Duration // of the router's latest claims
 }
 
 // Status lists the limits, first those without an allocation, and then the allocations, each by name. Limits per
 // field are listed only by their allocated values.
-func (a *Divider) Standings() (list []Standing) {
+func (a *Allocator) Status() (list []AllocationStatus) {
 	for _, name := range slices.Sorted(maps.Keys(a.limits)) {
-		if a.allocations[name] == nil && a.limits[name].Each == EachNone {
-			list = append(list, Standing{Limit: *a.limits[name]})
+		if a.allocations[name] == nil && a.limits[name].PerField == FieldNone {
+			list = append(list, AllocationStatus{Limit: *a.limits[name]})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(a.allocations)) {
 		alloc := a.allocations[name]
-		s := Standing{Limit: *alloc.Limit}
+		s := AllocationStatus{Limit: *alloc.Limit}
 		s.Name = name
 		for r, share := range alloc.allotments {
-			s.Out, s.Used, s.Demand = s.Out+share.maxInForce(), s.Used+share.used, s.Demand+share.demand
-			s.Holders = append(s.Holders, Holder{
+			s.InForce, s.Used, s.Demand = s.InForce+share.maxInForce(), s.Used+share.used, s.Demand+share.demand
+			s.Shares = append(s.Shares, ShareStatus{
 				r.name, share.maxInForce(), share.used, share.demand, a.lastRequest - r.lastRequest,
 			})
 		}
-		slices.SortFunc(s.Holders, func(alloc, b Holder) int {
+		slices.SortFunc(s.Shares, func(alloc, b ShareStatus) int {
 			return cmp.Or(cmp.Compare(b.Share, alloc.Share), cmp.Compare(alloc.Name, b.Name))
 		})
 		for _, res := range alloc.reservations {
-			s.Kept += res.calls
+			s.Reserved += res.calls
 		}
 		list = append(list, s)
 	}
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -22,7 +22,7 @@
 )
 
 // Limiter admits calls at one router by the shares that it has in force. It is not safe for concurrent use.
-type Gate struct {
+type Limiter struct {
 	states        []*limitState
 	freeIndexes   []uint16                    // unused entries of states; indexes here and below start at 1
 	configured    []uint16                    // the limits that each call is checked against, as indexes of states
@@ -67,22 +67,22 @@
 
 // key returns the limit's name in claims and grants.
 func (s *limitState) key() string {
-	if s.Each != EachNone {
+	if s.PerField != FieldNone {
 		return s.Name + "/" + s.value
 	}
 	return s.Name
 }
 
 // NewLimiter returns a limiter without shares.
-func NewGate(now time.Duration, limits []Limit) *Gate {
-	l := &Gate{createdAt: now}
-	l.Change(now, limits)
+func NewLimiter(now time.Duration, limits []Limit) *Limiter {
+	l := &Limiter{createdAt: now}
+	l.SetLimits(now, limits)
 	return l
 }
 
 // SetLimits replaces the limits. Open calls are still counted. A limit whose name, kind and field stay keeps its
 // share, reduced to the new limit if that is smaller.
-func (l *Gate) Change(now time.Duration, limits []Limit) {
+func (l *Limiter) SetLimits(now time.Duration, limits []Limit) {
 	previous := map[string][]*limitState{}
 	for _, state := range l.states {
 		if state != nil && !state.retired {
@@ -94,18 +94,18 @@
 	for _, limit := range limits {
 		l.hasRetryLimit = l.hasRetryLimit || limit.Kind == Retries
 		if limit.Kind == Cold {
-			limit.Each, limit.Most = fieldServer, 1
+			limit.PerField, limit.Max = fieldServer, 1
 		}
 		index, indexByValue := uint16(0), map[string]uint16(nil)
-		if limit.Each != EachNone {
+		if limit.PerField != FieldNone {
 			indexByValue = map[string]uint16{}
 		}
 		for _, state := range previous[limit.Name] {
-			if state.Kind != limit.Kind || state.Each != limit.Each {
+			if state.Kind != limit.Kind || state.PerField != limit.PerField {
 				continue
 			}
 			state.refill(now, l.leaseUntil)
-			state.Limit, state.retired, state.share = limit, false, min(state.share, limit.Most)
+			state.Limit, state.retired, state.share = limit, false, min(state.share, limit.Max)
 			for i, other := range l.states {
 				if other == state && indexByValue != nil {
 					indexByValue[state.value] = uint16(i + 1)
@@ -126,7 +126,7 @@
 }
 
 // addState stores a state and returns its index, 0 if there are too many.
-func (l *Gate) addState(state *limitState) uint16 {
+func (l *Limiter) addState(state *limitState) uint16 {
 	if n := len(l.freeIndexes); n > 0 {
 		index := l.freeIndexes[n-1]
 		l.freeIndexes, l.states[index-1] = l.freeIndexes[:n-1], state
@@ -141,7 +141,7 @@
 
 // removeIdle removes the states of idle tenants, numbers, classes and servers, and of removed limits without open
 // calls.
-func (l *Gate) removeIdle(now time.Duration) {
+func (l *Limiter) removeIdle(now time.Duration) {
 	inUse := map[uint16]bool{}
 	for i, indexByValue := range l.perValue {
 		inUse[l.configured[i]] = true
@@ -169,15 +169,15 @@
 
 // stateFor returns the state, and its index, that the i-th configured limit has for a call. For a limit per field it
 // is that of the call's value, created if needed; nil if there are too many values.
-func (l *Gate) stateFor(now time.Duration, i int, class, tenant, number string) (uint16, *limitState) {
+func (l *Limiter) stateFor(now time.Duration, i int, class, tenant, number string) (uint16, *limitState) {
 	base := l.states[l.configured[i]-1]
 	if l.perValue[i] == nil {
 		return l.configured[i], base
 	}
-	value := base.Each.valueOf(class, tenant, number)
+	value := base.PerField.valueOf(class, tenant, number)
 	index := l.perValue[i][value]
 	if index == 0 {
-		if len(l.perValue[i]) >= EachMost {
+		if len(l.perValue[i]) >= MaxValues {
 			return 0, nil
 		}
 		// No call of this value came for at least idleTimeout, or since the limiter was created. Meanwhile its bucket
@@ -242,7 +242,7 @@
 // The call has to be within every limit that it matches; otherwise none of them counts it. For a refused call it
 // returns the name of a limit that is exhausted and the time after which a retry may succeed. It allocates memory
 // only for new slots and for new values of limits per field.
-func (l *Gate) Admit(
+func (l *Limiter) Admit(
 	now time.Duration, slot uint32, class, tenant, number string, retry bool,
 ) (ok bool, limitedBy string, retryAfter time.Duration) {
 	l.matchedCount = 0
@@ -303,7 +303,7 @@
 		case state.Kind == Rate || retry:
 			state.tokens--
 		default: // a first try earns a fraction of a retry
-			state.tokens = min(state.tokens+state.Most, float64(maxEarnedRetries-state.lentRetries))
+			state.tokens = min(state.tokens+state.Max, float64(maxEarnedRetries-state.lentRetries))
 		}
 	}
 	if exhausted != nil {
@@ -320,12 +320,12 @@
 
 // HasRetryLimit reports whether a limit of kind Retries is, or has been, in force. It stays true after the limit is
 // removed, because routing decisions still have to be notified of that.
-func (l *Gate) Retries() bool { return l.hasRetryLimit }
+func (l *Limiter) HasRetryLimit() bool { return l.hasRetryLimit }
 
 // LendRetries returns how many retry attempts the routing decisions may make from now on. left is the unused rest of
 // those lent before. Earned retries are lent a few at a time and leave the token bucket when they are lent. Only
 // limits that count all calls apply, because decisions don't ask for each attempt; limited is false if there is none.
-func (l *Gate) Lend(left int) (lent int, limited bool) {
+func (l *Limiter) LendRetries(left int) (lent int, limited bool) {
 	lent = maxLentRetries
 	for _, index := range l.configured {
 		if state := l.states[index-1]; state.Kind == Retries &&
@@ -350,7 +350,7 @@
 }
 
 // recordSlot records which limits of kind Calls count a call. It returns false if the slot is out of range.
-func (l *Gate) recordSlot(slot uint32) bool {
+func (l *Limiter) recordSlot(slot uint32) bool {
 	if int(slot) >= maxSlots {
 		return false
 	}
@@ -369,7 +369,7 @@
 }
 
 // Release reports that an admitted call has ended.
-func (l *Gate) Over(slot uint32) {
+func (l *Limiter) Release(slot uint32) {
 	if int(slot) >= len(l.slots) {
 		return
 	}
@@ -384,7 +384,7 @@
 
 // Claims returns the claims to send with a lease request, and the number of the latest answer applied. Limits without
 // demand and share are omitted. It also removes idle states from time to time.
-func (l *Gate) Claims(now time.Duration) (claims []Claim, appliedSeq uint64) {
+func (l *Limiter) Claims(now time.Duration) (claims []Claim, appliedSeq uint64) {
 	l.allCalls.updateRates(now, 0, 0)
 	for _, state := range l.states {
 		if state == nil || state.retired || state.Kind == Retries {
@@ -426,7 +426,7 @@
 }
 
 // SetColdServers sets the servers that have just started. Others no longer count as cold.
-func (l *Gate) Cold(now time.Duration, servers []Server) {
+func (l *Limiter) SetColdServers(now time.Duration, servers []Server) {
 	for i, index := range l.configured {
 		if l.states[index-1].Kind != Cold {
 			continue
@@ -451,14 +451,14 @@
 }
 
 // ColdShare is the fraction, from 0 to 1, of a cold server's permitted load that the router may send.
-type Part struct {
+type ColdShare struct {
 	Server
-	Part float64
+	Share float64
 }
 
 // ColdShares returns the shares of cold servers, valid until LeaseUntil, and the share that the router has without a
 // lease. ok reports whether a limit of kind Cold is in force.
-func (l *Gate) Parts(now time.Duration) (shares []Part, withoutLease float64, ok bool) {
+func (l *Limiter) ColdShares(now time.Duration) (shares []ColdShare, withoutLease float64, ok bool) {
 	for i, index := range l.configured {
 		base := l.states[index-1]
 		if base.Kind != Cold {
@@ -467,7 +467,7 @@
 		ok, withoutLease = true, base.shareWithoutLease()
 		for _, stateIndex := range l.perValue[i] {
 			if state := l.states[stateIndex-1]; now < state.warmAt {
-				shares = append(shares, Part{state.server, state.shareAt(now, l.leaseUntil)})
+				shares = append(shares, ColdShare{state.server, state.shareAt(now, l.leaseUntil)})
 			}
 		}
 	}
@@ -476,7 +476,7 @@
 
 // HasUnmetDemand reports whether calls were refused recently for want of a share, or a cold server's share is still
 // missing. The router then renews its lease sooner.
-func (l *Gate) Wanting(now time.Duration) bool {
+func (l *Limiter) HasUnmetDemand(now time.Duration) bool {
 	for _, state := range l.states {
 		if state != nil && !state.retired && state.Kind == Cold && state.share == 0 && now < state.warmAt {
 			return true
@@ -492,7 +492,7 @@
 // ApplyGrants puts the shares of answer seq in force until the lease that it renews expires. Shares of limits that
 // are not in grants end. An answer that is not newer than the latest one applied is ignored. It reports whether a
 // share decreased: the allocator gives the difference to other routers only once this router has confirmed it.
-func (l *Gate) Take(now time.Duration, seq uint64, until time.Duration, grants []Grant) (decreased bool) {
+func (l *Limiter) ApplyGrants(now time.Duration, seq uint64, until time.Duration, grants []Grant) (decreased bool) {
 	if seq <= l.appliedSeq {
 		return false
 	}
@@ -510,7 +510,7 @@
 		if now < l.leaseUntil {
 			previous = state.share
 		}
-		state.share = clamp(shares[state.key()], state.Most)
+		state.share = clamp(shares[state.key()], state.Max)
 		decreased = decreased || state.share < previous
 		if mutant == "full-bucket" && state.share > previous {
 			state.tokens = state.bucketCapacity(state.share)
@@ -524,28 +524,28 @@
 }
 
 // LeaseUntil returns when the lease, and the shares with it, expire.
-func (l *Gate) Until() time.Duration { return l.leaseUntil }
+func (l *Limiter) LeaseUntil() time.Duration { return l.leaseUntil }
 
 // LimiterStatus describes one limit at a router, for reports.
-type View struct {
+type LimiterStatus struct {
 	Limit
-	By      string  // value of a limit per field
-	Share   float64 // in force
-	Alone   float64 // without a lease
-	Tokens  float64 // in the bucket
-	Demand  float64 // arrivals a second, smoothed
-	Used    float64 // admitted calls a second, smoothed
-	Open    int     // open calls that are counted
-	Refused uint64
+	Value             string  // value of a limit per field
+	Share             float64 // in force
+	ShareWithoutLease float64 // without a lease
+	Tokens            float64 // in the bucket
+	Demand            float64 // arrivals a second, smoothed
+	Used              float64 // admitted calls a second, smoothed
+	OpenCalls         int     // open calls that are counted
+	Refused           uint64
 }
 
 // Status lists the limits in force.
-func (l *Gate) Views(now time.Duration) (list []View) {
+func (l *Limiter) Status(now time.Duration) (list []LimiterStatus) {
 	for _, state := range l.states {
 		if state != nil && !state.retired {
 			state.refill(now, l.leaseUntil)
 			state.updateRates(now, 0, 0)
-			list = append(list, View{
+			list = append(list, LimiterStatus{
 				state.Limit, state.value, state.shareAt(now, l.leaseUntil), state.shareWithoutLease(),
 				state.tokens, state.arrivalRate, state.admittedRate, state.openCalls, state.refused,
 			})
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -46,9 +46,9 @@
 
 // Bounds on input.
 const (
-	LimitsMost = 256    // limits of a fleet; a limit per field counts once
-	EachMost   = 16_384 // active values of a limit per field, at a router
-	NameMost   = 64     // bytes of a limit's name, and of a value
+	MaxLimits     = 256    // limits of a fleet; a limit per field counts once
+	MaxValues     = 16_384 // active values of a limit per field, at a router
+	MaxNameLength = 64     // bytes of a limit's name, and of a value
 
 	maxAllocations = 1 << 17 // at the leading keeper
 	// maxMatchingLimits bounds the limits that one call can match. More are an error of the settings.
@@ -57,18 +57,18 @@
 
 // Limit is one limit of the whole fleet.
 type Limit struct {
-	Name    string
-	Kind    Kind
-	Most    float64       // of Rate: set-ups a second; of Calls: calls at once; of Retries: per first try
-	Burst   time.Duration // of Rate: a router's token bucket holds its share of this time, and one call
-	Longest time.Duration // of Calls: how long a call of a lost router is assumed to be established
-	CutOff  CutOff
-	Floor   float64 // of Floor: the fraction of Max that is reserved for all routers together, from 0 to 1
-	Routers int     // of Floor: the largest number of routers
-	Cap     float64 // of Open: what each router admits without a lease, in the unit of Max
+	Name            string
+	Kind            Kind
+	Max             float64       // of Rate: set-ups a second; of Calls: calls at once; of Retries: per first try
+	Burst           time.Duration // of Rate: a router's token bucket holds its share of this time, and one call
+	MaxCallDuration time.Duration // of Calls: how long a call of a lost router is assumed to be established
+	CutOff          CutOff
+	Floor           float64 // of Floor: the fraction of Max that is reserved for all routers together, from 0 to 1
+	MaxRouters      int     // of Floor: the largest number of routers
+	Cap             float64 // of Open: what each router admits without a lease, in the unit of Max
 
 	Class, Tenant, Number string // the calls that it counts, empty: any; Number is a prefix of the called number
-	Each                  Field  // it limits each value of this field by itself; a value is named NAME/VALUE in claims
+	PerField              Field  // it limits each value of this field by itself; a value is named NAME/VALUE in claims
 }
 
 // Field is a property of calls. A limit per field limits the calls of each of its values separately.
@@ -76,10 +76,10 @@
 
 // Fields for Limit.PerField.
 const (
-	EachNone Field = iota // one limit for all calls
-	EachTenant
-	EachNumber
-	EachClass
+	FieldNone Field = iota // one limit for all calls
+	FieldTenant
+	FieldNumber
+	FieldClass
 	fieldServer // of Cold: each start of a case server
 )
 
@@ -89,13 +89,13 @@
 func (f Field) String() string { return fieldNames[f] }
 
 // ParseField returns the field of a name in the settings, FieldNone for any other.
-func FieldOf(s string) Field {
+func ParseField(s string) Field {
 	for i, name := range fieldNames[:fieldServer] {
 		if name == s {
 			return Field(i)
 		}
 	}
-	return EachNone
+	return FieldNone
 }
 
 // valueOf returns a call's value of the field, truncated to MaxNameLength bytes: longer values with the same
@@ -103,35 +103,35 @@
 func (f Field) valueOf(class, tenant, number string) string {
 	var v string
 	switch f {
-	case EachTenant:
+	case FieldTenant:
 		v = tenant
-	case EachNumber:
+	case FieldNumber:
 		v = number
-	case EachClass:
+	case FieldClass:
 		v = class
 	}
-	return v[:min(len(v), NameMost)]
+	return v[:min(len(v), MaxNameLength)]
 }
 
 // Validate returns an error that describes the first rule that the limit breaks, or nil.
 func (l Limit) Validate() error {
 	switch {
-	case l.Name == "" || len(l.Name) > NameMost || strings.Contains(l.Name, "/"):
-		return fmt.Errorf("limit name must have 1 to %d bytes and no slash", NameMost)
+	case l.Name == "" || len(l.Name) > MaxNameLength || strings.Contains(l.Name, "/"):
+		return fmt.Errorf("limit name must have 1 to %d bytes and no slash", MaxNameLength)
 	case l.Kind < Rate || l.Kind > Cold:
 		return errors.New("kind must be one of rate, calls, retries and cold")
 	case l.Kind == Cold &&
-		(l.Class != "" || l.Tenant != "" || l.Number != "" || l.Each != EachNone || l.CutOff == Open):
+		(l.Class != "" || l.Tenant != "" || l.Number != "" || l.PerField != FieldNone || l.CutOff == Open):
 		return errors.New("cold takes the cut-off closed or floor, and no class, tenant, number or each")
-	case l.Kind == Retries && (l.CutOff != Closed || l.Each != EachNone):
+	case l.Kind == Retries && (l.CutOff != Closed || l.PerField != FieldNone):
 		return errors.New("retries are limited by each router alone: cut-off and each must not be set")
-	case !(l.Most > 0 && l.Most <= 1e9):
+	case !(l.Max > 0 && l.Max <= 1e9):
 		return errors.New("limit must be above 0 and at most 1e9")
 	case l.Kind == Rate && (l.Burst < 0 || l.Burst > time.Minute):
 		return errors.New("burst must be from 0 to 1m")
-	case l.Kind == Calls && (l.Longest <= 0 || l.Longest > 24*time.Hour):
+	case l.Kind == Calls && (l.MaxCallDuration <= 0 || l.MaxCallDuration > 24*time.Hour):
 		return errors.New("longest must be above 0 and at most 24h")
-	case l.CutOff == Floor && (l.Floor <= 0 || l.Floor > 1 || l.Routers < 1):
+	case l.CutOff == Floor && (l.Floor <= 0 || l.Floor > 1 || l.MaxRouters < 1):
 		return errors.New("floor must be a fraction above 0 and at most 1, of at least 1 router")
 	case l.CutOff == Open && l.Cap <= 0:
 		return errors.New("open needs a cap above 0")
@@ -144,11 +144,11 @@
 	if l.CutOff != Floor {
 		return 0
 	}
-	return l.Most * l.Floor / float64(l.Routers)
+	return l.Max * l.Floor / float64(l.MaxRouters)
 }
 
 // divisible returns the part of the limit that is divided by leases: without the floors of all routers.
-func (l *Limit) divisible() float64 { return l.Most - l.floor()*float64(max(l.Routers, 0)) }
+func (l *Limit) divisible() float64 { return l.Max - l.floor()*float64(max(l.MaxRouters, 0)) }
 
 // shareWithoutLease returns the share of a router without a lease.
 func (l *Limit) shareWithoutLease() float64 {
@@ -184,5 +184,5 @@
 	Limit       string
 	Incarnation uint64
 	Process     uint64
-	Most        float64
+	Max         float64
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -16,15 +16,15 @@
 	const leaseWait = 3060 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
 		limits := []Limit{
-			{Name: "r", Kind: Rate, Most: 30, Burst: 100 * time.Millisecond, Class: "r"},
-			{Name: "c", Kind: Calls, Most: 10, Longest: 5 * time.Second, Class: "c"},
+			{Name: "r", Kind: Rate, Max: 30, Burst: 100 * time.Millisecond, Class: "r"},
+			{Name: "c", Kind: Calls, Max: 10, MaxCallDuration: 5 * time.Second, Class: "c"},
 		}
-		allocator := NewDivider(limits, leaseWait, 0.01)
+		allocator := NewAllocator(limits, leaseWait, 0.01)
 		ceilings := map[string][]Ceiling{}
-		allocator.Office(0, ceilings, nil)
+		allocator.StartTerm(0, ceilings, nil)
 		type router struct {
 			name        string
-			limiter     *Gate
+			limiter     *Limiter
 			incarnation uint64
 			process     uint64
 			seq         uint64
@@ -42,7 +42,7 @@
 		var routers []*router
 		for i := range 4 {
 			routers = append(routers, &router{
-				name: fmt.Sprint("r", i), limiter: NewGate(0, limits),
+				name: fmt.Sprint("r", i), limiter: NewLimiter(0, limits),
 				incarnation: uint64(i + 1), process: uint64(i + 1),
 			})
 		}
@@ -55,9 +55,9 @@
 			case 0, 1, 2: // the router renews its lease
 				r.seq++
 				claims, appliedSeq := r.limiter.Claims(now)
-				grants, added := allocator.Asked(
+				grants, added := allocator.Allocate(
 					now, r.name, r.incarnation, r.process, r.seq, appliedSeq, claims, ceilings[r.name])
-				if list := allocator.Kept(r.name, ceilings[r.name], added); len(added) > 0 ||
+				if list := allocator.RequiredCeilings(r.name, ceilings[r.name], added); len(added) > 0 ||
 					len(list) < len(ceilings[r.name]) {
 					ceilings[r.name] = list
 				}
@@ -67,7 +67,7 @@
 				if len(inFlight) > 0 {
 					i := rapid.IntRange(0, min(len(inFlight)-1, 2)).Draw(t, "which")
 					if a := inFlight[i]; a.incarnation == a.to.incarnation && a.until > now {
-						a.to.limiter.Take(now, a.seq, a.until, a.grants)
+						a.to.limiter.ApplyGrants(now, a.seq, a.until, a.grants)
 					}
 					inFlight = append(inFlight[:i:i], inFlight[i+1:]...)
 				}
@@ -83,12 +83,12 @@
 				}
 			case 9: // a call ends
 				if len(r.open) > 0 {
-					r.limiter.Over(r.open[0])
+					r.limiter.Release(r.open[0])
 					r.open = r.open[1:]
 				}
 			case 10: // a lease expires: the incarnation ends, the process goes on
 				if now >= r.renewedAt+leaseWait {
-					allocator.Over(now, r.name, r.incarnation)
+					allocator.EndIncarnation(now, r.name, r.incarnation)
 					nextIncarnation++
 					r.incarnation = nextIncarnation
 				}
@@ -100,18 +100,18 @@
 						live[one.name] = one.incarnation
 						one.renewedAt = now
 					}
-					allocator = NewDivider(limits, leaseWait, 0.01)
-					allocator.Office(now, ceilings, live)
+					allocator = NewAllocator(limits, leaseWait, 0.01)
+					allocator.StartTerm(now, ceilings, live)
 				}
 			}
 			var rate, calls float64
 			for _, one := range routers {
-				for _, v := range one.limiter.Views(now) {
+				for _, v := range one.limiter.Status(now) {
 					if v.Kind == Rate {
 						rate += v.Share
 						require.LessOrEqual(t, v.Tokens, 1+v.Share*v.Burst.Seconds()+1e-9)
 					} else {
-						calls += max(v.Share, float64(v.Open))
+						calls += max(v.Share, float64(v.OpenCalls))
 					}
 				}
 			}
@@ -123,8 +123,8 @@
 
 // TestGreedy has one router claim an absurd demand. The others must still get equal shares.
 func TestGreedy(t *testing.T) {
-	allocator := NewDivider([]Limit{{Name: "r", Kind: Rate, Most: 30}}, time.Second, 0.01)
-	allocator.Office(0, nil, nil)
+	allocator := NewAllocator([]Limit{{Name: "r", Kind: Rate, Max: 30}}, time.Second, 0.01)
+	allocator.StartTerm(0, nil, nil)
 	share := map[string]float64{}
 	appliedSeq := map[string]uint64{}
 	for step := range 200 {
@@ -132,7 +132,7 @@
 		for i, demand := range []float64{1e300, 20, 20} {
 			name := fmt.Sprint(i)
 			seq := uint64(step + 1)
-			grants, _ := allocator.Asked(
+			grants, _ := allocator.Allocate(
 				now, name, uint64(i+1), uint64(i+1), seq, appliedSeq[name],
 				[]Claim{{Limit: "r", Demand: demand, Held: share[name]}}, nil)
 			appliedSeq[name], share[name] = seq, grants[0].Share
@@ -145,18 +145,18 @@
 
 // TestAllocations checks that Admit and Release allocate no memory in the steady state.
 func TestAllocations(t *testing.T) {
-	limiter := NewGate(0, []Limit{
-		{Name: "r", Kind: Rate, Most: 1e6, Burst: time.Second},
-		{Name: "c", Kind: Calls, Most: 1e6, Longest: time.Second},
+	limiter := NewLimiter(0, []Limit{
+		{Name: "r", Kind: Rate, Max: 1e6, Burst: time.Second},
+		{Name: "c", Kind: Calls, Max: 1e6, MaxCallDuration: time.Second},
 	})
-	limiter.Take(0, 1, time.Hour, []Grant{{"r", 1e6}, {"c", 1e6}})
+	limiter.ApplyGrants(0, 1, time.Hour, []Grant{{"r", 1e6}, {"c", 1e6}})
 	now := time.Second
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
 		now += time.Millisecond
 		if ok, _, _ := limiter.Admit(now, 7, "a", "b", "c", false); !ok {
 			panic("refused")
 		}
-		limiter.Over(7)
+		limiter.Release(7)
 	}))
 }
 
@@ -164,26 +164,26 @@
 // tables must stay within their bounds, and idle tenants must be removed at the router and at the keeper.
 func TestTenants(t *testing.T) {
 	limits := []Limit{{
-		Name: "each", Kind: Rate, Most: 10, Burst: time.Second, Each: EachTenant,
-		CutOff: Floor, Floor: 0.5, Routers: 2,
+		Name: "each", Kind: Rate, Max: 10, Burst: time.Second, PerField: FieldTenant,
+		CutOff: Floor, Floor: 0.5, MaxRouters: 2,
 	}}
-	allocator := NewDivider(limits, time.Second, 0.01)
-	allocator.Office(0, nil, nil)
-	limiter := NewGate(0, limits)
+	allocator := NewAllocator(limits, time.Second, 0.01)
+	allocator.StartTerm(0, nil, nil)
+	limiter := NewLimiter(0, limits)
 	now, seq := 20*time.Second, uint64(0)
 	renew := func() int {
 		seq++
 		claims, appliedSeq := limiter.Claims(now)
-		grants, _ := allocator.Asked(now, "r1", 1, 1, seq, appliedSeq, claims, nil)
-		limiter.Take(now, seq, now+3*time.Second, grants)
+		grants, _ := allocator.Allocate(now, "r1", 1, 1, seq, appliedSeq, claims, nil)
+		limiter.ApplyGrants(now, seq, now+3*time.Second, grants)
 		return len(claims)
 	}
-	for i := range EachMost + 100 {
+	for i := range MaxValues + 100 {
 		now += 100 * time.Microsecond
 		ok, by, _ := limiter.Admit(now, 1, "voice", fmt.Sprint("t", i), "", false)
-		require.Equal(t, i < EachMost, ok, "a floor admits a tenant's first call, a full table refuses it")
+		require.Equal(t, i < MaxValues, ok, "a floor admits a tenant's first call, a full table refuses it")
 		require.Equal(t, map[bool]string{true: "", false: "each"}[ok], by)
-		limiter.Over(1)
+		limiter.Release(1)
 	}
 	require.Greater(t, renew(), 1000)
 	require.Greater(t, len(allocator.allocations), 1000)
@@ -194,7 +194,7 @@
 	require.Zero(t, renew())
 	require.Zero(t, len(allocator.allocations))
 	require.Zero(t, len(limiter.perValue[0]))
-	require.LessOrEqual(t, len(limiter.states), EachMost+2)
+	require.LessOrEqual(t, len(limiter.states), MaxValues+2)
 	ok, _, _ := limiter.Admit(now, 1, "voice", "t1", "", false)
 	require.True(t, ok)
 	require.NotZero(t, renew())
@@ -205,18 +205,18 @@
 // TestChange lowers a limit below the share in force, removes it and adds it again. The share in force must not grow
 // by it, and must fall with the next renewals.
 func TestChange(t *testing.T) {
-	limit := Limit{Name: "c", Kind: Calls, Most: 20, Longest: time.Second}
-	allocator, limiter := NewDivider([]Limit{limit}, time.Second, 0.01), NewGate(0, []Limit{limit})
-	allocator.Office(0, nil, nil)
+	limit := Limit{Name: "c", Kind: Calls, Max: 20, MaxCallDuration: time.Second}
+	allocator, limiter := NewAllocator([]Limit{limit}, time.Second, 0.01), NewLimiter(0, []Limit{limit})
+	allocator.StartTerm(0, nil, nil)
 	now, seq := 2*time.Second, uint64(0)
 	var ceilings []Ceiling
 	renew := func() float64 {
 		now += 300 * time.Millisecond
 		seq++
 		claims, appliedSeq := limiter.Claims(now)
-		grants, added := allocator.Asked(now, "r1", 1, 1, seq, appliedSeq, claims, ceilings)
-		ceilings = allocator.Kept("r1", ceilings, added)
-		limiter.Take(now, seq, now+3*time.Second, grants)
+		grants, added := allocator.Allocate(now, "r1", 1, 1, seq, appliedSeq, claims, ceilings)
+		ceilings = allocator.RequiredCeilings("r1", ceilings, added)
+		limiter.ApplyGrants(now, seq, now+3*time.Second, grants)
 		if len(grants) == 0 {
 			return 0
 		}
@@ -239,33 +239,33 @@
 	admit()
 	require.Equal(t, uint32(20), slot)
 	lower := limit
-	lower.Most = 5
-	allocator.Change([]Limit{lower})
-	limiter.Change(now, []Limit{lower})
+	lower.Max = 5
+	allocator.SetLimits([]Limit{lower})
+	limiter.SetLimits(now, []Limit{lower})
 	require.LessOrEqual(t, renew(), 5.0)
 	require.Zero(t, admit(), "twenty calls are established")
 	for i := range uint32(18) {
-		limiter.Over(i)
+		limiter.Release(i)
 	}
 	renew()
 	require.Equal(t, 3, admit())
-	allocator.Change(nil)
-	limiter.Change(now, nil)
+	allocator.SetLimits(nil)
+	limiter.SetLimits(now, nil)
 	require.Zero(t, renew())
 	require.Equal(t, 40, admit(), "no limit")
-	allocator.Change([]Limit{limit})
-	limiter.Change(now, []Limit{limit})
+	allocator.SetLimits([]Limit{limit})
+	limiter.SetLimits(now, []Limit{limit})
 	require.Zero(t, admit(), "no share yet")
 }
 
 // TestRetries checks that marked retries are limited to their fraction of first tries, with and without a lease.
 func TestRetries(t *testing.T) {
-	limiter := NewGate(0, []Limit{{Name: "again", Kind: Retries, Most: 0.1}})
+	limiter := NewLimiter(0, []Limit{{Name: "again", Kind: Retries, Max: 0.1}})
 	now, first, retries := time.Second, 0, 0
 	for i := range 5000 {
 		now += time.Millisecond
 		if i%5 == 0 { // grants don't concern this kind of limit
-			limiter.Take(now, uint64(i+1), now+time.Second, nil)
+			limiter.ApplyGrants(now, uint64(i+1), now+time.Second, nil)
 		}
 		if ok, _, _ := limiter.Admit(now, 1, "", "", "", false); ok {
 			first++
@@ -297,20 +297,20 @@
 // to more than the whole, and a router must have none without a lease or once the server is warm.
 func TestCold(t *testing.T) {
 	limits := []Limit{{Name: "cold", Kind: Cold}}
-	allocator := NewDivider(limits, 3*time.Second, 0.01)
-	allocator.Office(0, nil, nil)
-	var limiters []*Gate
+	allocator := NewAllocator(limits, 3*time.Second, 0.01)
+	allocator.StartTerm(0, nil, nil)
+	var limiters []*Limiter
 	for range 5 {
-		limiters = append(limiters, NewGate(0, limits))
+		limiters = append(limiters, NewLimiter(0, limits))
 	}
-	coldShare := func(limiter *Gate, now time.Duration) float64 {
-		parts, alone, ok := limiter.Parts(now)
+	coldShare := func(limiter *Limiter, now time.Duration) float64 {
+		parts, alone, ok := limiter.ColdShares(now)
 		require.True(t, ok)
 		require.Zero(t, alone)
 		if len(parts) == 0 {
 			return 0
 		}
-		return parts[0].Part
+		return parts[0].Share
 	}
 	server := Server{"s1", 5 * time.Second, 20 * time.Second}
 	for step := range 150 {
@@ -320,19 +320,19 @@
 				limiter.Admit(now, 1, "", "", "", false)
 			}
 			if step == 10 {
-				limiter.Cold(now, []Server{server})
+				limiter.SetColdServers(now, []Server{server})
 				require.Zero(t, coldShare(limiter, now))
 			}
 			if step%3 == 0 && !(i == 4 && step > 60) { // the last router is cut off after step 60
 				seq := uint64(step + 1)
 				claims, appliedSeq := limiter.Claims(now)
-				grants, _ := allocator.Asked(
+				grants, _ := allocator.Allocate(
 					now, fmt.Sprint(i), uint64(i+1), uint64(i+1), seq, appliedSeq, claims, nil)
-				limiter.Take(now, seq, now+3*time.Second, grants)
+				limiter.ApplyGrants(now, seq, now+3*time.Second, grants)
 			}
 		}
 		if step == 95 {
-			allocator.Over(now, "4", 5)
+			allocator.EndIncarnation(now, "4", 5)
 		}
 		sum := 0.0
 		for _, limiter := range limiters {
@@ -360,18 +360,18 @@
 			var grants []Grant
 			for i := range n {
 				limits = append(limits, Limit{
-					Name: fmt.Sprint(i), Kind: Rate, Most: 1e9, Burst: time.Second, Tenant: fmt.Sprint("t", i),
+					Name: fmt.Sprint(i), Kind: Rate, Max: 1e9, Burst: time.Second, Tenant: fmt.Sprint("t", i),
 				})
 				grants = append(grants, Grant{fmt.Sprint(i), 1e9})
 			}
-			limiter := NewGate(0, limits)
-			limiter.Take(0, 1, time.Hour, grants)
+			limiter := NewLimiter(0, limits)
+			limiter.ApplyGrants(0, 1, time.Hour, grants)
 			now := time.Second
 			b.ReportAllocs()
 			for b.Loop() {
 				now += time.Microsecond
 				limiter.Admit(now, 1, "voice", "t0", "92", false)
-				limiter.Over(1)
+				limiter.Release(1)
 			}
 		})
 	}
@@ -380,8 +380,8 @@
 // BenchmarkTenants measures Admit and Release, and the encoding of claims, which routers do every 100 ms or less
 // often, with 10,000 active tenants under one limit per tenant.
 func BenchmarkTenants(b *testing.B) {
-	limits := []Limit{{Name: "each", Kind: Rate, Most: 1e6, Burst: time.Second, Each: EachTenant}}
-	limiter := NewGate(0, limits)
+	limits := []Limit{{Name: "each", Kind: Rate, Max: 1e6, Burst: time.Second, PerField: FieldTenant}}
+	limiter := NewLimiter(0, limits)
 	names, now := make([]string, 10_000), time.Second
 	var grants []Grant
 	for i := range names {
@@ -389,7 +389,7 @@
 		limiter.Admit(now, 1, "voice", names[i], "92", false)
 		grants = append(grants, Grant{"each/" + names[i], 1e6})
 	}
-	limiter.Take(now, 1, time.Hour, grants)
+	limiter.ApplyGrants(now, 1, time.Hour, grants)
 	b.Run("admit", func(b *testing.B) {
 		b.ReportAllocs()
 		i := 0
@@ -397,13 +397,13 @@
 			i++
 			now += time.Microsecond
 			limiter.Admit(now, 1, "voice", names[i%len(names)], "92", false)
-			limiter.Over(1)
+			limiter.Release(1)
 		}
 	})
 	b.Run("say", func(b *testing.B) {
 		size := 0
 		for b.Loop() {
-			size = len(limiter.Say(now))
+			size = len(limiter.MarshalClaims(now))
 		}
 		b.ReportMetric(float64(size), "bytes")
 	})
@@ -414,9 +414,9 @@
 func BenchmarkDivider(b *testing.B) {
 	for _, each := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(each), func(b *testing.B) {
-			allocator := NewDivider(
-				[]Limit{{Name: "each", Kind: Rate, Most: 10, Each: EachTenant}}, time.Second, 0.01)
-			allocator.Office(0, nil, nil)
+			allocator := NewAllocator(
+				[]Limit{{Name: "each", Kind: Rate, Max: 10, PerField: FieldTenant}}, time.Second, 0.01)
+			allocator.StartTerm(0, nil, nil)
 			claims := make([][]Claim, 300)
 			for r := range claims {
 				for i := range each {
@@ -430,7 +430,7 @@
 				now += time.Second
 				seq++
 				for r := range claims {
-					grants, _ := allocator.Asked(
+					grants, _ := allocator.Allocate(
 						now, fmt.Sprint("r", r), uint64(r+1), uint64(r+1), seq, seq-1, claims[r], nil)
 					for i, g := range grants {
 						claims[r][i].Limit, claims[r][i].Held = g.Limit, g.Share
--- a/quota/rider.go
+++ b/quota/rider.go
@@ -19,7 +19,7 @@
 // Prefixes of the keys of facts in the log.
 const (
 	// OperatorKeyPrefix begins the keys of limits set by operators.
-	WordKey = "limit/"
+	OperatorKeyPrefix = "limit/"
 	// ceilingKeyPrefix begins the keys of routers' ceilings, which leading keepers write.
 	ceilingKeyPrefix = fleet.OwnPrefix + "quota/"
 )
@@ -27,7 +27,7 @@
 // Rider connects the Allocator of a keeper to lease renewals and to the log. It implements fleet.Rider and is not
 // safe for concurrent use.
 type Rider struct {
-	Divider          *Divider
+	Allocator        *Allocator
 	machine          func() *fleet.Machine
 	limits           func() []Limit // in force by the log
 	pendingPuts      []*fleetpb.Put
@@ -38,8 +38,8 @@
 // lead and when the log changes them.
 func NewRider(t fleet.Terms, machine func() *fleet.Machine, limits func() []Limit) *Rider {
 	return &Rider{
-		Divider: NewDivider(nil, t.Wait(), t.Drift),
-		machine: machine, limits: limits, proposedVersions: map[string]uint64{},
+		Allocator: NewAllocator(nil, t.Wait(), t.Drift),
+		machine:   machine, limits: limits, proposedVersions: map[string]uint64{},
 	}
 }
 
@@ -56,23 +56,23 @@
 			ceilings[name] = unmarshalCeilings(f.Value)
 		}
 	}
-	r.Divider.Change(r.limits())
-	r.Divider.Office(now, ceilings, live)
+	r.Allocator.SetLimits(r.limits())
+	r.Allocator.StartTerm(now, ceilings, live)
 	r.pendingPuts, r.proposedVersions = nil, map[string]uint64{}
 }
 
 // Resign implements fleet.Rider. The allocator ends its term.
-func (r *Rider) Resign() { r.Divider.Resign() }
+func (r *Rider) Resign() { r.Allocator.EndTerm() }
 
 // Over implements fleet.Rider. The lease of an incarnation has expired on every clock.
 func (r *Rider) Over(now time.Duration, name string, incarnation uint64) {
-	r.Divider.Over(now, name, incarnation)
+	r.Allocator.EndIncarnation(now, name, incarnation)
 }
 
 // Applied implements fleet.Rider. It updates the limits when an operator's limit is committed.
 func (r *Rider) Applied(_ time.Duration, e *fleetpb.Entry) {
-	if strings.HasPrefix(e.GetPut().GetKey(), WordKey) {
-		r.Divider.Change(r.limits())
+	if strings.HasPrefix(e.GetPut().GetKey(), OperatorKeyPrefix) {
+		r.Allocator.SetLimits(r.limits())
 	}
 }
 
@@ -90,8 +90,8 @@
 	key := ceilingKeyPrefix + name
 	fact := r.machine().Fact(key)
 	stored := unmarshalCeilings(fact.GetValue())
-	grants, added := r.Divider.Asked(now, name, incarnation, process, seq, request.Taken, claims, stored)
-	if list := r.Divider.Kept(name, stored, added); (len(added) > 0 || len(list) < len(stored)) &&
+	grants, added := r.Allocator.Allocate(now, name, incarnation, process, seq, request.Taken, claims, stored)
+	if list := r.Allocator.RequiredCeilings(name, stored, added); (len(added) > 0 || len(list) < len(stored)) &&
 		r.proposedVersions[key] != fact.GetVersion()+1 {
 		// Only one put of a key is pending at a time. If it is lost with the term, the next term starts anew.
 		r.proposedVersions[key] = fact.GetVersion() + 1
@@ -124,22 +124,22 @@
 // maxReportedLimits, it contains those with the most demand.
 func (r *Rider) Report() []byte {
 	var report quotapb.Standings
-	list := r.Divider.Standings()
+	list := r.Allocator.Status()
 	if len(list) > maxReportedLimits {
-		slices.SortStableFunc(list, func(a, b Standing) int { return cmp.Compare(b.Demand, a.Demand) })
+		slices.SortStableFunc(list, func(a, b AllocationStatus) int { return cmp.Compare(b.Demand, a.Demand) })
 		report.LeftOut = uint32(len(list) - maxReportedLimits)
 		list = list[:maxReportedLimits]
-		slices.SortFunc(list, func(a, b Standing) int { return cmp.Compare(a.Name, b.Name) })
+		slices.SortFunc(list, func(a, b AllocationStatus) int { return cmp.Compare(a.Name, b.Name) })
 	}
 	for _, one := range list {
 		status := &quotapb.Standing{
-			Limit: one.Name, Kind: one.Kind.String(), Most: one.Most, CutOff: one.CutOff.String(),
-			Out: one.Out, Kept: one.Kept, Used: one.Used, Demand: one.Demand,
-			Holders: uint32(len(one.Holders)), Class: one.Class, Tenant: one.Tenant, Number: one.Number,
+			Limit: one.Name, Kind: one.Kind.String(), Most: one.Max, CutOff: one.CutOff.String(),
+			Out: one.InForce, Kept: one.Reserved, Used: one.Used, Demand: one.Demand,
+			Holders: uint32(len(one.Shares)), Class: one.Class, Tenant: one.Tenant, Number: one.Number,
 		}
-		for _, share := range one.Holders[:min(len(one.Holders), maxReportedShares)] {
+		for _, share := range one.Shares[:min(len(one.Shares), maxReportedShares)] {
 			status.Held = append(status.Held, &quotapb.Holder{
-				Router: share.Name, Share: share.Share, Used: share.Used, Wants: share.Wants,
+				Router: share.Name, Share: share.Share, Used: share.Used, Wants: share.Demand,
 				AgeMs: share.Age.Milliseconds(),
 			})
 		}
@@ -155,7 +155,7 @@
 	if proto.Unmarshal(b, &c) == nil {
 		for _, one := range c.Ceilings {
 			list = append(list, Ceiling{
-				Limit: one.Limit, Incarnation: one.Incarnation, Process: one.Process, Most: one.Most,
+				Limit: one.Limit, Incarnation: one.Incarnation, Process: one.Process, Max: one.Most,
 			})
 		}
 	}
@@ -168,7 +168,7 @@
 	var out quotapb.Ceilings
 	for _, c := range list {
 		out.Ceilings = append(out.Ceilings, &quotapb.Ceiling{
-			Limit: c.Limit, Incarnation: c.Incarnation, Process: c.Process, Most: c.Most,
+			Limit: c.Limit, Incarnation: c.Incarnation, Process: c.Process, Most: c.Max,
 		})
 		if proto.Size(&out) > fleet.ValueMost {
 			out.Ceilings = out.Ceilings[:len(out.Ceilings)-1]
@@ -179,7 +179,7 @@
 }
 
 // MarshalClaims returns the encoded claims for a lease request.
-func (l *Gate) Say(now time.Duration) []byte {
+func (l *Limiter) MarshalClaims(now time.Duration) []byte {
 	claims, appliedSeq := l.Claims(now)
 	out := quotapb.Claims{Taken: appliedSeq}
 	for _, c := range claims {
@@ -190,7 +190,7 @@
 }
 
 // UnmarshalGrants decodes the grants of an answer. ok is false if they are malformed.
-func ReadGrants(b []byte) (grants []Grant, ok bool) {
+func UnmarshalGrants(b []byte) (grants []Grant, ok bool) {
 	var message quotapb.Grants
 	if proto.Unmarshal(b, &message) != nil {
 		return nil, false
