--- a/verdict/mutant_off.go
+++ b/verdict/mutant_off.go
@@ -2,5 +2,5 @@
 
 package verdict
 
-// mutant is the fault that a build for tests can have: none in one that ships.
+// mutant is the name of the injected fault; a release build has none.
 const mutant = ""
--- a/verdict/mutant_on.go
+++ b/verdict/mutant_on.go
@@ -4,22 +4,22 @@
 
 import "os"
 
-// mutant is the fault that is built in.
+// mutant is the name of the fault that is injected, or empty.
 var mutant = os.Getenv("VERDICT_MUTANT")
 
-// Mutants are the faults that a build for tests can have, by name.
+// Mutants describes by name the faults that can be injected to show that the tests find them.
 var Mutants = map[string]string{
-	"one-router":      "what one router has seen condemns a server for all",
-	"one-zone":        "what routers of one zone have seen condemns a server for all zones",
-	"no-share":        "verdicts may bar every server of a class",
-	"all-at-once":     "all routers come back to a server in the same moment",
-	"try-at-will":     "each router tries a condemned server whenever it may look",
-	"old-life":        "evidence on an earlier life of a server counts for the next",
-	"for-ever":        "evidence never lapses",
-	"young":           "the time on the way is left out of the age of evidence",
-	"crossed-answers": "an answer to what was sent before a server hung speaks for it",
-	"older-wins":      "an older record takes a newer one's place",
+	"one-router":      "the evidence of one router condemns a server for all routers",
+	"one-zone":        "the evidence of one zone's routers condemns a server for all zones",
+	"no-share":        "verdicts may have a router avoid every server of a class",
+	"all-at-once":     "all routers return to a recovered server at the same moment",
+	"try-at-will":     "each router probes a condemned server at every chance",
+	"old-life":        "evidence on an earlier incarnation of a server counts for the next",
+	"for-ever":        "evidence never expires",
+	"young":           "the age of evidence leaves out its transit time",
+	"crossed-answers": "an answer to an attempt sent before a server hung counts in its favour",
+	"older-wins":      "an older record replaces a newer one",
 }
 
-// Mutate builds a fault in, or with an empty name none.
+// Mutate injects the fault of the given name; an empty name removes it.
 func Mutate(name string) { mutant = name }
--- a/verdict/mutant_test.go
+++ b/verdict/mutant_test.go
@@ -10,30 +10,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMutants finds the faults of merging and lapsing; those of heeding are the simulation's to find.
+// TestMutants checks that the faults in merging and expiry are found. Those in avoidance are found by the fleet
+// simulation.
 func TestMutants(t *testing.T) {
 	defer Mutate("")
-	bad := Record{Observer: "r1", Incarnation: 1, Seq: 1, Key: Key{"s0", 0}, Onset: time.Hour - time.Second, BadAt: time.Hour}
+	bad := Record{
+		Observer: "r1", Incarnation: 1, Seq: 1, Key: Key{"s0", 0},
+		Onset: time.Hour - time.Second, BadAt: time.Hour,
+	}
 	good := Record{Observer: "r1", Incarnation: 1, Seq: 2, Key: Key{"s0", 0}, GoodAt: time.Hour}
 	for mutant, holds := range map[string]func() bool{
 		"older-wins": func() bool {
 			table := NewTable(DefaultTerms(), "me")
-			table.put(time.Hour, "o", good)
-			table.put(time.Hour, "o", bad)
-			return !table.records[id{"r1", bad.Key}].bad()
+			table.merge(time.Hour, "o", good)
+			table.merge(time.Hour, "o", bad)
+			return !table.records[recordID{"r1", bad.Key}].isBad()
 		},
 		"for-ever": func() bool {
 			table := NewTable(DefaultTerms(), "me")
-			table.put(time.Hour, "o", bad)
+			table.merge(time.Hour, "o", bad)
 			table.Tick(time.Hour + DefaultTerms().Hold + time.Second)
 			return len(table.records) == 0
 		},
 		"crossed-answers": func() bool {
 			table := NewTable(DefaultTerms(), "me")
-			table.Members(fleet(6, 3))
+			table.Members(makeMembers(6, 3))
 			for i := range 3 {
 				crossed := time.Duration(i) * 4 * ms
-				table.put(time.Hour, "o", Record{Observer: fmt.Sprint("r", i), Zone: fmt.Sprint("z", i), Incarnation: 1, Seq: 1, Key: bad.Key, Onset: bad.Onset + crossed, GoodAt: bad.Onset + 2*crossed, BadAt: bad.BadAt})
+				table.merge(time.Hour, "o", Record{
+					Observer: fmt.Sprint("r", i), Zone: fmt.Sprint("z", i), Incarnation: 1, Seq: 1, Key: bad.Key,
+					Onset: bad.Onset + crossed, GoodAt: bad.Onset + 2*crossed, BadAt: bad.BadAt,
+				})
 			}
 			return table.Verdicts(time.Hour)[0].Kind == Gone
 		},
--- a/verdict/neighbours.go
+++ b/verdict/neighbours.go
@@ -6,9 +6,10 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Neighbours are whom a router keeps links to: routers stand in a ring by the hash of their names, and each reaches those 1, 2, 4 and so on places ahead. From everybody to everybody it is
-// Hops at the most, also against the links' direction; a router that comes or goes changes a few links of a few.
-func Neighbours(self string, members []string) (list []string) {
+// Neighbours returns the routers that self keeps links to. The routers form a ring ordered by the hash of their names,
+// and each links to those 1, 2, 4, 8 and so on places ahead. No two routers are more than Hops links apart, also
+// against the direction of the links. A router that joins or leaves changes only a few links of a few routers.
+func Neighbours(self string, members []string) (neighbours []string) {
 	ring := make([]string, 0, len(members)+1)
 	for _, m := range members {
 		if m != self {
@@ -26,9 +27,9 @@
 		}
 		return 0
 	})
-	at := slices.Index(ring, self)
+	position := slices.Index(ring, self)
 	for step := 1; step < len(ring); step *= 2 {
-		list = append(list, ring[(at+step)%len(ring)])
+		neighbours = append(neighbours, ring[(position+step)%len(ring)])
 	}
-	return list
+	return neighbours
 }
--- a/verdict/table.go
+++ b/verdict/table.go
@@ -7,140 +7,160 @@
 	"time"
 )
 
-// What all routers have seen: this file owns the records that a router holds, what of them goes to which neighbour, and the verdicts that they come to. Merging is by the higher number
-// of each observer's record alone, so that order and repetition do not matter; everything lapses by age.
+// This file holds the records of all routers, selects those to send to each neighbour and derives the verdicts. Of two
+// records of an observer on a server the one with the higher version wins, so the order of arrival and duplicates do
+// not matter. All records expire with age.
 
-// id is whose record of what.
-type id struct {
+// recordID identifies the record of an observer on one incarnation of a server.
+type recordID struct {
 	observer string
 	Key
 }
 
 // peer is a neighbour with an open link.
 type peer struct {
-	known   map[id]uint64 // numbers of records that it has, from us or to us
-	dirty   map[id]bool   // records to be passed on
-	stamp   time.Duration // its clock, as it said last
-	heard   time.Duration // when
-	saidAt  time.Duration
-	greeted bool // it has been sent a stamp of ours
+	known      map[recordID]uint64 // versions of the records that it has sent or received on this link
+	pending    map[recordID]bool   // records to be sent to it
+	lastStamp  time.Duration       // Stamp of its latest frame
+	receivedAt time.Duration       // when that frame arrived; 0: none yet
+	sentAt     time.Duration       // when the latest frame was sent to it
+	greeted    bool                // a frame has been sent to it
 }
 
-// Frame is what goes from a router to a neighbour.
+// Frame is a message of a router to a neighbour.
 type Frame struct {
-	Stamp time.Duration // the sender's clock as it was sent
-	Echo  time.Duration // the latest stamp that it has had from the receiver; 0: none, and the frame has no records
-	Hold  time.Duration // for how long it has had that
-	// Times of the records are ages as of sending, or negative: never.
+	Stamp time.Duration // the sender's clock at the time of sending
+	Echo  time.Duration // the latest Stamp received from the receiver; 0: none, and the frame has no records
+	Hold  time.Duration // time since the echoed Stamp was received
+	// Records holds ages at the time of sending instead of times; a negative age means never.
 	Records []Record
 }
 
 // Member is a router of the fleet.
 type Member struct{ Name, Zone string }
 
-// Table is what a router has heard. Its methods are for one goroutine.
+// Table holds the records of all routers and derives verdicts from them. It is not safe for concurrent use.
 type Table struct {
-	Terms    Terms
-	self     string
-	number   uint64 // incarnation of this router's own records
-	records  map[id]*Record
-	by       map[Key]map[string]*Record
-	peers    map[string]*peer
-	zones    map[string]string // of the routers known
-	count    map[string]int    // routers of each zone
-	judged   map[Key]*judged
-	held     []Verdict // operators' words
-	question map[Key]time.Duration
-	next     time.Duration // when something is to be passed on
-	swept    time.Duration
-	changed  bool
-	Count    TableCounts
-	Came     func(now time.Duration, r *Record) // hears each record of another router that it takes; nil: nobody
+	Terms       Terms
+	self        string // name of this router
+	incarnation uint64 // of this router, for its own records
+	records     map[recordID]*Record
+	byServer    map[Key]map[string]*Record // the same records, by server and observer
+	peers       map[string]*peer           // by name
+	zoneOf      map[string]string          // zones of the fleet's routers, by name
+	zoneSizes   map[string]int             // routers in each zone
+	cache       map[Key]*cachedVerdict
+	holds       []Verdict             // servers taken out by operators
+	questioned  map[Key]time.Duration // see Questioned
+	nextFlush   time.Duration         // when pending records are to be sent
+	sweptAt     time.Duration         // when expired records were last removed
+	changed     bool                  // see Changed
+	Count       TableCounts
+
+	// OnRecord, unless nil, is called with each record of another router that is accepted.
+	Came func(now time.Duration, r *Record)
 }
 
-// TableCounts of a Table.
+// TableCounts counts the records that a Table has received.
 type TableCounts struct {
-	Taken, Known, Lapsed, Refused, Unechoed uint64
+	Taken    uint64 // accepted
+	Known    uint64 // no newer than what was held
+	Lapsed   uint64 // expired, on arrival or later
+	Refused  uint64 // malformed, over a limit or of an unknown observer
+	Unechoed uint64 // frames dropped because the age of their records cannot be bounded, or for too many records
 }
 
-// NewTable makes a router's, empty.
-func NewTable(t Terms, self string) *Table {
-	return &Table{Terms: t, self: self, records: map[id]*Record{}, by: map[Key]map[string]*Record{}, peers: map[string]*peer{}, zones: map[string]string{}, count: map[string]int{}, judged: map[Key]*judged{}}
+// NewTable returns an empty table of the router named self.
+func NewTable(settings Terms, self string) *Table {
+	return &Table{
+		Terms:     settings,
+		self:      self,
+		records:   map[recordID]*Record{},
+		byServer:  map[Key]map[string]*Record{},
+		peers:     map[string]*peer{},
+		zoneOf:    map[string]string{},
+		zoneSizes: map[string]int{},
+		cache:     map[Key]*cachedVerdict{},
+	}
 }
 
-// judged is what was concluded of one server; it is concluded anew when evidence comes, and after a while.
-type judged struct {
+// cachedVerdict is the latest verdict on a server. It is derived again after new evidence and after rejudgeInterval.
+type cachedVerdict struct {
 	Verdict
-	newest time.Duration // of the evidence that it rests on
-	at     time.Duration
-	stale  bool
+	newestEvidence time.Duration // time of the newest evidence that it rests on
+	judgedAt       time.Duration
+	stale          bool // evidence has changed since
 }
 
-// again is after how long something is concluded anew that nothing has come of.
-const again = time.Second
+// rejudgeInterval is the time after which a verdict is derived again without new evidence.
+const rejudgeInterval = time.Second
 
-// Members takes who is of the fleet.
+// SetMembers sets the routers of the fleet.
 func (t *Table) Members(list []Member) {
-	clear(t.zones)
-	clear(t.count)
-	for _, m := range list[:min(len(list), membersMost)] {
-		t.zones[m.Name] = m.Zone
-		t.count[m.Zone]++
+	clear(t.zoneOf)
+	clear(t.zoneSizes)
+	for _, m := range list[:min(len(list), maxMembers)] {
+		t.zoneOf[m.Name] = m.Zone
+		t.zoneSizes[m.Zone]++
 	}
-	clear(t.judged)
+	clear(t.cache)
 	t.changed = true
 }
 
-// Acts takes the number that this router acts by: what it told by an earlier one is over.
-func (t *Table) Acts(incarnation uint64) { t.number = max(t.number, incarnation) }
+// SetIncarnation sets the incarnation of this router. Its records of a later incarnation supersede those of earlier
+// ones; a lower number than the current one is ignored.
+func (t *Table) Acts(incarnation uint64) { t.incarnation = max(t.incarnation, incarnation) }
 
-// Others is how many routers it knows of, itself among them.
-func (t *Table) Others() int { return max(len(t.zones), 1) }
+// RouterCount returns the number of routers in the fleet, including this one.
+func (t *Table) Others() int { return max(len(t.zoneOf), 1) }
 
-// Linked is told that a link to a neighbour is open: all that is held goes out on it.
+// LinkOpened adds the neighbour of a new link; all records held are to be sent to it.
 func (t *Table) Linked(now time.Duration, name string) {
-	p := &peer{known: map[id]uint64{}, dirty: map[id]bool{}}
-	for i := range t.records {
-		p.dirty[i] = true
+	p := &peer{known: map[recordID]uint64{}, pending: map[recordID]bool{}}
+	for key := range t.records {
+		p.pending[key] = true
 	}
 	t.peers[name] = p
-	t.next = min(t.next, now)
+	t.nextFlush = min(t.nextFlush, now)
 }
 
-// Unlinked is told that it has ended.
+// LinkClosed removes the neighbour of a link that has ended.
 func (t *Table) Unlinked(name string) { delete(t.peers, name) }
 
-// Own takes what this router has seen itself.
+// AddOwn merges this router's own observations.
 func (t *Table) Own(now time.Duration, list []Record) {
 	for _, r := range list {
-		r.Observer, r.Incarnation = t.self, t.number
-		t.put(now, "", r)
+		r.Observer, r.Incarnation = t.self, t.incarnation
+		t.merge(now, "", r)
 	}
 }
 
-// Heard takes a neighbour's frame.
+// Receive merges the records of a frame from a neighbour. Frames of routers without an open link are ignored.
 func (t *Table) Heard(now time.Duration, from string, f Frame) {
 	p := t.peers[from]
 	if p == nil {
 		return
 	}
-	p.stamp, p.heard = f.Stamp, now
+	p.lastStamp, p.receivedAt = f.Stamp, now
 	if len(f.Records) == 0 {
-		t.next = min(t.next, now) // now it can be told something
+		t.nextFlush = min(t.nextFlush, now) // records can be sent now that there is a stamp to echo
 		return
 	}
-	if f.Echo == 0 || len(f.Records) > frameMost {
+	if f.Echo == 0 || len(f.Records) > maxFrameRecords {
 		t.Count.Unechoed++
 		return
 	}
-	// However long the frame took, it was not longer than from our stamp until now, less the time for which the other held it, by whichever clock is faster. So no record seems younger than
-	// it is.
-	way := max(now-f.Echo-time.Duration(float64(f.Hold)*(1-t.Terms.Drift)/(1+t.Terms.Drift)), 0)
+	// The transit time of the frame is at most the time since we sent the echoed stamp, less the time for which the
+	// neighbour held it, corrected for the largest clock drift. With this bound no record appears younger than it is.
+	transit := max(
+		now-f.Echo-time.Duration(float64(f.Hold)*(1-t.Terms.Drift)/(1+t.Terms.Drift)),
+		0,
+	)
 	if mutant == "young" {
-		way = 0
+		transit = 0
 	}
 	for _, r := range f.Records {
-		if !whole(&r) {
+		if !isValid(&r) {
 			t.Count.Refused++
 			continue
 		}
@@ -148,50 +168,60 @@
 			if age := *at; age < 0 {
 				*at = 0
 			} else {
-				*at = now - age - way
+				*at = now - age - transit
 			}
 		}
-		t.put(now, from, r)
+		t.merge(now, from, r)
 	}
 }
 
-// whole says whether a record can be one.
-func whole(r *Record) bool {
-	ok := r.Observer != "" && len(r.Observer) <= nameMost && len(r.Zone) <= nameMost && r.Server != "" && len(r.Server) <= nameMost
+// isValid reports whether a received record is well-formed: names present and of bounded length, counts in range.
+func isValid(r *Record) bool {
+	ok := r.Observer != "" && len(r.Observer) <= maxNameLength && len(r.Zone) <= maxNameLength &&
+		r.Server != "" && len(r.Server) <= maxNameLength
 	for _, n := range []float32{r.Good, r.Late, r.Silent, r.Refused, r.Full, r.Slow} {
 		ok = ok && n >= 0 && n < 1e9
 	}
 	return ok
 }
 
-// put merges one record.
-func (t *Table) put(now time.Duration, from string, r Record) {
+// merge adds one record, if it is acceptable and newer than what is held, and queues it for the other neighbours.
+// from is the name of the neighbour that sent it, or empty for this router's own records.
+func (t *Table) merge(now time.Duration, from string, r Record) {
 	if from != "" && r.Observer == t.self {
-		return // what this router has seen it knows itself
+		return // this router's own records do not come from others
 	}
-	i := id{r.Observer, r.Key}
+	key := recordID{r.Observer, r.Key}
 	if p := t.peers[from]; p != nil {
-		p.known[i] = max(p.known[i], number(&r))
+		p.known[key] = max(p.known[key], version(&r))
 	}
-	if r.last() <= 0 || now-r.last() > t.Terms.Hold && mutant != "for-ever" {
+	if r.lastSeen() <= 0 || now-r.lastSeen() > t.Terms.Hold && mutant != "for-ever" {
 		t.Count.Lapsed++
 		return
 	}
-	was := t.records[i]
+	existing := t.records[key]
 	switch {
-	case was != nil && !r.newer(was) && mutant != "older-wins":
-		if r.Incarnation == was.Incarnation && r.Seq == was.Seq { // by a quicker way it is known to be younger
-			t.touch(r.Key)
-			for _, one := range [][2]*time.Duration{{&was.Onset, &r.Onset}, {&was.BadAt, &r.BadAt}, {&was.LateAt, &r.LateAt}, {&was.GoodAt, &r.GoodAt}, {&was.PassedAt, &r.PassedAt}} {
-				*one[0] = max(*one[0], *one[1])
+	case existing != nil && !r.isNewer(existing) && mutant != "older-wins":
+		if r.Incarnation == existing.Incarnation && r.Seq == existing.Seq {
+			// The same record over a faster path has a tighter bound on its age.
+			t.invalidate(r.Key)
+			for _, pair := range [][2]*time.Duration{
+				{&existing.Onset, &r.Onset},
+				{&existing.BadAt, &r.BadAt},
+				{&existing.LateAt, &r.LateAt},
+				{&existing.GoodAt, &r.GoodAt},
+				{&existing.PassedAt, &r.PassedAt},
+			} {
+				*pair[0] = max(*pair[0], *pair[1])
 			}
 		}
 		t.Count.Known++
 		return
-	case was == nil && (len(t.records) >= recordsMost || len(t.by[r.Key]) == 0 && len(t.by) >= askedMost):
+	case existing == nil && (len(t.records) >= maxRecords ||
+		len(t.byServer[r.Key]) == 0 && len(t.byServer) >= maxQuestioned):
 		t.Count.Refused++
 		return
-	case from != "" && len(t.zones) > 0 && t.zones[r.Observer] == "" && !t.listed(r.Observer):
+	case from != "" && len(t.zoneOf) > 0 && t.zoneOf[r.Observer] == "" && !t.isMember(r.Observer):
 		t.Count.Refused++
 		return
 	}
@@ -199,126 +229,135 @@
 	if from != "" && t.Came != nil {
 		t.Came(now, &r)
 	}
-	t.records[i] = &r
-	if t.by[r.Key] == nil {
-		t.by[r.Key] = map[string]*Record{}
+	t.records[key] = &r
+	if t.byServer[r.Key] == nil {
+		t.byServer[r.Key] = map[string]*Record{}
 	}
-	t.by[r.Key][r.Observer] = &r
-	t.touch(r.Key)
+	t.byServer[r.Key][r.Observer] = &r
+	t.invalidate(r.Key)
 	for name, p := range t.peers {
-		if name != from && p.known[i] < number(&r) {
-			p.dirty[i] = true
-			if t.next > now+t.Terms.Flush {
-				t.next = now + t.Terms.Flush
+		if name != from && p.known[key] < version(&r) {
+			p.pending[key] = true
+			if t.nextFlush > now+t.Terms.Flush {
+				t.nextFlush = now + t.Terms.Flush
 			}
 		}
 	}
 }
 
-// number orders an observer's records over its incarnations.
-func number(r *Record) uint64 { return r.Incarnation<<40 | r.Seq&(1<<40-1) }
+// version orders the records of an observer across its incarnations: the incarnation above 40 bits of sequence number.
+func version(r *Record) uint64 { return r.Incarnation<<40 | r.Seq&(1<<40-1) }
 
-func (t *Table) listed(name string) bool { _, ok := t.zones[name]; return ok }
+func (t *Table) isMember(name string) bool { _, ok := t.zoneOf[name]; return ok }
 
-// drop forgets a record. One that has not lapsed may still come from elsewhere: who has it is remembered, so that it does not go round.
-func (t *Table) drop(i id, lapsed bool) {
-	delete(t.records, i)
-	delete(t.by[i.Key], i.observer)
-	t.touch(i.Key)
-	if len(t.by[i.Key]) == 0 {
-		delete(t.by, i.Key)
-		delete(t.judged, i.Key)
+// drop removes a record. One that has not expired may still arrive from another neighbour: which neighbours have it
+// stays known, so that it does not circulate.
+func (t *Table) drop(key recordID, lapsed bool) {
+	delete(t.records, key)
+	delete(t.byServer[key.Key], key.observer)
+	t.invalidate(key.Key)
+	if len(t.byServer[key.Key]) == 0 {
+		delete(t.byServer, key.Key)
+		delete(t.cache, key.Key)
 	}
 	for _, p := range t.peers {
-		delete(p.dirty, i)
-		if lapsed || len(p.known) > recordsMost {
-			delete(p.known, i)
+		delete(p.pending, key)
+		if lapsed || len(p.known) > maxRecords {
+			delete(p.known, key)
 		}
 	}
 }
 
-// touch has a server judged anew.
-func (t *Table) touch(key Key) {
+// invalidate has the verdict on a server derived again.
+func (t *Table) invalidate(key Key) {
 	t.changed = true
-	if j := t.judged[key]; j != nil {
-		j.stale = true
+	if cached := t.cache[key]; cached != nil {
+		cached.stale = true
 	}
 }
 
-// sweep forgets what has lapsed, and servers that nobody finds fault with any more.
+// sweep removes expired records, and all records on servers that no router has recent trouble with.
 func (t *Table) sweep(now time.Duration) {
-	if now-t.swept < t.Terms.Slot {
+	if now-t.sweptAt < t.Terms.Slot {
 		return
 	}
-	t.swept = now
-	for i, r := range t.records {
-		if now-r.last() > t.Terms.Hold && mutant != "for-ever" {
+	t.sweptAt = now
+	for key, r := range t.records {
+		if now-r.lastSeen() > t.Terms.Hold && mutant != "for-ever" {
 			t.Count.Lapsed++
-			t.drop(i, true)
+			t.drop(key, true)
 		}
 	}
-	for key, all := range t.by {
-		asked := false
-		for _, r := range all {
-			asked = asked || r.bad() || now-max(r.LateAt, r.BadAt) < decay && max(r.LateAt, r.BadAt) > 0 || r.Full >= 1 && now-r.GoodAt < decay
+	for key, records := range t.byServer {
+		questioned := false
+		for _, r := range records {
+			questioned = questioned || r.isBad() ||
+				now-max(r.LateAt, r.BadAt) < decayTime && max(r.LateAt, r.BadAt) > 0 ||
+				r.Full >= 1 && now-r.GoodAt < decayTime
 		}
-		if !asked {
-			for observer := range all {
-				t.drop(id{observer, key}, false)
+		if !questioned {
+			for observer := range records {
+				t.drop(recordID{observer, key}, false)
 			}
 		}
 	}
 }
 
-// Out is a frame for a neighbour.
+// Outgoing is a frame to be sent to a neighbour.
 type Out struct {
 	To string
 	Frame
 }
 
-// greetEvery is how often neighbours that have nothing to tell say their time: what clocks drift in it is the least age that anything seems to have.
-const greetEvery = time.Second
+// greetInterval is the interval of frames to a neighbour without pending records, which carry only the time. The drift
+// of the clocks over it is the smallest age that a record can appear to have.
+const greetInterval = time.Second
 
-// Tick returns what is to be sent now.
+// Tick removes expired records and returns the frames to be sent now.
 func (t *Table) Tick(now time.Duration) (out []Out) {
 	t.sweep(now)
 	for _, name := range slices.Sorted(maps.Keys(t.peers)) {
 		p := t.peers[name]
-		if p.greeted && now-p.saidAt < greetEvery && (len(p.dirty) == 0 || p.heard == 0 || now < t.next) {
+		if p.greeted && now-p.sentAt < greetInterval &&
+			(len(p.pending) == 0 || p.receivedAt == 0 || now < t.nextFlush) {
 			continue
 		}
 		f := Frame{Stamp: now}
-		if p.heard != 0 {
-			f.Echo, f.Hold = p.stamp, now-p.heard
-			for _, i := range slices.SortedFunc(maps.Keys(p.dirty), func(a, b id) int {
-				return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.observer, b.observer), cmp.Compare(a.Started, b.Started))
+		if p.receivedAt != 0 {
+			f.Echo, f.Hold = p.lastStamp, now-p.receivedAt
+			for _, key := range slices.SortedFunc(maps.Keys(p.pending), func(a, b recordID) int {
+				return cmp.Or(
+					cmp.Compare(a.Server, b.Server),
+					cmp.Compare(a.observer, b.observer),
+					cmp.Compare(a.Started, b.Started),
+				)
 			}) {
-				if len(f.Records) == frameMost {
+				if len(f.Records) == maxFrameRecords {
 					break
 				}
-				delete(p.dirty, i)
-				if r := t.records[i]; r != nil && p.known[i] < number(r) {
-					p.known[i] = number(r)
-					f.Records = append(f.Records, aged(*r, now))
+				delete(p.pending, key)
+				if r := t.records[key]; r != nil && p.known[key] < version(r) {
+					p.known[key] = version(r)
+					f.Records = append(f.Records, timesToAges(*r, now))
 				}
 			}
 		}
-		p.greeted, p.saidAt = true, now
+		p.greeted, p.sentAt = true, now
 		out = append(out, Out{name, f})
 	}
-	if now >= t.next {
-		t.next = now + time.Hour
+	if now >= t.nextFlush {
+		t.nextFlush = now + time.Hour
 		for _, p := range t.peers {
-			if len(p.dirty) > 0 && p.heard != 0 {
-				t.next = now + t.Terms.Flush
+			if len(p.pending) > 0 && p.receivedAt != 0 {
+				t.nextFlush = now + t.Terms.Flush
 			}
 		}
 	}
 	return out
 }
 
-// aged turns a record's times into ages.
-func aged(r Record, now time.Duration) Record {
+// timesToAges returns the record with its times replaced by ages; 0, which means never, becomes -1.
+func timesToAges(r Record, now time.Duration) Record {
 	for _, at := range []*time.Duration{&r.Onset, &r.BadAt, &r.LateAt, &r.GoodAt, &r.PassedAt} {
 		if *at == 0 {
 			*at = -1
@@ -329,43 +368,45 @@
 	return r
 }
 
-// Due is when the next Tick has something to do, should nothing come before.
+// NextTick returns the time at which Tick next has something to do if nothing arrives before.
 func (t *Table) Due() time.Duration {
-	due := t.swept + time.Second
+	due := t.sweptAt + time.Second
 	for _, p := range t.peers {
-		due = min(due, p.saidAt+greetEvery)
+		due = min(due, p.sentAt+greetInterval)
 	}
-	return min(due, t.next)
+	return min(due, t.nextFlush)
 }
 
-// Question is which servers somebody finds fault with, and since when answers are missed, as judged last: whoever has seen them tells what.
-func (t *Table) Question() map[Key]time.Duration { return t.question }
+// Questioned returns the servers that some router has trouble with, as of the latest call of Verdicts, and the times
+// since which answers are missing. Routers report what they have observed of these servers.
+func (t *Table) Question() map[Key]time.Duration { return t.questioned }
 
-// Hold takes operators' words as they stand now.
-func (t *Table) Hold(list []Verdict) { t.held, t.changed = list, true }
+// SetHolds replaces the list of servers that operators have taken out of service.
+func (t *Table) Hold(list []Verdict) { t.holds, t.changed = list, true }
 
-// Changed says whether anything has come since the last time it was asked.
+// Changed reports whether anything has changed since its last call.
 func (t *Table) Changed() bool {
 	was := t.changed
 	t.changed = false
 	return was
 }
 
-// Verdicts is what all that is held comes to. Equal records give equal verdicts.
+// Verdicts returns the verdicts on all servers with evidence, sorted by server. A server taken out by an operator has
+// that verdict alone. Equal records give equal verdicts.
 func (t *Table) Verdicts(now time.Duration) (list []Verdict) {
-	t.question = make(map[Key]time.Duration, len(t.by))
-	for key, all := range t.by {
-		j := t.judged[key]
-		if j == nil || j.stale || now-j.at > again {
-			j = t.judge(now, key, all)
-			t.judged[key] = j
+	t.questioned = make(map[Key]time.Duration, len(t.byServer))
+	for key, records := range t.byServer {
+		cached := t.cache[key]
+		if cached == nil || cached.stale || now-cached.judgedAt > rejudgeInterval {
+			cached = t.judge(now, key, records)
+			t.cache[key] = cached
 		}
-		v := j.Verdict
-		v.Age = max(now-j.newest, 0)
-		t.question[key] = v.Since
+		v := cached.Verdict
+		v.Age = max(now-cached.newestEvidence, 0)
+		t.questioned[key] = v.Since
 		list = append(list, v)
 	}
-	for _, v := range t.held {
+	for _, v := range t.holds {
 		if now < v.Until {
 			list = slices.DeleteFunc(list, func(o Verdict) bool { return o.Server == v.Server })
 			list = append(list, v)
@@ -377,129 +418,131 @@
 	return list
 }
 
-// camp is what the routers of one zone say.
-type camp struct{ bad, good int }
+// zoneTally counts the routers of one zone that miss answers and those that get them.
+type zoneTally struct{ bad, good int }
 
-// judge weighs the evidence on one server.
-func (t *Table) judge(now time.Duration, key Key, all map[string]*Record) *judged {
-	v := &judged{Verdict: Verdict{Key: key, Others: t.Others(), Confidence: 1}, at: now}
-	names := sortedNames(all)
+// judge derives the verdict on one server from all records on it.
+func (t *Table) judge(now time.Duration, key Key, records map[string]*Record) *cachedVerdict {
+	v := &cachedVerdict{Verdict: Verdict{Key: key, Others: t.Others(), Confidence: 1}, judgedAt: now}
+	names := sortedNames(records)
 	var bad, good, late, full []*Record
 	var onsets []time.Duration
 	for _, name := range names {
-		switch r := all[name]; {
-		case r.bad():
+		switch r := records[name]; {
+		case r.isBad():
 			bad = append(bad, r)
 			onsets = append(onsets, r.Onset)
 		default:
 			good = append(good, r)
-			if now-r.LateAt < decay && r.LateAt != 0 && r.Late >= 1 {
+			if now-r.LateAt < decayTime && r.LateAt != 0 && r.Late >= 1 {
 				late = append(late, r)
 			}
-			if now-r.GoodAt < decay && r.Full >= 1 && r.Full > r.Good/2 {
+			if now-r.GoodAt < decayTime && r.Full >= 1 && r.Full > r.Good/2 {
 				full = append(full, r)
 			}
 		}
 	}
 	quorum := t.quorum(t.Others())
-	age := func(list []*Record) {
+	addSources := func(list []*Record) {
 		for _, r := range list {
-			v.newest = max(v.newest, r.last())
-			if len(v.Sources) < sourcesMost {
+			v.newestEvidence = max(v.newestEvidence, r.lastSeen())
+			if len(v.Sources) < maxSources {
 				v.Sources = append(v.Sources, r.Observer)
 			}
 		}
 	}
 	slices.Sort(onsets)
 	if len(bad) > 0 {
-		// As many as it takes have sent from then on what was never answered: whoever has had an answer since speaks against them, and so does one that waits for the next if that was to what it
-		// had sent since. Who misses answers and has had one within a usual time of then (a silence is four of them) to what it had sent before says nothing against: that was on its way as the
-		// server fell silent.
+		// From Since on, a quorum of routers has sent attempts that were never answered. A router that has had an
+		// answer after Since counts as good, even if it misses answers again. The exception is a router that misses
+		// answers, whose last answer was to an attempt sent before Since and came within the usual latency after it (a
+		// quarter of MinResponseTimeout): that answer was in transit when the server failed, and the router stays bad.
 		v.Since = onsets[max(len(onsets)-quorum, 0)]
 		bad, good = nil, nil
-		crossed := v.Since + t.Terms.Flush + t.Terms.Silence/4
+		crossedUntil := v.Since + t.Terms.Flush + t.Terms.Silence/4
 		for _, name := range names {
-			switch r := all[name]; {
-			case r.bad() && r.PassedAt <= v.Since+t.Terms.Flush && max(r.GoodAt, r.LateAt) <= crossed && mutant != "crossed-answers":
+			switch r := records[name]; {
+			case r.isBad() && r.PassedAt <= v.Since+t.Terms.Flush && max(r.GoodAt, r.LateAt) <= crossedUntil &&
+				mutant != "crossed-answers":
 				bad = append(bad, r)
 			case max(r.GoodAt, r.LateAt) > v.Since:
 				good = append(good, r)
-			case r.bad():
+			case r.isBad():
 				bad = append(bad, r)
 			}
 		}
 	}
 	v.Bad, v.Good = len(bad), len(good)
-	camps := map[string]*camp{}
+	tallies := map[string]*zoneTally{}
 	for i, list := range [][]*Record{bad, good} {
 		for _, r := range list {
-			c := camps[r.Zone]
-			if c == nil {
-				c = &camp{}
-				camps[r.Zone] = c
+			tally := tallies[r.Zone]
+			if tally == nil {
+				tally = &zoneTally{}
+				tallies[r.Zone] = tally
 			}
 			if i == 0 {
-				c.bad++
+				tally.bad++
 			} else {
-				c.good++
+				tally.good++
 			}
 		}
 	}
-	for _, zone := range slices.Sorted(maps.Keys(camps)) {
-		if c := camps[zone]; c.bad >= min(quorum, t.quorum(t.inZone(zone))) && c.bad >= 2*c.good {
+	for _, zone := range slices.Sorted(maps.Keys(tallies)) {
+		if tally := tallies[zone]; tally.bad >= min(quorum, t.quorum(t.zoneSize(zone))) && tally.bad >= 2*tally.good {
 			v.Zones = append(v.Zones, zone)
 		}
 	}
-	several := 0 // zones that miss answers
-	for _, c := range camps {
-		if c.bad > 0 {
-			several++
+	missingZones := 0 // zones that miss answers
+	for _, tally := range tallies {
+		if tally.bad > 0 {
+			missingZones++
 		}
 	}
 	switch {
 	case mutant == "one-router" && len(bad) > 0, mutant == "one-zone" && len(bad) >= quorum:
 		v.Kind = Gone
-		age(bad)
-	case len(bad) >= quorum && (several >= 2 || t.zoneCount() == 1) && len(bad) >= 2*len(good):
+		addSources(bad)
+	case len(bad) >= quorum && (missingZones >= 2 || t.zoneCount() == 1) && len(bad) >= 2*len(good):
 		v.Kind, v.Zones = Gone, nil
 		v.Confidence = float64(len(bad)) / float64(len(bad)+len(good))
-		age(bad)
+		addSources(bad)
 	case len(v.Zones) > 0:
 		v.Kind = Cut
-		v.Bad, v.Good, v.Others = 0, 0, 0 // those of other zones have no say in how soon these try again
+		v.Bad, v.Good, v.Others = 0, 0, 0 // routers of other zones do not affect how often these probe
 		for _, zone := range v.Zones {
-			v.Bad, v.Good, v.Others = v.Bad+camps[zone].bad, v.Good+camps[zone].good, v.Others+t.inZone(zone)
+			v.Bad, v.Good, v.Others = v.Bad+tallies[zone].bad, v.Good+tallies[zone].good, v.Others+t.zoneSize(zone)
 		}
 		v.Confidence = float64(len(bad)) / float64(len(bad)+len(good))
-		age(bad)
+		addSources(bad)
 	case len(bad) > 0:
 		v.Kind = BadLink
 		v.Confidence = float64(len(good)) / float64(len(bad)+len(good))
-		age(bad)
-	case len(late) >= quorum && t.zonesOf(late) >= min(2, t.zonesOf(good)):
+		addSources(bad)
+	case len(late) >= quorum && t.countZones(late) >= min(2, t.countZones(good)):
 		v.Kind = Slow
-		v.By, v.Part = middle(late)
+		v.By, v.Part = medianSlowdown(late)
 		v.Confidence = float64(len(late)) / float64(len(good))
-		age(late)
+		addSources(late)
 	case len(full) >= quorum:
 		v.Kind = Full
 		v.Confidence = float64(len(full)) / float64(len(good))
-		age(full)
+		addSources(full)
 	default:
-		age(good)
+		addSources(good)
 	}
 	return v
 }
 
-// quorum is how many routers it takes, of so many that there are: never one.
+// quorum returns how many of a number of routers have to agree: at least two, so that one alone decides nothing.
 func (t *Table) quorum(of int) int { return max(2, min(t.Terms.Quorum, of-1)) }
 
-// zoneCount is how many zones the routers known are in.
-func (t *Table) zoneCount() int { return len(t.count) }
+// zoneCount returns the number of zones of the fleet's routers.
+func (t *Table) zoneCount() int { return len(t.zoneSizes) }
 
-func (t *Table) inZone(zone string) int { return t.count[zone] }
+func (t *Table) zoneSize(zone string) int { return t.zoneSizes[zone] }
 
-func (t *Table) zonesOf(list []*Record) int {
+func (t *Table) countZones(list []*Record) int {
 	zones := map[string]bool{}
 	for _, r := range list {
 		zones[r.Zone] = true
@@ -507,16 +550,16 @@
 	return len(zones)
 }
 
-// middle is the median of how many times as long answers take, and of the part of them that comes late.
-func middle(list []*Record) (by, part float64) {
-	var all, parts []float64
+// medianSlowdown returns the medians of the records' slowdowns and of their parts of late answers.
+func medianSlowdown(list []*Record) (slowdown, lateShare float64) {
+	var slowdowns, shares []float64
 	for _, r := range list {
-		all = append(all, float64(r.Slow))
-		parts = append(parts, float64(r.Late/max(r.Late+r.Good, 1)))
+		slowdowns = append(slowdowns, float64(r.Slow))
+		shares = append(shares, float64(r.Late/max(r.Late+r.Good, 1)))
 	}
-	slices.Sort(all)
-	slices.Sort(parts)
-	return all[len(all)/2], parts[len(parts)/2]
+	slices.Sort(slowdowns)
+	slices.Sort(shares)
+	return slowdowns[len(slowdowns)/2], shares[len(shares)/2]
 }
 
-func sortedNames(all map[string]*Record) []string { return slices.Sorted(maps.Keys(all)) }
+func sortedNames(records map[string]*Record) []string { return slices.Sorted(maps.Keys(records)) }
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,6 +1,11 @@
-// Package verdict has a fleet of routers judge case servers together: each tells what it has seen of a server, what all have seen is merged, aged and judged, and each router is made more
-// careful by it. Watch is a router's eyes and its caution, Table what it has heard and concluded. Events and absolute times go in; what to tell neighbours and which servers to leave alone
-// comes out. It must never probe a server, make a router bolder than its own evidence, do I/O, start a goroutine or read a clock. docs/design/verdict.md states the bounds and why they hold.
+// Package verdict detects failed, unreachable, slow and full case servers from the evidence of all routers of a fleet.
+// Each router reports what it observed of a server; the records of all routers are merged, expire with age and yield
+// one verdict per server, which can only make a router avoid a server, never use one that its own evidence rules out.
+//
+// Watch records what this router observes and decides which servers it avoids. Table holds the records received from
+// other routers and derives the verdicts. The inputs are events with absolute times; the outputs are the frames for
+// neighbours and the servers to avoid. The package sends no probes of its own, does no I/O, starts no goroutines and
+// reads no clock. docs/design/verdict.md states the bounds and why they hold.
 package verdict
 
 import (
@@ -10,136 +15,176 @@
 	"threadglade.example/threadglade"
 )
 
-// Bounds of what comes from outside.
+// Limits on input from outside this process.
 const (
-	nameMost    = 128
-	membersMost = 4096
-	serversMost = 4096    // that one router watches
-	askedMost   = 512     // servers that are in question at once; more are judged by each router alone
-	recordsMost = 1 << 16 // that a router holds
-	frameMost   = 512     // records of one frame
+	maxNameLength   = 128
+	maxMembers      = 4096
+	maxServers      = 4096    // watched by one router
+	maxQuestioned   = 512     // servers with shared evidence at once; each router judges any further ones alone
+	maxRecords      = 1 << 16 // held by one router
+	maxFrameRecords = 512     // in one frame
 )
 
-// Terms are what all routers of a fleet agree on.
+// Settings are the parameters of failure detection; they have to be the same at all routers of a fleet.
 type Terms struct {
-	Quorum  int           // routers that have to find a server bad before others heed them
-	Share   float64       // of the servers of a class that verdicts bar or slow at the most; beyond, they are disregarded
-	Silence time.Duration // an answer that takes longer is missed, at the least: else four times what is usual
-	Late    time.Duration // an answer that takes longer is late
-	Hold    time.Duration // evidence counts for so long at the most
-	Slot    time.Duration // what a router has seen is told anew no sooner
-	Flush   time.Duration // what has come is passed on within it
-	Trial   time.Duration // one router in all tries a condemned server in it, and twice as many as have had an answer since
-	Drift   float64       // bound on how far any clock's rate is from true time
-	Return  time.Duration // routers come back to a server that is fit again spread over so long
+	// Quorum is how many routers have to miss answers of a server before the others act on it.
+	Quorum int
+	// MaxShare is the largest part of a class's servers that verdicts may have a router avoid. If verdicts name more,
+	// they are disregarded.
+	Share float64
+	// MinResponseTimeout is the shortest time after which an answer counts as missed; the timeout is four times the
+	// mean latency of the server where that is longer.
+	Silence time.Duration
+	// LateThreshold is the latency above which an answer counts as late.
+	Late time.Duration
+	// EvidenceTTL is the age at which evidence expires.
+	Hold time.Duration
+	// ReportInterval is the shortest time between two reports of a router on one server, unless its opinion changes.
+	Slot time.Duration
+	// FlushInterval is the longest time until received records are forwarded.
+	Flush time.Duration
+	// ProbeInterval is the time in which one router of the fleet sends a call to a condemned server, or twice as many
+	// routers as have had an answer since.
+	Trial time.Duration
+	// MaxClockDrift is the bound on the relative rate error of any clock in the fleet.
+	Drift float64
+	// RecoverySpread is the time over which the routers' returns to a recovered server are spread.
+	Return time.Duration
 }
 
-// DefaultTerms are those without a word in the settings.
+// DefaultSettings returns the settings that apply where the configuration sets nothing else.
 func DefaultTerms() Terms {
-	return Terms{Quorum: 3, Share: 0.5, Silence: 250 * time.Millisecond, Late: 500 * time.Millisecond, Hold: 30 * time.Second, Slot: 250 * time.Millisecond, Flush: 20 * time.Millisecond,
-		Trial: 500 * time.Millisecond, Return: 2 * time.Second, Drift: 0.01}
+	return Terms{
+		Quorum:  3,
+		Share:   0.5,
+		Silence: 250 * time.Millisecond,
+		Late:    500 * time.Millisecond,
+		Hold:    30 * time.Second,
+		Slot:    250 * time.Millisecond,
+		Flush:   20 * time.Millisecond,
+		Trial:   500 * time.Millisecond,
+		Return:  2 * time.Second,
+		Drift:   0.01,
+	}
 }
 
-// Validate says what is wrong with them.
-func (t Terms) Validate() error {
+// Validate reports the first setting that is out of its range.
+func (s Terms) Validate() error {
 	switch {
-	case t.Quorum < 2 || t.Quorum > 100:
-		return errors.New("a quorum is 2 to 100 routers: one alone condemns nothing")
-	case !(t.Share > 0 && t.Share <= 1):
-		return errors.New("a share is above 0, and 1 at the most")
-	case t.Silence <= 0 || t.Late <= 0 || t.Hold <= t.Silence || t.Slot <= 0 || t.Flush <= 0 || t.Trial <= 0 || t.Return < 0:
-		return errors.New("spans are above 0, and evidence is held for longer than a silence")
+	case s.Quorum < 2 || s.Quorum > 100:
+		return errors.New("quorum must be 2 to 100 routers: one router alone must not condemn a server")
+	case !(s.Share > 0 && s.Share <= 1):
+		return errors.New("share must be above 0 and at most 1")
+	case s.Silence <= 0 || s.Late <= 0 || s.Hold <= s.Silence || s.Slot <= 0 ||
+		s.Flush <= 0 || s.Trial <= 0 || s.Return < 0:
+		return errors.New("durations must be above 0 (return: at least 0), and hold must be longer than silence")
 	}
 	return nil
 }
 
-// Stale is the bound on how old a router's knowledge of what another has seen is, where links between neighbours are whole and take delay at the most: hops to the farthest of n, at each a
-// flush and a link, after the slot in which it was seen.
-func (t Terms) Stale(n int, delay time.Duration) time.Duration {
-	return t.slot(n) + time.Duration(Hops(n))*(t.Flush+delay)
+// MaxStaleness returns the bound on the age of a router's information about the observations of any other router,
+// while all links between neighbours are up and have at most the given delay: one report interval at the observer,
+// then a flush and a link delay at each hop to the farthest of the routers.
+func (s Terms) Stale(routers int, delay time.Duration) time.Duration {
+	return s.reportInterval(routers) + time.Duration(Hops(routers))*(s.Flush+delay)
 }
 
-// slot is how often a router tells anew what it sees of a server in question: the more tell, the less often each.
-func (t Terms) slot(n int) time.Duration { return max(t.Slot, time.Duration(n)*3*time.Millisecond) }
+// reportInterval returns the shortest time between two reports of a router on one server. It grows with the number of
+// routers, so that the total rate of reports stays bounded.
+func (s Terms) reportInterval(routers int) time.Duration {
+	return max(s.Slot, time.Duration(routers)*3*time.Millisecond)
+}
 
-// Key is one life of a case server.
+// Key identifies one incarnation of a case server.
 type Key struct {
 	Server  string
-	Started time.Duration // as the list says
+	Started time.Duration // start time from the server list
 }
 
-// Record is what one router has seen of one life of a server. Times are on the clock of whoever holds it, and never later than what they stand for; 0: never.
+// Record holds what one router has observed of one incarnation of a server. Its times are on the clock of the router
+// that holds the record and never later than the event they stand for; 0 means never.
 type Record struct {
-	Observer    string
-	Zone        string
+	Observer    string // name of the router that made the observation
+	Zone        string // of the observer
 	Incarnation uint64 // of the observer
-	Seq         uint64 // of the record: a later one holds all that earlier ones did
+	Seq         uint64 // sequence number; a record includes everything that the observer's earlier ones held
 	Key
-	Good, Late, Silent, Refused, Full float32 // of late: answers in time, late, missed; no connection; turned away as processor full
-	Slow                              float32 // answers take so many times as long as usual
-	Onset                             time.Duration
-	BadAt                             time.Duration // when the last was missed or refused; Onset is when the first was sent since which nothing was answered
-	LateAt                            time.Duration
-	GoodAt                            time.Duration // when the last answer came, in time or turning away
-	PassedAt                          time.Duration // when the latest set-up that was answered had been sent
+
+	// Counts that decay with time.
+
+	Good    float32 // answers in time
+	Late    float32 // answers after Settings.LateThreshold
+	Silent  float32 // missed answers
+	Refused float32 // failed connections
+	Full    float32 // rejections with cause "processor full"
+
+	Slow     float32       // smoothed ratio of the latency to the usual latency
+	Onset    time.Duration // when the first attempt was sent since which nothing was answered
+	BadAt    time.Duration // last time that an answer was missed or a connection failed
+	LateAt   time.Duration // last late answer
+	GoodAt   time.Duration // last answer in time, including rejections
+	PassedAt time.Duration // send time of the latest answered set-up
 }
 
-// newer says whether a record takes another's place. A restarted observer's do, whatever their number.
-func (r *Record) newer(than *Record) bool {
-	if r.Incarnation != than.Incarnation {
-		return r.Incarnation > than.Incarnation
+// isNewer reports whether r supersedes another record of the same observer. Records of a later incarnation of the
+// observer do, whatever their sequence number.
+func (r *Record) isNewer(other *Record) bool {
+	if r.Incarnation != other.Incarnation {
+		return r.Incarnation > other.Incarnation
 	}
-	return r.Seq > than.Seq
+	return r.Seq > other.Seq
 }
 
-// Last is when anything in it was seen.
-func (r *Record) Last() time.Duration { return r.last() }
+// LastSeen returns the time of the latest observation in the record.
+func (r *Record) Last() time.Duration { return r.lastSeen() }
 
-func (r *Record) last() time.Duration { return max(r.BadAt, r.GoodAt, r.LateAt) }
+func (r *Record) lastSeen() time.Duration { return max(r.BadAt, r.GoodAt, r.LateAt) }
 
-// bad says whether its observer has no answer since it missed one.
-func (r *Record) bad() bool { return r.Onset != 0 && r.BadAt > max(r.GoodAt, r.LateAt) }
+// isBad reports whether the observer has had no answer since it missed one.
+func (r *Record) isBad() bool { return r.Onset != 0 && r.BadAt > max(r.GoodAt, r.LateAt) }
 
-// Kind of a Verdict.
+// Kind is the state that a verdict finds a server in.
 type Kind uint8
 
-// What a server is found to be.
+// Kinds of verdicts.
 const (
-	Fit     Kind = iota
-	Slow         // its answers come late
-	Full         // it turns set-ups away
-	Cut          // no answers to routers of some zones, while others have them
-	Gone         // no answers to anybody
-	BadLink      // no answers to too few routers to say more: it is their links
-	Held         // an operator's word
+	Fit     Kind = iota // no fault found
+	Slow                // answers come late
+	Full                // set-ups are rejected with cause "processor full"
+	Cut                 // routers of some zones miss answers, others get them
+	Gone                // no router gets answers
+	BadLink             // too few routers miss answers to blame the server: the fault is with their links
+	Held                // taken out of service by an operator
 )
 
 var kindNames = [...]string{"fit", "slow", "full", "unreachable", "gone", "bad-link", "held"}
 
+// String returns the name that logs and reports use.
 func (k Kind) String() string { return kindNames[k] }
 
-// Verdict is what all evidence that a router has says of one server.
+// Verdict is the conclusion from all evidence that a router holds on one server.
 type Verdict struct {
 	Key
 	Kind       Kind
-	Zones      []string // of Cut: from where
-	By         float64  // of Slow: how many times as long answers take; Part is how many of them come late
-	Part       float64
-	Bad, Good  int // routers that miss answers, and that have had one since
-	Others     int // routers known to the table
-	Sources    []string
-	Confidence float64       // part of the routers with an opinion that share it
-	Age        time.Duration // since the newest evidence that it rests on
-	Since      time.Duration // from then on enough routers have sent what was never answered
-	Until      time.Duration // of Held
-	Why        string        // of Held
+	Zones      []string      // of Unreachable: the zones that miss answers
+	By         float64       // of Slow: median ratio of the latency to the usual latency
+	Part       float64       // of Slow: median part of the answers that come late
+	Bad        int           // routers that miss answers
+	Good       int           // routers that have had an answer since
+	Others     int           // routers of the fleet or, with Unreachable, of the affected zones
+	Sources    []string      // some of the observers whose evidence it rests on
+	Confidence float64       // part of the routers with an opinion that agree
+	Age        time.Duration // age of the newest evidence that it rests on
+	Since      time.Duration // time from which on a quorum of routers has sent attempts that were never answered
+	Until      time.Duration // of Held: when it ends
+	Why        string        // of Held: the reason that the operator gave
 }
 
-// sourcesMost routers are named in a verdict.
-const sourcesMost = 5
+// maxSources bounds the routers that a verdict names.
+const maxSources = 5
 
-// condemns says whether a router of a zone is to leave the server alone.
-func (v *Verdict) condemns(zone string) bool {
+// excludes reports whether a router of a zone has to avoid the server altogether.
+func (v *Verdict) excludes(zone string) bool {
 	switch v.Kind {
 	case Gone, Held:
 		return true
@@ -153,15 +198,15 @@
 	return false
 }
 
-// Hops is how many steps the farthest of n routers is away along neighbours.
-func Hops(n int) (hops int) {
-	for reach := 1; reach < n; reach *= 2 {
+// Hops returns the number of links on the longest path between any two of that many routers; see Neighbours.
+func Hops(routers int) (hops int) {
+	for reach := 1; reach < routers; reach *= 2 {
 		hops++
 	}
 	return hops
 }
 
-// EndOf is what an attempt's end says of its server.
+// EndFromOutcome returns what the outcome of an attempt says about its server.
 func EndOf(how threadglade.Outcome, why threadglade.Cause) End {
 	switch how {
 	case threadglade.TimedOut, threadglade.Cut:
--- a/verdict/verdict_test.go
+++ b/verdict/verdict_test.go
@@ -12,22 +12,27 @@
 
 const ms = time.Millisecond
 
-// fleet makes members of some zones.
-func fleet(n, zones int) (list []Member) {
+// makeMembers returns n routers spread over a number of zones.
+func makeMembers(n, zones int) (list []Member) {
 	for i := range n {
 		list = append(list, Member{fmt.Sprint("r", i), fmt.Sprint("z", i%zones)})
 	}
 	return list
 }
 
-// drawRecord draws what some router may have seen, all within the last two seconds before now.
+// drawRecord draws a record of some router with observations of the last two seconds before now.
 func drawRecord(t *rapid.T, now time.Duration, members []Member) Record {
 	m := rapid.SampledFrom(members).Draw(t, "observer")
 	ago := func(name string) time.Duration {
 		return now - time.Duration(rapid.IntRange(1, 2000).Draw(t, name))*ms
 	}
-	r := Record{Observer: m.Name, Zone: m.Zone, Incarnation: uint64(rapid.IntRange(1, 2).Draw(t, "incarnation")), Seq: uint64(rapid.IntRange(1, 20).Draw(t, "seq")),
-		Key: Key{rapid.SampledFrom([]string{"s0", "s1"}).Draw(t, "server"), 0}}
+	r := Record{
+		Observer:    m.Name,
+		Zone:        m.Zone,
+		Incarnation: uint64(rapid.IntRange(1, 2).Draw(t, "incarnation")),
+		Seq:         uint64(rapid.IntRange(1, 20).Draw(t, "seq")),
+		Key:         Key{rapid.SampledFrom([]string{"s0", "s1"}).Draw(t, "server"), 0},
+	}
 	if rapid.Bool().Draw(t, "missed") {
 		r.BadAt = ago("bad")
 		r.Onset = r.BadAt - 300*ms
@@ -43,27 +48,27 @@
 	return r
 }
 
-// TestMerge: whatever order records come in, and however often, the same are held and the same is found.
+// TestMerge checks that the records held and the verdicts do not depend on the order of arrival or on duplicates.
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const now = time.Hour
-		members := fleet(6, 2)
-		seen := map[string]Record{} // a number is given to one record only
+		members := makeMembers(6, 2)
+		seen := map[string]Record{} // a sequence number identifies one record
 		var list []Record
 		for range rapid.IntRange(1, 30).Draw(t, "records") {
 			r := drawRecord(t, now, members)
 			key := fmt.Sprint(r.Observer, r.Incarnation, r.Seq, r.Server)
-			if was, ok := seen[key]; ok {
-				r = was
+			if previous, ok := seen[key]; ok {
+				r = previous
 			}
 			seen[key] = r
 			list = append(list, r)
 		}
-		hold := func(order []int) *Table {
+		fill := func(order []int) *Table {
 			table := NewTable(DefaultTerms(), "me")
 			table.Members(members)
 			for _, i := range order {
-				table.put(now, "other", list[i])
+				table.merge(now, "other", list[i])
 			}
 			return table
 		}
@@ -71,8 +76,11 @@
 		for i := range list {
 			order = append(order, i)
 		}
-		one := hold(order)
-		other := hold(append(rapid.Permutation(order).Draw(t, "order"), rapid.SliceOf(rapid.SampledFrom(order)).Draw(t, "again")...))
+		one := fill(order)
+		other := fill(append(
+			rapid.Permutation(order).Draw(t, "order"),
+			rapid.SliceOf(rapid.SampledFrom(order)).Draw(t, "again")...,
+		))
 		require.Equal(t, len(one.records), len(other.records))
 		for i, r := range one.records {
 			require.Equal(t, *r, *other.records[i])
@@ -81,78 +89,101 @@
 	})
 }
 
-// TestZones: evidence of one router, or of routers of one zone, condemns a server for nobody else, whatever it says; what of it is wrong is named as a link's.
-func TestZones(t *testing.T) {
+// TestZonesAreIndependent checks that evidence of one router or one zone never condemns a server for routers of other
+// zones, and that a single router that misses answers yields a bad link.
+func TestZonesAreIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const now = time.Hour
-		members := fleet(rapid.IntRange(4, 12).Draw(t, "routers"), rapid.IntRange(2, 3).Draw(t, "zones"))
+		members := makeMembers(rapid.IntRange(4, 12).Draw(t, "routers"), rapid.IntRange(2, 3).Draw(t, "zones"))
 		table := NewTable(DefaultTerms(), "me")
 		table.Members(members)
 		zone := rapid.SampledFrom([]string{"z0", "z1"}).Draw(t, "zone")
 		for range rapid.IntRange(1, 40).Draw(t, "records") {
 			r := drawRecord(t, now, members)
-			if r.Zone != zone && r.Onset != 0 { // elsewhere all is well
+			if r.Zone != zone && r.Onset != 0 { // the other zones get answers
 				r.Onset, r.BadAt, r.GoodAt, r.PassedAt = 0, 0, now-ms, now-2*ms
 			}
-			table.put(now, "other", r)
+			table.merge(now, "other", r)
 		}
 		for _, v := range table.Verdicts(now) {
 			require.NotEqual(t, Gone, v.Kind)
 			for _, m := range members {
-				require.False(t, m.Zone != zone && v.condemns(m.Zone), "%v", v)
+				require.False(t, m.Zone != zone && v.excludes(m.Zone), "%v", v)
 			}
 		}
 	})
 	table := NewTable(DefaultTerms(), "me")
-	table.Members(fleet(6, 3))
-	table.put(time.Hour, "o", Record{Observer: "r1", Zone: "z1", Incarnation: 1, Seq: 1, Key: Key{"s0", 0}, Onset: time.Hour - 400*ms, BadAt: time.Hour})
-	table.put(time.Hour, "o", Record{Observer: "r2", Zone: "z2", Incarnation: 1, Seq: 1, Key: Key{"s0", 0}, GoodAt: time.Hour - 10*ms, PassedAt: time.Hour - 20*ms})
+	table.Members(makeMembers(6, 3))
+	table.merge(time.Hour, "o", Record{
+		Observer: "r1", Zone: "z1", Incarnation: 1, Seq: 1, Key: Key{"s0", 0},
+		Onset: time.Hour - 400*ms, BadAt: time.Hour,
+	})
+	table.merge(time.Hour, "o", Record{
+		Observer: "r2", Zone: "z2", Incarnation: 1, Seq: 1, Key: Key{"s0", 0},
+		GoodAt: time.Hour - 10*ms, PassedAt: time.Hour - 20*ms,
+	})
 	v := table.Verdicts(time.Hour)
 	require.Len(t, v, 1)
 	require.Equal(t, BadLink, v[0].Kind)
 	require.Equal(t, []string{"r1"}, v[0].Sources)
 }
 
-// TestCrossed: of three routers that miss a server each had an answer a few milliseconds after another's first miss: what had been sent before. They condemn it all the same, and answers
-// that others have since speak against them.
-func TestCrossed(t *testing.T) {
+// TestAnswersInTransit guards against answers in transit that keep a failed server from being condemned: of three
+// routers that miss answers, two had one a few milliseconds after the onset, to an attempt sent before. Answers that
+// other routers get later count against the verdict.
+func TestAnswersInTransit(t *testing.T) {
 	const onset = time.Hour - 600*ms
 	table := NewTable(DefaultTerms(), "me")
-	table.Members(fleet(6, 3))
-	for i, r := range []Record{{Onset: onset, GoodAt: onset - 5*ms, PassedAt: onset - 9*ms}, {Onset: onset + 4*ms, GoodAt: onset + 20*ms, PassedAt: onset - ms}, {Onset: onset + 9*ms, GoodAt: onset + 25*ms, PassedAt: onset + ms}} {
-		r.Observer, r.Zone, r.Incarnation, r.Seq, r.Key, r.BadAt = fmt.Sprint("r", i), fmt.Sprint("z", i), 1, 1, Key{"s0", 0}, time.Hour
-		table.put(time.Hour, "o", r)
+	table.Members(makeMembers(6, 3))
+	for i, r := range []Record{
+		{Onset: onset, GoodAt: onset - 5*ms, PassedAt: onset - 9*ms},
+		{Onset: onset + 4*ms, GoodAt: onset + 20*ms, PassedAt: onset - ms},
+		{Onset: onset + 9*ms, GoodAt: onset + 25*ms, PassedAt: onset + ms},
+	} {
+		r.Observer, r.Zone = fmt.Sprint("r", i), fmt.Sprint("z", i)
+		r.Incarnation, r.Seq, r.Key, r.BadAt = 1, 1, Key{"s0", 0}, time.Hour
+		table.merge(time.Hour, "o", r)
 	}
 	require.Equal(t, Gone, table.Verdicts(time.Hour)[0].Kind)
 	for i := 3; i < 5; i++ {
-		table.put(time.Hour, "o", Record{Observer: fmt.Sprint("r", i), Zone: fmt.Sprint("z", i%3), Incarnation: 1, Seq: 2, Key: Key{"s0", 0}, GoodAt: onset + 60*ms, PassedAt: onset + 30*ms})
+		table.merge(time.Hour, "o", Record{
+			Observer: fmt.Sprint("r", i), Zone: fmt.Sprint("z", i%3), Incarnation: 1, Seq: 2, Key: Key{"s0", 0},
+			GoodAt: onset + 60*ms, PassedAt: onset + 30*ms,
+		})
 	}
 	require.Equal(t, BadLink, table.Verdicts(time.Hour)[0].Kind)
 }
 
-// TestBounds: whatever comes, no more is held than may be, and all of it lapses by age.
+// TestBounds checks that a neighbour that sends too many records cannot exceed the limits, and that all records
+// expire.
 func TestBounds(t *testing.T) {
-	terms := DefaultTerms()
-	table := NewTable(terms, "me")
+	settings := DefaultTerms()
+	table := NewTable(settings, "me")
 	now := time.Hour
 	for i := range 200 {
-		for k := range 3 * askedMost {
-			table.put(now, "liar", Record{Observer: fmt.Sprint("r", i), Incarnation: 1, Seq: 1, Key: Key{fmt.Sprint("s", k), 0}, Onset: now - time.Second, BadAt: now})
+		for k := range 3 * maxQuestioned {
+			table.merge(now, "liar", Record{
+				Observer: fmt.Sprint("r", i), Incarnation: 1, Seq: 1, Key: Key{fmt.Sprint("s", k), 0},
+				Onset: now - time.Second, BadAt: now,
+			})
 		}
 	}
-	require.LessOrEqual(t, len(table.by), askedMost)
-	require.LessOrEqual(t, len(table.records), recordsMost)
+	require.LessOrEqual(t, len(table.byServer), maxQuestioned)
+	require.LessOrEqual(t, len(table.records), maxRecords)
 	require.Positive(t, table.Count.Refused)
 	require.NotEmpty(t, table.Verdicts(now))
-	table.Tick(now + terms.Hold + time.Second)
-	require.Empty(t, table.Verdicts(now+terms.Hold+time.Second))
+	table.Tick(now + settings.Hold + time.Second)
+	require.Empty(t, table.Verdicts(now+settings.Hold+time.Second))
 	require.Empty(t, table.records)
-	table.put(now+2*terms.Hold, "late", Record{Observer: "r1", Incarnation: 9, Seq: 9, Key: Key{"s", 0}, Onset: now, BadAt: now})
-	require.Empty(t, table.records, "what woke up with old evidence says nothing")
+	table.merge(now+2*settings.Hold, "late", Record{
+		Observer: "r1", Incarnation: 9, Seq: 9, Key: Key{"s", 0},
+		Onset: now, BadAt: now,
+	})
+	require.Empty(t, table.records, "expired evidence from a router that was suspended is not accepted")
 }
 
-// watched is a Watch of some servers of one class.
-func watched(seed uint64, servers int) *Watch {
+// newWatch returns a Watch of servers of one class.
+func newWatch(seed uint64, servers int) *Watch {
 	w := NewWatch(DefaultTerms(), "z0", seed)
 	var list []Server
 	for i := range servers {
@@ -162,81 +193,85 @@
 	return w
 }
 
-func gone(server string, since time.Duration, others int) Verdict {
+// goneVerdict returns a verdict by which no router gets answers of the server.
+func goneVerdict(server string, since time.Duration, others int) Verdict {
 	return Verdict{Key: Key{server, 0}, Kind: Gone, Bad: 10, Others: others, Since: since}
 }
 
-// TestSilence: answers that are missing are found without any event, and one that was overtaken says nothing.
-func TestSilence(t *testing.T) {
-	w := watched(1, 2)
+// TestMissedAnswers checks that overdue answers are detected without any event, and that an unanswered attempt does
+// not count if a later one was answered.
+func TestMissedAnswers(t *testing.T) {
+	w := newWatch(1, 2)
 	now := time.Second
 	w.Sent(now, 1, "s0")
 	w.Sent(now+10*ms, 2, "s0")
 	w.Answered(now+30*ms, 2)
 	w.Look(now + time.Second)
-	require.Empty(t, w.Own(now+time.Second, nil, 3), "a later one was answered")
+	require.Empty(t, w.Own(now+time.Second, nil, 3), "a later attempt was answered")
 	w.Sent(now+time.Second, 3, "s0")
 	w.Look(now + time.Second + 100*ms)
 	require.Empty(t, w.Own(now+time.Second+100*ms, nil, 3))
 	w.Look(now + time.Second + 251*ms)
 	own := w.Own(now+time.Second+251*ms, nil, 3)
 	require.Len(t, own, 1)
-	require.True(t, own[0].bad())
+	require.True(t, own[0].isBad())
 	require.Equal(t, now+time.Second, own[0].Onset)
 	w.Ended(now+2*time.Second, 3, Alive)
 	own = w.Own(now+2*time.Second, map[Key]time.Duration{{"s0", 0}: now}, 3)
-	require.Len(t, own, 1, "that it thinks otherwise now goes out at once")
-	require.False(t, own[0].bad())
+	require.Len(t, own, 1, "a changed opinion is reported at once")
+	require.False(t, own[0].isBad())
 	w.Listed(0, []Server{{Key{"s0", time.Minute}, []string{"x"}}})
 	w.Ended(now+3*time.Second, 3, Missed)
-	require.Empty(t, w.Own(now+3*time.Second, map[Key]time.Duration{{"s0", time.Minute}: now}, 3), "another life has not been seen yet")
+	own = w.Own(now+3*time.Second, map[Key]time.Duration{{"s0", time.Minute}: now}, 3)
+	require.Empty(t, own, "the new incarnation has not been observed yet")
 }
 
-// TestShare: verdicts bar no more than their share of a class, whatever they say.
-func TestShare(t *testing.T) {
+// TestMaxShare checks that a router avoids no more than the permitted share of a class, whatever the verdicts.
+func TestMaxShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "servers")
-		w := watched(uint64(rapid.IntRange(1, 100).Draw(t, "seed")), n)
-		left := map[string]time.Duration{}
+		w := newWatch(uint64(rapid.IntRange(1, 100).Draw(t, "seed")), n)
+		avoidUntil := map[string]time.Duration{}
 		now := time.Hour
 		for range 40 {
 			var list []Verdict
 			for i := range n {
 				if rapid.Bool().Draw(t, "gone") {
-					list = append(list, gone(fmt.Sprint("s", i), now-time.Second, 50))
+					list = append(list, goneVerdict(fmt.Sprint("s", i), now-time.Second, 50))
 				}
 			}
 			for _, c := range w.Cares(now, list) {
-				left[c.Server] = c.Until
+				avoidUntil[c.Server] = c.Until
 			}
 			if 2*len(list) <= n {
-				continue // what was barred before may have to lapse first
+				continue // earlier avoidances may have to expire first
 			}
-			later := now + w.Terms.Return + careFor
+			later := now + w.Terms.Return + avoidTTL
 			w.Cares(later, list)
-			for _, c := range w.Cares(later+careFor, list) {
-				require.LessOrEqual(t, c.Until, later+careFor, "%s", c.Server)
+			for _, c := range w.Cares(later+avoidTTL, list) {
+				require.LessOrEqual(t, c.Until, later+avoidTTL, "%s", c.Server)
 			}
-			now = later + careFor
+			now = later + avoidTTL
 		}
 	})
 }
 
-// TestTurns: of 300 routers that leave a server alone about one tries it in each Trial, each sends one call, and after it is fit they come back spread over Return.
-func TestTurns(t *testing.T) {
+// TestProbesAndReturns checks that of 300 routers that avoid a server about one probes it in each ProbeInterval, with
+// one call each, and that their returns after its recovery are spread over RecoverySpread.
+func TestProbesAndReturns(t *testing.T) {
 	const n = 300
-	var all []*Watch
+	var watches []*Watch
 	for i := range n {
-		all = append(all, watched(uint64(i+1), 4))
+		watches = append(watches, newWatch(uint64(i+1), 4))
 	}
 	now := time.Hour
-	v := []Verdict{gone("s0", now-time.Second, n)}
-	tries := 0
+	verdicts := []Verdict{goneVerdict("s0", now-time.Second, n)}
+	probes := 0
 	until := make([]time.Duration, n)
 	step := func(list []Verdict) (free int) {
 		now += 25 * ms
-		for i, w := range all {
-			w.Sent(now, 2, "s2") // calls for others go on
+		for i, w := range watches {
+			w.Sent(now, 2, "s2") // calls to other servers continue
 			w.Answered(now, 2)
 			for _, c := range w.Cares(now, list) {
 				until[i] = c.Until
@@ -247,101 +282,108 @@
 		}
 		return free
 	}
-	step(v)
+	step(verdicts)
 	for i := range until {
 		require.Greater(t, until[i], now)
 	}
 	for range 400 { // ten seconds
-		step(v)
-		for i, w := range all {
-			if until[i] <= now { // it may try: it has a call at once, which is not answered
+		step(verdicts)
+		for i, w := range watches {
+			if until[i] <= now { // it may probe: it has a call at once, which is not answered
 				w.Sent(now, 1, "s0")
-				tries++
-				w.Cares(now, v)
-				until[i] = now + careFor
+				probes++
+				w.Cares(now, verdicts)
+				until[i] = now + avoidTTL
 				w.Ended(now, 1, Missed)
 			}
 		}
 	}
-	require.Greater(t, tries, 4)
-	require.Less(t, tries, 40, "in ten seconds twenty at the most are wanted, and chance")
-	most, free := 0, step(nil)
+	require.Greater(t, probes, 4)
+	require.Less(t, probes, 40, "at most 20 probes in ten seconds are intended, plus random variation")
+	maxReturns, free := 0, step(nil)
 	for range 120 {
-		was := free
+		before := free
 		free = step(nil)
-		most = max(most, free-was)
+		maxReturns = max(maxReturns, free-before)
 	}
 	require.Equal(t, n, free)
-	require.Less(t, most, n/10, "in 25 ms")
+	require.Less(t, maxReturns, n/10, "in 25 ms")
 }
 
-// TestOwn: a router goes by its own answer, newer than what others miss.
-func TestOwn(t *testing.T) {
-	w := watched(1, 4)
+// TestOwnEvidence checks that an answer of its own that is newer than the misses of others outweighs a verdict for a
+// router, and that an operator's hold outweighs the router's own evidence.
+func TestOwnEvidence(t *testing.T) {
+	w := newWatch(1, 4)
 	now := time.Hour
 	w.Sent(now-100*ms, 1, "s0")
 	w.Answered(now-50*ms, 1)
-	require.Empty(t, w.Cares(now, []Verdict{gone("s0", now-200*ms, 5)}))
-	require.NotEmpty(t, w.Cares(now, []Verdict{gone("s0", now-10*ms, 5)}))
+	require.Empty(t, w.Cares(now, []Verdict{goneVerdict("s0", now-200*ms, 5)}))
+	require.NotEmpty(t, w.Cares(now, []Verdict{goneVerdict("s0", now-10*ms, 5)}))
 	held := Verdict{Key: Key{Server: "s1"}, Kind: Held, Until: now + 300*ms}
-	cares := w.Cares(now, []Verdict{held})
-	require.NotEmpty(t, cares)
-	require.Equal(t, now+300*ms, cares[len(cares)-1].Until, "an operator's word holds until its end, and whatever the router has seen")
+	changes := w.Cares(now, []Verdict{held})
+	require.NotEmpty(t, changes)
+	until := changes[len(changes)-1].Until
+	require.Equal(t, now+300*ms, until, "an operator's hold applies until its end, whatever the router has observed")
 }
 
-// TestFrames: what is written is read again, nothing younger than it was, and what cannot be a frame is refused.
+// TestFrames checks that frames survive encoding without any age becoming smaller, and that invalid frames are
+// refused.
 func TestFrames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const now = time.Hour
-		r := aged(drawRecord(t, now, fleet(3, 2)), now)
+		r := timesToAges(drawRecord(t, now, makeMembers(3, 2)), now)
 		f := Frame{Stamp: 5, Echo: 6, Hold: 7, Records: []Record{r}}
 		got, err := Read(f.Write())
 		require.NoError(t, err)
 		require.Len(t, got.Records, 1)
-		for _, pair := range [][2]time.Duration{{r.GoodAt, got.Records[0].GoodAt}, {r.BadAt, got.Records[0].BadAt}, {r.Onset, got.Records[0].Onset}} {
+		for _, pair := range [][2]time.Duration{
+			{r.GoodAt, got.Records[0].GoodAt},
+			{r.BadAt, got.Records[0].BadAt},
+			{r.Onset, got.Records[0].Onset},
+		} {
 			require.Equal(t, pair[0] < 0, pair[1] < 0)
 			require.GreaterOrEqual(t, pair[1], pair[0])
 			require.Less(t, pair[1]-pair[0], 2*time.Microsecond)
 		}
 		Read(rapid.SliceOf(rapid.Byte()).Draw(t, "noise"))
 	})
-	for _, f := range []Frame{{}, {Stamp: 1, Hold: -1}, {Stamp: 1, Records: make([]Record, frameMost+1)}} {
+	for _, f := range []Frame{{}, {Stamp: 1, Hold: -1}, {Stamp: 1, Records: make([]Record, maxFrameRecords+1)}} {
 		_, err := Read(f.Write())
 		require.Error(t, err)
 	}
 }
 
-// TestNeighbours: everybody is reached in so many hops, and one that goes changes few links.
+// TestNeighbours checks that every router is reached within Hops links, and that one that leaves changes few links.
 func TestNeighbours(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 7, 60, 300} {
 		var names []string
 		for i := range n {
 			names = append(names, fmt.Sprint("r", i))
 		}
-		near := map[string]map[string]bool{}
+		adjacent := map[string]map[string]bool{}
 		for _, a := range names {
-			near[a] = map[string]bool{}
+			adjacent[a] = map[string]bool{}
 		}
 		for _, a := range names {
 			for _, b := range Neighbours(a, names) {
-				near[a][b], near[b][a] = true, true
+				adjacent[a][b], adjacent[b][a] = true, true
 			}
 		}
-		reached, edge := map[string]bool{names[0]: true}, []string{names[0]}
+		reached, frontier := map[string]bool{names[0]: true}, []string{names[0]}
 		hops := 0
 		for len(reached) < n {
 			hops++
 			var next []string
-			for _, a := range edge {
-				for b := range near[a] {
+			for _, a := range frontier {
+				for b := range adjacent[a] {
 					if !reached[b] {
 						reached[b] = true
 						next = append(next, b)
 					}
 				}
 			}
-			edge = next
-			require.NotEmpty(t, edge)
+			frontier = next
+			require.NotEmpty(t, frontier)
 		}
 		require.LessOrEqual(t, hops, Hops(n))
 		if n == 300 {
@@ -354,14 +396,14 @@
 					}
 				}
 			}
-			require.Less(t, changed, 2*300, "of some 2,700")
+			require.Less(t, changed, 2*300, "of about 2700 links")
 		}
 	}
 }
 
-// BenchmarkWatch is a call's part of a router's watch: sent and answered.
+// BenchmarkWatch measures the cost of one call: an attempt sent and answered.
 func BenchmarkWatch(b *testing.B) {
-	w := watched(1, 36)
+	w := newWatch(1, 36)
 	now := time.Hour
 	b.ReportAllocs()
 	for b.Loop() {
@@ -371,21 +413,21 @@
 	}
 }
 
-// BenchmarkVerdicts is one router's judgement of a server that all of 300 have seen something of.
+// BenchmarkVerdicts measures deriving the verdict on one server from the records of 300 routers.
 func BenchmarkVerdicts(b *testing.B) {
 	table := NewTable(DefaultTerms(), "me")
-	table.Members(fleet(300, 3))
+	table.Members(makeMembers(300, 3))
 	now := time.Hour
-	for i, m := range fleet(300, 3) {
+	for i, m := range makeMembers(300, 3) {
 		r := Record{Observer: m.Name, Zone: m.Zone, Incarnation: 1, Seq: 1, Key: Key{"s0", 0}, GoodAt: now - time.Second}
 		if i%2 == 0 {
 			r.Onset, r.BadAt = now-900*ms, now
 		}
-		table.put(now, "o", r)
+		table.merge(now, "o", r)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		table.touch(Key{"s0", 0}) // something has come
+		table.invalidate(Key{"s0", 0}) // new evidence has arrived
 		table.Verdicts(now)
 	}
 }
--- a/verdict/watch.go
+++ b/verdict/watch.go
@@ -9,217 +9,229 @@
 	"time"
 )
 
-// A router's own part: this file owns what it has seen of each server, and when it leaves one alone for what all have seen.
+// This file records what this router observes of each server, and decides when it avoids one because of the verdicts.
 
 const (
-	// decay is the time over which counts fade, and usualOver of how many answers what is usual is the mean.
-	decay     = 4 * time.Second
-	usualOver = 16
-	// patienceMost is the longest that an answer is waited for before it is missed.
-	patienceMost = 2 * time.Second
-	// slotsMost open requests are watched.
-	slotsMost = 1 << 20
-	// trialWithin is how long a router that may try a condemned server waits for a call to do it with.
-	trialWithin = time.Second
-	// leastCalls is the least chance that a router is taken to have of a call for a server while its turn lasts.
-	leastCalls = 0.005
-	// seldom is how many times as seldom a server is tried that has long been gone.
-	seldom = 3
-	// careFor is how long the decisions are told to leave a server alone at a time.
-	careFor = time.Second
-	// cycle is the time of which a slow server is left alone for a part.
-	cycle = time.Second
+	// decayTime is the time constant of the exponential decay of counts, and latencySamples the number of answers over
+	// which the mean latency is averaged.
+	decayTime      = 4 * time.Second
+	latencySamples = 16
+	// maxResponseTimeout is the longest time after which an answer counts as missed.
+	maxResponseTimeout = 2 * time.Second
+	// maxSlots bounds the pending requests that are watched.
+	maxSlots = 1 << 20
+	// probeTimeout is how long a router whose turn it is to probe a condemned server waits for a call to probe with.
+	probeTimeout = time.Second
+	// minCallProbability is the assumed minimum of the probability that a router has a call for the server within
+	// probeTimeout.
+	minCallProbability = 0.005
+	// maxProbeBackoff is the largest factor by which probes of a server become rarer while it stays gone.
+	maxProbeBackoff = 3
+	// avoidTTL is how long a server is avoided without a renewal.
+	avoidTTL = time.Second
+	// slowCycle is the period in which a slow server is avoided for a part of the time.
+	slowCycle = time.Second
 )
 
-// How an attempt ended without an answer that lets the call stand.
+// End tells how an attempt ended whose call was not established.
 type End uint8
 
-// Ends.
+// Ends of attempts.
 const (
-	Missed  End = iota + 1 // no answer in time, or the connection was cut
+	Missed  End = iota + 1 // no answer in time, or the connection was lost
 	Refused                // no connection
-	TooFull                // turned away as processor full
+	TooFull                // rejected with cause "processor full"
 	Alive                  // any other answer
-	Given                  // withdrawn for reasons of its caller: it says nothing
+	Given                  // withdrawn by the caller's side: says nothing about the server
 )
 
-// Server is one that the list names as up.
+// Server is a case server that the server list shows as up.
 type Server struct {
 	Key
-	Classes []string // that it may take
+	Classes []string // classes of calls that it accepts
 }
 
-// seen is what the router has seen of one life of a server.
-type seen struct {
+// serverState holds what this router has observed of one incarnation of a server, and whether it avoids the server.
+type serverState struct {
 	Server
 	Record
-	out    []attempt // unanswered, in the order sent
-	usual  float64   // age of answers, in seconds
-	faded  time.Duration
-	told   Record // as told last
-	toldAt time.Duration
-	told1  bool
-	trial  time.Duration // until when its try may go out; 0: none
-	trying bool          // a try is out
-	back   time.Duration // when it comes back to a server that is fit again
-	cared  time.Duration // until when the decisions leave it alone, as told
-	phase  time.Duration
-	looked time.Duration // when it last drew whether it is its turn to try
+	inFlight    []attempt     // attempts without an end, in the order sent
+	meanLatency float64       // moving average, in seconds
+	decayedAt   time.Duration // when the counts were last decayed
+	reported    Record        // as last reported to the other routers
+	reportedAt  time.Duration
+	probeUntil  time.Duration // until when a probe may be sent; 0: none is due
+	probing     bool          // a probe is in flight
+	returnAt    time.Duration // when this router uses the recovered server again; 0: not drawn
+	avoidUntil  time.Duration // end of the latest Avoidance returned
+	phase       time.Duration // offset in slowCycle, so that servers and routers differ
+	drawnAt     time.Duration // when the probe was last drawn for; 0: not since it was condemned
 }
 
+// attempt is a pending set-up request to a server.
 type attempt struct {
-	slot uint32
-	sent time.Duration
-	miss bool
+	slot   uint32
+	sent   time.Duration
+	missed bool // its answer is overdue
 }
 
-// Watch is a router's. Its methods are for one goroutine.
+// Watch tracks this router's attempts and decides which servers it avoids. It is not safe for concurrent use.
 type Watch struct {
-	Terms  Terms
-	Zone   string
-	random *rand.Rand
-	byID   map[string]*seen
-	slots  []*seen // by slot
-	order  []*seen
-	total  map[string]int // servers of each class
-	sent   float64        // attempts of late, fading
-	faded  time.Duration
-	seq    uint64
-	Count  WatchCounts
+	Terms          Terms
+	Zone           string
+	random         *rand.Rand
+	byID           map[string]*serverState
+	bySlot         []*serverState // servers of pending requests, by slot
+	servers        []*serverState // sorted by name
+	classSizes     map[string]int // servers of each class
+	recentAttempts float64        // number of attempts, decaying with decayTime
+	decayedAt      time.Duration  // when recentAttempts was last decayed
+	seq            uint64         // of the latest record
+	Count          WatchCounts
 }
 
-// WatchCounts of a Watch.
+// WatchCounts counts the decisions of a Watch.
 type WatchCounts struct {
-	Cares, Trials, Returns uint64
-	Disregarded            uint64 // verdicts that would have barred too many
+	Cares       uint64 // servers avoided, and renewals
+	Trials      uint64 // probes of condemned servers
+	Returns     uint64 // servers used again
+	Disregarded uint64 // verdicts disregarded because more than the permitted share of a class was affected
 }
 
-// NewWatch makes one; the seed spreads what many routers do.
-func NewWatch(t Terms, zone string, seed uint64) *Watch {
-	return &Watch{Terms: t, Zone: zone, random: rand.New(rand.NewPCG(seed, 11)), byID: map[string]*seen{}, total: map[string]int{}}
+// NewWatch returns a Watch without servers. The seed has to differ between routers, so that their probes and returns
+// do not coincide.
+func NewWatch(settings Terms, zone string, seed uint64) *Watch {
+	return &Watch{
+		Terms:      settings,
+		Zone:       zone,
+		random:     rand.New(rand.NewPCG(seed, 11)),
+		byID:       map[string]*serverState{},
+		classSizes: map[string]int{},
+	}
 }
 
-// Listed takes which servers are up. What was seen of an earlier life of one, or of one that is gone, is forgotten.
+// SetServers sets the servers that are up. Observations of earlier incarnations and of removed servers are discarded.
 func (w *Watch) Listed(now time.Duration, list []Server) {
-	was := w.byID
-	w.byID, w.order = map[string]*seen{}, nil
-	clear(w.total)
-	for _, s := range list[:min(len(list), serversMost)] {
-		one := was[s.Server]
-		if one == nil || one.Server.Key != s.Key {
-			one = &seen{faded: now, phase: time.Duration(w.random.Int64N(int64(cycle)))}
-			one.Record.Key = s.Key
+	previous := w.byID
+	w.byID, w.servers = map[string]*serverState{}, nil
+	clear(w.classSizes)
+	for _, s := range list[:min(len(list), maxServers)] {
+		state := previous[s.Server]
+		if state == nil || state.Server.Key != s.Key {
+			state = &serverState{decayedAt: now, phase: time.Duration(w.random.Int64N(int64(slowCycle)))}
+			state.Record.Key = s.Key
 		}
-		one.Server = s
-		w.byID[s.Server] = one
-		w.order = append(w.order, one)
+		state.Server = s
+		w.byID[s.Server] = state
+		w.servers = append(w.servers, state)
 		for _, class := range s.Classes {
-			w.total[class]++
+			w.classSizes[class]++
 		}
 	}
-	slices.SortFunc(w.order, func(a, b *seen) int { return cmp.Compare(a.Server.Server, b.Server.Server) })
-	for slot, one := range w.slots {
-		if one != nil && w.byID[one.Server.Server] != one {
-			w.slots[slot] = nil
+	slices.SortFunc(w.servers, func(a, b *serverState) int { return cmp.Compare(a.Server.Server, b.Server.Server) })
+	for slot, state := range w.bySlot {
+		if state != nil && w.byID[state.Server.Server] != state {
+			w.bySlot[slot] = nil
 		}
 	}
 }
 
-// Sent notes an attempt that is about to go out; slot is a small number that no other open request has.
+// AttemptSent records an attempt that is about to be sent; slot is a small number that no other pending request has.
 func (w *Watch) Sent(now time.Duration, slot uint32, server string) {
 	s := w.byID[server]
-	if s == nil || slot >= slotsMost {
+	if s == nil || slot >= maxSlots {
 		return
 	}
-	for int(slot) >= len(w.slots) {
-		w.slots = append(w.slots, nil)
+	for int(slot) >= len(w.bySlot) {
+		w.bySlot = append(w.bySlot, nil)
 	}
-	w.slots[slot] = s
-	w.fade(now)
-	w.sent++
-	s.out = append(s.out, attempt{slot: slot, sent: now})
-	if s.trial != 0 { // this is the try: until it is answered there is no other
-		s.trial, s.trying = 0, true
+	w.bySlot[slot] = s
+	w.decayAttempts(now)
+	w.recentAttempts++
+	s.inFlight = append(s.inFlight, attempt{slot: slot, sent: now})
+	if s.probeUntil != 0 { // this attempt is the probe; there is no other until it ends
+		s.probeUntil, s.probing = 0, true
 		w.Count.Trials++
 	}
 }
 
-// take finds the attempt of a slot.
-func (w *Watch) take(slot uint32) (s *seen, a attempt, ok bool) {
-	if int(slot) >= len(w.slots) || w.slots[slot] == nil {
+// removeAttempt removes and returns the pending attempt of a slot.
+func (w *Watch) removeAttempt(slot uint32) (s *serverState, a attempt, ok bool) {
+	if int(slot) >= len(w.bySlot) || w.bySlot[slot] == nil {
 		return nil, a, false
 	}
-	s, w.slots[slot] = w.slots[slot], nil
-	for i := range s.out {
-		if s.out[i].slot == slot {
-			a = s.out[i]
-			s.out = slices.Delete(s.out, i, i+1)
+	s, w.bySlot[slot] = w.bySlot[slot], nil
+	for i := range s.inFlight {
+		if s.inFlight[i].slot == slot {
+			a = s.inFlight[i]
+			s.inFlight = slices.Delete(s.inFlight, i, i+1)
 			return s, a, true
 		}
 	}
 	return s, a, false
 }
 
-// Answered notes that an attempt's call stands.
+// AttemptAnswered records that the call of an attempt is established.
 func (w *Watch) Answered(now time.Duration, slot uint32) {
-	s, a, ok := w.take(slot)
+	s, a, ok := w.removeAttempt(slot)
 	if !ok {
 		return
 	}
-	s.fade(now)
+	s.decayCounts(now)
 	age := (now - a.sent).Seconds()
-	if s.usual == 0 {
-		s.usual = age
+	if s.meanLatency == 0 {
+		s.meanLatency = age
 	}
-	s.Slow += (float32(age/max(s.usual, 1e-4)) - s.Slow) / 4
-	s.alive(a)
+	s.Slow += (float32(age/max(s.meanLatency, 1e-4)) - s.Slow) / 4
+	s.recordAnswer(a)
 	if now-a.sent > w.Terms.Late {
 		s.Late++
 		s.LateAt = now
-		s.usual += (age - s.usual) / (8 * usualOver) // what is usual gets used to little of it
+		s.meanLatency += (age - s.meanLatency) / (8 * latencySamples) // late answers shift the mean only slowly
 		return
 	}
-	s.usual += (age - s.usual) / usualOver
+	s.meanLatency += (age - s.meanLatency) / latencySamples
 	s.Good++
 	s.GoodAt = now
 }
 
-// alive ends a silence.
-func (s *seen) alive(a attempt) {
+// recordAnswer records an answer of any kind to an attempt; the server is not missing answers any more.
+func (s *serverState) recordAnswer(a attempt) {
 	s.PassedAt = max(s.PassedAt, a.sent)
-	s.Onset, s.trying = 0, false
+	s.Onset, s.probing = 0, false
 }
 
-// Ended notes that an attempt has ended otherwise.
+// AttemptEnded records that an attempt has ended without an established call.
 func (w *Watch) Ended(now time.Duration, slot uint32, how End) {
-	s, a, ok := w.take(slot)
+	s, a, ok := w.removeAttempt(slot)
 	if !ok {
 		return
 	}
-	s.fade(now)
+	s.decayCounts(now)
 	switch how {
 	case Missed:
-		if !a.miss && a.sent > s.PassedAt {
-			s.missed(now, a, &s.Silent)
+		if !a.missed && a.sent > s.PassedAt {
+			s.recordMiss(now, a, &s.Silent)
 		}
-		s.trying = false
+		s.probing = false
 	case Refused:
-		s.missed(now, a, &s.Refused)
-		s.trying = false
+		s.recordMiss(now, a, &s.Refused)
+		s.probing = false
 	case TooFull:
-		s.alive(a)
+		s.recordAnswer(a)
 		s.Full++
 		s.GoodAt = now
 	case Alive:
-		s.alive(a)
+		s.recordAnswer(a)
 		s.Good++
 		s.GoodAt = now
 	case Given:
-		s.trying = s.trying && len(s.out) > 0
+		s.probing = s.probing && len(s.inFlight) > 0
 	}
 }
 
-func (s *seen) missed(now time.Duration, a attempt, count *float32) {
+// recordMiss records a missed answer or a failed connection, and counts it in count.
+func (s *serverState) recordMiss(now time.Duration, a attempt, count *float32) {
 	*count++
 	s.BadAt = now
 	if s.Onset == 0 {
@@ -227,59 +239,64 @@
 	}
 }
 
-// fade has counts fall off with time.
-func (s *seen) fade(now time.Duration) {
-	if now <= s.faded {
+// decayCounts applies the exponential decay to the counts.
+func (s *serverState) decayCounts(now time.Duration) {
+	if now <= s.decayedAt {
 		return
 	}
-	keep := float32(math.Exp(-float64(now-s.faded) / float64(decay)))
-	s.faded = now
+	factor := float32(math.Exp(-float64(now-s.decayedAt) / float64(decayTime)))
+	s.decayedAt = now
 	for _, n := range []*float32{&s.Good, &s.Late, &s.Silent, &s.Refused, &s.Full} {
-		*n *= keep
+		*n *= factor
 	}
 }
 
-func (w *Watch) fade(now time.Duration) {
-	w.sent *= math.Exp(-float64(max(now-w.faded, 0)) / float64(decay))
-	w.faded = max(now, w.faded)
+// decayAttempts applies the exponential decay to the number of recent attempts.
+func (w *Watch) decayAttempts(now time.Duration) {
+	w.recentAttempts *= math.Exp(-float64(max(now-w.decayedAt, 0)) / float64(decayTime))
+	w.decayedAt = max(now, w.decayedAt)
 }
 
-// patience is how long an answer may take before it is missed.
-func (w *Watch) patience(s *seen) time.Duration {
-	return min(max(w.Terms.Silence, time.Duration(4*s.usual*float64(time.Second))), patienceMost)
+// responseTimeout returns how long an answer of the server may take before it counts as missed.
+func (w *Watch) responseTimeout(s *serverState) time.Duration {
+	return min(
+		max(w.Terms.Silence, time.Duration(4*s.meanLatency*float64(time.Second))),
+		maxResponseTimeout,
+	)
 }
 
-// Look has answers that are overdue found missing. Whatever was overtaken by a later answer was lost alone, and says nothing of the server.
+// DetectMissed records overdue answers as missed. An attempt sent before another that was answered is skipped: only
+// that one was lost, which says nothing about the server.
 func (w *Watch) Look(now time.Duration) {
-	for _, s := range w.order {
-		if len(s.out) == 0 {
+	for _, s := range w.servers {
+		if len(s.inFlight) == 0 {
 			continue
 		}
-		patience := w.patience(s)
-		for i := range s.out {
-			a := &s.out[i]
-			if now-a.sent <= patience {
+		timeout := w.responseTimeout(s)
+		for i := range s.inFlight {
+			a := &s.inFlight[i]
+			if now-a.sent <= timeout {
 				break
 			}
 			if a.sent <= s.PassedAt {
 				continue
 			}
-			if !a.miss {
-				a.miss = true
-				s.fade(now)
-				s.missed(now, *a, &s.Silent)
+			if !a.missed {
+				a.missed = true
+				s.decayCounts(now)
+				s.recordMiss(now, *a, &s.Silent)
 			}
-			s.BadAt = now // it still is
+			s.BadAt = now // the answer is still missing
 		}
 	}
 }
 
-// Next is when Look has something to find, should nothing come before.
+// NextCheck returns the time from now until DetectMissed has something to do if nothing happens before.
 func (w *Watch) Next(now time.Duration) time.Duration {
 	next := time.Hour
-	for _, s := range w.order {
-		if len(s.out) > 0 {
-			if left := s.out[0].sent + w.patience(s) - now; left > 0 {
+	for _, s := range w.servers {
+		if len(s.inFlight) > 0 {
+			if left := s.inFlight[0].sent + w.responseTimeout(s) - now; left > 0 {
 				next = min(next, left)
 			} else {
 				next = min(next, w.Terms.Slot)
@@ -289,23 +306,24 @@
 	return next
 }
 
-// Own is what the router tells of itself now: of servers in question, and of those that it has missed answers of or that answer late. Servers about which it has nothing new to say are left
-// out; question says of which servers somebody misses answers, and since when; n is how many routers there are.
-func (w *Watch) Own(now time.Duration, question map[Key]time.Duration, n int) (list []Record) {
-	for _, s := range w.order {
-		troubled := s.bad() || s.Late >= 1 && now-s.LateAt < decay || s.Full >= 1 && now-s.GoodAt < decay
-		since, asked := question[s.Server.Key]
-		if !troubled && !asked || s.last() == 0 || now-s.last() > w.Terms.Hold {
+// OwnRecords returns this router's new records: on servers that it has trouble with itself, and on those that another
+// router has trouble with. question holds the latter, with the times since which answers are missing (see
+// Table.Questioned); routers is the number of routers in the fleet. Servers without news are left out.
+func (w *Watch) Own(now time.Duration, question map[Key]time.Duration, routers int) (list []Record) {
+	for _, s := range w.servers {
+		troubled := s.isBad() || s.Late >= 1 && now-s.LateAt < decayTime || s.Full >= 1 && now-s.GoodAt < decayTime
+		since, questioned := question[s.Server.Key]
+		if !troubled && !questioned || s.lastSeen() == 0 || now-s.lastSeen() > w.Terms.Hold {
 			continue
 		}
-		if !s.news(now, w.Terms, n, since, troubled) {
+		if !s.shouldReport(now, w.Terms, routers, since, troubled) {
 			continue
 		}
-		s.fade(now)
+		s.decayCounts(now)
 		r := s.Record
 		w.seq++
 		r.Seq, r.Zone = w.seq, w.Zone
-		s.told, s.toldAt = r, now
+		s.reported, s.reportedAt = r, now
 		if mutant == "liar" {
 			r.BadAt, r.GoodAt, r.PassedAt, r.Onset = r.GoodAt, r.BadAt, r.BadAt, max(r.GoodAt, 1)
 		}
@@ -314,150 +332,165 @@
 	return list
 }
 
-// news says whether others have to hear what the router has seen of a server since it told last: at once if it thinks otherwise now, else a little later what speaks against what others miss,
-// and what would lapse.
-func (s *seen) news(now time.Duration, t Terms, n int, since time.Duration, troubled bool) bool {
-	if s.toldAt == 0 || s.bad() != s.told.bad() {
+// shouldReport reports whether the other routers need this router's current record on a server: at once if its opinion
+// has changed, else after the report interval if it has had an answer since others miss theirs, has trouble other than
+// missed answers, or its last report is about to expire.
+func (s *serverState) shouldReport(
+	now time.Duration, settings Terms, routers int, since time.Duration, troubled bool,
+) bool {
+	if s.reportedAt == 0 || s.isBad() != s.reported.isBad() {
 		return true
 	}
-	if now-s.toldAt < t.slot(n) || s.last() == s.told.last() {
+	if now-s.reportedAt < settings.reportInterval(routers) || s.lastSeen() == s.reported.lastSeen() {
 		return false
 	}
-	answered, said := max(s.GoodAt, s.LateAt), max(s.told.GoodAt, s.told.LateAt)
-	return answered > since && said <= since || troubled && !s.bad() || now-s.toldAt > t.Hold/6
+	answered, reportedAnswer := max(s.GoodAt, s.LateAt), max(s.reported.GoodAt, s.reported.LateAt)
+	return answered > since && reportedAnswer <= since ||
+		troubled && !s.isBad() ||
+		now-s.reportedAt > settings.Hold/6
 }
 
-// Care is a server that the decisions are to leave alone until then.
+// Avoidance tells the routing decisions to avoid a server until a time, or to use it again.
 type Care struct {
 	Key
-	Until   time.Duration
-	Verdict *Verdict // that it rests on; nil: it is lifted
+	Until   time.Duration // now or earlier: the server is usable again
+	Verdict *Verdict      // the reason; nil: the server is usable again, or will be after a delay
 }
 
-// Cares has verdicts heeded: it returns what the decisions have to be told. A router whose own latest word of the server is an answer goes by it.
-func (w *Watch) Cares(now time.Duration, verdicts []Verdict) (cares []Care) {
-	by := map[Key]*Verdict{}
-	barred := map[string]int{}
+// UpdateAvoidances applies the verdicts and returns the changes for the routing decisions. A router that has had an
+// answer of a server since the others miss theirs goes by its own evidence.
+func (w *Watch) Cares(now time.Duration, verdicts []Verdict) (changes []Care) {
+	excluded := map[Key]*Verdict{}
+	avoided := map[string]int{}
 	for i := range verdicts {
 		v := &verdicts[i]
 		s := w.byID[v.Server]
-		if s == nil || s.Server.Key != v.Key && v.Kind != Held && mutant != "old-life" || !v.condemns(w.Zone) && !(v.Kind == Slow && v.Part >= slowLeast) {
+		if s == nil || s.Server.Key != v.Key && v.Kind != Held && mutant != "old-life" ||
+			!v.excludes(w.Zone) && !(v.Kind == Slow && v.Part >= minLateShare) {
 			continue
 		}
-		by[s.Server.Key] = v
+		excluded[s.Server.Key] = v
 		for _, class := range s.Classes {
-			barred[class]++
+			avoided[class]++
 		}
 	}
-	back := maps.Clone(barred)
-	for _, s := range w.order { // those that come back one after the other are left alone as well: what is too many with them comes back at once
-		if by[s.Server.Key] == nil && s.cared > now {
+	withReturning := maps.Clone(avoided)
+	// Recovered servers whose return is still delayed are avoided too: if they exceed the share, they return at once.
+	for _, s := range w.servers {
+		if excluded[s.Server.Key] == nil && s.avoidUntil > now {
 			for _, class := range s.Classes {
-				if back[class]++; float64(back[class]) > w.Terms.Share*float64(w.total[class]) && mutant != "no-share" {
-					s.back = now
+				withReturning[class]++
+				if float64(withReturning[class]) > w.Terms.Share*float64(w.classSizes[class]) && mutant != "no-share" {
+					s.returnAt = now
 				}
 			}
 		}
 	}
-	for _, s := range w.order {
-		v := by[s.Server.Key]
+	for _, s := range w.servers {
+		v := excluded[s.Server.Key]
 		for _, class := range s.Classes {
-			if v != nil && float64(barred[class]) > w.Terms.Share*float64(w.total[class]) && mutant != "no-share" {
-				v = nil // with so many unfit it is us
+			if v != nil && float64(avoided[class]) > w.Terms.Share*float64(w.classSizes[class]) && mutant != "no-share" {
+				v = nil // with so many unfit servers, the fault is on the routers' side
 				w.Count.Disregarded++
 			}
 		}
-		until, lifts := w.care(now, s, v)
+		until, lifts := w.avoidance(now, s, v)
 		switch {
-		case until > now && until > s.cared && (until-s.cared > careFor/4 || s.cared-now < careFor/4):
-			cares = append(cares, Care{s.Server.Key, until, v})
-			s.cared = until
+		case until > now && until > s.avoidUntil && (until-s.avoidUntil > avoidTTL/4 || s.avoidUntil-now < avoidTTL/4):
+			changes = append(changes, Care{s.Server.Key, until, v})
+			s.avoidUntil = until
 			w.Count.Cares++
-		case lifts && s.cared > now:
-			cares = append(cares, Care{s.Server.Key, now, nil})
-			s.cared = now
+		case lifts && s.avoidUntil > now:
+			changes = append(changes, Care{s.Server.Key, now, nil})
+			s.avoidUntil = now
 			w.Count.Returns++
 		}
 	}
-	return cares
+	return changes
 }
 
-// slowLeast is the part of answers that come late from which on a slow server is spared.
-const slowLeast = 0.2
+// minLateShare is the part of late answers from which on a slow server is avoided for a part of the time.
+const minLateShare = 0.2
 
-// care is until when one server is left alone; lifts says that it is not, from now on.
-func (w *Watch) care(now time.Duration, s *seen, v *Verdict) (until time.Duration, lifts bool) {
-	if v == nil || v.Kind != Held && v.condemns(w.Zone) && s.GoodAt > v.Since+w.Terms.Flush && !s.bad() && s.GoodAt != 0 {
-		// It has had an answer itself, or it is fit again: those that were left alone come back one after the other.
-		s.trial, s.looked = 0, 0
-		own := s.GoodAt != 0 && v != nil
-		if s.cared <= now || own {
-			s.back = 0
+// avoidance decides on one server under the verdict v, which is nil if the server is to be used. It returns until when
+// the server is to be avoided; lifts says that it is usable from now on.
+func (w *Watch) avoidance(now time.Duration, s *serverState, v *Verdict) (until time.Duration, lifts bool) {
+	if v == nil || v.Kind != Held && v.excludes(w.Zone) && s.GoodAt > v.Since+w.Terms.Flush && !s.isBad() &&
+		s.GoodAt != 0 {
+		// This router has had an answer itself and goes by it, or the server has recovered: then the routers return one
+		// after the other.
+		s.probeUntil, s.drawnAt = 0, 0
+		answered := s.GoodAt != 0 && v != nil
+		if s.avoidUntil <= now || answered {
+			s.returnAt = 0
 			return 0, true
 		}
-		if s.back == 0 {
-			s.back = now + time.Duration(w.random.Float64()*float64(w.Terms.Return))
+		if s.returnAt == 0 {
+			s.returnAt = now + time.Duration(w.random.Float64()*float64(w.Terms.Return))
 			if mutant == "all-at-once" {
-				s.back = now
+				s.returnAt = now
 			}
 		}
-		if now >= s.back {
-			s.back = 0
+		if now >= s.returnAt {
+			s.returnAt = 0
 			return 0, true
 		}
-		return min(s.back, now+careFor), false
+		return min(s.returnAt, now+avoidTTL), false
 	}
-	s.back = 0
+	s.returnAt = 0
 	if v.Kind == Slow {
-		at := (now + s.phase) % cycle
-		if left := time.Duration(min(v.Part, 0.75)*float64(cycle)) - at; left > 0 {
+		position := (now + s.phase) % slowCycle
+		if left := time.Duration(min(v.Part, 0.75)*float64(slowCycle)) - position; left > 0 {
 			return now + left, false
 		}
 		return 0, true
 	}
 	if v.Kind == Held {
-		return min(v.Until, now+careFor), false
+		return min(v.Until, now+avoidTTL), false
 	}
-	// Condemned: of all routers one tries it in each Trial, and as many more as have had an answer since.
-	if s.trying {
-		return now + careFor, false
+	// The server is condemned: one router of the fleet probes it in each ProbeInterval, or twice as many routers as
+	// have had an answer since.
+	if s.probing {
+		return now + avoidTTL, false
 	}
-	if s.trial != 0 {
-		if now < s.trial {
+	if s.probeUntil != 0 {
+		if now < s.probeUntil {
 			return 0, true
 		}
-		s.trial = 0
+		s.probeUntil = 0
 	}
-	if s.looked == 0 { // not all look at the same moment
-		s.looked = now - time.Duration(w.random.Int64N(int64(w.Terms.Trial)))
+	if s.drawnAt == 0 { // spreads the draws of the routers over the interval
+		s.drawnAt = now - time.Duration(w.random.Int64N(int64(w.Terms.Trial)))
 	}
-	if now-s.looked >= w.Terms.Trial {
-		span := now - s.looked
-		s.looked = now
-		if w.random.Float64() < w.turn(now, v, min(span, 4*w.Terms.Trial)) {
-			s.trial = now + trialWithin
+	if now-s.drawnAt >= w.Terms.Trial {
+		span := now - s.drawnAt
+		s.drawnAt = now
+		if w.random.Float64() < w.probeProbability(now, v, min(span, 4*w.Terms.Trial)) {
+			s.probeUntil = now + probeTimeout
 			return 0, true
 		}
 	}
-	return now + careFor, false
+	return now + avoidTTL, false
 }
 
-// turn is the chance that this router's try comes within a span, so that all together try as often as they should: one in each Trial at first, up to three times as seldom where a server
-// has long been gone, and twice as many as have had an answer since.
-func (w *Watch) turn(now time.Duration, v *Verdict, span time.Duration) float64 {
+// probeProbability returns the probability with which this router probes a condemned server within a span, such that
+// all routers together probe at the intended rate: once in each ProbeInterval at first, up to maxProbeBackoff times
+// more rarely while a server stays gone. Once some routers have had answers since, twice their number of routers probe
+// in each ProbeInterval.
+func (w *Watch) probeProbability(now time.Duration, v *Verdict, span time.Duration) float64 {
 	if mutant == "try-at-will" {
 		return 1
 	}
-	each := float64(w.Terms.Trial) * float64(max(v.Others, 1))
+	meanInterval := float64(w.Terms.Trial) * float64(max(v.Others, 1))
 	if v.Good > 0 {
-		each /= 2 * float64(v.Good)
+		meanInterval /= 2 * float64(v.Good)
 	}
-	// Whose turn it is may have no call for the server while it lasts: so many more have theirs.
-	w.fade(now)
-	calls := w.sent / decay.Seconds() / float64(max(len(w.order), 1)) * trialWithin.Seconds()
-	each *= max(1-math.Exp(-calls), leastCalls)
+	// A router that is to probe may have no call for the server within probeTimeout: proportionally more are drawn.
+	w.decayAttempts(now)
+	calls := w.recentAttempts / decayTime.Seconds() / float64(max(len(w.servers), 1)) * probeTimeout.Seconds()
+	meanInterval *= max(1-math.Exp(-calls), minCallProbability)
 	if v.Good == 0 {
-		each *= min(max(float64(now-v.Since)/float64(8*w.Terms.Trial), 1), seldom)
+		meanInterval *= min(max(float64(now-v.Since)/float64(8*w.Terms.Trial), 1), maxProbeBackoff)
 	}
-	return 1 - math.Exp(-float64(span)/each)
+	return 1 - math.Exp(-float64(span)/meanInterval)
 }
