--- a/internal/fleetio/fleet.go
+++ b/internal/fleetio/fleet.go
@@ -47,7 +47,7 @@
 	Further func(lend func(left int) (lent int, limited bool))
 	// Care hears, on the loop, of a server that is to be left alone for what all routers know, and for how long from now; 0: no more. Now is the clock that the times of
 	// Sent, Answered and AttemptEnded are on.
-	Care func(c verdict.Care, hold time.Duration)
+	Care func(c verdict.Avoidance, hold time.Duration)
 	Now  func() time.Duration
 	// Work in hand, all on the loop: what does as it decides, and calls of before a start whose ends are not known.
 	Desk   takeover.CallHandler
@@ -241,7 +241,7 @@
 			wait = min(max(f.member.Due()-Clock(), time.Millisecond), time.Second)
 		}
 		if f.talk != nil {
-			wait = min(wait, max(f.talk.table.Due()-Clock(), time.Millisecond))
+			wait = min(wait, max(f.talk.table.NextTick()-Clock(), time.Millisecond))
 		}
 		if f.work != nil {
 			wait = min(wait, max(f.worksDue(Clock())-Clock(), time.Millisecond))
--- a/internal/fleetio/settings.go
+++ b/internal/fleetio/settings.go
@@ -21,7 +21,7 @@
 	Address   string             // where other routers reach this one, if not where it listens
 	Zone      string             // of this process
 	Reach     map[string]string  // routers that this process reaches elsewhere than at their addresses
-	Verdicts  *verdict.Terms     // nil: routers judge alone
+	Verdicts  *verdict.Settings  // nil: routers judge alone
 	Work      *takeover.Settings // nil: nobody else has what is in hand
 	Beacon    netip.AddrPort     // who hears what this process acts as; the zero value: nobody
 	Every     time.Duration      // how often
@@ -96,18 +96,18 @@
 }
 
 // ReadVerdicts reads a (verdicts ...) section; docs/operators/verdict.md has every field.
-func ReadVerdicts(s *settings.Section, drift float64) *verdict.Terms {
-	t := verdict.DefaultTerms()
-	t.Drift = drift
+func ReadVerdicts(s *settings.Section, drift float64) *verdict.Settings {
+	t := verdict.DefaultSettings()
+	t.MaxClockDrift = drift
 	s.Int("quorum", &t.Quorum, 2, 100)
-	percent := int(t.Share*100 + 0.5)
+	percent := int(t.MaxShare*100 + 0.5)
 	s.Int("share-percent", &percent, 1, 100)
-	t.Share = float64(percent) / 100
-	s.Span("silence", &t.Silence, 10*time.Millisecond, 10*time.Second)
-	s.Span("late", &t.Late, 10*time.Millisecond, time.Minute)
-	s.Span("hold", &t.Hold, time.Second, 10*time.Minute)
-	s.Span("trial", &t.Trial, 10*time.Millisecond, time.Minute)
-	s.Span("return", &t.Return, 0, time.Minute)
+	t.MaxShare = float64(percent) / 100
+	s.Span("silence", &t.MinResponseTimeout, 10*time.Millisecond, 10*time.Second)
+	s.Span("late", &t.LateThreshold, 10*time.Millisecond, time.Minute)
+	s.Span("hold", &t.EvidenceTTL, time.Second, 10*time.Minute)
+	s.Span("trial", &t.ProbeInterval, 10*time.Millisecond, time.Minute)
+	s.Span("return", &t.RecoverySpread, 0, time.Minute)
 	if err := t.Validate(); err != nil {
 		s.Errorf("", "%v", err)
 	}
--- a/internal/fleetio/verdicts.go
+++ b/internal/fleetio/verdicts.go
@@ -72,7 +72,7 @@
 	t := f.talk
 	switch n.Kind {
 	case fleet.Granted:
-		t.table.Acts(n.Incarnation)
+		t.table.SetIncarnation(n.Incarnation)
 		f.neighbours()
 	case fleet.Began, fleet.Lost, fleet.Left:
 		f.neighbours()
@@ -101,7 +101,7 @@
 			names = append(names, m.Name)
 		}
 	}
-	t.table.Members(members)
+	t.table.SetMembers(members)
 	names = verdict.Neighbours(f.cfg.Name, names)
 	if f.work != nil {
 		names = append(names, f.worksWith()...)
@@ -125,9 +125,9 @@
 	var list []verdict.Verdict
 	for _, server := range slices.Sorted(maps.Keys(t.held)) {
 		h := t.held[server]
-		list = append(list, verdict.Verdict{Key: verdict.Key{Server: server}, Kind: verdict.Held, Until: h.until, Why: h.why, Confidence: 1, Others: t.table.Others()})
+		list = append(list, verdict.Verdict{Key: verdict.Key{Server: server}, Kind: verdict.Held, Until: h.until, Reason: h.why, Confidence: 1, Routers: t.table.RouterCount()})
 	}
-	t.table.Hold(list)
+	t.table.SetHolds(list)
 }
 
 // HoldWord is what stands in the log for a server that an operator has taken out, for a time.
@@ -147,7 +147,7 @@
 		}
 		if t != nil && t.links[l.name] == l {
 			delete(t.links, l.name)
-			t.table.Unlinked(l.name)
+			t.table.LinkClosed(l.name)
 		}
 	case e.frame == nil: // the latest of two links between neighbours is used by this side; what comes on either is heard
 		if f.work != nil {
@@ -155,18 +155,18 @@
 		}
 		if t != nil {
 			t.links[l.name] = l
-			t.table.Linked(now, l.name)
+			t.table.LinkOpened(now, l.name)
 		}
 	case e.frame.GetWork() != nil:
 		f.hearWork(now, l, e.frame.GetWork())
 	case e.frame.GetTalk() != nil && t != nil:
-		frame, err := verdict.Read(e.frame.GetTalk())
+		frame, err := verdict.ParseFrame(e.frame.GetTalk())
 		if err != nil {
 			f.refused(l.name + ": " + err.Error())
 			l.cut()
 			return
 		}
-		t.table.Heard(now, l.name, frame)
+		t.table.Receive(now, l.name, frame)
 	case e.frame.GetTalk() != nil: // verdicts are off here
 	default:
 		f.refused(l.name + ": a frame that is not its to send")
@@ -179,7 +179,7 @@
 	t := f.talk
 	for _, o := range t.table.Tick(now) {
 		if l := t.links[o.To]; l != nil {
-			f.send(l, &fleetpb.Frame{What: &fleetpb.Frame_Talk{Talk: o.Frame.Write()}})
+			f.send(l, &fleetpb.Frame{What: &fleetpb.Frame_Talk{Talk: o.Frame.Marshal()}})
 		}
 	}
 	if now-t.at < concludeEvery || !t.table.Changed() && now-t.at < time.Second {
@@ -187,8 +187,8 @@
 	}
 	t.at = now
 	was := t.concluded.Load()
-	c := &concluded{verdicts: t.table.Verdicts(now), others: t.table.Others()}
-	c.question = t.table.Question()
+	c := &concluded{verdicts: t.table.Verdicts(now), others: t.table.RouterCount()}
+	c.question = t.table.Questioned()
 	t.concluded.Store(c)
 	if len(c.verdicts) > 0 || len(was.verdicts) > 0 {
 		f.judged(was.verdicts, c.verdicts)
@@ -205,7 +205,7 @@
 	for _, v := range now {
 		if kinds[v.Key] != v.Kind {
 			f.cfg.Log.Warn().Str("event", "verdict").Str("server", v.Server).Stringer("verdict", v.Kind).Strs("zones", v.Zones).Int("bad", v.Bad).Int("good", v.Good).Strs("sources", v.Sources).
-				Dur("age", v.Age).Msgf("verdict: %s is %s: %d routers of %d miss its answers, %d have had one since", v.Server, v.Kind, v.Bad, v.Others, v.Good)
+				Dur("age", v.Age).Msgf("verdict: %s is %s: %d routers of %d miss its answers, %d have had one since", v.Server, v.Kind, v.Bad, v.Routers, v.Good)
 		}
 		delete(kinds, v.Key)
 	}
@@ -231,20 +231,20 @@
 
 // Listed is the loop's: which servers are up.
 func (f *Fleet) Listed(list []verdict.Server) {
-	f.talk.watch.Listed(Clock(), list)
+	f.talk.watch.SetServers(Clock(), list)
 }
 
 // Sent, Answered and AttemptEnded are the loop's: what happens to attempts, on the decisions' clock.
 func (f *Fleet) Sent(at time.Duration, slot uint32, server string) {
-	f.talk.watch.Sent(at+f.talk.shift, slot, server)
+	f.talk.watch.AttemptSent(at+f.talk.shift, slot, server)
 }
 
 func (f *Fleet) Answered(at time.Duration, slot uint32) {
-	f.talk.watch.Answered(at+f.talk.shift, slot)
+	f.talk.watch.AttemptAnswered(at+f.talk.shift, slot)
 }
 
 func (f *Fleet) AttemptEnded(at time.Duration, slot uint32, how verdict.End) {
-	f.talk.watch.Ended(at+f.talk.shift, slot, how)
+	f.talk.watch.AttemptEnded(at+f.talk.shift, slot, how)
 }
 
 // heed is the watch's part of a turn of the loop: what is missing is found and told, and what was concluded is heeded.
@@ -259,15 +259,15 @@
 		t.shift = now - f.cfg.Now()
 	}
 	w := t.watch
-	w.Look(now)
-	if own := w.Own(now, c.question, c.others); len(own) > 0 {
+	w.DetectMissed(now)
+	if own := w.OwnRecords(now, c.question, c.others); len(own) > 0 {
 		select {
-		case f.tasks <- func(now time.Duration) { t.table.Own(now, own) }:
+		case f.tasks <- func(now time.Duration) { t.table.AddOwn(now, own) }:
 		default:
 			f.count.Missed.Add(1) // it is told again as it changes
 		}
 	}
-	cares := w.Cares(now, c.verdicts)
+	cares := w.UpdateAvoidances(now, c.verdicts)
 	for _, one := range cares {
 		if f.cfg.Care != nil {
 			f.cfg.Care(one, max(one.Until-now, 0))
@@ -282,7 +282,7 @@
 		}
 		t.heeded.Store(&heeded)
 	}
-	wait := w.Next(now)
+	wait := w.NextCheck(now)
 	if len(c.verdicts) > 0 { // there may be turns to take
 		wait = min(wait, 2*lookEvery)
 	}
--- a/internal/fleetsim/calls.go
+++ b/internal/fleetsim/calls.go
@@ -30,10 +30,10 @@
 	Proxies  int           // how many proxies each router takes the fleet for; 0: as many as there are
 	Rates    []RateAt
 	Bad      []Bad
-	Liars    int           // routers that tell the opposite of what they have seen, from the beginning
-	LinkLoss float64       // share of frames between neighbours that come to nothing, as where their link ends
-	LinkWait time.Duration // and how much later than others they come, at the most
-	Terms    verdict.Terms // zero: the defaults
+	Liars    int              // routers that tell the opposite of what they have seen, from the beginning
+	LinkLoss float64          // share of frames between neighbours that come to nothing, as where their link ends
+	LinkWait time.Duration    // and how much later than others they come, at the most
+	Terms    verdict.Settings // zero: the defaults
 }
 
 // RateAt changes how many set-ups come, by a factor.
@@ -157,13 +157,13 @@
 	}
 	terms := c.Terms
 	if terms.Quorum == 0 {
-		terms = verdict.DefaultTerms()
+		terms = verdict.DefaultSettings()
 	}
 	if !c.Alone {
 		d.watch = verdict.NewWatch(terms, d.zone, w.random.Uint64())
 		d.table = verdict.NewTable(terms, p.name)
-		d.table.Acts(uint64(p.serial)<<16 + 1)
-		d.table.Came = func(now time.Duration, r *verdict.Record) { w.came(now, r) }
+		d.table.SetIncarnation(uint64(p.serial)<<16 + 1)
+		d.table.OnRecord = func(now time.Duration, r *verdict.Record) { w.came(now, r) }
 	}
 	d.listServers()
 	for _, s := range w.sites {
@@ -193,7 +193,7 @@
 	}
 	d.router.UpdateServers(threadglade.ServerList{Servers: list})
 	if d.watch != nil {
-		d.watch.Listed(d.p.clock(d.w.now), watched)
+		d.watch.SetServers(d.p.clock(d.w.now), watched)
 	}
 	if d.p.gate != nil {
 		d.p.gate.SetColdServers(d.p.clock(d.w.now), cold)
@@ -290,11 +290,11 @@
 	}
 	switch e.Kind {
 	case router.Sent:
-		d.watch.Sent(now, e.Slot, e.Server)
+		d.watch.AttemptSent(now, e.Slot, e.Server)
 	case router.Established:
-		d.watch.Answered(now, e.Slot)
+		d.watch.AttemptAnswered(now, e.Slot)
 	case router.AttemptEnded:
-		d.watch.Ended(now, e.Slot, verdict.EndOf(e.Outcome, e.Cause))
+		d.watch.AttemptEnded(now, e.Slot, verdict.EndFromOutcome(e.Outcome, e.Cause))
 	}
 }
 
@@ -416,7 +416,7 @@
 		names = append(names, p.name)
 		members = append(members, verdict.Member{Name: p.name, Zone: fmt.Sprintf("z%d", i%max(d.w.cfg.Calls.Zones, 1))})
 	}
-	d.table.Members(members)
+	d.table.SetMembers(members)
 	for _, name := range verdict.Neighbours(d.p.name, names) {
 		other := d.w.routerNamed(name)
 		d.link(other)
@@ -444,8 +444,8 @@
 	if p == nil || p.desk == nil || p.desk.table == nil || !p.up {
 		return
 	}
-	d.table.Linked(d.p.clock(d.w.now), p.name)
-	p.desk.table.Linked(p.clock(d.w.now), d.p.name)
+	d.table.LinkOpened(d.p.clock(d.w.now), p.name)
+	p.desk.table.LinkOpened(p.clock(d.w.now), d.p.name)
 	d.linked[p.name], p.desk.linked[d.p.name] = true, true
 }
 
@@ -453,7 +453,7 @@
 func (w *world) goneRouter(dead *process) {
 	for _, p := range w.routers() {
 		if p.desk != nil && p.desk.table != nil && p.desk.linked[dead.name] {
-			p.desk.table.Unlinked(dead.name)
+			p.desk.table.LinkClosed(dead.name)
 			delete(p.desk.linked, dead.name)
 		}
 	}
@@ -465,24 +465,24 @@
 		return
 	}
 	w, now := d.w, d.p.clock(d.w.now)
-	d.watch.Look(now)
-	own := d.watch.Own(now, d.table.Question(), d.table.Others())
+	d.watch.DetectMissed(now)
+	own := d.watch.OwnRecords(now, d.table.Questioned(), d.table.RouterCount())
 	if d.liar {
 		for i := range own {
 			own[i].BadAt, own[i].GoodAt = own[i].GoodAt, own[i].BadAt
-			own[i].PassedAt = own[i].GoodAt
+			own[i].AnsweredSentAt = own[i].GoodAt
 			own[i].Onset = max(own[i].BadAt-time.Second, 1)
 		}
 	}
-	d.table.Own(now, own)
+	d.table.AddOwn(now, own)
 	for i := range own {
-		w.told[fmt.Sprint(d.p.name, d.p.serial, own[i].Seq)] = told{w.now, now - own[i].Last()}
+		w.told[fmt.Sprint(d.p.name, d.p.serial, own[i].Seq)] = told{w.now, now - own[i].LastSeen()}
 	}
 	d.talk(now)
 	if d.table.Changed() || now-d.listAt > time.Second {
 		d.list, d.listAt = d.table.Verdicts(now), now
 	}
-	for _, c := range d.watch.Cares(now, d.list) {
+	for _, c := range d.watch.UpdateAvoidances(now, d.list) {
 		until := max(c.Until-now, 0)
 		if slot := int(w.now / (100 * time.Millisecond)); until == 0 && c.Verdict == nil && w.now < d.cared[c.Server] {
 			w.res.Called.Lifts = grow(w.res.Called.Lifts, slot)
@@ -498,7 +498,7 @@
 			alone++
 		}
 	}
-	if share := d.watch.Terms.Share; float64(alone) > share*float64(len(w.sites)) {
+	if share := d.watch.Settings.MaxShare; float64(alone) > share*float64(len(w.sites)) {
 		if d.overAt++; d.overAt > 40 { // what was told before has two seconds to lapse
 			w.broken("%s leaves %d of %d servers alone", d.p.name, alone, len(w.sites))
 		}
@@ -513,7 +513,7 @@
 	w.res.Called.Watched += fleet.TickEvery
 	unfit := false
 	for _, b := range w.cfg.Calls.Bad {
-		if b.Server == s.number && s.started <= b.At && w.now >= b.At && w.now < b.At+b.For+w.cfg.Calls.Terms.Return+7*time.Second && (b.Zone == "" || b.Zone == d.zone) && (b.Router == 0 || b.Router-1 == d.index) {
+		if b.Server == s.number && s.started <= b.At && w.now >= b.At && w.now < b.At+b.For+w.cfg.Calls.Terms.RecoverySpread+7*time.Second && (b.Zone == "" || b.Zone == d.zone) && (b.Router == 0 || b.Router-1 == d.index) {
 			unfit = true
 		}
 	}
@@ -533,7 +533,7 @@
 	w := d.w
 	for _, o := range d.table.Tick(now) {
 		to := w.routerNamed(o.To)
-		b := o.Frame.Write()
+		b := o.Frame.Marshal()
 		w.res.Called.Frames++
 		w.res.Called.FrameBytes += uint64(len(b))
 		if w.cut[[2]*process{d.p, to}] {
@@ -555,13 +555,13 @@
 		name := d.p.name
 		w.send(d.p, to, &fleetpb.Frame{What: &fleetpb.Frame_Talk{Talk: b}}, func(f *fleetpb.Frame) {
 			w.after(wait, to, func() {
-				frame, err := verdict.Read(f.GetTalk())
+				frame, err := verdict.ParseFrame(f.GetTalk())
 				if err != nil {
 					w.broken("a frame of evidence cannot be read: %v", err)
 					return
 				}
 				if to.desk != nil && to.desk.table != nil {
-					to.desk.table.Heard(to.clock(w.now), name, frame)
+					to.desk.table.Receive(to.clock(w.now), name, frame)
 					to.desk.talkSoon()
 				}
 			})
@@ -572,7 +572,7 @@
 // talkSoon has what has come passed on.
 func (d *desk) talkSoon() {
 	now := d.p.clock(d.w.now)
-	wait := d.table.Due() - now
+	wait := d.table.NextTick() - now
 	if wait > fleet.TickEvery || d.talkAt > d.w.now {
 		return
 	}
@@ -595,7 +595,7 @@
 	if len(called.Ages) < 1<<20 {
 		called.Ages = append(called.Ages, w.now-one.at)
 	}
-	truly, taken := w.now-one.at+one.age, now-r.Last()
+	truly, taken := w.now-one.at+one.age, now-r.LastSeen()
 	if over := truly - taken; over > called.Over {
 		called.Over = over
 		if bound := time.Duration(float64(truly)*3*w.cfg.Terms.Drift) + time.Millisecond; over > bound {
--- a/internal/fleetsim/calls_test.go
+++ b/internal/fleetsim/calls_test.go
@@ -25,7 +25,7 @@
 // served is a world of calls: 36 servers at half of what they can take.
 func served(seed uint64, members, servers int, rate float64, bad ...Bad) Config {
 	cfg := calm(seed, members)
-	cfg.Calls = &Calls{Servers: servers, Zones: 3, Rate: rate, Stand: 2 * time.Second, Agents: 1000, Terms: verdict.DefaultTerms(), Bad: bad}
+	cfg.Calls = &Calls{Servers: servers, Zones: 3, Rate: rate, Stand: 2 * time.Second, Agents: 1000, Terms: verdict.DefaultSettings(), Bad: bad}
 	cfg.Calls.Serve = min(time.Duration(0.5*float64(servers)/(float64(members)*rate)*float64(time.Second)), 30*time.Millisecond)
 	return cfg
 }
@@ -126,13 +126,13 @@
 			}
 			part := func(i int) float64 { return float64(in[i]) / float64(offered[i]) }
 			t.Logf("in time %.4f alone, %.4f shared; wasted %d and %d; wrongly left alone %.6f of the time, %v at the longest; evidence came p50 %v p99 %v, bound %v", part(0), part(1), wasted[0], wasted[1],
-				float64(wrong)/float64(max(watched, 1)), most, at(50), at(99), verdict.DefaultTerms().Stale(members, 6*time.Millisecond))
+				float64(wrong)/float64(max(watched, 1)), most, at(50), at(99), verdict.DefaultSettings().MaxStaleness(members, 6*time.Millisecond))
 			require.Greater(t, part(1), part(0)-0.004)
 			if one.less > 0 {
 				require.Less(t, float64(wasted[1]), one.less*float64(wasted[0])+0.5)
 			}
 			if one.name != "links" {
-				require.LessOrEqual(t, at(99), time.Duration(verdict.Hops(members))*(verdict.DefaultTerms().Flush+6*time.Millisecond))
+				require.LessOrEqual(t, at(99), time.Duration(verdict.Hops(members))*(verdict.DefaultSettings().FlushInterval+6*time.Millisecond))
 			}
 			require.Less(t, float64(wrong), 0.001*float64(watched)+1)
 			require.Less(t, most, 3*time.Second)
--- a/internal/node/product.go
+++ b/internal/node/product.go
@@ -156,7 +156,7 @@
 	if o := p.Fleet; o != nil {
 		o.Describe(w)
 		if v := o.Verdicts; v != nil {
-			fmt.Fprintf(w, "  (verdicts (quorum %d) (share-percent %.0f) (silence %q) (late %q) (hold %q) (trial %q) (return %q))\n", v.Quorum, 100*v.Share, v.Silence, v.Late, v.Hold, v.Trial, v.Return)
+			fmt.Fprintf(w, "  (verdicts (quorum %d) (share-percent %.0f) (silence %q) (late %q) (hold %q) (trial %q) (return %q))\n", v.Quorum, 100*v.MaxShare, v.MinResponseTimeout, v.LateThreshold, v.EvidenceTTL, v.ProbeInterval, v.RecoverySpread)
 		}
 	}
 	if p.Fleet != nil && p.Fleet.Work != nil {
@@ -234,12 +234,12 @@
 }
 
 // care has the decisions leave a server alone for what all routers know of it.
-func (n *Node) care(c verdict.Care, hold time.Duration) {
+func (n *Node) care(c verdict.Avoidance, hold time.Duration) {
 	word := router.AvoidanceEvidence{Verdict: "fit"}
 	if v := c.Verdict; v != nil {
-		word = router.AvoidanceEvidence{Verdict: v.Kind.String(), Sources: strings.Join(v.Sources, " "), Age: v.Age, MissingAnswers: v.Bad, Routers: v.Others}
+		word = router.AvoidanceEvidence{Verdict: v.Kind.String(), Sources: strings.Join(v.Sources, " "), Age: v.Age, MissingAnswers: v.Bad, Routers: v.Routers}
 		if v.Kind == verdict.Held {
-			word.Sources = v.Why
+			word.Sources = v.Reason
 		}
 	}
 	n.Router.Avoid(threadglade.Care{Server: c.Server, Started: c.Started, Until: n.clock() + hold}, word)
@@ -278,7 +278,7 @@
 	case router.Established:
 		f.Answered(e.At, e.Slot)
 	case router.AttemptEnded:
-		f.AttemptEnded(e.At, e.Slot, verdict.EndOf(e.Outcome, e.Cause))
+		f.AttemptEnded(e.At, e.Slot, verdict.EndFromOutcome(e.Outcome, e.Cause))
 	}
 }
 
--- a/verdict/mutant_test.go
+++ b/verdict/mutant_test.go
@@ -21,20 +21,20 @@
 	good := Record{Observer: "r1", Incarnation: 1, Seq: 2, Key: Key{"s0", 0}, GoodAt: time.Hour}
 	for mutant, holds := range map[string]func() bool{
 		"older-wins": func() bool {
-			table := NewTable(DefaultTerms(), "me")
+			table := NewTable(DefaultSettings(), "me")
 			table.merge(time.Hour, "o", good)
 			table.merge(time.Hour, "o", bad)
 			return !table.records[recordID{"r1", bad.Key}].isBad()
 		},
 		"for-ever": func() bool {
-			table := NewTable(DefaultTerms(), "me")
+			table := NewTable(DefaultSettings(), "me")
 			table.merge(time.Hour, "o", bad)
-			table.Tick(time.Hour + DefaultTerms().Hold + time.Second)
+			table.Tick(time.Hour + DefaultSettings().EvidenceTTL + time.Second)
 			return len(table.records) == 0
 		},
 		"crossed-answers": func() bool {
-			table := NewTable(DefaultTerms(), "me")
-			table.Members(makeMembers(6, 3))
+			table := NewTable(DefaultSettings(), "me")
+			table.SetMembers(makeMembers(6, 3))
 			for i := range 3 {
 				crossed := time.Duration(i) * 4 * ms
 				table.merge(time.Hour, "o", Record{
--- a/verdict/table.go
+++ b/verdict/table.go
@@ -29,9 +29,9 @@
 
 // Frame is a message of a router to a neighbour.
 type Frame struct {
-	Stamp time.Duration // the sender's clock at the time of sending
-	Echo  time.Duration // the latest Stamp received from the receiver; 0: none, and the frame has no records
-	Hold  time.Duration // time since the echoed Stamp was received
+	Stamp     time.Duration // the sender's clock at the time of sending
+	Echo      time.Duration // the latest Stamp received from the receiver; 0: none, and the frame has no records
+	EchoDelay time.Duration // time since the echoed Stamp was received
 	// Records holds ages at the time of sending instead of times; a negative age means never.
 	Records []Record
 }
@@ -41,7 +41,7 @@
 
 // Table holds the records of all routers and derives verdicts from them. It is not safe for concurrent use.
 type Table struct {
-	Terms       Terms
+	Settings    Settings
 	self        string // name of this router
 	incarnation uint64 // of this router, for its own records
 	records     map[recordID]*Record
@@ -58,7 +58,7 @@
 	Count       TableCounts
 
 	// OnRecord, unless nil, is called with each record of another router that is accepted.
-	Came func(now time.Duration, r *Record)
+	OnRecord func(now time.Duration, r *Record)
 }
 
 // TableCounts counts the records that a Table has received.
@@ -71,9 +71,9 @@
 }
 
 // NewTable returns an empty table of the router named self.
-func NewTable(settings Terms, self string) *Table {
+func NewTable(settings Settings, self string) *Table {
 	return &Table{
-		Terms:     settings,
+		Settings:  settings,
 		self:      self,
 		records:   map[recordID]*Record{},
 		byServer:  map[Key]map[string]*Record{},
@@ -96,7 +96,7 @@
 const rejudgeInterval = time.Second
 
 // SetMembers sets the routers of the fleet.
-func (t *Table) Members(list []Member) {
+func (t *Table) SetMembers(list []Member) {
 	clear(t.zoneOf)
 	clear(t.zoneSizes)
 	for _, m := range list[:min(len(list), maxMembers)] {
@@ -109,13 +109,13 @@
 
 // SetIncarnation sets the incarnation of this router. Its records of a later incarnation supersede those of earlier
 // ones; a lower number than the current one is ignored.
-func (t *Table) Acts(incarnation uint64) { t.incarnation = max(t.incarnation, incarnation) }
+func (t *Table) SetIncarnation(incarnation uint64) { t.incarnation = max(t.incarnation, incarnation) }
 
 // RouterCount returns the number of routers in the fleet, including this one.
-func (t *Table) Others() int { return max(len(t.zoneOf), 1) }
+func (t *Table) RouterCount() int { return max(len(t.zoneOf), 1) }
 
 // LinkOpened adds the neighbour of a new link; all records held are to be sent to it.
-func (t *Table) Linked(now time.Duration, name string) {
+func (t *Table) LinkOpened(now time.Duration, name string) {
 	p := &peer{known: map[recordID]uint64{}, pending: map[recordID]bool{}}
 	for key := range t.records {
 		p.pending[key] = true
@@ -125,10 +125,10 @@
 }
 
 // LinkClosed removes the neighbour of a link that has ended.
-func (t *Table) Unlinked(name string) { delete(t.peers, name) }
+func (t *Table) LinkClosed(name string) { delete(t.peers, name) }
 
 // AddOwn merges this router's own observations.
-func (t *Table) Own(now time.Duration, list []Record) {
+func (t *Table) AddOwn(now time.Duration, list []Record) {
 	for _, r := range list {
 		r.Observer, r.Incarnation = t.self, t.incarnation
 		t.merge(now, "", r)
@@ -136,7 +136,7 @@
 }
 
 // Receive merges the records of a frame from a neighbour. Frames of routers without an open link are ignored.
-func (t *Table) Heard(now time.Duration, from string, f Frame) {
+func (t *Table) Receive(now time.Duration, from string, f Frame) {
 	p := t.peers[from]
 	if p == nil {
 		return
@@ -153,7 +153,7 @@
 	// The transit time of the frame is at most the time since we sent the echoed stamp, less the time for which the
 	// neighbour held it, corrected for the largest clock drift. With this bound no record appears younger than it is.
 	transit := max(
-		now-f.Echo-time.Duration(float64(f.Hold)*(1-t.Terms.Drift)/(1+t.Terms.Drift)),
+		now-f.Echo-time.Duration(float64(f.EchoDelay)*(1-t.Settings.MaxClockDrift)/(1+t.Settings.MaxClockDrift)),
 		0,
 	)
 	if mutant == "young" {
@@ -164,7 +164,7 @@
 			t.Count.Refused++
 			continue
 		}
-		for _, at := range []*time.Duration{&r.Onset, &r.BadAt, &r.LateAt, &r.GoodAt, &r.PassedAt} {
+		for _, at := range []*time.Duration{&r.Onset, &r.BadAt, &r.LateAt, &r.GoodAt, &r.AnsweredSentAt} {
 			if age := *at; age < 0 {
 				*at = 0
 			} else {
@@ -179,7 +179,7 @@
 func isValid(r *Record) bool {
 	ok := r.Observer != "" && len(r.Observer) <= maxNameLength && len(r.Zone) <= maxNameLength &&
 		r.Server != "" && len(r.Server) <= maxNameLength
-	for _, n := range []float32{r.Good, r.Late, r.Silent, r.Refused, r.Full, r.Slow} {
+	for _, n := range []float32{r.Good, r.Late, r.Missed, r.Refused, r.Full, r.Slowdown} {
 		ok = ok && n >= 0 && n < 1e9
 	}
 	return ok
@@ -195,7 +195,7 @@
 	if p := t.peers[from]; p != nil {
 		p.known[key] = max(p.known[key], version(&r))
 	}
-	if r.lastSeen() <= 0 || now-r.lastSeen() > t.Terms.Hold && mutant != "for-ever" {
+	if r.lastSeen() <= 0 || now-r.lastSeen() > t.Settings.EvidenceTTL && mutant != "for-ever" {
 		t.Count.Lapsed++
 		return
 	}
@@ -210,7 +210,7 @@
 				{&existing.BadAt, &r.BadAt},
 				{&existing.LateAt, &r.LateAt},
 				{&existing.GoodAt, &r.GoodAt},
-				{&existing.PassedAt, &r.PassedAt},
+				{&existing.AnsweredSentAt, &r.AnsweredSentAt},
 			} {
 				*pair[0] = max(*pair[0], *pair[1])
 			}
@@ -226,8 +226,8 @@
 		return
 	}
 	t.Count.Taken++
-	if from != "" && t.Came != nil {
-		t.Came(now, &r)
+	if from != "" && t.OnRecord != nil {
+		t.OnRecord(now, &r)
 	}
 	t.records[key] = &r
 	if t.byServer[r.Key] == nil {
@@ -238,8 +238,8 @@
 	for name, p := range t.peers {
 		if name != from && p.known[key] < version(&r) {
 			p.pending[key] = true
-			if t.nextFlush > now+t.Terms.Flush {
-				t.nextFlush = now + t.Terms.Flush
+			if t.nextFlush > now+t.Settings.FlushInterval {
+				t.nextFlush = now + t.Settings.FlushInterval
 			}
 		}
 	}
@@ -278,12 +278,12 @@
 
 // sweep removes expired records, and all records on servers that no router has recent trouble with.
 func (t *Table) sweep(now time.Duration) {
-	if now-t.sweptAt < t.Terms.Slot {
+	if now-t.sweptAt < t.Settings.ReportInterval {
 		return
 	}
 	t.sweptAt = now
 	for key, r := range t.records {
-		if now-r.lastSeen() > t.Terms.Hold && mutant != "for-ever" {
+		if now-r.lastSeen() > t.Settings.EvidenceTTL && mutant != "for-ever" {
 			t.Count.Lapsed++
 			t.drop(key, true)
 		}
@@ -304,7 +304,7 @@
 }
 
 // Outgoing is a frame to be sent to a neighbour.
-type Out struct {
+type Outgoing struct {
 	To string
 	Frame
 }
@@ -314,7 +314,7 @@
 const greetInterval = time.Second
 
 // Tick removes expired records and returns the frames to be sent now.
-func (t *Table) Tick(now time.Duration) (out []Out) {
+func (t *Table) Tick(now time.Duration) (out []Outgoing) {
 	t.sweep(now)
 	for _, name := range slices.Sorted(maps.Keys(t.peers)) {
 		p := t.peers[name]
@@ -324,7 +324,7 @@
 		}
 		f := Frame{Stamp: now}
 		if p.receivedAt != 0 {
-			f.Echo, f.Hold = p.lastStamp, now-p.receivedAt
+			f.Echo, f.EchoDelay = p.lastStamp, now-p.receivedAt
 			for _, key := range slices.SortedFunc(maps.Keys(p.pending), func(a, b recordID) int {
 				return cmp.Or(
 					cmp.Compare(a.Server, b.Server),
@@ -343,13 +343,13 @@
 			}
 		}
 		p.greeted, p.sentAt = true, now
-		out = append(out, Out{name, f})
+		out = append(out, Outgoing{name, f})
 	}
 	if now >= t.nextFlush {
 		t.nextFlush = now + time.Hour
 		for _, p := range t.peers {
 			if len(p.pending) > 0 && p.receivedAt != 0 {
-				t.nextFlush = now + t.Terms.Flush
+				t.nextFlush = now + t.Settings.FlushInterval
 			}
 		}
 	}
@@ -358,7 +358,7 @@
 
 // timesToAges returns the record with its times replaced by ages; 0, which means never, becomes -1.
 func timesToAges(r Record, now time.Duration) Record {
-	for _, at := range []*time.Duration{&r.Onset, &r.BadAt, &r.LateAt, &r.GoodAt, &r.PassedAt} {
+	for _, at := range []*time.Duration{&r.Onset, &r.BadAt, &r.LateAt, &r.GoodAt, &r.AnsweredSentAt} {
 		if *at == 0 {
 			*at = -1
 		} else {
@@ -369,7 +369,7 @@
 }
 
 // NextTick returns the time at which Tick next has something to do if nothing arrives before.
-func (t *Table) Due() time.Duration {
+func (t *Table) NextTick() time.Duration {
 	due := t.sweptAt + time.Second
 	for _, p := range t.peers {
 		due = min(due, p.sentAt+greetInterval)
@@ -379,10 +379,10 @@
 
 // Questioned returns the servers that some router has trouble with, as of the latest call of Verdicts, and the times
 // since which answers are missing. Routers report what they have observed of these servers.
-func (t *Table) Question() map[Key]time.Duration { return t.questioned }
+func (t *Table) Questioned() map[Key]time.Duration { return t.questioned }
 
 // SetHolds replaces the list of servers that operators have taken out of service.
-func (t *Table) Hold(list []Verdict) { t.holds, t.changed = list, true }
+func (t *Table) SetHolds(list []Verdict) { t.holds, t.changed = list, true }
 
 // Changed reports whether anything has changed since its last call.
 func (t *Table) Changed() bool {
@@ -423,7 +423,7 @@
 
 // judge derives the verdict on one server from all records on it.
 func (t *Table) judge(now time.Duration, key Key, records map[string]*Record) *cachedVerdict {
-	v := &cachedVerdict{Verdict: Verdict{Key: key, Others: t.Others(), Confidence: 1}, judgedAt: now}
+	v := &cachedVerdict{Verdict: Verdict{Key: key, Routers: t.RouterCount(), Confidence: 1}, judgedAt: now}
 	names := sortedNames(records)
 	var bad, good, late, full []*Record
 	var onsets []time.Duration
@@ -442,7 +442,7 @@
 			}
 		}
 	}
-	quorum := t.quorum(t.Others())
+	quorum := t.quorum(t.RouterCount())
 	addSources := func(list []*Record) {
 		for _, r := range list {
 			v.newestEvidence = max(v.newestEvidence, r.lastSeen())
@@ -459,10 +459,10 @@
 		// quarter of MinResponseTimeout): that answer was in transit when the server failed, and the router stays bad.
 		v.Since = onsets[max(len(onsets)-quorum, 0)]
 		bad, good = nil, nil
-		crossedUntil := v.Since + t.Terms.Flush + t.Terms.Silence/4
+		crossedUntil := v.Since + t.Settings.FlushInterval + t.Settings.MinResponseTimeout/4
 		for _, name := range names {
 			switch r := records[name]; {
-			case r.isBad() && r.PassedAt <= v.Since+t.Terms.Flush && max(r.GoodAt, r.LateAt) <= crossedUntil &&
+			case r.isBad() && r.AnsweredSentAt <= v.Since+t.Settings.FlushInterval && max(r.GoodAt, r.LateAt) <= crossedUntil &&
 				mutant != "crossed-answers":
 				bad = append(bad, r)
 			case max(r.GoodAt, r.LateAt) > v.Since:
@@ -508,10 +508,10 @@
 		v.Confidence = float64(len(bad)) / float64(len(bad)+len(good))
 		addSources(bad)
 	case len(v.Zones) > 0:
-		v.Kind = Cut
-		v.Bad, v.Good, v.Others = 0, 0, 0 // routers of other zones do not affect how often these probe
+		v.Kind = Unreachable
+		v.Bad, v.Good, v.Routers = 0, 0, 0 // routers of other zones do not affect how often these probe
 		for _, zone := range v.Zones {
-			v.Bad, v.Good, v.Others = v.Bad+tallies[zone].bad, v.Good+tallies[zone].good, v.Others+t.zoneSize(zone)
+			v.Bad, v.Good, v.Routers = v.Bad+tallies[zone].bad, v.Good+tallies[zone].good, v.Routers+t.zoneSize(zone)
 		}
 		v.Confidence = float64(len(bad)) / float64(len(bad)+len(good))
 		addSources(bad)
@@ -521,7 +521,7 @@
 		addSources(bad)
 	case len(late) >= quorum && t.countZones(late) >= min(2, t.countZones(good)):
 		v.Kind = Slow
-		v.By, v.Part = medianSlowdown(late)
+		v.Slowdown, v.LateShare = medianSlowdown(late)
 		v.Confidence = float64(len(late)) / float64(len(good))
 		addSources(late)
 	case len(full) >= quorum:
@@ -535,7 +535,7 @@
 }
 
 // quorum returns how many of a number of routers have to agree: at least two, so that one alone decides nothing.
-func (t *Table) quorum(of int) int { return max(2, min(t.Terms.Quorum, of-1)) }
+func (t *Table) quorum(of int) int { return max(2, min(t.Settings.Quorum, of-1)) }
 
 // zoneCount returns the number of zones of the fleet's routers.
 func (t *Table) zoneCount() int { return len(t.zoneSizes) }
@@ -554,7 +554,7 @@
 func medianSlowdown(list []*Record) (slowdown, lateShare float64) {
 	var slowdowns, shares []float64
 	for _, r := range list {
-		slowdowns = append(slowdowns, float64(r.Slow))
+		slowdowns = append(slowdowns, float64(r.Slowdown))
 		shares = append(shares, float64(r.Late/max(r.Late+r.Good, 1)))
 	}
 	slices.Sort(slowdowns)
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -26,57 +26,57 @@
 )
 
 // Settings are the parameters of failure detection; they have to be the same at all routers of a fleet.
-type Terms struct {
+type Settings struct {
 	// Quorum is how many routers have to miss answers of a server before the others act on it.
 	Quorum int
 	// MaxShare is the largest part of a class's servers that verdicts may have a router avoid. If verdicts name more,
 	// they are disregarded.
-	Share float64
+	MaxShare float64
 	// MinResponseTimeout is the shortest time after which an answer counts as missed; the timeout is four times the
 	// mean latency of the server where that is longer.
-	Silence time.Duration
+	MinResponseTimeout time.Duration
 	// LateThreshold is the latency above which an answer counts as late.
-	Late time.Duration
+	LateThreshold time.Duration
 	// EvidenceTTL is the age at which evidence expires.
-	Hold time.Duration
+	EvidenceTTL time.Duration
 	// ReportInterval is the shortest time between two reports of a router on one server, unless its opinion changes.
-	Slot time.Duration
+	ReportInterval time.Duration
 	// FlushInterval is the longest time until received records are forwarded.
-	Flush time.Duration
+	FlushInterval time.Duration
 	// ProbeInterval is the time in which one router of the fleet sends a call to a condemned server, or twice as many
 	// routers as have had an answer since.
-	Trial time.Duration
+	ProbeInterval time.Duration
 	// MaxClockDrift is the bound on the relative rate error of any clock in the fleet.
-	Drift float64
+	MaxClockDrift float64
 	// RecoverySpread is the time over which the routers' returns to a recovered server are spread.
-	Return time.Duration
+	RecoverySpread time.Duration
 }
 
 // DefaultSettings returns the settings that apply where the configuration sets nothing else.
-func DefaultTerms() Terms {
-	return Terms{
-		Quorum:  3,
-		Share:   0.5,
-		Silence: 250 * time.Millisecond,
-		Late:    500 * time.Millisecond,
-		Hold:    30 * time.Second,
-		Slot:    250 * time.Millisecond,
-		Flush:   20 * time.Millisecond,
-		Trial:   500 * time.Millisecond,
-		Return:  2 * time.Second,
-		Drift:   0.01,
+func DefaultSettings() Settings {
+	return Settings{
+		Quorum:             3,
+		MaxShare:           0.5,
+		MinResponseTimeout: 250 * time.Millisecond,
+		LateThreshold:      500 * time.Millisecond,
+		EvidenceTTL:        30 * time.Second,
+		ReportInterval:     250 * time.Millisecond,
+		FlushInterval:      20 * time.Millisecond,
+		ProbeInterval:      500 * time.Millisecond,
+		RecoverySpread:     2 * time.Second,
+		MaxClockDrift:      0.01,
 	}
 }
 
 // Validate reports the first setting that is out of its range.
-func (s Terms) Validate() error {
+func (s Settings) Validate() error {
 	switch {
 	case s.Quorum < 2 || s.Quorum > 100:
 		return errors.New("quorum must be 2 to 100 routers: one router alone must not condemn a server")
-	case !(s.Share > 0 && s.Share <= 1):
+	case !(s.MaxShare > 0 && s.MaxShare <= 1):
 		return errors.New("share must be above 0 and at most 1")
-	case s.Silence <= 0 || s.Late <= 0 || s.Hold <= s.Silence || s.Slot <= 0 ||
-		s.Flush <= 0 || s.Trial <= 0 || s.Return < 0:
+	case s.MinResponseTimeout <= 0 || s.LateThreshold <= 0 || s.EvidenceTTL <= s.MinResponseTimeout || s.ReportInterval <= 0 ||
+		s.FlushInterval <= 0 || s.ProbeInterval <= 0 || s.RecoverySpread < 0:
 		return errors.New("durations must be above 0 (return: at least 0), and hold must be longer than silence")
 	}
 	return nil
@@ -85,14 +85,14 @@
 // MaxStaleness returns the bound on the age of a router's information about the observations of any other router,
 // while all links between neighbours are up and have at most the given delay: one report interval at the observer,
 // then a flush and a link delay at each hop to the farthest of the routers.
-func (s Terms) Stale(routers int, delay time.Duration) time.Duration {
-	return s.reportInterval(routers) + time.Duration(Hops(routers))*(s.Flush+delay)
+func (s Settings) MaxStaleness(routers int, delay time.Duration) time.Duration {
+	return s.reportInterval(routers) + time.Duration(Hops(routers))*(s.FlushInterval+delay)
 }
 
 // reportInterval returns the shortest time between two reports of a router on one server. It grows with the number of
 // routers, so that the total rate of reports stays bounded.
-func (s Terms) reportInterval(routers int) time.Duration {
-	return max(s.Slot, time.Duration(routers)*3*time.Millisecond)
+func (s Settings) reportInterval(routers int) time.Duration {
+	return max(s.ReportInterval, time.Duration(routers)*3*time.Millisecond)
 }
 
 // Key identifies one incarnation of a case server.
@@ -114,16 +114,16 @@
 
 	Good    float32 // answers in time
 	Late    float32 // answers after Settings.LateThreshold
-	Silent  float32 // missed answers
+	Missed  float32 // missed answers
 	Refused float32 // failed connections
 	Full    float32 // rejections with cause "processor full"
 
-	Slow     float32       // smoothed ratio of the latency to the usual latency
-	Onset    time.Duration // when the first attempt was sent since which nothing was answered
-	BadAt    time.Duration // last time that an answer was missed or a connection failed
-	LateAt   time.Duration // last late answer
-	GoodAt   time.Duration // last answer in time, including rejections
-	PassedAt time.Duration // send time of the latest answered set-up
+	Slowdown       float32       // smoothed ratio of the latency to the usual latency
+	Onset          time.Duration // when the first attempt was sent since which nothing was answered
+	BadAt          time.Duration // last time that an answer was missed or a connection failed
+	LateAt         time.Duration // last late answer
+	GoodAt         time.Duration // last answer in time, including rejections
+	AnsweredSentAt time.Duration // send time of the latest answered set-up
 }
 
 // isNewer reports whether r supersedes another record of the same observer. Records of a later incarnation of the
@@ -136,7 +136,7 @@
 }
 
 // LastSeen returns the time of the latest observation in the record.
-func (r *Record) Last() time.Duration { return r.lastSeen() }
+func (r *Record) LastSeen() time.Duration { return r.lastSeen() }
 
 func (r *Record) lastSeen() time.Duration { return max(r.BadAt, r.GoodAt, r.LateAt) }
 
@@ -148,13 +148,13 @@
 
 // Kinds of verdicts.
 const (
-	Fit     Kind = iota // no fault found
-	Slow                // answers come late
-	Full                // set-ups are rejected with cause "processor full"
-	Cut                 // routers of some zones miss answers, others get them
-	Gone                // no router gets answers
-	BadLink             // too few routers miss answers to blame the server: the fault is with their links
-	Held                // taken out of service by an operator
+	Fit         Kind = iota // no fault found
+	Slow                    // answers come late
+	Full                    // set-ups are rejected with cause "processor full"
+	Unreachable             // routers of some zones miss answers, others get them
+	Gone                    // no router gets answers
+	BadLink                 // too few routers miss answers to blame the server: the fault is with their links
+	Held                    // taken out of service by an operator
 )
 
 var kindNames = [...]string{"fit", "slow", "full", "unreachable", "gone", "bad-link", "held"}
@@ -167,17 +167,17 @@
 	Key
 	Kind       Kind
 	Zones      []string      // of Unreachable: the zones that miss answers
-	By         float64       // of Slow: median ratio of the latency to the usual latency
-	Part       float64       // of Slow: median part of the answers that come late
+	Slowdown   float64       // of Slow: median ratio of the latency to the usual latency
+	LateShare  float64       // of Slow: median part of the answers that come late
 	Bad        int           // routers that miss answers
 	Good       int           // routers that have had an answer since
-	Others     int           // routers of the fleet or, with Unreachable, of the affected zones
+	Routers    int           // routers of the fleet or, with Unreachable, of the affected zones
 	Sources    []string      // some of the observers whose evidence it rests on
 	Confidence float64       // part of the routers with an opinion that agree
 	Age        time.Duration // age of the newest evidence that it rests on
 	Since      time.Duration // time from which on a quorum of routers has sent attempts that were never answered
 	Until      time.Duration // of Held: when it ends
-	Why        string        // of Held: the reason that the operator gave
+	Reason     string        // of Held: the reason that the operator gave
 }
 
 // maxSources bounds the routers that a verdict names.
@@ -188,7 +188,7 @@
 	switch v.Kind {
 	case Gone, Held:
 		return true
-	case Cut:
+	case Unreachable:
 		for _, z := range v.Zones {
 			if z == zone {
 				return true
@@ -207,7 +207,7 @@
 }
 
 // EndFromOutcome returns what the outcome of an attempt says about its server.
-func EndOf(how threadglade.Outcome, why threadglade.Cause) End {
+func EndFromOutcome(how threadglade.Outcome, why threadglade.Cause) End {
 	switch how {
 	case threadglade.TimedOut, threadglade.Cut:
 		return Missed
@@ -221,5 +221,5 @@
 	case threadglade.Concluded, threadglade.Faulted:
 		return Alive
 	}
-	return Given
+	return Withdrawn
 }
--- a/verdict/verdict_test.go
+++ b/verdict/verdict_test.go
@@ -36,7 +36,7 @@
 	if rapid.Bool().Draw(t, "missed") {
 		r.BadAt = ago("bad")
 		r.Onset = r.BadAt - 300*ms
-		r.Silent = 1
+		r.Missed = 1
 	}
 	if rapid.Bool().Draw(t, "answered") || r.BadAt == 0 {
 		r.GoodAt, r.Good = ago("good"), 1
@@ -44,7 +44,7 @@
 	if r.GoodAt > r.Onset {
 		r.Onset = 0
 	}
-	r.PassedAt = r.GoodAt
+	r.AnsweredSentAt = r.GoodAt
 	return r
 }
 
@@ -65,8 +65,8 @@
 			list = append(list, r)
 		}
 		fill := func(order []int) *Table {
-			table := NewTable(DefaultTerms(), "me")
-			table.Members(members)
+			table := NewTable(DefaultSettings(), "me")
+			table.SetMembers(members)
 			for _, i := range order {
 				table.merge(now, "other", list[i])
 			}
@@ -95,13 +95,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const now = time.Hour
 		members := makeMembers(rapid.IntRange(4, 12).Draw(t, "routers"), rapid.IntRange(2, 3).Draw(t, "zones"))
-		table := NewTable(DefaultTerms(), "me")
-		table.Members(members)
+		table := NewTable(DefaultSettings(), "me")
+		table.SetMembers(members)
 		zone := rapid.SampledFrom([]string{"z0", "z1"}).Draw(t, "zone")
 		for range rapid.IntRange(1, 40).Draw(t, "records") {
 			r := drawRecord(t, now, members)
 			if r.Zone != zone && r.Onset != 0 { // the other zones get answers
-				r.Onset, r.BadAt, r.GoodAt, r.PassedAt = 0, 0, now-ms, now-2*ms
+				r.Onset, r.BadAt, r.GoodAt, r.AnsweredSentAt = 0, 0, now-ms, now-2*ms
 			}
 			table.merge(now, "other", r)
 		}
@@ -112,15 +112,15 @@
 			}
 		}
 	})
-	table := NewTable(DefaultTerms(), "me")
-	table.Members(makeMembers(6, 3))
+	table := NewTable(DefaultSettings(), "me")
+	table.SetMembers(makeMembers(6, 3))
 	table.merge(time.Hour, "o", Record{
 		Observer: "r1", Zone: "z1", Incarnation: 1, Seq: 1, Key: Key{"s0", 0},
 		Onset: time.Hour - 400*ms, BadAt: time.Hour,
 	})
 	table.merge(time.Hour, "o", Record{
 		Observer: "r2", Zone: "z2", Incarnation: 1, Seq: 1, Key: Key{"s0", 0},
-		GoodAt: time.Hour - 10*ms, PassedAt: time.Hour - 20*ms,
+		GoodAt: time.Hour - 10*ms, AnsweredSentAt: time.Hour - 20*ms,
 	})
 	v := table.Verdicts(time.Hour)
 	require.Len(t, v, 1)
@@ -133,12 +133,12 @@
 // other routers get later count against the verdict.
 func TestAnswersInTransit(t *testing.T) {
 	const onset = time.Hour - 600*ms
-	table := NewTable(DefaultTerms(), "me")
-	table.Members(makeMembers(6, 3))
+	table := NewTable(DefaultSettings(), "me")
+	table.SetMembers(makeMembers(6, 3))
 	for i, r := range []Record{
-		{Onset: onset, GoodAt: onset - 5*ms, PassedAt: onset - 9*ms},
-		{Onset: onset + 4*ms, GoodAt: onset + 20*ms, PassedAt: onset - ms},
-		{Onset: onset + 9*ms, GoodAt: onset + 25*ms, PassedAt: onset + ms},
+		{Onset: onset, GoodAt: onset - 5*ms, AnsweredSentAt: onset - 9*ms},
+		{Onset: onset + 4*ms, GoodAt: onset + 20*ms, AnsweredSentAt: onset - ms},
+		{Onset: onset + 9*ms, GoodAt: onset + 25*ms, AnsweredSentAt: onset + ms},
 	} {
 		r.Observer, r.Zone = fmt.Sprint("r", i), fmt.Sprint("z", i)
 		r.Incarnation, r.Seq, r.Key, r.BadAt = 1, 1, Key{"s0", 0}, time.Hour
@@ -148,7 +148,7 @@
 	for i := 3; i < 5; i++ {
 		table.merge(time.Hour, "o", Record{
 			Observer: fmt.Sprint("r", i), Zone: fmt.Sprint("z", i%3), Incarnation: 1, Seq: 2, Key: Key{"s0", 0},
-			GoodAt: onset + 60*ms, PassedAt: onset + 30*ms,
+			GoodAt: onset + 60*ms, AnsweredSentAt: onset + 30*ms,
 		})
 	}
 	require.Equal(t, BadLink, table.Verdicts(time.Hour)[0].Kind)
@@ -157,7 +157,7 @@
 // TestBounds checks that a neighbour that sends too many records cannot exceed the limits, and that all records
 // expire.
 func TestBounds(t *testing.T) {
-	settings := DefaultTerms()
+	settings := DefaultSettings()
 	table := NewTable(settings, "me")
 	now := time.Hour
 	for i := range 200 {
@@ -172,10 +172,10 @@
 	require.LessOrEqual(t, len(table.records), maxRecords)
 	require.Positive(t, table.Count.Refused)
 	require.NotEmpty(t, table.Verdicts(now))
-	table.Tick(now + settings.Hold + time.Second)
-	require.Empty(t, table.Verdicts(now+settings.Hold+time.Second))
+	table.Tick(now + settings.EvidenceTTL + time.Second)
+	require.Empty(t, table.Verdicts(now+settings.EvidenceTTL+time.Second))
 	require.Empty(t, table.records)
-	table.merge(now+2*settings.Hold, "late", Record{
+	table.merge(now+2*settings.EvidenceTTL, "late", Record{
 		Observer: "r1", Incarnation: 9, Seq: 9, Key: Key{"s", 0},
 		Onset: now, BadAt: now,
 	})
@@ -184,18 +184,18 @@
 
 // newWatch returns a Watch of servers of one class.
 func newWatch(seed uint64, servers int) *Watch {
-	w := NewWatch(DefaultTerms(), "z0", seed)
+	w := NewWatch(DefaultSettings(), "z0", seed)
 	var list []Server
 	for i := range servers {
 		list = append(list, Server{Key{fmt.Sprint("s", i), 0}, []string{"x"}})
 	}
-	w.Listed(0, list)
+	w.SetServers(0, list)
 	return w
 }
 
 // goneVerdict returns a verdict by which no router gets answers of the server.
 func goneVerdict(server string, since time.Duration, others int) Verdict {
-	return Verdict{Key: Key{server, 0}, Kind: Gone, Bad: 10, Others: others, Since: since}
+	return Verdict{Key: Key{server, 0}, Kind: Gone, Bad: 10, Routers: others, Since: since}
 }
 
 // TestMissedAnswers checks that overdue answers are detected without any event, and that an unanswered attempt does
@@ -203,26 +203,26 @@
 func TestMissedAnswers(t *testing.T) {
 	w := newWatch(1, 2)
 	now := time.Second
-	w.Sent(now, 1, "s0")
-	w.Sent(now+10*ms, 2, "s0")
-	w.Answered(now+30*ms, 2)
-	w.Look(now + time.Second)
-	require.Empty(t, w.Own(now+time.Second, nil, 3), "a later attempt was answered")
-	w.Sent(now+time.Second, 3, "s0")
-	w.Look(now + time.Second + 100*ms)
-	require.Empty(t, w.Own(now+time.Second+100*ms, nil, 3))
-	w.Look(now + time.Second + 251*ms)
-	own := w.Own(now+time.Second+251*ms, nil, 3)
+	w.AttemptSent(now, 1, "s0")
+	w.AttemptSent(now+10*ms, 2, "s0")
+	w.AttemptAnswered(now+30*ms, 2)
+	w.DetectMissed(now + time.Second)
+	require.Empty(t, w.OwnRecords(now+time.Second, nil, 3), "a later attempt was answered")
+	w.AttemptSent(now+time.Second, 3, "s0")
+	w.DetectMissed(now + time.Second + 100*ms)
+	require.Empty(t, w.OwnRecords(now+time.Second+100*ms, nil, 3))
+	w.DetectMissed(now + time.Second + 251*ms)
+	own := w.OwnRecords(now+time.Second+251*ms, nil, 3)
 	require.Len(t, own, 1)
 	require.True(t, own[0].isBad())
 	require.Equal(t, now+time.Second, own[0].Onset)
-	w.Ended(now+2*time.Second, 3, Alive)
-	own = w.Own(now+2*time.Second, map[Key]time.Duration{{"s0", 0}: now}, 3)
+	w.AttemptEnded(now+2*time.Second, 3, Alive)
+	own = w.OwnRecords(now+2*time.Second, map[Key]time.Duration{{"s0", 0}: now}, 3)
 	require.Len(t, own, 1, "a changed opinion is reported at once")
 	require.False(t, own[0].isBad())
-	w.Listed(0, []Server{{Key{"s0", time.Minute}, []string{"x"}}})
-	w.Ended(now+3*time.Second, 3, Missed)
-	own = w.Own(now+3*time.Second, map[Key]time.Duration{{"s0", time.Minute}: now}, 3)
+	w.SetServers(0, []Server{{Key{"s0", time.Minute}, []string{"x"}}})
+	w.AttemptEnded(now+3*time.Second, 3, Missed)
+	own = w.OwnRecords(now+3*time.Second, map[Key]time.Duration{{"s0", time.Minute}: now}, 3)
 	require.Empty(t, own, "the new incarnation has not been observed yet")
 }
 
@@ -240,15 +240,15 @@
 					list = append(list, goneVerdict(fmt.Sprint("s", i), now-time.Second, 50))
 				}
 			}
-			for _, c := range w.Cares(now, list) {
+			for _, c := range w.UpdateAvoidances(now, list) {
 				avoidUntil[c.Server] = c.Until
 			}
 			if 2*len(list) <= n {
 				continue // earlier avoidances may have to expire first
 			}
-			later := now + w.Terms.Return + avoidTTL
-			w.Cares(later, list)
-			for _, c := range w.Cares(later+avoidTTL, list) {
+			later := now + w.Settings.RecoverySpread + avoidTTL
+			w.UpdateAvoidances(later, list)
+			for _, c := range w.UpdateAvoidances(later+avoidTTL, list) {
 				require.LessOrEqual(t, c.Until, later+avoidTTL, "%s", c.Server)
 			}
 			now = later + avoidTTL
@@ -271,9 +271,9 @@
 	step := func(list []Verdict) (free int) {
 		now += 25 * ms
 		for i, w := range watches {
-			w.Sent(now, 2, "s2") // calls to other servers continue
-			w.Answered(now, 2)
-			for _, c := range w.Cares(now, list) {
+			w.AttemptSent(now, 2, "s2") // calls to other servers continue
+			w.AttemptAnswered(now, 2)
+			for _, c := range w.UpdateAvoidances(now, list) {
 				until[i] = c.Until
 			}
 			if until[i] <= now {
@@ -290,11 +290,11 @@
 		step(verdicts)
 		for i, w := range watches {
 			if until[i] <= now { // it may probe: it has a call at once, which is not answered
-				w.Sent(now, 1, "s0")
+				w.AttemptSent(now, 1, "s0")
 				probes++
-				w.Cares(now, verdicts)
+				w.UpdateAvoidances(now, verdicts)
 				until[i] = now + avoidTTL
-				w.Ended(now, 1, Missed)
+				w.AttemptEnded(now, 1, Missed)
 			}
 		}
 	}
@@ -315,12 +315,12 @@
 func TestOwnEvidence(t *testing.T) {
 	w := newWatch(1, 4)
 	now := time.Hour
-	w.Sent(now-100*ms, 1, "s0")
-	w.Answered(now-50*ms, 1)
-	require.Empty(t, w.Cares(now, []Verdict{goneVerdict("s0", now-200*ms, 5)}))
-	require.NotEmpty(t, w.Cares(now, []Verdict{goneVerdict("s0", now-10*ms, 5)}))
+	w.AttemptSent(now-100*ms, 1, "s0")
+	w.AttemptAnswered(now-50*ms, 1)
+	require.Empty(t, w.UpdateAvoidances(now, []Verdict{goneVerdict("s0", now-200*ms, 5)}))
+	require.NotEmpty(t, w.UpdateAvoidances(now, []Verdict{goneVerdict("s0", now-10*ms, 5)}))
 	held := Verdict{Key: Key{Server: "s1"}, Kind: Held, Until: now + 300*ms}
-	changes := w.Cares(now, []Verdict{held})
+	changes := w.UpdateAvoidances(now, []Verdict{held})
 	require.NotEmpty(t, changes)
 	until := changes[len(changes)-1].Until
 	require.Equal(t, now+300*ms, until, "an operator's hold applies until its end, whatever the router has observed")
@@ -332,8 +332,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const now = time.Hour
 		r := timesToAges(drawRecord(t, now, makeMembers(3, 2)), now)
-		f := Frame{Stamp: 5, Echo: 6, Hold: 7, Records: []Record{r}}
-		got, err := Read(f.Write())
+		f := Frame{Stamp: 5, Echo: 6, EchoDelay: 7, Records: []Record{r}}
+		got, err := ParseFrame(f.Marshal())
 		require.NoError(t, err)
 		require.Len(t, got.Records, 1)
 		for _, pair := range [][2]time.Duration{
@@ -345,10 +345,10 @@
 			require.GreaterOrEqual(t, pair[1], pair[0])
 			require.Less(t, pair[1]-pair[0], 2*time.Microsecond)
 		}
-		Read(rapid.SliceOf(rapid.Byte()).Draw(t, "noise"))
+		ParseFrame(rapid.SliceOf(rapid.Byte()).Draw(t, "noise"))
 	})
-	for _, f := range []Frame{{}, {Stamp: 1, Hold: -1}, {Stamp: 1, Records: make([]Record, maxFrameRecords+1)}} {
-		_, err := Read(f.Write())
+	for _, f := range []Frame{{}, {Stamp: 1, EchoDelay: -1}, {Stamp: 1, Records: make([]Record, maxFrameRecords+1)}} {
+		_, err := ParseFrame(f.Marshal())
 		require.Error(t, err)
 	}
 }
@@ -408,15 +408,15 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now += ms
-		w.Sent(now, 1, "s3")
-		w.Answered(now+20*ms, 1)
+		w.AttemptSent(now, 1, "s3")
+		w.AttemptAnswered(now+20*ms, 1)
 	}
 }
 
 // BenchmarkVerdicts measures deriving the verdict on one server from the records of 300 routers.
 func BenchmarkVerdicts(b *testing.B) {
-	table := NewTable(DefaultTerms(), "me")
-	table.Members(makeMembers(300, 3))
+	table := NewTable(DefaultSettings(), "me")
+	table.SetMembers(makeMembers(300, 3))
 	now := time.Hour
 	for i, m := range makeMembers(300, 3) {
 		r := Record{Observer: m.Name, Zone: m.Zone, Incarnation: 1, Seq: 1, Key: Key{"s0", 0}, GoodAt: now - time.Second}
--- a/verdict/watch.go
+++ b/verdict/watch.go
@@ -38,11 +38,11 @@
 
 // Ends of attempts.
 const (
-	Missed  End = iota + 1 // no answer in time, or the connection was lost
-	Refused                // no connection
-	TooFull                // rejected with cause "processor full"
-	Alive                  // any other answer
-	Given                  // withdrawn by the caller's side: says nothing about the server
+	Missed    End = iota + 1 // no answer in time, or the connection was lost
+	Refused                  // no connection
+	TooFull                  // rejected with cause "processor full"
+	Alive                    // any other answer
+	Withdrawn                // withdrawn by the caller's side: says nothing about the server
 )
 
 // Server is a case server that the server list shows as up.
@@ -77,7 +77,7 @@
 
 // Watch tracks this router's attempts and decides which servers it avoids. It is not safe for concurrent use.
 type Watch struct {
-	Terms          Terms
+	Settings       Settings
 	Zone           string
 	random         *rand.Rand
 	byID           map[string]*serverState
@@ -100,9 +100,9 @@
 
 // NewWatch returns a Watch without servers. The seed has to differ between routers, so that their probes and returns
 // do not coincide.
-func NewWatch(settings Terms, zone string, seed uint64) *Watch {
+func NewWatch(settings Settings, zone string, seed uint64) *Watch {
 	return &Watch{
-		Terms:      settings,
+		Settings:   settings,
 		Zone:       zone,
 		random:     rand.New(rand.NewPCG(seed, 11)),
 		byID:       map[string]*serverState{},
@@ -111,7 +111,7 @@
 }
 
 // SetServers sets the servers that are up. Observations of earlier incarnations and of removed servers are discarded.
-func (w *Watch) Listed(now time.Duration, list []Server) {
+func (w *Watch) SetServers(now time.Duration, list []Server) {
 	previous := w.byID
 	w.byID, w.servers = map[string]*serverState{}, nil
 	clear(w.classSizes)
@@ -137,7 +137,7 @@
 }
 
 // AttemptSent records an attempt that is about to be sent; slot is a small number that no other pending request has.
-func (w *Watch) Sent(now time.Duration, slot uint32, server string) {
+func (w *Watch) AttemptSent(now time.Duration, slot uint32, server string) {
 	s := w.byID[server]
 	if s == nil || slot >= maxSlots {
 		return
@@ -172,7 +172,7 @@
 }
 
 // AttemptAnswered records that the call of an attempt is established.
-func (w *Watch) Answered(now time.Duration, slot uint32) {
+func (w *Watch) AttemptAnswered(now time.Duration, slot uint32) {
 	s, a, ok := w.removeAttempt(slot)
 	if !ok {
 		return
@@ -182,9 +182,9 @@
 	if s.meanLatency == 0 {
 		s.meanLatency = age
 	}
-	s.Slow += (float32(age/max(s.meanLatency, 1e-4)) - s.Slow) / 4
+	s.Slowdown += (float32(age/max(s.meanLatency, 1e-4)) - s.Slowdown) / 4
 	s.recordAnswer(a)
-	if now-a.sent > w.Terms.Late {
+	if now-a.sent > w.Settings.LateThreshold {
 		s.Late++
 		s.LateAt = now
 		s.meanLatency += (age - s.meanLatency) / (8 * latencySamples) // late answers shift the mean only slowly
@@ -197,12 +197,12 @@
 
 // recordAnswer records an answer of any kind to an attempt; the server is not missing answers any more.
 func (s *serverState) recordAnswer(a attempt) {
-	s.PassedAt = max(s.PassedAt, a.sent)
+	s.AnsweredSentAt = max(s.AnsweredSentAt, a.sent)
 	s.Onset, s.probing = 0, false
 }
 
 // AttemptEnded records that an attempt has ended without an established call.
-func (w *Watch) Ended(now time.Duration, slot uint32, how End) {
+func (w *Watch) AttemptEnded(now time.Duration, slot uint32, how End) {
 	s, a, ok := w.removeAttempt(slot)
 	if !ok {
 		return
@@ -210,8 +210,8 @@
 	s.decayCounts(now)
 	switch how {
 	case Missed:
-		if !a.missed && a.sent > s.PassedAt {
-			s.recordMiss(now, a, &s.Silent)
+		if !a.missed && a.sent > s.AnsweredSentAt {
+			s.recordMiss(now, a, &s.Missed)
 		}
 		s.probing = false
 	case Refused:
@@ -225,7 +225,7 @@
 		s.recordAnswer(a)
 		s.Good++
 		s.GoodAt = now
-	case Given:
+	case Withdrawn:
 		s.probing = s.probing && len(s.inFlight) > 0
 	}
 }
@@ -246,7 +246,7 @@
 	}
 	factor := float32(math.Exp(-float64(now-s.decayedAt) / float64(decayTime)))
 	s.decayedAt = now
-	for _, n := range []*float32{&s.Good, &s.Late, &s.Silent, &s.Refused, &s.Full} {
+	for _, n := range []*float32{&s.Good, &s.Late, &s.Missed, &s.Refused, &s.Full} {
 		*n *= factor
 	}
 }
@@ -260,14 +260,14 @@
 // responseTimeout returns how long an answer of the server may take before it counts as missed.
 func (w *Watch) responseTimeout(s *serverState) time.Duration {
 	return min(
-		max(w.Terms.Silence, time.Duration(4*s.meanLatency*float64(time.Second))),
+		max(w.Settings.MinResponseTimeout, time.Duration(4*s.meanLatency*float64(time.Second))),
 		maxResponseTimeout,
 	)
 }
 
 // DetectMissed records overdue answers as missed. An attempt sent before another that was answered is skipped: only
 // that one was lost, which says nothing about the server.
-func (w *Watch) Look(now time.Duration) {
+func (w *Watch) DetectMissed(now time.Duration) {
 	for _, s := range w.servers {
 		if len(s.inFlight) == 0 {
 			continue
@@ -278,13 +278,13 @@
 			if now-a.sent <= timeout {
 				break
 			}
-			if a.sent <= s.PassedAt {
+			if a.sent <= s.AnsweredSentAt {
 				continue
 			}
 			if !a.missed {
 				a.missed = true
 				s.decayCounts(now)
-				s.recordMiss(now, *a, &s.Silent)
+				s.recordMiss(now, *a, &s.Missed)
 			}
 			s.BadAt = now // the answer is still missing
 		}
@@ -292,14 +292,14 @@
 }
 
 // NextCheck returns the time from now until DetectMissed has something to do if nothing happens before.
-func (w *Watch) Next(now time.Duration) time.Duration {
+func (w *Watch) NextCheck(now time.Duration) time.Duration {
 	next := time.Hour
 	for _, s := range w.servers {
 		if len(s.inFlight) > 0 {
 			if left := s.inFlight[0].sent + w.responseTimeout(s) - now; left > 0 {
 				next = min(next, left)
 			} else {
-				next = min(next, w.Terms.Slot)
+				next = min(next, w.Settings.ReportInterval)
 			}
 		}
 	}
@@ -309,14 +309,14 @@
 // OwnRecords returns this router's new records: on servers that it has trouble with itself, and on those that another
 // router has trouble with. question holds the latter, with the times since which answers are missing (see
 // Table.Questioned); routers is the number of routers in the fleet. Servers without news are left out.
-func (w *Watch) Own(now time.Duration, question map[Key]time.Duration, routers int) (list []Record) {
+func (w *Watch) OwnRecords(now time.Duration, question map[Key]time.Duration, routers int) (list []Record) {
 	for _, s := range w.servers {
 		troubled := s.isBad() || s.Late >= 1 && now-s.LateAt < decayTime || s.Full >= 1 && now-s.GoodAt < decayTime
 		since, questioned := question[s.Server.Key]
-		if !troubled && !questioned || s.lastSeen() == 0 || now-s.lastSeen() > w.Terms.Hold {
+		if !troubled && !questioned || s.lastSeen() == 0 || now-s.lastSeen() > w.Settings.EvidenceTTL {
 			continue
 		}
-		if !s.shouldReport(now, w.Terms, routers, since, troubled) {
+		if !s.shouldReport(now, w.Settings, routers, since, troubled) {
 			continue
 		}
 		s.decayCounts(now)
@@ -325,7 +325,7 @@
 		r.Seq, r.Zone = w.seq, w.Zone
 		s.reported, s.reportedAt = r, now
 		if mutant == "liar" {
-			r.BadAt, r.GoodAt, r.PassedAt, r.Onset = r.GoodAt, r.BadAt, r.BadAt, max(r.GoodAt, 1)
+			r.BadAt, r.GoodAt, r.AnsweredSentAt, r.Onset = r.GoodAt, r.BadAt, r.BadAt, max(r.GoodAt, 1)
 		}
 		list = append(list, r)
 	}
@@ -336,7 +336,7 @@
 // has changed, else after the report interval if it has had an answer since others miss theirs, has trouble other than
 // missed answers, or its last report is about to expire.
 func (s *serverState) shouldReport(
-	now time.Duration, settings Terms, routers int, since time.Duration, troubled bool,
+	now time.Duration, settings Settings, routers int, since time.Duration, troubled bool,
 ) bool {
 	if s.reportedAt == 0 || s.isBad() != s.reported.isBad() {
 		return true
@@ -347,11 +347,11 @@
 	answered, reportedAnswer := max(s.GoodAt, s.LateAt), max(s.reported.GoodAt, s.reported.LateAt)
 	return answered > since && reportedAnswer <= since ||
 		troubled && !s.isBad() ||
-		now-s.reportedAt > settings.Hold/6
+		now-s.reportedAt > settings.EvidenceTTL/6
 }
 
 // Avoidance tells the routing decisions to avoid a server until a time, or to use it again.
-type Care struct {
+type Avoidance struct {
 	Key
 	Until   time.Duration // now or earlier: the server is usable again
 	Verdict *Verdict      // the reason; nil: the server is usable again, or will be after a delay
@@ -359,14 +359,14 @@
 
 // UpdateAvoidances applies the verdicts and returns the changes for the routing decisions. A router that has had an
 // answer of a server since the others miss theirs goes by its own evidence.
-func (w *Watch) Cares(now time.Duration, verdicts []Verdict) (changes []Care) {
+func (w *Watch) UpdateAvoidances(now time.Duration, verdicts []Verdict) (changes []Avoidance) {
 	excluded := map[Key]*Verdict{}
 	avoided := map[string]int{}
 	for i := range verdicts {
 		v := &verdicts[i]
 		s := w.byID[v.Server]
 		if s == nil || s.Server.Key != v.Key && v.Kind != Held && mutant != "old-life" ||
-			!v.excludes(w.Zone) && !(v.Kind == Slow && v.Part >= minLateShare) {
+			!v.excludes(w.Zone) && !(v.Kind == Slow && v.LateShare >= minLateShare) {
 			continue
 		}
 		excluded[s.Server.Key] = v
@@ -380,7 +380,7 @@
 		if excluded[s.Server.Key] == nil && s.avoidUntil > now {
 			for _, class := range s.Classes {
 				withReturning[class]++
-				if float64(withReturning[class]) > w.Terms.Share*float64(w.classSizes[class]) && mutant != "no-share" {
+				if float64(withReturning[class]) > w.Settings.MaxShare*float64(w.classSizes[class]) && mutant != "no-share" {
 					s.returnAt = now
 				}
 			}
@@ -389,7 +389,7 @@
 	for _, s := range w.servers {
 		v := excluded[s.Server.Key]
 		for _, class := range s.Classes {
-			if v != nil && float64(avoided[class]) > w.Terms.Share*float64(w.classSizes[class]) && mutant != "no-share" {
+			if v != nil && float64(avoided[class]) > w.Settings.MaxShare*float64(w.classSizes[class]) && mutant != "no-share" {
 				v = nil // with so many unfit servers, the fault is on the routers' side
 				w.Count.Disregarded++
 			}
@@ -397,11 +397,11 @@
 		until, lifts := w.avoidance(now, s, v)
 		switch {
 		case until > now && until > s.avoidUntil && (until-s.avoidUntil > avoidTTL/4 || s.avoidUntil-now < avoidTTL/4):
-			changes = append(changes, Care{s.Server.Key, until, v})
+			changes = append(changes, Avoidance{s.Server.Key, until, v})
 			s.avoidUntil = until
 			w.Count.Cares++
 		case lifts && s.avoidUntil > now:
-			changes = append(changes, Care{s.Server.Key, now, nil})
+			changes = append(changes, Avoidance{s.Server.Key, now, nil})
 			s.avoidUntil = now
 			w.Count.Returns++
 		}
@@ -415,7 +415,7 @@
 // avoidance decides on one server under the verdict v, which is nil if the server is to be used. It returns until when
 // the server is to be avoided; lifts says that it is usable from now on.
 func (w *Watch) avoidance(now time.Duration, s *serverState, v *Verdict) (until time.Duration, lifts bool) {
-	if v == nil || v.Kind != Held && v.excludes(w.Zone) && s.GoodAt > v.Since+w.Terms.Flush && !s.isBad() &&
+	if v == nil || v.Kind != Held && v.excludes(w.Zone) && s.GoodAt > v.Since+w.Settings.FlushInterval && !s.isBad() &&
 		s.GoodAt != 0 {
 		// This router has had an answer itself and goes by it, or the server has recovered: then the routers return one
 		// after the other.
@@ -426,7 +426,7 @@
 			return 0, true
 		}
 		if s.returnAt == 0 {
-			s.returnAt = now + time.Duration(w.random.Float64()*float64(w.Terms.Return))
+			s.returnAt = now + time.Duration(w.random.Float64()*float64(w.Settings.RecoverySpread))
 			if mutant == "all-at-once" {
 				s.returnAt = now
 			}
@@ -440,7 +440,7 @@
 	s.returnAt = 0
 	if v.Kind == Slow {
 		position := (now + s.phase) % slowCycle
-		if left := time.Duration(min(v.Part, 0.75)*float64(slowCycle)) - position; left > 0 {
+		if left := time.Duration(min(v.LateShare, 0.75)*float64(slowCycle)) - position; left > 0 {
 			return now + left, false
 		}
 		return 0, true
@@ -460,12 +460,12 @@
 		s.probeUntil = 0
 	}
 	if s.drawnAt == 0 { // spreads the draws of the routers over the interval
-		s.drawnAt = now - time.Duration(w.random.Int64N(int64(w.Terms.Trial)))
+		s.drawnAt = now - time.Duration(w.random.Int64N(int64(w.Settings.ProbeInterval)))
 	}
-	if now-s.drawnAt >= w.Terms.Trial {
+	if now-s.drawnAt >= w.Settings.ProbeInterval {
 		span := now - s.drawnAt
 		s.drawnAt = now
-		if w.random.Float64() < w.probeProbability(now, v, min(span, 4*w.Terms.Trial)) {
+		if w.random.Float64() < w.probeProbability(now, v, min(span, 4*w.Settings.ProbeInterval)) {
 			s.probeUntil = now + probeTimeout
 			return 0, true
 		}
@@ -481,7 +481,7 @@
 	if mutant == "try-at-will" {
 		return 1
 	}
-	meanInterval := float64(w.Terms.Trial) * float64(max(v.Others, 1))
+	meanInterval := float64(w.Settings.ProbeInterval) * float64(max(v.Routers, 1))
 	if v.Good > 0 {
 		meanInterval /= 2 * float64(v.Good)
 	}
@@ -490,7 +490,7 @@
 	calls := w.recentAttempts / decayTime.Seconds() / float64(max(len(w.servers), 1)) * probeTimeout.Seconds()
 	meanInterval *= max(1-math.Exp(-calls), minCallProbability)
 	if v.Good == 0 {
-		meanInterval *= min(max(float64(now-v.Since)/float64(8*w.Terms.Trial), 1), maxProbeBackoff)
+		meanInterval *= min(max(float64(now-v.Since)/float64(8*w.Settings.ProbeInterval), 1), maxProbeBackoff)
 	}
 	return 1 - math.Exp(-float64(span)/meanInterval)
 }
--- a/verdict/wire.go
+++ b/verdict/wire.go
@@ -41,21 +41,21 @@
 		Started:     int64(r.Started),
 		Good:        r.Good,
 		Late:        r.Late,
-		Silent:      r.Silent,
+		Silent:      r.Missed,
 		Refused:     r.Refused,
 		Full:        r.Full,
-		Slow:        r.Slow,
+		Slow:        r.Slowdown,
 		Onset:       encodeAge(r.Onset),
 		Bad:         encodeAge(r.BadAt),
 		LateAt:      encodeAge(r.LateAt),
 		GoodAt:      encodeAge(r.GoodAt),
-		Passed:      encodeAge(r.PassedAt),
+		Passed:      encodeAge(r.AnsweredSentAt),
 	}
 }
 
 // Marshal encodes the frame. Its records have to hold ages already; see Frame.
-func (f *Frame) Write() []byte {
-	encoded := verdictpb.Frame{Stamp: int64(f.Stamp), Echo: int64(f.Echo), Hold: int64(f.Hold)}
+func (f *Frame) Marshal() []byte {
+	encoded := verdictpb.Frame{Stamp: int64(f.Stamp), Echo: int64(f.Echo), Hold: int64(f.EchoDelay)}
 	for i := range f.Records {
 		encoded.Records = append(encoded.Records, encodeRecord(&f.Records[i]))
 	}
@@ -65,7 +65,7 @@
 
 // ParseFrame decodes a frame. It returns an error if the bytes are not a frame, its times are out of range or it has
 // too many records.
-func Read(b []byte) (f Frame, err error) {
+func ParseFrame(b []byte) (f Frame, err error) {
 	var decoded verdictpb.Frame
 	if err := proto.Unmarshal(b, &decoded); err != nil {
 		return f, err
@@ -74,28 +74,28 @@
 		return f, errors.New("evidence frame: stamp not above 0, echo or hold below 0, or too many records")
 	}
 	f = Frame{
-		Stamp: time.Duration(decoded.Stamp),
-		Echo:  time.Duration(decoded.Echo),
-		Hold:  time.Duration(decoded.Hold),
+		Stamp:     time.Duration(decoded.Stamp),
+		Echo:      time.Duration(decoded.Echo),
+		EchoDelay: time.Duration(decoded.Hold),
 	}
 	for _, record := range decoded.Records {
 		f.Records = append(f.Records, Record{
-			Observer:    record.Observer,
-			Zone:        record.Zone,
-			Incarnation: record.Incarnation,
-			Seq:         record.Seq,
-			Key:         Key{record.Server, time.Duration(record.Started)},
-			Good:        record.Good,
-			Late:        record.Late,
-			Silent:      record.Silent,
-			Refused:     record.Refused,
-			Full:        record.Full,
-			Slow:        record.Slow,
-			Onset:       decodeAge(record.Onset),
-			BadAt:       decodeAge(record.Bad),
-			LateAt:      decodeAge(record.LateAt),
-			GoodAt:      decodeAge(record.GoodAt),
-			PassedAt:    decodeAge(record.Passed),
+			Observer:       record.Observer,
+			Zone:           record.Zone,
+			Incarnation:    record.Incarnation,
+			Seq:            record.Seq,
+			Key:            Key{record.Server, time.Duration(record.Started)},
+			Good:           record.Good,
+			Late:           record.Late,
+			Missed:         record.Silent,
+			Refused:        record.Refused,
+			Full:           record.Full,
+			Slowdown:       record.Slow,
+			Onset:          decodeAge(record.Onset),
+			BadAt:          decodeAge(record.Bad),
+			LateAt:         decodeAge(record.LateAt),
+			GoodAt:         decodeAge(record.GoodAt),
+			AnsweredSentAt: decodeAge(record.Passed),
 		})
 	}
 	return f, nil
@@ -105,7 +105,7 @@
 // avoids.
 func (t *Table) Report(now time.Duration, heeded map[Key]bool) *verdictpb.Report {
 	out := &verdictpb.Report{
-		Others:     uint32(t.Others()),
+		Others:     uint32(t.RouterCount()),
 		Neighbours: uint32(len(t.peers)),
 		Records:    uint32(len(t.records)),
 	}
@@ -115,15 +115,15 @@
 			Started:    int64(v.Started),
 			Kind:       v.Kind.String(),
 			Zones:      v.Zones,
-			By:         v.By,
-			Part:       v.Part,
+			By:         v.Slowdown,
+			Part:       v.LateShare,
 			Bad:        uint32(v.Bad),
 			Good:       uint32(v.Good),
 			Sources:    v.Sources,
 			Confidence: v.Confidence,
 			Age:        int64(v.Age / wireUnit),
 			Left:       int64(max(v.Until-now, 0) / wireUnit),
-			Why:        v.Why,
+			Why:        v.Reason,
 			Heeded:     heeded[v.Key],
 		}
 		for _, name := range sortedNames(t.byServer[v.Key]) {
