--- a/api.go
+++ b/api.go
@@ -2,93 +2,93 @@
 
 import "time"
 
-// Settings is what a Controller is told at start. Times are spans; New names the field that cannot be served.
+// Settings configures a Controller. New and Change return an error that names the first invalid field.
 type Settings struct {
-	Me       int // own index among the proxies, from 0
-	Proxies  int // how many proxies share the servers
+	Me       int // index of this proxy among all proxies, from 0
+	Proxies  int // number of proxies that share the servers
 	Classes  []Class
 	Tenants  []Tenant
 	Limits   Limits
 	Rules    Rules
 	Callers  Callers
-	Network  bool // true where calls cross a network of exchanges; false where servers are shared by all proxies
-	MustAsk  bool // the server list has to be subscribed to
-	OverPart float64
+	Network  bool    // true where calls cross a network of exchanges; false where all proxies share the servers
+	MustAsk  bool    // the server list is only sent to subscribers
+	OverPart float64 // factor on the worth of calls of a tenant that exceeds its quota
 }
 
-// Class is one class of calls.
+// Class describes one class of calls.
 type Class struct {
 	Name      string
-	Aim       time.Duration // a call that stands within it earns its full worth
-	Deadline  time.Duration // how long a caller goes on trying, from the first try
+	Aim       time.Duration // a call established within it, counted from its first try, earns its full worth
+	Deadline  time.Duration // how long a caller keeps trying, from the first try
 	Holding   time.Duration // mean duration of a call
-	Worth     float64
-	LateWorth float64 // part of the worth that a late call still earns
+	Worth     float64       // value of a call that is established within the aim
+	LateWorth float64       // fraction of the worth that a late call still earns
 	Repeat    Repeat
 	Servers   []int // numbers of the servers that may take the class
-	Width     int   // circuits that a call takes; 0: untold
+	Width     int   // circuits that a call occupies; 0: unknown
 }
 
-// Repeat says whether a call of a class may be set up again.
+// Repeat is the rule for repeating the set-up of a call after an attempt that may have run at a server.
 type Repeat int
 
-// How a class may be repeated.
+// Rules for repeating the set-ups of a class.
 const (
 	RepeatFree    Repeat = iota // any number of times, one after the other
-	RepeatGuarded               // only where the servers would discard the repeat
+	RepeatGuarded               // only where the servers would discard the duplicate
 	RepeatNever                 // only after an outcome that proves that nothing ran
 )
 
-// Tenant is one of several customers who share the servers.
+// Tenant is one of several customers that share the servers.
 type Tenant struct {
 	Name  string
-	Quota float64 // calls a second over all proxies that count in full
-	Share float64 // part of the service
+	Quota float64 // calls a second over all proxies that count with their full worth
+	Share float64 // fraction of the service
 }
 
-// Limits is what the deployment permits.
+// Limits holds the limits of the deployment.
 type Limits struct {
-	MaxAttempts   int
-	MaxRetryAfter time.Duration // longest advice that callers heed
-	RetryAfter    bool          // callers are given the advice
+	MaxAttempts   int           // attempts per call, the first included
+	MaxRetryAfter time.Duration // longest Retry-After advice that callers follow
+	RetryAfter    bool          // refused callers are sent Retry-After advice
 	Cancel        bool          // attempts may be cancelled
 }
 
-// Rules holds the figures of the five rules.
+// Rules holds the parameters of the rules that every decision has to keep.
 type Rules struct {
-	ReleaseWait  time.Duration // no further attempt within it after a time-out, a cut or a cancel
-	DrainGrace   time.Duration
-	ColdFrom     float64       // a server starts with at least this part of its capacity
-	WarmWithin   time.Duration // and has all of it after this at the latest
-	FallMultiple float64       // more than this multiple of its present capacity
-	FallWindow   time.Duration // for this long brings a cold server down
+	ReleaseWait  time.Duration // minimum delay of a retry attempt after a time-out, a cut or a cancellation
+	DrainGrace   time.Duration // time after which a server that drains or was removed must get no calls
+	ColdFrom     float64       // fraction of its capacity that a server has at least when it starts
+	WarmWithin   time.Duration // time after its start by which a server has its full capacity
+	FallMultiple float64       // load above this multiple of its current capacity
+	FallWindow   time.Duration // for this long makes a cold server collapse
 }
 
-// Callers tells how callers behave.
+// Callers describes how callers behave.
 type Callers struct {
-	MarkRetries bool // a repeated try says so
+	MarkRetries bool // a repeated try is marked as one
 }
 
-// Event is something that happened at this proxy. Events that do not fit the state are ignored.
+// Event is an input of the Controller. Events that do not fit its state are ignored.
 type Event interface{ event() }
 
-// ServerList tells of servers; with Delta only of those whose entry changed, with Failed of none.
+// ServerList reports servers: all of them, with Delta only those whose entry changed, with Failed none.
 type ServerList struct {
 	Delta   bool
-	Stored  bool // as held before a restart, possibly out of date
-	Failed  bool // asking failed or the subscription ended
+	Stored  bool // the list was stored before a restart and may be out of date
+	Failed  bool // the query failed or the subscription ended
 	Servers []Server
 }
 
-// Server is one entry of a list.
+// Server is an entry of a server list.
 type Server struct {
 	ID      string
-	Number  int
+	Number  int // destination number; several servers may share one
 	State   ServerState
 	Started time.Duration // clock time of the latest start; 0: long past
 }
 
-// ServerState is what the list says of a server.
+// ServerState is the state of a server according to the server list.
 type ServerState int
 
 // States of a listed server.
@@ -98,35 +98,35 @@
 	Removed
 )
 
-// Arrival is a call, or a caller's further try, handed to this proxy.
+// Arrival is a new call at this proxy, or another try of a caller whose call was refused or failed.
 type Arrival struct {
 	Call        string
 	Class       string
 	Tenant      string
-	Number      string        // number called
-	TimeLeft    time.Duration // until the caller gives this try up
-	Destination int           // number of the server of first choice
-	Retry       bool
-	InTransit   bool // sent here by another exchange: may go only to its destination
+	Number      string        // called number
+	TimeLeft    time.Duration // until the caller gives up this try
+	Destination int           // number of the first-choice server
+	Retry       bool          // the caller marked this as a repeated try
+	InTransit   bool          // sent here by another exchange: only its destination may take it
 }
 
-// Stood tells that a set-up was answered: the call holds until its Ended.
+// Stood reports that a set-up was answered and the call is established. It stays so until the attempt's Ended.
 type Stood struct {
 	Call    string
-	Attempt int
+	Attempt int // number of the attempt, from 0
 	Server  string
-	After   time.Duration
+	After   time.Duration // from the Send to the answer
 }
 
-// Ended is the one end of an attempt.
+// Ended reports the end of an attempt. There is exactly one for each attempt.
 type Ended struct {
 	Call    string
-	Attempt int
+	Attempt int // number of the attempt, from 0
 	Server  string
 	Outcome Outcome
 	Cause   Cause
-	After   time.Duration
-	Settled bool // the call has its final answer
+	After   time.Duration // from the Send to the end
+	Settled bool          // the caller already has the final answer
 }
 
 // Outcome is how an attempt ended.
@@ -134,58 +134,59 @@
 
 // Outcomes of an attempt.
 const (
-	Concluded   Outcome = iota // the call stood and came to its end
-	Faulted                    // all lines of the number busy, or a fault
-	Rejected                   // turned away, nothing ran
-	TimedOut                   // no answer in time; it may have run
-	Unreachable                // no connection in time, nothing ran
-	Cut                        // set-up or standing call was cut
-	Cancelled                  // withdrawn
-	NotSent                    // refused on this side, nothing ran
+	Concluded   Outcome = iota // the call was established and ended normally
+	Faulted                    // all lines of the number are busy, or the server reported a fault
+	Rejected                   // the server rejected the set-up; nothing ran
+	TimedOut                   // no answer in time; the set-up may have run
+	Unreachable                // no connection in time; nothing ran
+	Cut                        // the set-up or the established call was cut off
+	Cancelled                  // the attempt was withdrawn
+	NotSent                    // refused locally; nothing ran
 )
 
-// Cause refines a rejection or fault.
+// Cause refines a rejection or a fault.
 type Cause int
 
 // Causes that come with some outcomes.
 const (
-	CauseNone Cause = iota
-	CauseNoAgent
-	CauseTurnedBack
-	CauseProcessorFull
-	CauseLinesBusy
+	CauseNone          Cause = iota
+	CauseNoAgent             // the server has no free agent
+	CauseTurnedBack          // another exchange sent the call back
+	CauseProcessorFull       // the server's processor is overloaded
+	CauseLinesBusy           // all lines of the called number are busy
 )
 
-// Agents tells of a server's free agents, as they were a while ago.
+// Agents reports how many agents of a server are free. The report is delayed.
 type Agents struct {
 	Server string
 	Free   int
 	Total  int
 }
 
-// CallerGone tells that the caller has left: nothing more is owed.
+// CallerGone reports that the caller has left. The call needs no answer any more.
 type CallerGone struct{ Call string }
 
-// Due is a timer set earlier.
+// Due reports that the timer of a SetTimer has expired.
 type Due struct{ Token int64 }
 
-// ColdPart tells which part this proxy has of what all proxies together may send a server that has just started. Its first one, without
-// a Server, says that such parts are told, and what the proxy has of a server while it is told none.
+// ColdPart sets this proxy's fraction of the load that all proxies together may send a server that has just
+// started. The first one, without a Server, announces that such fractions are assigned; its fraction applies to
+// every cold server for which this proxy has none.
 type ColdPart struct {
 	Server  string
-	Started time.Duration // of the server
-	Part    float64       // from 0 to 1
-	Until   time.Duration // clock time from which it has none
+	Started time.Duration // clock time of the server's start
+	Part    float64       // fraction, from 0 to 1
+	Until   time.Duration // clock time at which the fraction expires
 }
 
-// Further tells how many further attempts, of all calls together, this proxy may make until it is told anew. None is told: only the calls' own
-// limits count.
+// Further sets this proxy's budget of retry attempts, for all calls together. It replaces the previous budget.
+// Until the first one, only the limits of each call apply.
 type Further struct {
-	Limited bool
-	Left    int
+	Limited bool // false: no budget applies
+	Left    int  // retry attempts that may still be made
 }
 
-// spend takes one, and says whether there was one.
+// spend takes one retry attempt from the budget and reports whether there was one.
 func (f *Further) spend() bool {
 	if !f.Limited {
 		return true
@@ -194,12 +195,12 @@
 	return f.Left >= 0
 }
 
-// Care has a server left alone until then, for what all proxies know of it together. It makes this one more careful, never bolder: what it
-// has found out by itself holds, too.
+// Care has this proxy avoid a server because of what all proxies together know of it. It only ever adds to the
+// restrictions that follow from this proxy's own observations.
 type Care struct {
 	Server  string
-	Started time.Duration // of the server
-	Until   time.Duration // clock time
+	Started time.Duration // clock time of the server's start
+	Until   time.Duration // clock time until which the server is avoided
 }
 
 func (ColdPart) event()   {}
@@ -213,44 +214,44 @@
 func (CallerGone) event() {}
 func (Due) event()        {}
 
-// Action is something that the proxy is to do, in the order given.
+// Action is an instruction to the proxy. Actions are carried out in the order given.
 type Action interface{ action() }
 
-// Send starts a set-up; a call's attempts are numbered from 0 in the order of their Sends.
+// Send starts a set-up. The attempts of a call are numbered from 0 in the order of their Sends.
 type Send struct {
 	Call    string
 	Server  string
 	Timeout time.Duration
-	Why     Reason // FirstChoice, Remembered or Drawn
+	Why     Reason // FirstChoice, Remembered, Drawn or Avoided
 }
 
-// Refuse is a final answer: rejected, with advice on when to try again (0: none).
+// Refuse is the final answer of a call that certainly did not run.
 type Refuse struct {
 	Call       string
-	RetryAfter time.Duration
+	RetryAfter time.Duration // advice to the caller on when to try again; 0: none
 	Why        Reason
 }
 
-// Fail is a final answer: given up.
+// Fail is the final answer of a call of which an attempt may have run.
 type Fail struct {
 	Call string
 	Why  Reason
 }
 
-// GiveUp withdraws an attempt that is out: its Ended comes as Cancelled, unless another end is on its way.
+// GiveUp withdraws a pending attempt. Its Ended has the outcome Cancelled, unless it ended otherwise meanwhile.
 type GiveUp struct {
 	Call    string
-	Attempt int
+	Attempt int // number of the attempt, from 0
 	Why     Reason
 }
 
-// SetTimer asks for a Due at or after a clock time.
+// SetTimer asks for a Due with the same token at or after a clock time.
 type SetTimer struct {
 	At    time.Duration
 	Token int64
 }
 
-// Subscribe asks for the changes of the server list from now on.
+// Subscribe asks for all changes of the server list from now on.
 type Subscribe struct{}
 
 func (Send) action()      {}
@@ -260,34 +261,34 @@
 func (SetTimer) action()  {}
 func (Subscribe) action() {}
 
-// Reason is why an action was taken. The numbers stand in trace files.
+// Reason is why an action was taken. The numbers are stored in trace files.
 type Reason int
 
-// Reasons. Those from Gapped to NoServer tell what kept the call's first choice from taking it.
+// Reasons. Those from Gapped to NoServer say why the first-choice server did not take the call.
 const (
 	NoReason      Reason = iota
 	FirstChoice          // sent to the server that the call names
-	Remembered           // sent to the server that took such calls before
-	Drawn                // sent to one drawn at random
+	Remembered           // sent to the remembered alternative server
+	Drawn                // sent to an alternative server that was just drawn at random
 	Gapped               // the server's admission rate was used up
-	Resting              // the server failed a moment ago
-	OnTrial              // set-ups there were unanswered for too long
-	Hopeless             // its answers came too late for this call's aim
-	BudgetSpent          // this proxy's share of what it can take was used up, as of a cold server's
-	NotUp                // it drains or is gone
-	NotSkilled           // it may not take the class
-	NoServer             // the call names none that is known
+	Resting              // the server is in cool-down after a failure
+	OnTrial              // the server left set-ups unanswered for too long and is on probation
+	Hopeless             // the server's latest answers were too slow for this call's aim
+	BudgetSpent          // this proxy's share of the server's free agents or cold-start budget was used up
+	NotUp                // the server drains or was removed
+	NotSkilled           // the server may not take the call's class
+	NoServer             // the call names no known server
 	UnknownClass         // the call's class does not exist
 	OutOfTime            // the caller's time was up
-	NumberBusy           // all lines of the number were busy
-	CrowdedOut           // too many calls waited that are worth more
-	Returned             // a server turned it away
-	OwnFault             // servers found fault with it
-	NoFurther            // no further attempt is allowed, or would come in time
+	NumberBusy           // all lines of the called number were busy
+	CrowdedOut           // displaced from the full queue by calls that are worth more
+	Returned             // a server rejected the call
+	OwnFault             // several servers reported a fault for this call
+	NoFurther            // no retry attempt is permitted, or it would come too late
 	Overtaken            // a later set-up was answered first: this one was lost
-	Unbillable           // refused before any decision
-	OverLimit            // the same, for a limit of the whole fleet
-	SharedVerdict        // the proxies together have found it unfit
-	Spared               // sent to another for that
-	TakenOver            // what this proxy had in hand is another's now
+	Unbillable           // refused by the proxy before any decision of the Controller
+	OverLimit            // likewise, by a limit of the whole fleet
+	SharedVerdict        // all proxies together found the server unfit
+	Spared               // sent to another server because of such a verdict
+	TakenOver            // another proxy took over this proxy's calls
 )
--- a/clone.go
+++ b/clone.go
@@ -6,35 +6,36 @@
 	"slices"
 )
 
-// This file owns copies of a Controller, with which every order of events can be tried from one state. It must never decide
-// anything or change the Controller that it copies.
+// This file copies a Controller, so that a model checker can try every order of events from one state. Copying must
+// not change the original.
 
-// draws is a Controller's randomness in a form that a copy can go on from.
-type draws struct {
+// randomness is the random number generator of a Controller, with its state so that a clone can continue from it.
+type randomness struct {
 	*rand.Rand
-	pcg *rand.PCG // nil where somebody else draws
+	pcg *rand.PCG // nil with an external source
 }
 
-func newDraws(seed uint64) draws {
+func newRandomness(seed uint64) randomness {
 	pcg := rand.NewPCG(seed, 0)
-	return draws{rand.New(pcg), pcg}
+	return randomness{rand.New(pcg), pcg}
 }
 
-func (d draws) clone() draws {
+func (d randomness) clone() randomness {
 	if d.pcg == nil {
 		return d
 	}
 	pcg := *d.pcg
-	return draws{rand.New(&pcg), &pcg}
+	return randomness{rand.New(&pcg), &pcg}
 }
 
-// Draw has all random choices from now on drawn from a source instead of from the seed. Copies share it.
-func (c *Controller) Draw(from rand.Source) { c.random = draws{Rand: rand.New(from)} }
+// SetRandomSource replaces the seeded generator with a source for all further random choices. Clones share the
+// source.
+func (c *Controller) Draw(from rand.Source) { c.random = randomness{Rand: rand.New(from)} }
 
-// Clone returns a copy that goes on exactly as the original would and shares nothing with it that either changes. Settings and
-// classes, which never change, are shared.
+// Clone returns a copy that behaves exactly as the original would. The two share only settings and classes, which
+// never change, and a source given to SetRandomSource.
 func (c *Controller) Clone() *Controller {
-	d := *c
+	copied := *c
 	servers, calls := map[*server]*server{}, map[*call]*call{}
 	var copyCall func(*call) *call
 	copyServer := func(s *server) *server {
@@ -55,33 +56,37 @@
 		}
 		n := *k
 		calls[k] = &n
-		n.measured, n.at = copyServer(k.measured), copyServer(k.at)
+		n.countedAt, n.server = copyServer(k.countedAt), copyServer(k.server)
 		return &n
 	}
-	d.random, d.actions = c.random.clone(), nil
-	d.servers, d.byID = make([]*server, len(c.servers)), make(map[string]*server, len(c.byID))
+	copied.random, copied.actions = c.random.clone(), nil
+	copied.servers, copied.byID = make([]*server, len(c.servers)), make(map[string]*server, len(c.byID))
 	for i, s := range c.servers {
-		d.servers[i] = copyServer(s)
+		copied.servers[i] = copyServer(s)
 	}
 	for id, s := range c.byID {
-		d.byID[id] = copyServer(s)
+		copied.byID[id] = copyServer(s)
 	}
-	d.remembered = copyServer(c.remembered)
-	d.calls, d.timers, d.waiting = make(map[string]*call, len(c.calls)), make(map[int64]*call, len(c.timers)), make([]*call, len(c.waiting))
+	copied.remembered = copyServer(c.remembered)
+	copied.calls = make(map[string]*call, len(c.calls))
+	copied.timers = make(map[int64]*call, len(c.timers))
+	copied.waiting = make([]*call, len(c.waiting))
 	for id, k := range c.calls {
-		d.calls[id] = copyCall(k)
+		copied.calls[id] = copyCall(k)
 	}
 	for token, k := range c.timers {
-		d.timers[token] = copyCall(k)
+		copied.timers[token] = copyCall(k)
 	}
 	for i, k := range c.waiting {
-		d.waiting[i] = copyCall(k)
+		copied.waiting[i] = copyCall(k)
 	}
-	d.tenants = make(map[string]*tenant, len(c.tenants))
+	copied.tenants = make(map[string]*tenant, len(c.tenants))
 	for name, t := range c.tenants {
 		n := *t
-		d.tenants[name] = &n
+		copied.tenants[name] = &n
 	}
-	d.tried, d.busy, d.tries = maps.Clone(c.tried), maps.Clone(c.busy), slices.Clone(c.tries)
-	return &d
+	copied.firstTries = maps.Clone(c.firstTries)
+	copied.busyNumbers = maps.Clone(c.busyNumbers)
+	copied.firstTryOrder = slices.Clone(c.firstTryOrder)
+	return &copied
 }
--- a/controller.go
+++ b/controller.go
@@ -1,9 +1,10 @@
-// Package threadglade is the controller inside a border proxy: it decides which call set-up goes to which
-// central server, and which is refused. Its interface (settings, events, actions, outcomes) is in api.go.
+// Package threadglade is the decision module of a border proxy: it decides which central server each call
+// set-up is sent to and which calls are refused. Its interface is in api.go.
 //
-// One mechanism, DEOC, decides the ordinary path: per server an admission rate that a return (processor
-// full, a time-out) cuts by a fraction and that climbs by a square law otherwise, enforced by gapping new
-// calls. docs/design.md says what was kept of it, what was changed and why.
+// Admission control follows the published algorithm DEOC: each server has an admission rate that an overload
+// rejection (processor full, a time-out) cuts by a fraction and that otherwise climbs by a square law. Gaps
+// between new calls enforce it. Comments refer to its steps, symbols and equations, and mark departures from
+// them; docs/design.md says which parts were kept, which were changed and why.
 package threadglade
 
 import (
@@ -12,150 +13,143 @@
 	"time"
 )
 
-// "Varied" means: to either side, or to the side named, on all three deployments by comparison over several
-// seeds, without a change beyond noise or for the worse.
 const (
-	// interval is T of the page. Half of it tried.
-	interval = time.Second
-	// spanMost (ours) intervals at most take one verdict.
-	spanMost = 10
-	// scarce (ours) is the spacing of admissions from which single answers are heeded. Twice it tried, and
-	// none: less at size, and a loss in the small.
-	scarce = interval / 2
-	// hopeMargin (ours) times the latest answer's age is what the next may take. 1 tried: a little worse.
-	hopeMargin = 1.5
-	// smoothing is w of the page: the weight of the newest spacing of calls. Twice it tried.
-	smoothing = 0.1
-	// climb is the root of the page's climb in calls a second, per interval (k = 1/2, α = 0.2 in eq. 12).
-	// Varied.
-	climb = 0.1
-	// usual (ours) calls a second at a server are what climb is meant for; beyond, it grows. Not varied.
-	usual = 4
-	// stray (ours) admissions or more for one return make it no sign of load. Not varied.
-	stray = 20
-	// cut is β of the page: the part of the admission rate that a return takes. Varied.
-	cut = 1.0 / 8
-	// idleAfter without a return frees a controller (the page's own; the paper has 100 s). Half of it
-	// tried.
-	idleAfter = 10 * time.Second
-	// barFor is the page's least rest of a server that turned a set-up away or let it time out. 300 ms
-	// tried.
-	barFor = 200 * time.Millisecond
-	// barMost (ours) is the longest mean rest of a server that fails again and again.
-	barMost = 8 * time.Second
-	// lateShare (ours) of the aim is the age from which a set-up is a return. Varied; 0.35 helps a little
-	// where proxies are many and costs 0.03 where they are few.
-	lateShare = 0.5
-	// faultsMost (ours) faults in a row rest a server: fewer may speak of their calls. Not varied.
-	faultsMost = 3
-	// faultsOfCall (ours) faults of one call are its own: another server would say the same. Not varied.
-	faultsOfCall = 2
-	// lossLeast (ours) is the part of set-ups lost from which one that waits is taken to be. Not varied.
-	lossLeast = 0.1
-	// forgetAfter (ours) is how long a server that is gone is known, should it come back. Not varied.
-	forgetAfter = time.Minute
-	// stopShare (ours) of the aim is the age from which an unanswered set-up stops its server: a queue is
-	// to be seen long before it costs the aim. 0.15 to 0.5 tried: later is worse, earlier no better.
-	stopShare = 0.2
-	// trialEnd (ours) answers in time end a server's trial: about as many as are out at once when all is
-	// well. Varied.
-	trialEnd = 4
-	// holdShare (ours) of the aim is how long the most valuable call may wait for a server, others in
-	// proportion: less refuses valuable calls, more makes them late. Varied.
-	holdShare = 0.4
-	// holdMost (ours) calls wait at once; bounds the work of one event. Not varied.
-	holdMost = 100
-	// pollEvery (ours) is how often waiting calls are looked at between events. Not varied.
-	pollEvery = 20 * time.Millisecond
-	// trustTold (ours) is the time within which told free agents are meant to be taken: as long as reports
-	// are apart. Half of it tried.
-	trustTold = time.Second
-	// comeBack (ours) is the advice to a refused caller: callers' own waits miss the aim. 50 and 250 ms
-	// tried; the longest wait that callers heed did worse, even to those past their aim.
-	comeBack = 100 * time.Millisecond
-	// busyFor (ours) is how long a number whose lines were all busy gets no calls. Twice it tried.
-	busyFor = 500 * time.Millisecond
-	// busyMost (ours) bounds the numbers remembered for it. Not varied.
-	busyMost = 1000
-	// shareMost (ours) equal shares at most are one proxy's part, and one such part of one at least.
-	shareMost = 4
-	// coldPart (ours) of the cold budget is used, as much may come a window late, and the rest is slack for
-	// sizes other than agents tell. Twice as much tried: nearer to the limit where the multiple is 2.
-	coldPart = 0.35
+	// controlInterval is T of the algorithm.
+	controlInterval = time.Second
+	// maxSpanIntervals limits the intervals without answers that one rate change accounts for.
+	maxSpanIntervals = 10
+	// scarceSpacing is the spacing of admissions above which single answers decide: too few for a rate.
+	scarceSpacing = controlInterval / 2
+	// latencyMargin times the latest response time is assumed for the next answer.
+	latencyMargin = 1.5
+	// smoothingWeight is w of the algorithm: the weight of the newest spacing of calls.
+	smoothingWeight = 0.1
+	// climbStep is the square root of the first climb, in calls a second: k = 1/2, α = 0.2 in eq. 12.
+	climbStep = 0.1
+	// nominalRate is the rate in calls a second that climbStep is meant for. Above it, the climb grows.
+	nominalRate = 4
+	// isolatedRejectionAdmissions or more per overload rejection mean that the server has no overload.
+	isolatedRejectionAdmissions = 20
+	// rateCutFraction is β of the algorithm: the part of the rate that an overload rejection removes.
+	rateCutFraction = 1.0 / 8
+	// idleTimeout without an overload rejection ends the control of a server. The paper proposes 100 s.
+	idleTimeout = 10 * time.Second
+	// minCoolDown is the shortest cool-down of a server after it rejected a set-up or let it time out.
+	minCoolDown = 200 * time.Millisecond
+	// maxCoolDown is the longest mean cool-down of a server that fails repeatedly.
+	maxCoolDown = 8 * time.Second
+	// lateAimFraction of the aim without an answer makes a set-up count as an overload rejection. Less helps
+	// slightly with many proxies and costs more with few.
+	lateAimFraction = 0.5
+	// maxServerFaults faults in a row start a cool-down of the server; fewer may be caused by the calls.
+	maxServerFaults = 3
+	// maxCallFaults faults are attributed to the call itself: another server would report the same.
+	maxCallFaults = 2
+	// minLossRate is the fraction of lost set-ups from which any one pending for long is taken as lost.
+	minLossRate = 0.1
+	// forgetDelay is how long a removed server is remembered in case it comes back.
+	forgetDelay = time.Minute
+	// overdueAimFraction of the aim without an answer blocks the server: a queue has to be detected long
+	// before it costs calls their aim.
+	overdueAimFraction = 0.2
+	// maxProbationSetUps answers in time end a probation: about the set-ups in flight at normal load.
+	maxProbationSetUps = 4
+	// waitAimFraction of the aim is how long the most valuable call may wait for a server, others in
+	// proportion to their value. Less refuses valuable calls, more makes them late.
+	waitAimFraction = 0.4
+	// maxWaitingCalls bounds the work of one event.
+	maxWaitingCalls = 100
+	// waitingPollInterval is how often waiting calls are tried between events.
+	waitingPollInterval = 20 * time.Millisecond
+	// agentReportInterval is the time over which reported free agents are spread: the interval of reports.
+	agentReportInterval = time.Second
+	// retryAfterDelay is the advice to a refused caller. With their own longer delays callers miss the aim.
+	retryAfterDelay = 100 * time.Millisecond
+	// minBusyDelay is how long a number gets no calls after all its lines were busy for the first time.
+	minBusyDelay = 500 * time.Millisecond
+	// maxBusyNumbers bounds the busy numbers that are remembered.
+	maxBusyNumbers = 1000
+	// maxShareFactor bounds one proxy's share to this multiple of an equal share, and to its reciprocal.
+	maxShareFactor = 4
+	// coldBudgetFraction of the cold-start budget is used. As much may arrive one window late, and the rest
+	// absorbs differences between a server's capacity and what its agents suggest.
+	coldBudgetFraction = 0.35
 )
 
-const pumpToken = 0 // of the timer for waiting calls; calls' own timers count from 1
+const waitingTimerToken = 0 // token of the timer for waiting calls; timers of calls count from 1
 
-// Controller decides for one proxy. It is a pure state machine: not safe for use by several goroutines at
-// once.
+// Controller makes the decisions of one proxy. It is a deterministic state machine without goroutines, clock
+// or I/O. It must not be used by several goroutines at once.
 type Controller struct {
-	set            *Settings // in force; calls hold the one that they came under
-	classes        map[string]*Class
-	tenants        map[string]*tenant
-	topWorth       float64
-	random         draws
-	now            time.Duration
-	born, nextTick time.Duration
-	servers        []*server // in the order in which they were first listed
-	byID           map[string]*server
-	remembered     *server
-	drawn          bool // anew since it was last sent a call
-	calls          map[string]*call
-	timers         map[int64]*call
-	lastToken      int64
-	waiting        []*call                  // the most valuable first
-	tried          map[string]time.Duration // numbers called that have not stood: when first
-	tries          []try                    // the same in the order of time
-	busy           map[string]rest          // numbers with all lines busy
-	longest        time.Duration            // of the classes' deadlines
-	holding        time.Duration            // mean over the classes
-	lastLate       time.Duration            // when the last late call came
-	loss           float64                  // smoothed part of the set-ups that a later one overtook
-	own            meter                    // first tries at this proxy
-	all, allAgents int                      // as told: calls of all proxies that hold, and agents
-	divided        bool                     // what cold servers may be sent is divided among the proxies,
-	alone          float64                  // and without a part this one has so much
-	further        Further                  // attempts that the proxies have agreed on
-	wake           time.Duration            // when waiting calls are looked at again
-	actions        []Action
+	settings           *Settings // in force; calls keep those they came under
+	classes            map[string]*Class
+	tenants            map[string]*tenant
+	maxWorth           float64 // highest worth of a class
+	random             randomness
+	now                time.Duration // clock time of the latest event
+	startedAt          time.Duration // clock time of the first event
+	intervalEnd        time.Duration // end of the current control interval
+	servers            []*server     // in the order in which they were first listed
+	byID               map[string]*server
+	remembered         *server // alternative server, kept while it takes calls
+	redrawn            bool    // remembered was drawn since it was last sent a call
+	calls              map[string]*call
+	timers             map[int64]*call
+	lastToken          int64
+	waiting            []*call                  // the most valuable first
+	firstTries         map[string]time.Duration // first try for each number without a call established since
+	firstTryOrder      []firstTry               // the same, in order of time
+	busyNumbers        map[string]busyPeriod    // numbers whose lines were all busy
+	maxDeadline        time.Duration            // of the classes
+	meanHolding        time.Duration            // mean holding time over the classes
+	lastLateArrival    time.Duration            // when the latest call past its aim came
+	lossRate           float64                  // smoothed fraction of set-ups that a later one overtook
+	ownArrivals        meter                    // first tries at this proxy
+	agentsInUse        int                      // reported by all servers: calls of all proxies
+	totalAgents        int                      // reported by all servers
+	coldDivided        bool                     // ColdPart assigns fractions of the load of cold servers
+	unassignedFraction float64                  // fraction of a cold server without an assigned one
+	retryBudget        Further                  // retry attempts that the proxies agreed on
+	waitingPollAt      time.Duration            // when waiting calls are tried again
+	actions            []Action
 }
 
 // call is one call from its arrival until its answer and the end of its last attempt.
 type call struct {
 	Arrival
-	set      *Settings // that it came under
-	class    *Class
-	value    float64 // what it may still earn, as judged when it came
-	deadline time.Duration
-	attempts int
-	out      bool          // an attempt is out and unanswered
-	stood    bool          // the call holds
-	closed   bool          // answered, or the caller has gone
-	mayHold  bool          // an attempt may have run
-	measured *server       // counts it among its new calls
-	late     bool          // it can hardly stand within its aim any more
-	due      time.Duration // when its aim ends, counted from its first try
-	at       *server       // of the latest attempt
-	sent     time.Duration
-	lost     bool          // the latest attempt was overtaken: it never came to be worked on
-	returned bool          // the latest attempt was counted as a return
-	faults   int           // attempts that a server found fault with
-	turned   bool          // it had its one turn at the remembered server
-	resume   time.Duration // end of its release wait; 0: not in one
-	patience time.Duration // until when it may wait for a server
-}
-
-// tenant is a tenant and the rate of its calls here.
+	settings         *Settings // in force when it arrived
+	class            *Class
+	value            float64 // what it may still earn, as of its arrival
+	deadline         time.Duration
+	attempts         int
+	inFlight         bool          // an attempt is unanswered
+	established      bool          // an attempt was answered and has not ended
+	closed           bool          // it has its answer, or the caller has gone
+	mayHaveRun       bool          // an attempt may have run at a server
+	countedAt        *server       // the server whose arrival rate includes it
+	late             bool          // it can hardly be established within its aim any more
+	aimEnd           time.Duration // end of its aim, counted from its first try
+	server           *server       // of the latest attempt
+	sentAt           time.Duration // when the latest attempt was sent
+	lost             bool          // the latest attempt was overtaken and taken as lost
+	rejectionCounted bool          // the latest attempt was counted as an overload rejection
+	faults           int           // attempts that ended with a fault
+	redirected       bool          // its one redirection for lack of an agent is used
+	retryAt          time.Duration // end of the wait before its retry attempt; 0: none
+	waitUntil        time.Duration // until when it may wait for a server
+}
+
+// tenant is a tenant and the rate of its calls at this proxy.
 type tenant struct {
 	Tenant
 	meter
 }
 
-// rest is how long a number gets no calls.
-type rest struct{ until, last time.Duration }
+// busyPeriod is the time for which a number gets no calls.
+type busyPeriod struct{ until, length time.Duration }
 
-// try is a first try for a number.
-type try struct {
+// firstTry is a first try for a number.
+type firstTry struct {
 	number string
 	at     time.Duration
 }
@@ -163,102 +157,106 @@
 // server is what this proxy knows of one central server.
 type server struct {
 	Server
-	barred        time.Duration // no calls before then
-	out           int           // own set-ups unanswered
-	overdue       []*call       // of them, those past their stop age
-	passed        time.Duration // when the latest set-up that it answered was sent
-	base          time.Duration // age of its quickest answers
-	probe         time.Duration // no set-up before then while some are overdue
-	failures      int           // set-ups in a row that it failed
-	faults        int           // set-ups that it found fault with since its last answer
-	goneAt        time.Duration // when the list last named it as gone
-	latest        time.Duration // age of the latest set-up that it answered
-	answered      time.Duration // when it did
-	trial         int           // own set-ups that may be out on trial after an overdue one; 0: no trial
-	free, total   int           // agents, as last told
-	credit        float64       // calls that it may be sent of this proxy's share
-	credited      time.Duration // when the credit last grew
-	part          float64       // of what all proxies may send it while it is cold, until parted
-	parted, cared time.Duration // cared: left alone until then, for what all know
-	place, turns  float64       // while it is cold: this proxy's turns at it, those had or missed,
-	looked        time.Duration // as of then,
-	sized         int           // for so many agents
+	coolDownUntil     time.Duration
+	inFlight          int           // unanswered set-ups of this proxy
+	overdue           []*call       // those of them past their overdue timeout
+	answeredSentAt    time.Duration // when the latest sent of the answered set-ups was sent
+	baseLatency       time.Duration // response time of its fastest answers
+	probeAt           time.Duration // no set-up before then while some are overdue
+	failures          int           // failed set-ups in a row
+	faults            int           // faults since its latest answer
+	removedAt         time.Duration // when the list first lacked it; 0: listed
+	lastLatency       time.Duration // response time of its latest answer
+	answeredAt        time.Duration // when that answer came
+	probation         int           // set-ups in flight that probation permits; 0: not on probation
+	freeAgents        int           // as last reported
+	totalAgents       int           // as last reported
+	credit            float64       // set-ups left of this proxy's share of free agents
+	creditedAt        time.Duration // when the credit last grew
+	coldFraction      float64       // assigned fraction of its load while cold
+	coldFractionUntil time.Duration // when that fraction expires
+	avoidUntil        time.Duration // avoided until then on behalf of all proxies
+	turnPosition      float64       // while cold: this proxy's position in the order of turns, as of turnsAt
+	usedTurns         float64       // turns used or lapsed
+	turnsAt           time.Duration
+	turnAgents        int // number of agents that the turns were computed for; -1: not computed
 	control
 }
 
-// control is DEOC for one server.
+// control is the admission control of one server (DEOC).
 type control struct {
 	meter
-	active     bool
-	rate       float64 // r, calls a second
-	left       float64 // r0, the rate at which the climb began
-	climbing   int     // n, intervals since
-	ratio      float64 // of returns to admissions, as stored
-	gap        time.Duration
-	gapUntil   time.Duration
-	sent       meter // admissions
-	admissions int
-	answers    int // in time
-	returns    int
-	span       int // intervals since the last with an answer or a return
-	lastReturn time.Duration
-}
-
-// New starts a controller. The seed feeds its random choices.
+	active         bool
+	rate           float64       // r, calls a second
+	climbStart     float64       // r0, the rate at which the climb began
+	climbIntervals int           // n, intervals since
+	rejectionRatio float64       // latest ratio of overload rejections to admissions
+	gap            time.Duration // minimum time between admissions
+	gapUntil       time.Duration
+	admissionMeter meter
+	admissions     int // in the current span
+	answers        int // in time, in the current span
+	rejections     int // overload rejections in the current span
+	spanIntervals  int // intervals since the last one with an answer or an overload rejection
+	lastRejection  time.Duration
+}
+
+// New returns a Controller with valid settings. The seed determines its random choices.
 func New(set Settings, seed uint64) (*Controller, error) {
 	if err := set.Validate(); err != nil {
 		return nil, err
 	}
 	c := &Controller{
-		random: newDraws(seed),
+		random: newRandomness(seed),
 		byID:   map[string]*server{}, calls: map[string]*call{}, timers: map[int64]*call{},
-		tried: map[string]time.Duration{}, busy: map[string]rest{},
+		firstTries: map[string]time.Duration{}, busyNumbers: map[string]busyPeriod{},
 	}
-	c.settle(&set)
+	c.applySettings(&set)
 	return c, nil
 }
 
-// Handle takes one event at a clock time and returns what is to be done, in order.
+// Handle processes one event at a clock time and returns the resulting actions in order. A time before that
+// of an earlier event counts as that one's.
 func (c *Controller) Handle(now time.Duration, event Event) []Action {
 	c.now, c.actions = max(now, c.now), nil
-	c.tick()
+	c.closeIntervals()
 	switch e := event.(type) {
 	case ServerList:
-		c.list(e)
+		c.updateServers(e)
 	case Arrival:
-		c.arrive(e)
+		c.handleArrival(e)
 	case Stood:
-		c.stand(e)
+		c.handleEstablished(e)
 	case Ended:
-		c.end(e)
+		c.handleEnded(e)
 	case Agents:
-		c.agents(e)
+		c.updateAgents(e)
 	case CallerGone:
-		c.gone(e)
+		c.handleCallerGone(e)
 	case Due:
-		c.due(e)
+		c.handleTimer(e)
 	case ColdPart:
-		c.take(e)
+		c.setColdPart(e)
 	case Further:
-		c.further = e
+		c.retryBudget = e
 	case Care:
 		if s := c.byID[e.Server]; s != nil && s.Started == e.Started {
-			s.cared = e.Until
+			s.avoidUntil = e.Until
 		}
 	}
 	if len(c.waiting) > 0 {
-		c.pump()
+		c.serveWaiting()
 	}
 	return c.actions
 }
 
-func (c *Controller) do(a Action) { c.actions = append(c.actions, a) }
+func (c *Controller) emit(action Action) { c.actions = append(c.actions, action) }
 
-// ---- the server list ----
+// ---- server list ----
 
-func (c *Controller) list(e ServerList) {
-	if c.set.MustAsk && (e.Failed || e.Stored) {
-		c.do(Subscribe{})
+func (c *Controller) updateServers(e ServerList) {
+	if c.settings.MustAsk && (e.Failed || e.Stored) {
+		c.emit(Subscribe{})
 	}
 	if e.Failed {
 		return
@@ -268,7 +266,7 @@
 			s.State = Removed
 		}
 	}
-	defer c.leaveOut()
+	defer c.updateRemoved()
 	for _, entry := range e.Servers {
 		s := c.byID[entry.ID]
 		if s == nil {
@@ -277,7 +275,7 @@
 			c.servers = append(c.servers, s)
 		}
 		if s.ID == "" || s.Started != entry.Started {
-			s.credit, s.credited, s.parted, s.cared, s.sized = 1, c.now, 0, 0, -1
+			s.credit, s.creditedAt, s.coldFractionUntil, s.avoidUntil, s.turnAgents = 1, c.now, 0, 0, -1
 			if entry.Started > 0 {
 				s.credit = c.random.Float64()
 			}
@@ -286,30 +284,31 @@
 	}
 }
 
-// take takes the part of what a cold server may be sent that the proxies have agreed on.
-func (c *Controller) take(e ColdPart) {
+// setColdPart stores the assigned fraction of the load of a cold server.
+func (c *Controller) setColdPart(e ColdPart) {
 	if s := c.byID[e.Server]; s != nil && s.Started == e.Started {
-		s.part, s.parted = e.Part, e.Until
+		s.coldFraction, s.coldFractionUntil = e.Part, e.Until
 	} else if e.Server == "" {
-		c.divided, c.alone = true, e.Part
+		c.coldDivided, c.unassignedFraction = true, e.Part
 	}
 }
 
-// leaveOut takes the agents of servers that are gone out of the sums and in the end forgets such servers.
-func (c *Controller) leaveOut() {
+// updateRemoved subtracts the agents of removed servers from the sums, adds those of servers that are back,
+// and forgets a server forgetDelay after its removal.
+func (c *Controller) updateRemoved() {
 	c.servers = slices.DeleteFunc(c.servers, func(s *server) bool {
 		switch {
-		case s.State != Removed && s.goneAt > 0: // it is back
-			s.goneAt = 0
-			c.sum(s, 1)
-		case s.State == Removed && s.goneAt == 0:
-			s.goneAt = c.now
-			c.sum(s, -1)
+		case s.State != Removed && s.removedAt > 0: // it is listed again
+			s.removedAt = 0
+			c.addAgents(s, 1)
+		case s.State == Removed && s.removedAt == 0:
+			s.removedAt = c.now
+			c.addAgents(s, -1)
 		}
 		if s.State != Removed {
 			return false
 		}
-		forget := s.out == 0 && c.now-s.goneAt >= forgetAfter
+		forget := s.inFlight == 0 && c.now-s.removedAt >= forgetDelay
 		if forget {
 			delete(c.byID, s.ID)
 			if c.remembered == s {
@@ -320,129 +319,129 @@
 	})
 }
 
-// sum adds a server's agents to the sums, or with -1 takes them out.
-func (c *Controller) sum(s *server, sign int) {
-	c.all += sign * (s.total - s.free)
-	c.allAgents += sign * s.total
+// addAgents adds the agents of a server to the sums, or with sign -1 subtracts them.
+func (c *Controller) addAgents(s *server, sign int) {
+	c.agentsInUse += sign * (s.totalAgents - s.freeAgents)
+	c.totalAgents += sign * s.totalAgents
 }
 
-func (c *Controller) agents(e Agents) {
-	if s := c.byID[e.Server]; s != nil && s.goneAt == 0 {
-		c.sum(s, -1)
-		s.free, s.total = e.Free, e.Total
-		c.sum(s, 1)
+func (c *Controller) updateAgents(e Agents) {
+	if s := c.byID[e.Server]; s != nil && s.removedAt == 0 {
+		c.addAgents(s, -1)
+		s.freeAgents, s.totalAgents = e.Free, e.Total
+		c.addAgents(s, 1)
 	}
 }
 
-// ---- the life of a call ----
+// ---- calls ----
 
-func (c *Controller) arrive(e Arrival) {
+func (c *Controller) handleArrival(e Arrival) {
 	if c.calls[e.Call] != nil {
 		return
 	}
-	k := &call{Arrival: e, set: c.set, class: c.classes[e.Class], deadline: c.now + e.TimeLeft}
+	k := &call{Arrival: e, settings: c.settings, class: c.classes[e.Class], deadline: c.now + e.TimeLeft}
 	c.calls[e.Call] = k
-	if k.class == nil || e.TimeLeft <= 0 || c.now < c.busy[k.Number].until {
-		c.refuse(k, c.unfit(k))
+	if k.class == nil || e.TimeLeft <= 0 || c.now < c.busyNumbers[k.Number].until {
+		c.refuse(k, c.arrivalRefusal(k))
 		return
 	}
-	c.recall(k)
+	c.recordTry(k)
 	if t := c.tenants[k.Tenant]; t != nil {
-		t.arrival(c.now)
+		t.recordArrival(c.now)
 	}
 	k.value = c.value(k)
-	k.patience = c.now + min(e.TimeLeft/2, k.aim(holdShare*min(1, k.value/c.topWorth)))
-	if s := c.numbered(k.Destination); s != nil {
-		c.measure(k, s)
+	k.waitUntil = c.now + min(e.TimeLeft/2, k.aimFraction(waitAimFraction*min(1, k.value/c.maxWorth)))
+	if s := c.serverByNumber(k.Destination); s != nil {
+		c.countArrival(k, s)
 	}
-	c.hold(k)
+	c.enqueue(k)
 }
 
-// aim is a part of the call's aim.
-func (k *call) aim(part float64) time.Duration { return time.Duration(part * float64(k.class.Aim)) }
+func (k *call) aimFraction(part float64) time.Duration {
+	return time.Duration(part * float64(k.class.Aim))
+}
 
-// value is what the call may still earn; of a tenant beyond its quota here, as far as this proxy can tell,
-// only a part is left.
+// value returns what the call may still earn. Calls of a tenant count with a reduced worth while its calls at
+// this proxy exceed an equal part of its quota.
 func (c *Controller) value(k *call) float64 {
 	value := k.class.Worth
 	if k.late {
 		value *= k.class.LateWorth
 	}
-	if t := c.tenants[k.Tenant]; t != nil && t.lambda() > t.Quota/float64(c.set.Proxies) {
-		value *= c.set.OverPart
+	if t := c.tenants[k.Tenant]; t != nil && t.lambda() > t.Quota/float64(c.settings.Proxies) {
+		value *= c.settings.OverPart
 	}
 	return value
 }
 
-// recall judges whether the call is a further try that has passed its aim. A further try is one that says
-// so or, where callers do not mark them, one for a number called before that has not stood since. It
-// should also take the many callers of one busy number for one, which are worth little; it does harm where
-// sound callers share one.
-func (c *Controller) recall(k *call) {
-	first, known := c.tried[k.Number]
-	known = known && c.now-first < k.class.Deadline && (k.Retry || !c.set.Callers.MarkRetries)
+// recordTry sets the end of the call's aim and whether the call is late, that is a repeated try past its aim.
+// Callers mark repeated tries or, where they do not, a try counts as one if the number was called before and
+// no call to it was established since. Many callers of one busy number then count as one caller, whose calls
+// are worth little; that misjudges well-behaved callers who share a number.
+func (c *Controller) recordTry(k *call) {
+	first, known := c.firstTries[k.Number]
+	known = known && c.now-first < k.class.Deadline && (k.Retry || !c.settings.Callers.MarkRetries)
 	if !known && !k.Retry {
-		c.own.arrival(c.now)
+		c.ownArrivals.recordArrival(c.now)
 	}
 	if !known {
 		first = c.now
-		c.tried[k.Number] = first
-		c.tries = append(c.tries, try{k.Number, first})
+		c.firstTries[k.Number] = first
+		c.firstTryOrder = append(c.firstTryOrder, firstTry{k.Number, first})
 	}
-	k.due = first + k.class.Aim
-	if k.late = k.Retry || c.now >= k.due; k.late {
-		c.lastLate = c.now
+	k.aimEnd = first + k.class.Aim
+	if k.late = k.Retry || c.now >= k.aimEnd; k.late {
+		c.lastLateArrival = c.now
 	}
-	for len(c.tries) > 0 && c.now-c.tries[0].at > c.longest {
-		if old := c.tries[0]; c.tried[old.number] == old.at {
-			delete(c.tried, old.number)
+	for len(c.firstTryOrder) > 0 && c.now-c.firstTryOrder[0].at > c.maxDeadline {
+		if oldest := c.firstTryOrder[0]; c.firstTries[oldest.number] == oldest.at {
+			delete(c.firstTries, oldest.number)
 		}
-		c.tries = c.tries[1:]
+		c.firstTryOrder = c.firstTryOrder[1:]
 	}
 }
 
-// spare keeps calls from a number whose lines were all busy: they would cost set-ups and earn nothing. The
-// rest doubles each time, for with hundreds of proxies one try each is a flood. It does harm where a line
-// frees at once.
-func (c *Controller) spare(number string) {
-	if len(c.busy) >= busyMost {
-		clear(c.busy)
+// blockNumber keeps calls from a number whose lines were all busy, as they would take set-ups and earn
+// nothing. The period doubles each time, since with hundreds of proxies even one try each is a flood. It
+// costs calls where a line becomes free at once.
+func (c *Controller) blockNumber(number string) {
+	if len(c.busyNumbers) >= maxBusyNumbers {
+		clear(c.busyNumbers)
 	}
-	last := c.busy[number].last
-	last = min(max(busyFor, 2*last), barMost)
-	c.busy[number] = rest{c.now + last, last}
+	length := c.busyNumbers[number].length
+	length = min(max(minBusyDelay, 2*length), maxCoolDown)
+	c.busyNumbers[number] = busyPeriod{c.now + length, length}
 }
 
-// measure counts the call as a new one for the server: for its first choice when it comes, and for another
-// server when it is sent there in its place.
-func (c *Controller) measure(k *call, s *server) {
-	if k.measured != s {
-		k.measured = s
-		s.arrival(c.now)
+// countArrival counts the call once in the arrival rate of a server: of its first choice on arrival, and of
+// another server when it is sent there instead.
+func (c *Controller) countArrival(k *call, s *server) {
+	if k.countedAt != s {
+		k.countedAt = s
+		s.recordArrival(c.now)
 	}
 }
 
-// hold puts the call among the waiting ones, the most valuable first and the oldest first among equals
-// (departure from step 6: a stopped call waits a little before it is refused, so that the calls that are
-// refused are the least valuable).
-func (c *Controller) hold(k *call) {
+// enqueue inserts the call into the queue of waiting calls, ordered by value, then by age (departure from
+// step 6: a call stopped by a gap waits a little, so that the least valuable calls are the ones refused).
+func (c *Controller) enqueue(k *call) {
 	i := len(c.waiting)
 	for i > 0 && c.waiting[i-1].value < k.value {
 		i--
 	}
 	c.waiting = slices.Insert(c.waiting, i, k)
-	if len(c.waiting) > holdMost {
-		last := c.waiting[len(c.waiting)-1]
+	if len(c.waiting) > maxWaitingCalls {
+		leastValuable := c.waiting[len(c.waiting)-1]
 		c.waiting = c.waiting[:len(c.waiting)-1]
-		c.refuse(last, CrowdedOut)
+		c.refuse(leastValuable, CrowdedOut)
 	}
 }
 
-// pump sends the waiting calls that a server takes now and refuses those that have waited long enough. One
-// found past its deadline is not sent any more: a caller with little time left, or a proxy that stood still,
-// would else get no answer.
-func (c *Controller) pump() {
-	kept := c.waiting[:0]
+// serveWaiting sends the waiting calls that a server accepts now and refuses those that waited long enough. A
+// call past its deadline is refused, not sent: with little time left, or after a pause of the proxy, its
+// caller would get no answer.
+func (c *Controller) serveWaiting() {
+	remaining := c.waiting[:0]
 	for _, k := range c.waiting {
 		if k.closed {
 			continue
@@ -451,103 +450,103 @@
 			c.refuse(k, OutOfTime)
 			continue
 		}
-		switch s := c.pick(k); {
+		switch s := c.selectServer(k); {
 		case s != nil:
-			c.measure(k, s)
+			c.countArrival(k, s)
 			c.send(k, s)
-		case c.now >= k.patience:
-			c.refuse(k, c.obstacle(k))
+		case c.now >= k.waitUntil:
+			c.refuse(k, c.blockReason(k))
 		default:
-			kept = append(kept, k)
+			remaining = append(remaining, k)
 		}
 	}
-	clear(c.waiting[len(kept):])
-	c.waiting = kept
-	if len(kept) > 0 && c.wake <= c.now {
-		c.wake = c.now + pollEvery
-		c.do(SetTimer{At: c.wake, Token: pumpToken})
+	clear(c.waiting[len(remaining):])
+	c.waiting = remaining
+	if len(remaining) > 0 && c.waitingPollAt <= c.now {
+		c.waitingPollAt = c.now + waitingPollInterval
+		c.emit(SetTimer{At: c.waitingPollAt, Token: waitingTimerToken})
 	}
 }
 
-// pick finds the server that may be sent the call now; nil if there is none.
-func (c *Controller) pick(k *call) *server {
+// selectServer returns the server that the call may be sent to now, or nil.
+func (c *Controller) selectServer(k *call) *server {
 	s := c.route(k)
-	if s != nil && c.stopped(s) {
-		s = c.second(k, s)
+	if s != nil && c.inGap(s) {
+		s = c.secondChoice(k, s)
 	}
 	return s
 }
 
 func (c *Controller) send(k *call, s *server) {
-	s.admitted(c.now)
-	s.credit, s.turns = s.credit-1, s.turns+1
+	s.recordAdmission(c.now)
+	s.credit, s.usedTurns = s.credit-1, s.usedTurns+1
 	k.attempts++
-	k.out, k.at, k.sent, k.returned, k.lost = true, s, c.now, false, false
-	c.timer(k, c.now+k.lateAge())
-	c.timer(k, c.now+k.stopAge())
-	s.out++
-	c.do(Send{Call: k.Call, Server: s.ID, Timeout: k.deadline - c.now, Why: c.chosen(k, s)})
+	k.inFlight, k.server, k.sentAt, k.rejectionCounted, k.lost = true, s, c.now, false, false
+	c.setTimer(k, c.now+k.lateTimeout())
+	c.setTimer(k, c.now+k.overdueTimeout())
+	s.inFlight++
+	c.emit(Send{Call: k.Call, Server: s.ID, Timeout: k.deadline - c.now, Why: c.sendReason(k, s)})
 }
 
-func (c *Controller) stand(e Stood) {
+func (c *Controller) handleEstablished(e Stood) {
 	k := c.calls[e.Call]
-	if k == nil || !k.out || e.Attempt != k.attempts-1 {
+	if k == nil || !k.inFlight || e.Attempt != k.attempts-1 {
 		return
 	}
-	c.answered(k)
-	k.stood, k.closed = true, true
-	delete(c.tried, k.Number)
-	delete(c.busy, k.Number)
-	if e.After >= k.lateAge() {
-		c.count(k)
+	c.clearInFlight(k)
+	k.established, k.closed = true, true
+	delete(c.firstTries, k.Number)
+	delete(c.busyNumbers, k.Number)
+	if e.After >= k.lateTimeout() {
+		c.countRejection(k)
 	}
-	k.at.latest, k.at.answered, k.at.faults = e.After, c.now, 0
-	k.at.passed = max(k.at.passed, k.sent)
-	c.loss -= smoothing * c.loss
-	for _, older := range slices.Clone(k.at.overdue) {
-		c.overtake(older)
+	k.server.lastLatency, k.server.answeredAt, k.server.faults = e.After, c.now, 0
+	k.server.answeredSentAt = max(k.server.answeredSentAt, k.sentAt)
+	c.lossRate -= smoothingWeight * c.lossRate
+	for _, older := range slices.Clone(k.server.overdue) {
+		c.checkOvertaken(older)
 	}
-	k.at.tried(e.After < k.stopAge())
-	if k.at.base == 0 || e.After < k.at.base {
-		k.at.base = e.After
+	k.server.updateProbation(e.After < k.overdueTimeout())
+	if k.server.baseLatency == 0 || e.After < k.server.baseLatency {
+		k.server.baseLatency = e.After
 	}
-	k.at.base += (e.After - k.at.base) / 500
-	if e.After < k.lateAge() {
-		k.at.failures = 0
-		k.at.answers++
+	k.server.baseLatency += (e.After - k.server.baseLatency) / 500
+	if e.After < k.lateTimeout() {
+		k.server.failures = 0
+		k.server.answers++
 	}
 }
 
-func (c *Controller) end(e Ended) {
+func (c *Controller) handleEnded(e Ended) {
 	k := c.calls[e.Call]
-	if k == nil || !k.out && !k.stood || e.Attempt != k.attempts-1 {
+	if k == nil || !k.inFlight && !k.established || e.Attempt != k.attempts-1 {
 		return
 	}
-	if k.out {
-		c.answered(k)
-		c.heed(k, e)
+	if k.inFlight {
+		c.clearInFlight(k)
+		c.recordFailure(k, e)
 	}
-	k.stood = false
+	k.established = false
 	k.closed = k.closed || e.Settled
 	switch e.Outcome {
 	case Concluded, Faulted, TimedOut, Cut, Cancelled:
-		k.mayHold = true
+		k.mayHaveRun = true
 	}
 	if k.closed {
 		delete(c.calls, e.Call)
 		return
 	}
-	c.next(k, e)
+	c.retryOrRefuse(k, e)
 }
 
-// heed takes what an ended set-up says of its server.
-func (c *Controller) heed(k *call, e Ended) {
-	s := k.at
+// recordFailure evaluates a set-up that ended unanswered against its server.
+func (c *Controller) recordFailure(k *call, e Ended) {
+	s := k.server
 	if k.lost && e.Outcome == TimedOut {
 		return
 	}
 	if e.Outcome == Rejected && e.Cause != CauseNoAgent || e.Outcome == TimedOut {
-		c.count(k)
+		c.countRejection(k)
 	}
 	fault := e.Outcome == Faulted && e.Cause != CauseLinesBusy
 	if fault {
@@ -555,229 +554,232 @@
 		s.faults++
 	}
 	if e.Outcome == Rejected || e.Outcome == TimedOut || e.Outcome == Unreachable ||
-		fault && s.faults >= faultsMost {
-		c.bar(s)
+		fault && s.faults >= maxServerFaults {
+		c.startCoolDown(s)
 	}
 }
 
-// bar rests the server after a failed set-up: after the first in a row for barFor, then for the time of two
-// calls of this proxy, doubled each time, at random. A jammed processor, above all one to which waiting
-// set-ups are sent again, does no useful work until it is left alone, and hundreds of proxies would each go
-// on trying it. Guards also against silent, dead and faulty servers. It does harm where a server recovers at
-// once, so that all proxies together still try it about once in barFor.
-func (c *Controller) bar(s *server) {
-	rest := barFor
+// startCoolDown starts a cool-down of the server after a failed set-up: minCoolDown after the first in a row,
+// then a random time around twice the spacing of this proxy's calls, doubled with each failure. An overloaded
+// processor, above all one that receives waiting set-ups again, does no useful work until it is left alone,
+// and hundreds of proxies would each keep probing it. This also covers unresponsive, dead and faulty servers.
+// Where a server recovers at once, capacity is lost: all proxies probe it about once per minCoolDown.
+func (c *Controller) startCoolDown(s *server) {
+	coolDown := minCoolDown
 	if s.failures > 0 {
-		most := min(max(barFor, s.spacing)<<min(s.failures, 6), barMost, barFor*time.Duration(c.set.Proxies))
-		rest = max(barFor, time.Duration((0.5+c.random.Float64())*float64(most)))
+		maxMean := min(max(minCoolDown, s.spacing)<<min(s.failures, 6), maxCoolDown,
+			minCoolDown*time.Duration(c.settings.Proxies))
+		coolDown = max(minCoolDown, time.Duration((0.5+c.random.Float64())*float64(maxMean)))
 	}
 	s.failures++
-	s.barred = c.now + rest
+	s.coolDownUntil = c.now + coolDown
 	if c.remembered == s {
 		c.remembered = nil
 	}
 }
 
-// lateAge is the age at which an unanswered set-up counts as a return (departure from step 2). A processor
-// rejects only once its wait is past the aim; by then every call is late. Guards against any cause of
-// waiting.
-func (k *call) lateAge() time.Duration {
-	return k.aim(lateShare)
+// lateTimeout is the time without an answer after which a set-up counts as an overload rejection (departure
+// from step 2). A processor rejects only when its queue is longer than the aim, when every call is late
+// already. It detects any cause of waiting.
+func (k *call) lateTimeout() time.Duration {
+	return k.aimFraction(lateAimFraction)
 }
 
-// stopAge is when an unanswered set-up stops its server: later than distance alone makes an answer.
-func (k *call) stopAge() time.Duration {
-	return max(k.aim(stopShare), 2*k.at.base)
+// overdueTimeout is the time without an answer after which a set-up blocks its server. It is at least twice
+// the server's base latency, so that distance alone blocks none.
+func (k *call) overdueTimeout() time.Duration {
+	return max(k.aimFraction(overdueAimFraction), 2*k.server.baseLatency)
 }
 
-// answered takes the call's latest attempt off its server's unanswered ones, settled off the overdue.
-func (c *Controller) answered(k *call) {
-	k.out = false
-	k.at.out--
-	k.settled()
+// clearInFlight removes the latest attempt of the call from the unanswered set-ups of its server.
+func (c *Controller) clearInFlight(k *call) {
+	k.inFlight = false
+	k.server.inFlight--
+	k.clearOverdue()
 }
 
-func (k *call) settled() {
-	k.at.overdue = slices.DeleteFunc(k.at.overdue, func(o *call) bool { return o == k })
+func (k *call) clearOverdue() {
+	k.server.overdue = slices.DeleteFunc(k.server.overdue, func(o *call) bool { return o == k })
 }
 
-// overtake finds whether a set-up sent later was answered while the call's waits: a processor takes them in
-// order, so this one, or its answer, was lost and tells nothing of the server. It is given up and placed
-// again while that can come in time. Where many are lost, any that waits as long is taken to be. Guards
-// against connections that lose messages; it does harm where a server works in another order.
-func (c *Controller) overtake(k *call) bool {
-	s := k.at
-	passed := s.passed > k.sent
-	if !passed && c.loss < lossLeast || c.now-k.sent < max(k.stopAge(), 3*s.latest) {
+// checkOvertaken reports whether the pending set-up is taken as lost because one sent later was answered. A
+// processor answers in order, so the set-up or its answer was lost and says nothing about the server. The
+// set-up is withdrawn and sent again if that can be in time. Where many are lost, one that is pending as long
+// is taken as lost without a later answer. This covers connections that lose messages. It misjudges servers
+// that answer out of order.
+func (c *Controller) checkOvertaken(k *call) bool {
+	s := k.server
+	overtaken := s.answeredSentAt > k.sentAt
+	if !overtaken && c.lossRate < minLossRate || c.now-k.sentAt < max(k.overdueTimeout(), 3*s.lastLatency) {
 		return k.lost
 	}
-	if passed && !k.lost {
-		c.loss += smoothing * (1 - c.loss)
+	if overtaken && !k.lost {
+		c.lossRate += smoothingWeight * (1 - c.lossRate)
 	}
-	if k.settled(); len(s.overdue) == 0 {
-		s.trial = 0
+	if k.clearOverdue(); len(s.overdue) == 0 {
+		s.probation = 0
 	}
-	wait := k.set.Rules.ReleaseWait + s.latest
-	if !k.lost && k.set.Limits.Cancel && k.class.Repeat == RepeatFree &&
-		k.attempts < k.set.Limits.MaxAttempts && c.now+wait < k.deadline {
-		c.do(GiveUp{Call: k.Call, Attempt: k.attempts - 1, Why: Overtaken})
+	wait := k.settings.Rules.ReleaseWait + s.lastLatency
+	if !k.lost && k.settings.Limits.Cancel && k.class.Repeat == RepeatFree &&
+		k.attempts < k.settings.Limits.MaxAttempts && c.now+wait < k.deadline {
+		c.emit(GiveUp{Call: k.Call, Attempt: k.attempts - 1, Why: Overtaken})
 	}
 	k.lost = true
 	return true
 }
 
-// tried takes the answer to a set-up into the server's trial. Each answer in time lets one more set-up be
-// out at once.
-func (s *server) tried(inTime bool) {
+// updateProbation updates the server's probation with the answer to a set-up: each answer in time permits one
+// more set-up in flight, a late one resets to one.
+func (s *server) updateProbation(inTime bool) {
 	switch {
-	case s.trial == 0:
+	case s.probation == 0:
 	case !inTime:
-		s.trial = 1
-	case s.trial >= trialEnd:
-		s.trial = 0
+		s.probation = 1
+	case s.probation >= maxProbationSetUps:
+		s.probation = 0
 	default:
-		s.trial++
+		s.probation++
 	}
 }
 
-// count takes the latest attempt as a return, once.
-func (c *Controller) count(k *call) {
-	if !k.returned {
-		k.returned = true
-		k.at.returned(c.now)
+// countRejection counts the latest attempt as an overload rejection, at most once.
+func (c *Controller) countRejection(k *call) {
+	if !k.rejectionCounted {
+		k.rejectionCounted = true
+		k.server.recordRejection(c.now)
 	}
 }
 
-// next decides what becomes of a call whose attempt failed.
-func (c *Controller) next(k *call, e Ended) {
+// retryOrRefuse schedules a retry attempt after a failed one, or refuses the call.
+func (c *Controller) retryOrRefuse(k *call, e Ended) {
 	switch {
-	case e.Outcome == Rejected && e.Cause == CauseNoAgent && !k.turned:
-		k.turned = true
-		c.again(k, 0)
+	case e.Outcome == Rejected && e.Cause == CauseNoAgent && !k.redirected:
+		k.redirected = true
+		c.scheduleRetry(k, 0)
 	case e.Outcome == Faulted && e.Cause == CauseLinesBusy:
-		c.spare(k.Number)
+		c.blockNumber(k.Number)
 		c.refuse(k, NumberBusy)
-	case e.Outcome == Unreachable, e.Outcome == Faulted && k.faults < faultsOfCall:
-		c.again(k, 0)
+	case e.Outcome == Unreachable, e.Outcome == Faulted && k.faults < maxCallFaults:
+		c.scheduleRetry(k, 0)
 	case e.Outcome == Cut || e.Outcome == TimedOut || e.Outcome == Cancelled:
-		c.again(k, k.set.Rules.ReleaseWait)
+		c.scheduleRetry(k, k.settings.Rules.ReleaseWait)
 	default:
-		c.refuse(k, returned(e))
+		c.refuse(k, endRefusal(e))
 	}
 }
 
-// again places the call once more after a wait, if that is allowed and there is time.
-func (c *Controller) again(k *call, wait time.Duration) {
+// scheduleRetry queues the call for a retry attempt after a wait, or refuses it if no attempt or time is
+// left. A call that may have run is retried only where its class may be repeated freely.
+func (c *Controller) scheduleRetry(k *call, wait time.Duration) {
 	switch {
-	case k.attempts >= k.set.Limits.MaxAttempts, k.mayHold && k.class.Repeat != RepeatFree,
-		c.now+wait >= k.deadline, !c.further.spend():
+	case k.attempts >= k.settings.Limits.MaxAttempts, k.mayHaveRun && k.class.Repeat != RepeatFree,
+		c.now+wait >= k.deadline, !c.retryBudget.spend():
 		c.refuse(k, NoFurther)
 	case wait > 0:
-		k.resume = c.now + wait
-		c.timer(k, k.resume)
+		k.retryAt = c.now + wait
+		c.setTimer(k, k.retryAt)
 	default:
-		c.hold(k)
+		c.enqueue(k)
 	}
 }
 
-func (c *Controller) timer(k *call, at time.Duration) {
+func (c *Controller) setTimer(k *call, at time.Duration) {
 	c.lastToken++
 	c.timers[c.lastToken] = k
-	c.do(SetTimer{At: at, Token: c.lastToken})
+	c.emit(SetTimer{At: at, Token: c.lastToken})
 }
 
-func (c *Controller) due(e Due) {
+func (c *Controller) handleTimer(e Due) {
 	k := c.timers[e.Token]
 	delete(c.timers, e.Token)
 	switch {
-	case k == nil || k.stood || k.out && c.overtake(k):
+	case k == nil || k.established || k.inFlight && c.checkOvertaken(k):
 		return
-	case k.out:
-		if c.now-k.sent >= k.lateAge() {
-			c.count(k)
+	case k.inFlight:
+		if c.now-k.sentAt >= k.lateTimeout() {
+			c.countRejection(k)
 		}
-		if s := k.at; c.now-k.sent >= k.stopAge() && !slices.Contains(s.overdue, k) {
+		if s := k.server; c.now-k.sentAt >= k.overdueTimeout() && !slices.Contains(s.overdue, k) {
 			s.overdue = append(s.overdue, k)
-			s.trial, s.probe = 1, c.now+forgetAfter
-			// Where calls are many, one more soon shows whether this one was lost.
-			if s.lambda() > 2*usual {
-				s.probe = c.now + k.stopAge()<<min(len(s.overdue)-1, 6)
+			s.probation, s.probeAt = 1, c.now+forgetDelay
+			// With many calls, a probe soon shows whether this one was lost.
+			if s.lambda() > 2*nominalRate {
+				s.probeAt = c.now + k.overdueTimeout()<<min(len(s.overdue)-1, 6)
 			}
 		}
 		return
-	case k.closed || k.resume == 0 || c.now < k.resume:
+	case k.closed || k.retryAt == 0 || c.now < k.retryAt:
 		return
 	}
 	if c.now >= k.deadline {
 		c.refuse(k, OutOfTime)
 		return
 	}
-	k.resume = 0
-	k.patience = max(k.patience, c.now)
-	c.hold(k)
+	k.retryAt = 0
+	k.waitUntil = max(k.waitUntil, c.now)
+	c.enqueue(k)
 }
 
-func (c *Controller) gone(e CallerGone) {
+func (c *Controller) handleCallerGone(e CallerGone) {
 	k := c.calls[e.Call]
 	if k == nil {
 		return
 	}
 	k.closed = true
-	if !k.out && !k.stood {
+	if !k.inFlight && !k.established {
 		delete(c.calls, e.Call)
 	}
 }
 
-// refuse gives the final answer: refused, or failed where something may have run.
+// refuse sends the final answer: Refuse, or Fail where an attempt may have run.
 func (c *Controller) refuse(k *call, why Reason) {
 	k.closed = true
 	delete(c.calls, k.Call)
-	if k.mayHold {
-		c.do(Fail{Call: k.Call, Why: why})
+	if k.mayHaveRun {
+		c.emit(Fail{Call: k.Call, Why: why})
 		return
 	}
-	c.do(Refuse{Call: k.Call, RetryAfter: k.advice(), Why: why})
+	c.emit(Refuse{Call: k.Call, RetryAfter: k.retryAfter(), Why: why})
 }
 
-// advice is when a refused caller had best try again: soon, while the aim can still be met.
-func (k *call) advice() time.Duration {
-	if !k.set.Limits.RetryAfter {
+// retryAfter returns the advice to a refused caller: a short delay, so that a retry can still meet the aim.
+func (k *call) retryAfter() time.Duration {
+	if !k.settings.Limits.RetryAfter {
 		return 0
 	}
-	return min(comeBack, k.set.Limits.MaxRetryAfter)
+	return min(retryAfterDelay, k.settings.Limits.MaxRetryAfter)
 }
 
-// ---- route ----
+// ---- routing ----
 
-// route picks the call's first choice, else the remembered server; nil if none takes calls.
+// route returns the first-choice server if it accepts the call, else an alternative, or nil.
 func (c *Controller) route(k *call) *server {
-	if k.InTransit || !k.turned {
-		if s := c.numbered(k.Destination); s != nil && c.takes(s, k) && (s != k.at || k.lost) {
+	if k.InTransit || !k.redirected {
+		if s := c.serverByNumber(k.Destination); s != nil && c.accepts(s, k) && (s != k.server || k.lost) {
 			return s
 		}
 	}
 	if k.InTransit {
 		return nil
 	}
-	return c.elsewhere(func(s *server) bool { return c.takes(s, k) && (s != k.at || k.lost) })
+	return c.alternative(func(s *server) bool { return c.accepts(s, k) && (s != k.server || k.lost) })
 }
 
-// elsewhere keeps to the remembered server while it is fit and else draws it anew; nil if none is fit.
-func (c *Controller) elsewhere(fit func(*server) bool) *server {
+// alternative returns the remembered server while it is fit, else draws another; nil if none is fit.
+func (c *Controller) alternative(fit func(*server) bool) *server {
 	if c.remembered != nil && fit(c.remembered) {
 		return c.remembered
 	}
 	return c.redraw(fit)
 }
 
-// redraw draws the remembered server anew among those that are fit, each in proportion to its free agents
-// as last told (departure from the page's even draw: a small server would be pushed over by what a large
-// one turns away).
+// redraw draws the remembered server among the fit ones, weighted by reported free agents (departure from the
+// algorithm's uniform draw, where the overflow of a large server would overload a small one).
 func (c *Controller) redraw(fit func(*server) bool) *server {
 	total := 0
 	for _, s := range c.servers {
 		if fit(s) {
-			total += s.weight()
+			total += s.drawWeight()
 		}
 	}
 	if total == 0 {
@@ -788,30 +790,28 @@
 		if !fit(s) {
 			continue
 		}
-		if ticket -= s.weight(); ticket < 0 {
-			c.remembered, c.drawn = s, true
+		if ticket -= s.drawWeight(); ticket < 0 {
+			c.remembered, c.redrawn = s, true
 			break
 		}
 	}
 	return c.remembered
 }
 
-// weight is the server's number of tickets in the draw.
-func (s *server) weight() int { return max(s.free, 1) }
+func (s *server) drawWeight() int { return max(s.freeAgents, 1) }
 
-// second finds a call that a gap stopped a server without one (departure from step 6): the remembered
-// server, else one drawn at random. It acts only where another server takes calls freely, so a call is
-// refused where all are pressed.
-func (c *Controller) second(k *call, first *server) *server {
-	free := func(s *server) bool { return s != first && s.gap == 0 && !c.cold(s) && c.takes(s, k) }
+// secondChoice returns a server without a gap for a call that a gap stopped (departure from step 6): the
+// remembered server, else a random one. Where all servers have gaps it returns nil.
+func (c *Controller) secondChoice(k *call, gapped *server) *server {
+	ungapped := func(s *server) bool { return s != gapped && s.gap == 0 && !c.isCold(s) && c.accepts(s, k) }
 	if k.InTransit {
 		return nil
 	}
-	return c.elsewhere(free)
+	return c.alternative(ungapped)
 }
 
-// numbered finds the running server of a number, the one started last if there are several.
-func (c *Controller) numbered(number int) *server {
+// serverByNumber returns the running server of a number, the latest started of several, or nil.
+func (c *Controller) serverByNumber(number int) *server {
 	var found *server
 	for _, s := range c.servers {
 		if s.Number == number && s.State == Up && (found == nil || s.Started > found.Started) {
@@ -821,100 +821,103 @@
 	return found
 }
 
-// takes says whether the server may be sent the call at all.
-func (c *Controller) takes(s *server, k *call) bool {
-	tried := len(s.overdue) > 0 && c.now < s.probe || s.trial > 0 && s.out-len(s.overdue) >= s.trial
-	return s.State == Up && c.now >= max(s.barred, s.cared) && !tried && c.skilled(s, k.class) &&
-		!c.hopeless(s, k) && !c.exhausted(s)
+// accepts reports whether the server may be sent the call, apart from its gap.
+func (c *Controller) accepts(s *server, k *call) bool {
+	blocked := len(s.overdue) > 0 && c.now < s.probeAt ||
+		s.probation > 0 && s.inFlight-len(s.overdue) >= s.probation
+	return s.State == Up && c.now >= max(s.coolDownUntil, s.avoidUntil) && !blocked &&
+		c.servesClass(s, k.class) && !c.wouldBeLate(s, k) && !c.shareExhausted(s)
 }
 
-// hopeless says whether a call can hardly stand in time at a pressed server, as far as its latest answer
-// tells. Late calls have nothing to lose there, and their answers show when it is better; where none come,
-// what the answer told lapses. It should keep fresh calls from any slow or jammed server. It acts where
-// admissions are too scarce for a rate; where they are not, or one answer was late by chance, it does harm.
-func (c *Controller) hopeless(s *server, k *call) bool {
-	wait := time.Duration(hopeMargin * float64(s.latest))
-	known := c.now < max(s.answered+2*wait, c.lastLate+interval)
-	return s.active && s.sent.spacing > scarce && known && !k.late && c.now+wait > k.due
+// wouldBeLate reports whether the latest response time of a controlled server suggests that the call would
+// miss its aim there. Late calls are sent nevertheless: they have nothing to lose, and their answers show
+// when the server has become faster; without any, the latest response time expires. It keeps fresh calls from
+// slow or jammed servers. It applies only where admissions are too scarce for a rate to control, as elsewhere
+// a single slow answer would keep calls away. It costs calls where that one answer was slow by chance.
+func (c *Controller) wouldBeLate(s *server, k *call) bool {
+	expected := time.Duration(latencyMargin * float64(s.lastLatency))
+	current := c.now < max(s.answeredAt+2*expected, c.lastLateArrival+controlInterval)
+	return s.active && s.admissionMeter.spacing > scarceSpacing && current &&
+		!k.late && c.now+expected > k.aimEnd
 }
 
-func (c *Controller) skilled(s *server, class *Class) bool {
-	return c.set.Network || slices.Contains(class.Servers, s.Number)
+func (c *Controller) servesClass(s *server, class *Class) bool {
+	return c.settings.Network || slices.Contains(class.Servers, s.Number)
 }
 
-// ---- restrictor ----
+// ---- gaps ----
 
-func (c *Controller) stopped(s *server) bool {
+func (c *Controller) inGap(s *server) bool {
 	return c.now < s.gapUntil
 }
 
-// admitted begins the gap of step 6.
-func (d *control) admitted(now time.Duration) {
+// recordAdmission counts an admission and starts the gap that follows it (step 6).
+func (d *control) recordAdmission(now time.Duration) {
 	d.admissions++
-	d.sent.arrival(now)
+	d.admissionMeter.recordArrival(now)
 	d.gapUntil = now + d.gap
 }
 
-// ---- controller: rate adaption ----
+// ---- rate adaptation ----
 
-// tick closes the control intervals that have passed.
-func (c *Controller) tick() {
-	if c.nextTick == 0 {
-		c.born, c.nextTick = c.now, c.now+interval
+// closeIntervals adapts all rates at the end of each control interval that has passed.
+func (c *Controller) closeIntervals() {
+	if c.intervalEnd == 0 {
+		c.startedAt, c.intervalEnd = c.now, c.now+controlInterval
 	}
-	for ; c.nextTick <= c.now; c.nextTick += interval {
+	for ; c.intervalEnd <= c.now; c.intervalEnd += controlInterval {
 		for _, s := range c.servers {
-			s.adapt(c.nextTick)
+			s.adaptRate(c.intervalEnd)
 		}
-		if c.now-c.nextTick > time.Minute {
-			c.nextTick = c.now
+		if c.now-c.intervalEnd > time.Minute {
+			c.intervalEnd = c.now
 		}
 	}
 }
 
-// returned counts a set-up that came back (step 2); the first starts the control (step 1).
-func (d *control) returned(now time.Duration) {
-	d.returns++
-	d.lastReturn = now
+// recordRejection counts an overload rejection (step 2). The first one starts the control (step 1).
+func (d *control) recordRejection(now time.Duration) {
+	d.rejections++
+	d.lastRejection = now
 	if !d.active {
 		d.active = true
-		d.rate, d.left, d.climbing, d.ratio, d.gap = d.lambda(), d.lambda(), 0, 0, 0
+		d.rate, d.climbStart, d.climbIntervals, d.rejectionRatio, d.gap = d.lambda(), d.lambda(), 0, 0, 0
 	}
 }
 
-// adapt sets the admission rate at the end of an interval (steps 3 to 6). Intervals without an answer or a
-// return take the verdict of the next one that has some (departure from T): they say nothing, and with well
-// under one call an interval, climbing over them would undo every cut.
-func (d *control) adapt(now time.Duration) {
-	if d.active && now-d.lastReturn >= idleAfter {
+// adaptRate sets the admission rate at the end of an interval (steps 3 to 6). Intervals without an answer or
+// an overload rejection are merged with the next one that has some (departure from T): they carry no
+// information, and with much less than one call per interval, climbing in them would undo every cut.
+func (d *control) adaptRate(now time.Duration) {
+	if d.active && now-d.lastRejection >= idleTimeout {
 		d.active, d.gap = false, 0
 	}
-	d.span = min(d.span+1, spanMost)
-	if d.active && d.answers+d.returns == 0 {
+	d.spanIntervals = min(d.spanIntervals+1, maxSpanIntervals)
+	if d.active && d.answers+d.rejections == 0 {
 		return
 	}
-	admissions, returns, span := d.admissions, d.returns, d.span
-	d.admissions, d.answers, d.returns, d.span = 0, 0, 0, 0
+	admissions, rejections, span := d.admissions, d.rejections, d.spanIntervals
+	d.admissions, d.answers, d.rejections, d.spanIntervals = 0, 0, 0, 0
 	if !d.active {
 		return
 	}
 	lambda := d.lambda()
 	switch {
-	case returns > 0 && returns*stray > admissions:
-		ratio := 1.0
+	case rejections > 0 && rejections*isolatedRejectionAdmissions > admissions:
+		newRatio := 1.0
 		if admissions > 0 {
-			ratio = float64(returns) / float64(admissions)
+			newRatio = float64(rejections) / float64(admissions)
 		}
-		if ratio >= d.ratio {
-			d.rate *= math.Pow(1-cut, float64(span))
+		if newRatio >= d.rejectionRatio {
+			d.rate *= math.Pow(1-rateCutFraction, float64(span))
 		}
-		d.ratio, d.left, d.climbing = ratio, d.rate, 0
+		d.rejectionRatio, d.climbStart, d.climbIntervals = newRatio, d.rate, 0
 	case lambda <= d.rate:
-		d.rate, d.left, d.climbing = lambda, lambda, 0
+		d.rate, d.climbStart, d.climbIntervals = lambda, lambda, 0
 	default:
-		d.climbing += span
-		step := climb * float64(d.climbing)
-		d.rate = d.left + step*step*max(min(1, lambda), lambda/usual)
+		d.climbIntervals += span
+		step := climbStep * float64(d.climbIntervals)
+		d.rate = d.climbStart + step*step*max(min(1, lambda), lambda/nominalRate)
 	}
 	d.gap = 0
 	if d.rate < lambda && d.rate > 0 {
@@ -924,79 +927,83 @@
 
 // ---- guards ----
 
-// cold says whether the server may not be warm yet.
-func (c *Controller) cold(s *server) bool {
-	return s.Started > 0 && c.now < s.Started+c.set.Rules.WarmWithin
+// isCold reports whether the server may still be warming up after its start.
+func (c *Controller) isCold(s *server) bool {
+	return s.Started > 0 && c.now < s.Started+c.settings.Rules.WarmWithin
 }
 
-// exhausted says whether this proxy has used up its share of what the server can take. Credit grows at the
-// share's rate, up to a second's worth or one call, and after a start from a random part of one, so that
-// hundreds of proxies do not turn at once to a server that has just freed an agent. Guards agents that run
-// short; it does harm where few of the proxies have all the calls.
-func (c *Controller) exhausted(s *server) bool {
-	rate, span := math.Inf(1), min(trustTold, c.holding) // calls that end sooner free their agents again
-	if s.total > 0 && c.holding > 0 {
-		freed := float64(s.total-s.free) / c.holding.Seconds()
-		rate = (float64(s.free)/span.Seconds() + freed) * c.share()
+// shareExhausted reports whether this proxy has used up its share of what the server can take. Credit grows
+// at the share's rate, up to a second's worth or one call. After a server's start it begins with a random
+// part of one call, so that hundreds of proxies do not call at once when an agent becomes free. This protects
+// servers that run out of agents. It refuses too much where a few proxies carry all calls.
+func (c *Controller) shareExhausted(s *server) bool {
+	rate, spread := math.Inf(1), min(agentReportInterval, c.meanHolding) // short calls free agents sooner
+	if s.totalAgents > 0 && c.meanHolding > 0 {
+		freed := float64(s.totalAgents-s.freeAgents) / c.meanHolding.Seconds()
+		rate = (float64(s.freeAgents)/spread.Seconds() + freed) * c.share()
 	}
-	if c.cold(s) && c.turned(s) {
+	if c.isCold(s) && c.turnsExhausted(s) {
 		return true
 	}
-	grown := s.credit + rate*max(c.now-s.credited, time.Microsecond).Seconds()
-	s.credit, s.credited = min(grown, max(1, rate*span.Seconds())), c.now
+	credit := s.credit + rate*max(c.now-s.creditedAt, time.Microsecond).Seconds()
+	s.credit, s.creditedAt = min(credit, max(1, rate*spread.Seconds())), c.now
 	return s.credit < 1
 }
 
-// share is this proxy's part of what a server can take: its first tries against all calls that hold as far as
-// agents are told, within bounds, and an equal one where they are not. Redials do not count, else who is
-// refused would ask for more. Where calls were cut and few hold, half the agents stand for them.
+// share returns this proxy's fraction of what a server can take: its first tries relative to the agents in
+// use at all servers, within bounds, or an equal fraction where no agents are reported. Repeated tries do not
+// count, else refusals would raise the share. When few calls are established because many were cut, half of
+// all agents stands for the agents in use.
 func (c *Controller) share() float64 {
-	equal := 1 / float64(c.set.Proxies)
-	all := max(c.all, c.allAgents/2)
-	if all <= 0 {
+	equal := 1 / float64(c.settings.Proxies)
+	inUse := max(c.agentsInUse, c.totalAgents/2)
+	if inUse <= 0 {
 		return equal
 	}
-	return min(max(equal/shareMost, c.own.lambda()*c.holding.Seconds()/float64(all)), shareMost*equal)
-}
-
-// turned says whether this proxy has had its turns at a cold server. All proxies together have as many as
-// the rules promise that it can take, from its start on and one after the other by their numbers: names and
-// times tell that, also to who has just come back, whose turns until then may have been had. A turn lapses
-// after the window of the rule, for those that idle proxies save up would come at once. docs/design.md has
-// the bound and its proof. It does harm (too few calls) where few proxies have all.
-func (c *Controller) turned(s *server) bool {
-	pace, rules := c.pace(s), &c.set.Rules
-	grown := func(at time.Duration) float64 { // turns until then, of one call a second when warm
-		age, from := max(at-s.Started, 0).Seconds(), rules.ColdFrom
-		mean := from + (1-from)*age/rules.WarmWithin.Seconds()/2
-		return min(1, coldPart*rules.FallMultiple) * mean * age
-	}
-	if s.place += pace * (grown(c.now) - grown(s.looked)); s.sized != s.total {
-		mine := float64(c.set.Me) / float64(c.set.Proxies)
-		s.sized, s.place = s.total, s.phase()+mine+pace*grown(c.now)
-		if s.turns = 0; c.born >= s.Started || s.sent.lastCall >= s.Started {
-			s.turns = math.Floor(s.place)
+	return min(max(equal/maxShareFactor, c.ownArrivals.lambda()*c.meanHolding.Seconds()/float64(inUse)),
+		maxShareFactor*equal)
+}
+
+// turnsExhausted reports whether this proxy has used its turns at a cold server. The turns of all proxies
+// together are what the rules guarantee that the server can take since its start, dealt out by proxy index.
+// The order follows from names and times alone, so a proxy that has just restarted knows it too and counts
+// earlier turns as used. A turn lapses after the window of the rule, as turns saved by idle proxies would
+// otherwise be used at once. docs/design.md has the bound and its proof. Too few calls are sent where few
+// proxies carry all.
+func (c *Controller) turnsExhausted(s *server) bool {
+	rate, rules := c.coldRate(s), &c.settings.Rules
+	turnsUntil := func(at time.Duration) float64 { // turns up to a time, for one call a second when warm
+		age, coldCapacity := max(at-s.Started, 0).Seconds(), rules.ColdFrom
+		meanCapacity := coldCapacity + (1-coldCapacity)*age/rules.WarmWithin.Seconds()/2
+		return min(1, coldBudgetFraction*rules.FallMultiple) * meanCapacity * age
+	}
+	if s.turnPosition += rate * (turnsUntil(c.now) - turnsUntil(s.turnsAt)); s.turnAgents != s.totalAgents {
+		offset := float64(c.settings.Me) / float64(c.settings.Proxies)
+		s.turnAgents, s.turnPosition = s.totalAgents, s.turnPhase()+offset+rate*turnsUntil(c.now)
+		if s.usedTurns = 0; c.startedAt >= s.Started || s.admissionMeter.lastCall >= s.Started {
+			s.usedTurns = math.Floor(s.turnPosition)
 		}
 	}
-	s.looked = c.now
-	s.turns = max(s.turns, math.Floor(s.place-pace*(grown(c.now)-grown(c.now-rules.FallWindow))))
-	return math.Floor(s.place) <= s.turns
+	s.turnsAt = c.now
+	s.usedTurns = max(s.usedTurns,
+		math.Floor(s.turnPosition-rate*(turnsUntil(c.now)-turnsUntil(c.now-rules.FallWindow))))
+	return math.Floor(s.turnPosition) <= s.usedTurns
 }
 
-// pace is this proxy's part of what a cold server can be meant to take when warm, in calls a second. By
-// Little's law that is its agents / mean holding time, and each proxy has an equal share; while its size is
-// untold, what this proxy's own calls come to for each server. It does harm (too few calls) where agents are
-// few for the processor.
-func (c *Controller) pace(s *server) float64 {
-	own := 1 / float64(c.set.Proxies)
+// coldRate returns this proxy's fraction of the calls a second that a cold server can take when warm. By
+// Little's law that is its agents divided by the mean holding time, and proxies have equal fractions unless
+// ColdPart assigned others. Before the agents are reported, it is this proxy's calls divided by the number of
+// servers. Too few calls are sent where the processor is fast for its few agents.
+func (c *Controller) coldRate(s *server) float64 {
+	fraction := 1 / float64(c.settings.Proxies)
 	switch {
-	case c.divided && c.now < s.parted:
-		own = s.part
-	case c.divided:
-		own = c.alone
+	case c.coldDivided && c.now < s.coldFractionUntil:
+		fraction = s.coldFraction
+	case c.coldDivided:
+		fraction = c.unassignedFraction
 	}
-	if s.total > 0 && c.holding > 0 || c.divided && own == 0 {
-		return own * float64(s.total) / max(c.holding, 1).Seconds()
+	if s.totalAgents > 0 && c.meanHolding > 0 || c.coldDivided && fraction == 0 {
+		return fraction * float64(s.totalAgents) / max(c.meanHolding, 1).Seconds()
 	}
-	return c.own.lambda() / float64(len(c.servers))
+	return c.ownArrivals.lambda() / float64(len(c.servers))
 }
--- a/controller_test.go
+++ b/controller_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-// settings are of our own making: no deployment's names or figures.
+// settings returns settings for tests, with names and figures of no real deployment.
 func settings() Settings {
 	return Settings{
 		Proxies: 2,
@@ -30,7 +30,7 @@
 	}
 }
 
-// rig feeds one Controller and keeps what it did.
+// rig feeds one Controller at a test clock.
 type rig struct {
 	t    *testing.T
 	c    *Controller
@@ -45,34 +45,34 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, c: c, now: time.Hour}
-	r.do(ServerList{Stored: true, Servers: servers})
+	r.handle(ServerList{Stored: true, Servers: servers})
 	return r
 }
 
-func two() []Server { return []Server{{ID: "a", Number: 1}, {ID: "b", Number: 2}} }
+func twoServers() []Server { return []Server{{ID: "a", Number: 1}, {ID: "b", Number: 2}} }
 
-func (r *rig) do(e Event) []Action { return r.c.Handle(r.now, e) }
+func (r *rig) handle(e Event) []Action { return r.c.Handle(r.now, e) }
 
-func (r *rig) wait(d time.Duration) { r.now += d }
+func (r *rig) advance(d time.Duration) { r.now += d }
 
-// call brings a new call for number 1 and returns its id and what was done.
-func (r *rig) call(class string) (string, []Action) {
+// newCall delivers a new call for number 1 and returns its ID and the resulting actions.
+func (r *rig) newCall(class string) (string, []Action) {
 	r.next++
 	id := fmt.Sprint("call", r.next)
-	return id, r.do(Arrival{Call: id, Class: class, Number: "n" + id, TimeLeft: 3 * time.Second, Destination: 1})
+	return id, r.handle(Arrival{Call: id, Class: class, Number: "n" + id, TimeLeft: 3 * time.Second, Destination: 1})
 }
 
-// fire delivers the timers among actions that are due by now, in order.
-func (r *rig) fire(actions []Action) (done []Action) {
+// fireTimers delivers the timers among actions that are due, in order, and returns the resulting actions.
+func (r *rig) fireTimers(actions []Action) (done []Action) {
 	for _, a := range actions {
 		if s, ok := a.(SetTimer); ok && s.At <= r.now {
-			done = append(done, r.do(Due{Token: s.Token})...)
+			done = append(done, r.handle(Due{Token: s.Token})...)
 		}
 	}
 	return done
 }
 
-// sentTo tells which server the call was sent to among actions; "" if none.
+// sentTo returns the server that actions send the call to, or "".
 func sentTo(actions []Action, id string) string {
 	for _, a := range actions {
 		if s, ok := a.(Send); ok && s.Call == id {
@@ -82,7 +82,8 @@
 	return ""
 }
 
-func refused(actions []Action, id string) bool {
+// isAnswered reports whether actions contain the final answer of a call.
+func isAnswered(actions []Action, id string) bool {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Refuse:
@@ -98,89 +99,95 @@
 	return false
 }
 
-func near(t *testing.T, what string, got, want float64) {
+func assertNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-6 {
 		t.Errorf("%s is %v, want %v", what, got, want)
 	}
 }
 
-func TestSpacingIsSmoothedBeforeAnyGap(t *testing.T) { // step 1 of the page, eq. 1
+// Step 1 of the algorithm, eq. 1.
+func TestSpacingIsSmoothedBeforeAnyGap(t *testing.T) {
 	var d control
 	for _, at := range []time.Duration{0, 200 * ms, 700 * ms} { // spacings 200 and 500 ms
-		d.arrival(at)
+		d.recordArrival(at)
 	}
-	near(t, "spacing in ms", float64(d.spacing)/1e6, 0.9*200+0.1*500)
-	near(t, "arrival rate", d.lambda(), 1000.0/230)
+	assertNear(t, "spacing in ms", float64(d.spacing)/1e6, 0.9*200+0.1*500)
+	assertNear(t, "arrival rate", d.lambda(), 1000.0/230)
 }
 
-func TestFirstReturnStartsTheControlWithoutGap(t *testing.T) {
+func TestFirstRejectionStartsTheControlWithoutGap(t *testing.T) {
 	d := control{meter: meter{spacing: 250 * ms}}
-	d.returned(0)
-	near(t, "rate", d.rate, 4)
+	d.recordRejection(0)
+	assertNear(t, "rate", d.rate, 4)
 	if !d.active || d.gap != 0 {
 		t.Errorf("active %v, gap %v; want active without a gap", d.active, d.gap)
 	}
 }
 
-func TestReturnsCutTheRateUnlessTheirRatioFalls(t *testing.T) { // step 5
+// Step 5 of the algorithm.
+func TestRejectionsCutTheRateUnlessTheirRatioFalls(t *testing.T) {
 	d := control{meter: meter{spacing: 250 * ms}}
-	d.returned(0)
+	d.recordRejection(0)
 	d.admissions = 4
-	d.adapt(time.Second) // ratio 1/4 against a stored 0
-	near(t, "rate after the first cut", d.rate, 3.5)
-	d.admissions, d.returns = 8, 1
-	d.adapt(2 * time.Second) // 1/8 is below 1/4: no cut, but stored
-	near(t, "rate after a falling ratio", d.rate, 3.5)
-	near(t, "stored ratio", d.ratio, 0.125)
-	d.admissions, d.returns = 0, 1
-	d.adapt(3 * time.Second) // no admissions: 1
-	near(t, "rate after the second cut", d.rate, 3.5*7/8)
-	near(t, "stored ratio", d.ratio, 1)
-}
-
-func TestRateClimbsByASquareLaw(t *testing.T) { // step 4, eq. 12 with k = 1/2 and α = 0.2
-	d := control{active: true, meter: meter{spacing: 250 * ms}, rate: 2, left: 2}
+	d.adaptRate(time.Second) // ratio 1/4, above the stored 0
+	assertNear(t, "rate after the first cut", d.rate, 3.5)
+	d.admissions, d.rejections = 8, 1
+	d.adaptRate(2 * time.Second) // 1/8 is below 1/4: stored without a cut
+	assertNear(t, "rate after a falling ratio", d.rate, 3.5)
+	assertNear(t, "stored ratio", d.rejectionRatio, 0.125)
+	d.admissions, d.rejections = 0, 1
+	d.adaptRate(3 * time.Second) // no admissions: 1
+	assertNear(t, "rate after the second cut", d.rate, 3.5*7/8)
+	assertNear(t, "stored ratio", d.rejectionRatio, 1)
+}
+
+// Step 4 of the algorithm, eq. 12 with k = 1/2 and α = 0.2.
+func TestRateClimbsByASquareLaw(t *testing.T) {
+	d := control{active: true, meter: meter{spacing: 250 * ms}, rate: 2, climbStart: 2}
 	for n := 1; n <= 3; n++ {
 		d.answers = 1
-		d.adapt(time.Duration(n) * time.Second)
-		near(t, fmt.Sprint("rate after ", n), d.rate, 2+math.Pow(0.1*float64(n), 2))
+		d.adaptRate(time.Duration(n) * time.Second)
+		assertNear(t, fmt.Sprint("rate after ", n), d.rate, 2+math.Pow(0.1*float64(n), 2))
 	}
-	near(t, "gap in ms", float64(d.gap.Microseconds())/1e3, math.Floor((1/2.09-1/4.0)*1e6)/1e3) // step 6, eq. 2
+	assertNear(t, "gap in ms", float64(d.gap.Microseconds())/1e3, math.Floor((1/2.09-1/4.0)*1e6)/1e3) // step 6, eq. 2
 }
 
-func TestRateFollowsFewerCalls(t *testing.T) { // step 3
+// Step 3 of the algorithm.
+func TestRateFollowsLowerArrivalRate(t *testing.T) {
 	d := control{active: true, meter: meter{spacing: 500 * ms}, rate: 5, gap: time.Second, answers: 1}
-	d.adapt(time.Second)
-	near(t, "rate", d.rate, 2)
+	d.adaptRate(time.Second)
+	assertNear(t, "rate", d.rate, 2)
 	if d.gap != 0 {
 		t.Errorf("gap %v, want none", d.gap)
 	}
 }
 
-func TestSilentIntervalsTakeTheNextVerdict(t *testing.T) { // each cut was undone by the climb before the next answer
-	d := control{active: true, meter: meter{spacing: 4 * time.Second}, rate: 0.2, left: 0.2}
+// Without merging, the climb undoes each cut before the next answer.
+func TestIntervalsWithoutAnswersAreMerged(t *testing.T) {
+	d := control{active: true, meter: meter{spacing: 4 * time.Second}, rate: 0.2, climbStart: 0.2}
 	for n := 1; n <= 5; n++ {
-		d.adapt(time.Duration(n) * time.Second)
+		d.adaptRate(time.Duration(n) * time.Second)
 	}
-	near(t, "rate after five silent intervals", d.rate, 0.2)
+	assertNear(t, "rate after five silent intervals", d.rate, 0.2)
 	d.answers = 1
-	d.adapt(6 * time.Second)
-	near(t, "rate after an answer in time at the sixth", d.rate, 0.2+0.25*math.Pow(0.1*6, 2)) // a quarter call a second
-	cut := control{active: true, meter: meter{spacing: 4 * time.Second}, rate: 0.2, lastReturn: time.Second}
-	cut.adapt(time.Second)
-	cut.returns = 1
-	cut.adapt(2 * time.Second)
-	near(t, "rate after a return at the second", cut.rate, 0.2*math.Pow(7.0/8, 2))
+	d.adaptRate(6 * time.Second)
+	// At a quarter of a call a second, the climb is a quarter.
+	assertNear(t, "rate after an answer in time at the sixth", d.rate, 0.2+0.25*math.Pow(0.1*6, 2))
+	cut := control{active: true, meter: meter{spacing: 4 * time.Second}, rate: 0.2, lastRejection: time.Second}
+	cut.adaptRate(time.Second)
+	cut.rejections = 1
+	cut.adaptRate(2 * time.Second)
+	assertNear(t, "rate after a return at the second", cut.rate, 0.2*math.Pow(7.0/8, 2))
 }
 
-func TestIdleControlIsFreed(t *testing.T) {
+func TestIdleControlEnds(t *testing.T) {
 	d := control{active: true, meter: meter{spacing: 250 * ms}, rate: 1, gap: time.Second}
-	d.adapt(idleAfter - 1)
+	d.adaptRate(idleTimeout - 1)
 	if !d.active {
 		t.Fatal("freed early")
 	}
-	d.adapt(idleAfter)
+	d.adaptRate(idleTimeout)
 	if d.active || d.gap != 0 {
 		t.Error("not freed after the idle time")
 	}
@@ -189,282 +196,285 @@
 func TestGapStopsCallsOfOneServer(t *testing.T) {
 	set := settings()
 	set.Classes[0].Servers = []int{1}
-	r := newRig(t, set, two()...)
+	r := newRig(t, set, twoServers()...)
 	s := r.c.byID["a"]
 	s.active, s.gap = true, time.Second
-	first, got := r.call("plain")
+	first, got := r.newCall("plain")
 	if sentTo(got, first) != "a" {
 		t.Fatal("first call not sent")
 	}
-	second, got := r.call("plain")
+	second, got := r.newCall("plain")
 	if sentTo(got, second) != "" {
 		t.Fatal("sent within the gap")
 	}
-	r.wait(100 * ms) // past 0.4 of the aim by worth: 1/5 of 400 ms
-	if got = r.fire([]Action{SetTimer{At: r.now, Token: pumpToken}}); !refused(got, second) {
+	r.advance(100 * ms) // waits 0.4 of the aim times 1/5 for its worth: 80 ms
+	if got = r.fireTimers([]Action{SetTimer{At: r.now, Token: waitingTimerToken}}); !isAnswered(got, second) {
 		t.Fatal("a stopped call is not refused after its wait")
 	}
-	r.wait(time.Second)
-	if third, got := r.call("plain"); sentTo(got, third) != "a" {
+	r.advance(time.Second)
+	if third, got := r.newCall("plain"); sentTo(got, third) != "a" {
 		t.Fatal("not sent after the gap")
 	}
 }
 
 func TestGappedCallGoesToAServerWithoutGap(t *testing.T) {
-	r := newRig(t, settings(), two()...)
+	r := newRig(t, settings(), twoServers()...)
 	r.c.byID["a"].gapUntil = r.now + time.Second
-	if id, got := r.call("plain"); sentTo(got, id) != "b" {
+	if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
 		t.Error("not sent to the free server")
 	}
 }
 
-func TestProcessorFullRestsTheServerAndRefusesTheCall(t *testing.T) {
-	r := newRig(t, settings(), two()...)
-	id, _ := r.call("plain")
-	r.wait(20 * ms)
-	got := r.do(Ended{Call: id, Server: "a", Outcome: Rejected, Cause: CauseProcessorFull})
-	if !refused(got, id) {
+func TestProcessorFullStartsCoolDownAndRefusesTheCall(t *testing.T) {
+	r := newRig(t, settings(), twoServers()...)
+	id, _ := r.newCall("plain")
+	r.advance(20 * ms)
+	got := r.handle(Ended{Call: id, Server: "a", Outcome: Rejected, Cause: CauseProcessorFull})
+	if !isAnswered(got, id) {
 		t.Error("the call is not refused")
 	}
-	r.wait(barFor - 1)
-	if id, got := r.call("plain"); sentTo(got, id) != "b" {
-		t.Error("sent to a resting server")
+	r.advance(minCoolDown - 1)
+	if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
+		t.Error("sent to a server in cool-down")
 	}
-	r.wait(1)
-	if id, got := r.call("plain"); sentTo(got, id) != "a" {
-		t.Error("not sent to its first choice after the rest")
+	r.advance(1)
+	if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
+		t.Error("not sent to its first choice after the cool-down")
 	}
 }
 
-func TestServerThatFailsAgainRestsLonger(t *testing.T) { // jammed servers took 50 set-ups a second, answered 2
+// With a fixed cool-down, jammed servers received 50 set-ups a second and answered 2.
+func TestRepeatedFailuresLengthenTheCoolDown(t *testing.T) {
 	set := settings()
 	set.Proxies = 100
-	r := newRig(t, set, two()...)
+	r := newRig(t, set, twoServers()...)
 	s := r.c.byID["a"]
 	last := time.Duration(0)
 	for range 3 {
-		r.now = max(r.now, s.barred)
-		id, _ := r.call("plain")
-		r.do(Ended{Call: id, Server: "a", Outcome: Rejected, Cause: CauseProcessorFull})
-		rest := s.barred - r.now
-		if rest < barFor || rest <= last/2 {
-			t.Fatalf("rest of %v after one of %v", rest, last)
+		r.now = max(r.now, s.coolDownUntil)
+		id, _ := r.newCall("plain")
+		r.handle(Ended{Call: id, Server: "a", Outcome: Rejected, Cause: CauseProcessorFull})
+		coolDown := s.coolDownUntil - r.now
+		if coolDown < minCoolDown || coolDown <= last/2 {
+			t.Fatalf("cool-down of %v after one of %v", coolDown, last)
 		}
-		last = rest
-		r.wait(2 * time.Second)
-	}
-	if last < 4*barFor {
-		t.Errorf("rest of %v after three failures in a row", last)
-	}
-	r.c.set.Proxies = 3 // few proxies that all rest for seconds leave a sound server idle
-	r.c.bar(s)
-	if rest := s.barred - r.now; rest > 2*3*barFor {
-		t.Errorf("rest of %v with three proxies", rest)
-	}
-	r.now = max(r.now, s.barred)
-	id, _ := r.call("plain")
-	r.do(Stood{Call: id, Server: "a", After: ms})
-	id, _ = r.call("plain")
-	r.do(Ended{Call: id, Server: "a", Outcome: Rejected, Cause: CauseProcessorFull})
-	if rest := s.barred - r.now; rest != barFor {
-		t.Errorf("rest of %v after an answer in time", rest)
-	}
-}
-
-func TestFreshCallAvoidsAServerWhereItWouldBeLate(t *testing.T) { // a fifth of all set-ups stood late at such servers
-	r := newRig(t, settings(), two()...)
-	r.c.byID["a"].sent.spacing = 3 * time.Second
-	id, timers := r.call("plain")
-	r.wait(1200 * ms)
-	r.fire(timers)
-	r.do(Stood{Call: id, Server: "a", After: 1200 * ms}) // its aim is 1 s
-	r.wait(time.Second)
-	if id, got := r.call("plain"); sentTo(got, id) != "b" {
-		t.Error("a fresh call is sent where it can hardly stand in time")
-	}
-	r.wait(3 * time.Second)
-	if id, got := r.call("plain"); sentTo(got, id) != "a" {
-		t.Error("without late calls to show better, the old answer still keeps calls away")
+		last = coolDown
+		r.advance(2 * time.Second)
+	}
+	if last < 4*minCoolDown {
+		t.Errorf("cool-down of %v after three failures in a row", last)
+	}
+	r.c.settings.Proxies = 3 // cool-downs of seconds at few proxies leave a healthy server idle
+	r.c.startCoolDown(s)
+	if coolDown := s.coolDownUntil - r.now; coolDown > 2*3*minCoolDown {
+		t.Errorf("cool-down of %v with three proxies", coolDown)
+	}
+	r.now = max(r.now, s.coolDownUntil)
+	id, _ := r.newCall("plain")
+	r.handle(Stood{Call: id, Server: "a", After: ms})
+	id, _ = r.newCall("plain")
+	r.handle(Ended{Call: id, Server: "a", Outcome: Rejected, Cause: CauseProcessorFull})
+	if coolDown := s.coolDownUntil - r.now; coolDown != minCoolDown {
+		t.Errorf("cool-down of %v after an answer in time", coolDown)
+	}
+}
+
+// Without this, a fifth of all set-ups were established too late at such servers.
+func TestFreshCallAvoidsAServerWhereItWouldBeLate(t *testing.T) {
+	r := newRig(t, settings(), twoServers()...)
+	r.c.byID["a"].admissionMeter.spacing = 3 * time.Second
+	id, timers := r.newCall("plain")
+	r.advance(1200 * ms)
+	r.fireTimers(timers)
+	r.handle(Stood{Call: id, Server: "a", After: 1200 * ms}) // its aim is 1 s
+	r.advance(time.Second)
+	if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
+		t.Error("a fresh call is sent where it would be late")
+	}
+	r.advance(3 * time.Second)
+	if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
+		t.Error("without newer answers, the old answer still keeps calls away")
 	} else {
-		r.do(Stood{Call: id, Server: "a", After: 1200 * ms})
+		r.handle(Stood{Call: id, Server: "a", After: 1200 * ms})
 	}
-	got := r.do(Arrival{Call: "late", Class: "plain", Number: "n", TimeLeft: 3 * time.Second, Destination: 1, Retry: true})
+	got := r.handle(Arrival{Call: "late", Class: "plain", Number: "n", TimeLeft: 3 * time.Second, Destination: 1,
+		Retry: true})
 	if sentTo(got, "late") != "a" {
-		t.Error("a late call does not show how the server answers now")
+		t.Error("a late call is not sent to measure the response time")
 	}
-	r.do(Stood{Call: "late", Server: "a", After: 100 * ms})
-	if id, got := r.call("plain"); sentTo(got, id) != "a" {
+	r.handle(Stood{Call: "late", Server: "a", After: 100 * ms})
+	if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
 		t.Error("an answer in time does not bring fresh calls back")
 	}
 	s := r.c.byID["a"]
-	s.latest, s.sent.spacing = 1200*ms, 300*ms
-	if id, got := r.call("plain"); sentTo(got, id) != "a" {
-		t.Error("one answer is heeded where there are enough for a rate")
+	s.lastLatency, s.admissionMeter.spacing = 1200*ms, 300*ms
+	if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
+		t.Error("a single answer decides where there are enough for a rate")
 	}
 }
 
-// A server that answered 95 of 100 set-ups with a fault, and fast, drew most calls of all proxies: some in a row rest
-// it. One does not, for it may be the call's: callers who sent what no server can use kept every server from all
-// others, and each such call was tried six times.
-func TestFaultsInARowRestTheServerAndTheCallGoesOnOnce(t *testing.T) {
-	r := newRig(t, settings(), two()...)
-	for n := 1; n <= faultsMost; n++ {
-		id, got := r.call("plain")
+// Several faults in a row start a cool-down: a server that quickly answered 95 of 100 set-ups with a fault
+// attracted most calls of all proxies. A single fault does not, as it may be caused by the call: unserviceable
+// calls kept every server from all others, and each was tried six times.
+func TestFaultsInARowStartCoolDownAndTheCallIsRetriedOnce(t *testing.T) {
+	r := newRig(t, settings(), twoServers()...)
+	for n := 1; n <= maxServerFaults; n++ {
+		id, got := r.newCall("plain")
 		if sentTo(got, id) != "a" {
-			t.Fatalf("after %d faults the server rests", n-1)
+			t.Fatalf("the server is in cool-down after %d faults", n-1)
 		}
-		if got := r.do(Ended{Call: id, Server: "a", Outcome: Faulted}); sentTo(got, id) != "b" {
+		if got := r.handle(Ended{Call: id, Server: "a", Outcome: Faulted}); sentTo(got, id) != "b" {
 			t.Error("the call does not go on to another server")
 		}
-		if got := r.do(Ended{Call: id, Attempt: 1, Server: "b", Outcome: Faulted}); !refused(got, id) {
-			t.Error("a call that two servers found fault with goes on")
+		if got := r.handle(Ended{Call: id, Attempt: 1, Server: "b", Outcome: Faulted}); !isAnswered(got, id) {
+			t.Error("a call with faults at two servers is not refused")
 		}
 		r.c.byID["b"].faults = 0
 	}
-	if id, got := r.call("plain"); sentTo(got, id) != "b" {
+	if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
 		t.Error("sent to a server that has just failed with faults in a row")
 	}
 }
 
-// A server that is gone takes its agents out of the sums that a proxy's share is taken of, and in the end is
-// forgotten: on a day on which servers are replaced all the time, shares shrank and tables grew without end.
-func TestServersThatAreGoneAreLeftOutAndForgotten(t *testing.T) {
-	r := newRig(t, settings(), two()...)
-	r.do(Agents{Server: "a", Free: 3, Total: 10})
-	r.do(Agents{Server: "b", Free: 5, Total: 10})
-	r.do(ServerList{Servers: two()[:1]})
-	r.do(Agents{Server: "b", Free: 1, Total: 10})
-	if r.c.all != 7 || r.c.allAgents != 10 {
-		t.Errorf("%d calls of %d agents, want those of a alone: 7 of 10", r.c.all, r.c.allAgents)
+// A removed server no longer counts in the sums of agents and is forgotten after forgetDelay. Otherwise shares
+// shrink and tables grow without limit where servers are replaced continuously.
+func TestRemovedServersAreSubtractedAndForgotten(t *testing.T) {
+	r := newRig(t, settings(), twoServers()...)
+	r.handle(Agents{Server: "a", Free: 3, Total: 10})
+	r.handle(Agents{Server: "b", Free: 5, Total: 10})
+	r.handle(ServerList{Servers: twoServers()[:1]})
+	r.handle(Agents{Server: "b", Free: 1, Total: 10})
+	if r.c.agentsInUse != 7 || r.c.totalAgents != 10 {
+		t.Errorf("%d calls of %d agents, want those of a alone: 7 of 10", r.c.agentsInUse, r.c.totalAgents)
 	}
-	r.wait(forgetAfter / 2)
-	r.do(ServerList{Servers: two()})
-	if r.c.all != 12 || r.c.allAgents != 20 {
-		t.Errorf("%d calls of %d agents once b is back, want 12 of 20", r.c.all, r.c.allAgents)
+	r.advance(forgetDelay / 2)
+	r.handle(ServerList{Servers: twoServers()})
+	if r.c.agentsInUse != 12 || r.c.totalAgents != 20 {
+		t.Errorf("%d calls of %d agents once b is back, want 12 of 20", r.c.agentsInUse, r.c.totalAgents)
 	}
-	r.do(ServerList{Servers: two()[:1]})
-	r.wait(forgetAfter)
-	r.do(ServerList{Servers: two()[:1]})
+	r.handle(ServerList{Servers: twoServers()[:1]})
+	r.advance(forgetDelay)
+	r.handle(ServerList{Servers: twoServers()[:1]})
 	if len(r.c.servers) != 1 || len(r.c.byID) != 1 {
 		t.Errorf("%d servers known, want 1", len(r.c.servers))
 	}
 }
 
-// The climb grows with the calls: a proxy with 80 a second, whose rate one stray return had cut, was kept below them
-// for the rest of a day.
+// The climb grows with the arrival rate. Otherwise a proxy with 80 calls a second stays below its arrival rate for
+// the rest of a day after one isolated overload rejection.
 func TestClimbGrowsWithTheRateOfCalls(t *testing.T) {
-	d := control{active: true, meter: meter{spacing: 12500 * time.Microsecond}, rate: 60, left: 60, answers: 1}
-	d.adapt(time.Second)
-	near(t, "rate", d.rate, 60+0.01*80/usual)
+	d := control{active: true, meter: meter{spacing: 12500 * time.Microsecond}, rate: 60, climbStart: 60, answers: 1}
+	d.adaptRate(time.Second)
+	assertNear(t, "rate", d.rate, 60+0.01*80/nominalRate)
 }
 
-// One return among many admissions is no sign of load: where a proxy has tens of calls a second, some answer is late
-// in every interval, and each cut the rate by an eighth.
-func TestStrayReturnCutsNoRate(t *testing.T) {
-	d := control{active: true, meter: meter{spacing: 25 * ms}, rate: 30, left: 30, admissions: 40, returns: 1}
-	d.adapt(time.Second)
+// One overload rejection among many admissions does not cut the rate: with tens of calls a second, some answer is
+// late in every interval, and each would cut the rate by an eighth.
+func TestIsolatedRejectionCutsNoRate(t *testing.T) {
+	d := control{active: true, meter: meter{spacing: 25 * ms}, rate: 30, climbStart: 30, admissions: 40, rejections: 1}
+	d.adaptRate(time.Second)
 	if d.rate < 30 {
 		t.Errorf("rate cut to %v for one return in 40", d.rate)
 	}
-	d.admissions, d.returns = 39, 2
-	d.adapt(2 * time.Second)
+	d.admissions, d.rejections = 39, 2
+	d.adaptRate(2 * time.Second)
 	if d.rate >= 30 {
 		t.Errorf("rate %v not cut for two returns in 39", d.rate)
 	}
 }
 
-// What an answer takes by distance alone stops no server: across zones, with short aims, every second set-up did.
-func TestDistanceStopsNoServer(t *testing.T) {
-	r := newRig(t, settings(), two()[:1]...)
-	id, _ := r.call("plain")
-	r.do(Stood{Call: id, Server: "a", After: 150 * ms})
-	_, first := r.call("plain")
-	r.wait(200 * ms)
-	r.fire(first)
-	if id, got := r.call("plain"); sentTo(got, id) != "a" {
-		t.Error("stopped at a fifth of the aim, within twice the time of an answer")
+// Latency caused by distance alone does not block a server. Across zones, with short aims, every second set-up did.
+func TestBaseLatencyBlocksNoServer(t *testing.T) {
+	r := newRig(t, settings(), twoServers()[:1]...)
+	id, _ := r.newCall("plain")
+	r.handle(Stood{Call: id, Server: "a", After: 150 * ms})
+	_, first := r.newCall("plain")
+	r.advance(200 * ms)
+	r.fireTimers(first)
+	if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
+		t.Error("blocked at a fifth of the aim, within twice the base latency")
 	}
 }
 
-// Where calls are many, one more goes to a server with an overdue set-up after a while; its answer shows that the
-// first was lost. Both servers used to stay stopped for one lost set-up each until its time was up.
-func TestProbePastALostSetUp(t *testing.T) {
+// With many calls, a probe is sent to a server with an overdue set-up after a delay; its answer shows that the
+// set-up was lost. Without it, one lost set-up blocks each server until its deadline.
+func TestProbeDetectsALostSetUp(t *testing.T) {
 	for spacing, want := range map[time.Duration]string{20 * ms: "a", 150 * ms: ""} {
-		r := newRig(t, settings(), two()[:1]...)
-		_, first := r.call("plain")
+		r := newRig(t, settings(), twoServers()[:1]...)
+		_, first := r.newCall("plain")
 		r.c.byID["a"].spacing = spacing
-		r.wait(200 * ms)
-		r.fire(first)
-		if id, got := r.call("plain"); sentTo(got, id) != "" {
+		r.advance(200 * ms)
+		r.fireTimers(first)
+		if id, got := r.newCall("plain"); sentTo(got, id) != "" {
 			t.Error("sent at once")
 		}
-		r.wait(200 * ms)
+		r.advance(200 * ms)
 		r.c.byID["a"].spacing = spacing
-		if id, got := r.call("dear"); sentTo(got, id) != want {
+		if id, got := r.newCall("dear"); sentTo(got, id) != want {
 			t.Errorf("spacing %v: sent to %q, want %q", spacing, sentTo(got, id), want)
 		}
 	}
 }
 
-// A set-up that a later one has overtaken was lost on the way: it is given up and placed again, after the wait and at
-// the same server too, which goes on taking calls. On a day on which connections lost every third message, one
-// lost set-up at each server closed both until its time was up, and nine calls of ten were refused.
-func TestOvertakenSetUpIsPlacedAgainAndStopsNoServer(t *testing.T) {
-	r := newRig(t, settings(), two()[:1]...)
-	lost, first := r.call("plain")
-	r.wait(10 * ms)
-	sound, _ := r.call("plain")
-	r.wait(30 * ms)
-	r.do(Stood{Call: sound, Server: "a", After: 30 * ms})
-	r.wait(160 * ms)
+// An overtaken set-up was lost in transit: it is withdrawn and retried after the release wait, also at the same
+// server, which is not blocked. Otherwise, where connections lose every third message, one lost set-up per server
+// blocks all servers until its deadline, and nine calls of ten are refused.
+func TestOvertakenSetUpIsRetriedAndBlocksNoServer(t *testing.T) {
+	r := newRig(t, settings(), twoServers()[:1]...)
+	lost, first := r.newCall("plain")
+	r.advance(10 * ms)
+	sound, _ := r.newCall("plain")
+	r.advance(30 * ms)
+	r.handle(Stood{Call: sound, Server: "a", After: 30 * ms})
+	r.advance(160 * ms)
 	want := GiveUp{Call: lost, Why: Overtaken}
-	if got := r.fire(first); !slices.Contains(got, Action(want)) {
-		t.Fatalf("not given up: %v", got)
+	if got := r.fireTimers(first); !slices.Contains(got, Action(want)) {
+		t.Fatalf("not withdrawn: %v", got)
 	}
-	if id, got := r.call("plain"); sentTo(got, id) != "a" {
-		t.Error("the server is stopped for a set-up that was lost")
+	if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
+		t.Error("the server is blocked by a lost set-up")
 	}
-	got := r.do(Ended{Call: lost, Server: "a", Outcome: Cancelled})
-	r.wait(400 * ms)
-	if sentTo(r.fire(got), lost) != "a" {
-		t.Error("not placed again after the wait")
+	got := r.handle(Ended{Call: lost, Server: "a", Outcome: Cancelled})
+	r.advance(400 * ms)
+	if sentTo(r.fireTimers(got), lost) != "a" {
+		t.Error("not retried after the release wait")
 	}
 }
 
-// One that became overdue before a later one was answered stops its server only until then.
+// An overdue set-up blocks its server only until a later one is answered.
 func TestAnswerToALaterSetUpClearsAnOverdueOne(t *testing.T) {
-	r := newRig(t, settings(), two()[:1]...)
-	_, first := r.call("plain")
-	r.wait(190 * ms)
-	sound, _ := r.call("plain")
-	r.wait(10 * ms)
-	r.fire(first)
-	if id, got := r.call("plain"); sentTo(got, id) != "" {
-		t.Fatal("an overdue set-up does not stop its server")
+	r := newRig(t, settings(), twoServers()[:1]...)
+	_, first := r.newCall("plain")
+	r.advance(190 * ms)
+	sound, _ := r.newCall("plain")
+	r.advance(10 * ms)
+	r.fireTimers(first)
+	if id, got := r.newCall("plain"); sentTo(got, id) != "" {
+		t.Fatal("an overdue set-up does not block its server")
 	}
-	r.wait(20 * ms)
-	r.do(Stood{Call: sound, Server: "a", After: 30 * ms})
-	if id, got := r.call("plain"); sentTo(got, id) != "a" {
-		t.Error("an overtaken set-up goes on stopping its server")
+	r.advance(20 * ms)
+	r.handle(Stood{Call: sound, Server: "a", After: 30 * ms})
+	if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
+		t.Error("an overtaken set-up still blocks its server")
 	}
-	if returns := r.c.byID["a"].returns; returns != 0 {
-		t.Errorf("%d returns counted, want none", returns)
+	if rejections := r.c.byID["a"].rejections; rejections != 0 {
+		t.Errorf("%d overload rejections counted, want none", rejections)
 	}
 }
 
-func TestCallWithoutAgentTurnsOnce(t *testing.T) {
-	r := newRig(t, settings(), two()...)
-	id, _ := r.call("plain")
-	got := r.do(Ended{Call: id, Server: "a", Outcome: Rejected, Cause: CauseNoAgent})
+func TestCallWithoutAgentIsRedirectedOnce(t *testing.T) {
+	r := newRig(t, settings(), twoServers()...)
+	id, _ := r.newCall("plain")
+	got := r.handle(Ended{Call: id, Server: "a", Outcome: Rejected, Cause: CauseNoAgent})
 	if sentTo(got, id) != "b" {
-		t.Fatal("not turned to the other server")
+		t.Fatal("not redirected to the other server")
 	}
-	got = r.do(Ended{Call: id, Attempt: 1, Server: "b", Outcome: Rejected, Cause: CauseNoAgent})
-	if !refused(got, id) {
-		t.Error("turned twice")
+	got = r.handle(Ended{Call: id, Attempt: 1, Server: "b", Outcome: Rejected, Cause: CauseNoAgent})
+	if !isAnswered(got, id) {
+		t.Error("redirected twice")
 	}
 	if r.c.byID["a"].active {
-		t.Error("a lack of agents was taken for a return")
+		t.Error("a lack of agents was counted as an overload rejection")
 	}
 }
 
@@ -473,60 +483,62 @@
 	set := settings()
 	set.Classes[0].Servers = []int{1, 2, 3}
 	r := newRig(t, set, servers...)
-	r.do(ServerList{Delta: true, Servers: []Server{{ID: "a", Number: 1, State: Draining}}})
-	id, got := r.call("plain")
+	r.handle(ServerList{Delta: true, Servers: []Server{{ID: "a", Number: 1, State: Draining}}})
+	id, got := r.newCall("plain")
 	kept := sentTo(got, id)
 	for range 20 {
-		if id, got := r.call("plain"); sentTo(got, id) != kept {
+		if id, got := r.newCall("plain"); sentTo(got, id) != kept {
 			t.Fatal("the remembered server changed while it takes calls")
 		}
 	}
-	r.do(Ended{Call: id, Server: kept, Outcome: Rejected, Cause: CauseProcessorFull})
-	if id, got := r.call("plain"); sentTo(got, id) == kept || sentTo(got, id) == "" {
+	r.handle(Ended{Call: id, Server: kept, Outcome: Rejected, Cause: CauseProcessorFull})
+	if id, got := r.newCall("plain"); sentTo(got, id) == kept || sentTo(got, id) == "" {
 		t.Error("not redrawn after processor full")
 	}
 }
 
-func TestLateSetUpIsAReturnOnce(t *testing.T) {
-	r := newRig(t, settings(), two()...)
-	id, got := r.call("plain")
-	r.wait(500 * ms)
-	r.fire(got)
-	if s := r.c.byID["a"]; !s.active || s.returns != 1 {
-		t.Fatalf("active %v with %d returns, want the set-up unanswered at half its aim counted", s.active, s.returns)
+func TestLateSetUpCountsAsRejectionOnce(t *testing.T) {
+	r := newRig(t, settings(), twoServers()...)
+	id, got := r.newCall("plain")
+	r.advance(500 * ms)
+	r.fireTimers(got)
+	if s := r.c.byID["a"]; !s.active || s.rejections != 1 {
+		t.Fatalf("active %v with %d overload rejections, want the set-up unanswered at half its aim counted",
+			s.active, s.rejections)
 	}
-	r.do(Stood{Call: id, Server: "a", After: 500 * ms})
-	if s := r.c.byID["a"]; s.returns != 1 {
+	r.handle(Stood{Call: id, Server: "a", After: 500 * ms})
+	if s := r.c.byID["a"]; s.rejections != 1 {
 		t.Error("the same set-up was counted twice")
 	}
 }
 
-func TestOverdueSetUpStopsItsServerThenATrial(t *testing.T) { // queues of 3 s stood without the trial
-	r := newRig(t, settings(), two()...)
-	first, got := r.call("plain")
-	r.wait(300 * ms)
-	r.fire(got)
-	if id, got := r.call("plain"); sentTo(got, id) != "b" {
+// Without probation, queues of 3 s persist at a server.
+func TestOverdueSetUpBlocksItsServerUntilProbation(t *testing.T) {
+	r := newRig(t, settings(), twoServers()...)
+	first, got := r.newCall("plain")
+	r.advance(300 * ms)
+	r.fireTimers(got)
+	if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
 		t.Fatal("sent to a server with an overdue set-up")
 	}
-	r.do(Stood{Call: first, Server: "a", After: 300 * ms})
-	second, got := r.call("plain")
+	r.handle(Stood{Call: first, Server: "a", After: 300 * ms})
+	second, got := r.newCall("plain")
 	if sentTo(got, second) != "a" {
-		t.Fatal("no trial")
+		t.Fatal("not sent during probation")
 	}
-	if id, got := r.call("plain"); sentTo(got, id) != "b" {
-		t.Fatal("two out during a trial")
+	if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
+		t.Fatal("two set-ups in flight at the start of probation")
 	}
-	r.do(Stood{Call: second, Server: "a", After: 20 * ms})
+	r.handle(Stood{Call: second, Server: "a", After: 20 * ms})
 	for range 2 {
-		if id, got := r.call("plain"); sentTo(got, id) != "a" {
-			t.Fatal("an answer in time does not widen the trial")
+		if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
+			t.Fatal("an answer in time does not extend the probation limit")
 		}
 	}
 }
 
-// Passed over for a time after a report of no free agent, a server with few got a call from every proxy at once
-// as soon as some were free. Together they are held to what is free and freed.
+// All proxies together are limited to the agents that are free or become free. Otherwise a server with few agents
+// gets a call from every proxy as soon as some are free.
 func TestFreeAgentsAreSharedByTheProxies(t *testing.T) {
 	set := settings()
 	set.Proxies = 300
@@ -536,7 +548,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Handle(time.Hour, ServerList{Servers: two()})
+		c.Handle(time.Hour, ServerList{Servers: twoServers()})
 		for i := range 21 { // 200 agents held for 5 s on average: 40 freed a second
 			free := 20
 			now := time.Hour + time.Duration(i)*time.Second
@@ -545,8 +557,8 @@
 			for j := range 10 {
 				id := fmt.Sprint(i, "/", j)
 				now += 100 * ms
-				for _, a := range c.Handle(now, Arrival{Call: id, Class: "plain", Number: id, TimeLeft: 3 * time.Second,
-					Destination: 1}) {
+				for _, a := range c.Handle(now, Arrival{Call: id, Class: "plain", Number: id,
+					TimeLeft: 3 * time.Second, Destination: 1}) {
 					if a, ok := a.(Send); ok {
 						c.Handle(now, Stood{Call: a.Call, Server: a.Server, After: ms})
 						if a.Server == "a" && i > 0 {
@@ -565,127 +577,130 @@
 func TestMostValuableCallIsPlacedFirst(t *testing.T) {
 	r := newRig(t, settings(), Server{ID: "a", Number: 1})
 	s := r.c.byID["a"]
-	s.barred = r.now + 50*ms
-	plain, _ := r.call("plain")
-	dear, _ := r.call("dear")
+	s.coolDownUntil = r.now + 50*ms
+	plain, _ := r.newCall("plain")
+	dear, _ := r.newCall("dear")
 	s.gap, s.active = time.Second, true
-	r.wait(50 * ms)
-	got := r.do(Due{Token: pumpToken})
+	r.advance(50 * ms)
+	got := r.handle(Due{Token: waitingTimerToken})
 	if sentTo(got, dear) != "a" || sentTo(got, plain) != "" {
-		t.Error("the dear call did not go first")
+		t.Error("the more valuable call was not sent first")
 	}
 }
 
-func TestFurtherTriesComeLast(t *testing.T) {
+func TestLateRepeatedTriesAreSentLast(t *testing.T) {
 	for _, marked := range []bool{true, false} {
 		set := settings()
 		set.Callers.MarkRetries = marked
 		r := newRig(t, set, Server{ID: "a", Number: 1})
 		s := r.c.byID["a"]
-		s.barred = r.now + 10*time.Second
+		s.coolDownUntil = r.now + 10*time.Second
 		early := Arrival{Call: "early", Class: "plain", Number: "n", TimeLeft: 3 * time.Second, Destination: 1}
-		r.do(early)
-		r.wait(1100 * ms) // past the aim of the first try
-		s.barred = r.now + 30*ms
+		r.handle(early)
+		r.advance(1100 * ms) // past the aim of the first try
+		s.coolDownUntil = r.now + 30*ms
 		early.Call, early.Retry = "again", marked
-		r.do(early)
-		fresh, _ := r.call("plain")
+		r.handle(early)
+		fresh, _ := r.newCall("plain")
 		s.gap, s.active = time.Second, true
-		r.wait(30 * ms)
-		got := r.do(Due{Token: pumpToken})
+		r.advance(30 * ms)
+		got := r.handle(Due{Token: waitingTimerToken})
 		if sentTo(got, fresh) != "a" || sentTo(got, "again") != "" {
-			t.Errorf("marked %v: the fresh call did not go before the further try", marked)
+			t.Errorf("marked %v: the fresh call was not sent before the repeated try", marked)
 		}
 	}
 }
 
-func TestNumberWithBusyLinesIsSpared(t *testing.T) {
-	r := newRig(t, settings(), two()...)
-	ask := func(id string) []Action {
-		return r.do(Arrival{Call: id, Class: "plain", Number: "hot", TimeLeft: 3 * time.Second, Destination: 1})
+func TestNumberWithBusyLinesGetsNoCalls(t *testing.T) {
+	r := newRig(t, settings(), twoServers()...)
+	callHot := func(id string) []Action {
+		return r.handle(Arrival{Call: id, Class: "plain", Number: "hot", TimeLeft: 3 * time.Second, Destination: 1})
 	}
-	ask("first")
-	r.do(Ended{Call: "first", Server: "a", Outcome: Faulted, Cause: CauseLinesBusy})
-	if got := ask("second"); !refused(got, "second") {
+	callHot("first")
+	r.handle(Ended{Call: "first", Server: "a", Outcome: Faulted, Cause: CauseLinesBusy})
+	if got := callHot("second"); !isAnswered(got, "second") {
 		t.Error("a call to a number with all lines busy is not refused")
 	}
-	if id, got := r.call("plain"); sentTo(got, id) != "a" {
-		t.Error("a call to another number suffers")
+	if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
+		t.Error("a call to another number is affected")
 	}
-	r.wait(busyFor)
-	if got := ask("third"); sentTo(got, "third") != "a" {
+	r.advance(minBusyDelay)
+	if got := callHot("third"); sentTo(got, "third") != "a" {
 		t.Error("the number is not tried again")
 	}
-	r.do(Ended{Call: "third", Server: "a", Outcome: Faulted, Cause: CauseLinesBusy})
-	r.wait(busyFor)
-	if got := ask("fourth"); !refused(got, "fourth") {
-		t.Error("the second rest is no longer than the first: hundreds of proxies flood the number")
+	r.handle(Ended{Call: "third", Server: "a", Outcome: Faulted, Cause: CauseLinesBusy})
+	r.advance(minBusyDelay)
+	if got := callHot("fourth"); !isAnswered(got, "fourth") {
+		t.Error("the second delay is no longer than the first: hundreds of proxies flood the number")
 	}
 }
 
-func TestRefusedCallersAreAdvisedToComeBackSoon(t *testing.T) {
+func TestRefusedCallersAreAdvisedToRetrySoon(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		set := settings()
 		set.Limits.RetryAfter = allowed
-		r := newRig(t, set, two()...)
-		id, _ := r.call("plain")
-		got := r.do(Ended{Call: id, Server: "a", Outcome: Rejected, Cause: CauseProcessorFull})
-		if advice := got[0].(Refuse).RetryAfter; (advice == comeBack) != allowed {
+		r := newRig(t, set, twoServers()...)
+		id, _ := r.newCall("plain")
+		got := r.handle(Ended{Call: id, Server: "a", Outcome: Rejected, Cause: CauseProcessorFull})
+		if advice := got[0].(Refuse).RetryAfter; (advice == retryAfterDelay) != allowed {
 			t.Errorf("allowed %v: advice %v", allowed, advice)
 		}
 	}
 }
 
-func TestCallPastItsDeadlineIsNotSent(t *testing.T) { // broke rule 1: callers with little time left
-	r := newRig(t, settings(), two()...)
+// Rule 1 broke for callers with little time left.
+func TestCallPastItsDeadlineIsNotSent(t *testing.T) {
+	r := newRig(t, settings(), twoServers()...)
 	for _, s := range r.c.servers {
-		s.barred = r.now + 50*ms
+		s.coolDownUntil = r.now + 50*ms
 	}
 	late := Arrival{Call: "late", Class: "dear", Number: "n", TimeLeft: 79 * ms, Destination: 1}
-	r.do(late)
-	r.wait(95 * ms) // a proxy that stood still finds its timer late
-	if got := r.do(Due{Token: pumpToken}); sentTo(got, "late") != "" || !refused(got, "late") {
+	r.handle(late)
+	r.advance(95 * ms) // the proxy was paused, so its timer is late
+	if got := r.handle(Due{Token: waitingTimerToken}); sentTo(got, "late") != "" || !isAnswered(got, "late") {
 		t.Errorf("%v, want a refusal", got)
 	}
 	for _, s := range r.c.servers {
-		s.barred = r.now + time.Second
+		s.coolDownUntil = r.now + time.Second
 	}
 	late.Call = "short"
-	r.do(late)
-	r.wait(40 * ms) // half its time
-	if got := r.do(Due{Token: pumpToken}); !refused(got, "short") {
+	r.handle(late)
+	r.advance(40 * ms) // half the caller's time
+	if got := r.handle(Due{Token: waitingTimerToken}); !isAnswered(got, "short") {
 		t.Error("a call waits for more than half the time that its caller has left")
 	}
 }
 
-func TestReleaseIsAwaited(t *testing.T) { // rule 5
+// Rule 5.
+func TestRetryWaitsForRelease(t *testing.T) {
 	for _, outcome := range []Outcome{TimedOut, Cut, Cancelled} {
-		r := newRig(t, settings(), two()...)
-		id, _ := r.call("plain")
-		r.wait(100 * ms)
-		got := r.do(Ended{Call: id, Server: "a", Outcome: outcome})
+		r := newRig(t, settings(), twoServers()...)
+		id, _ := r.newCall("plain")
+		r.advance(100 * ms)
+		got := r.handle(Ended{Call: id, Server: "a", Outcome: outcome})
 		if sentTo(got, id) != "" {
 			t.Fatalf("outcome %d: sent at once", outcome)
 		}
-		r.wait(399 * ms)
-		r.do(Due{Token: pumpToken})
-		r.wait(ms)
-		if got = r.fire(got); sentTo(got, id) != "b" {
+		r.advance(399 * ms)
+		r.handle(Due{Token: waitingTimerToken})
+		r.advance(ms)
+		if got = r.fireTimers(got); sentTo(got, id) != "b" {
 			t.Errorf("outcome %d: not sent elsewhere after the release wait", outcome)
 		}
 	}
 }
 
-func TestOldTimersDoNotEnterACallTwice(t *testing.T) { // broke rule 2: two attempts out at once
-	r := newRig(t, settings(), two()...)
-	id, timers := r.call("dear")
-	r.do(Ended{Call: id, Server: "a", Outcome: Unreachable})
+// Rule 2 broke: two attempts were in flight at once.
+func TestOldTimersDoNotEnqueueACallTwice(t *testing.T) {
+	r := newRig(t, settings(), twoServers()...)
+	id, timers := r.newCall("dear")
+	r.handle(Ended{Call: id, Server: "a", Outcome: Unreachable})
 	for _, s := range r.c.servers {
-		s.barred = r.now + 350*ms
+		s.coolDownUntil = r.now + 350*ms
 	}
-	r.do(Ended{Call: id, Attempt: 1, Server: "b", Outcome: Unreachable})
-	r.wait(300 * ms)
-	r.fire(timers)
+	r.handle(Ended{Call: id, Attempt: 1, Server: "b", Outcome: Unreachable})
+	r.advance(300 * ms)
+	r.fireTimers(timers)
 	waiting := 0
 	for _, k := range r.c.waiting {
 		if k.Call == id {
@@ -693,59 +708,62 @@
 		}
 	}
 	if waiting > 1 {
-		t.Errorf("the call waits in %d places", waiting)
+		t.Errorf("the call is queued %d times", waiting)
 	}
 }
 
-func TestDrainingServerGetsNothing(t *testing.T) { // rule 3
+// Rule 3.
+func TestDrainingServerGetsNothing(t *testing.T) {
 	for _, state := range []ServerState{Draining, Removed} {
-		r := newRig(t, settings(), two()...)
-		r.do(ServerList{Delta: true, Servers: []Server{{ID: "a", Number: 1, State: state}}})
-		if id, got := r.call("plain"); sentTo(got, id) != "b" {
+		r := newRig(t, settings(), twoServers()...)
+		r.handle(ServerList{Delta: true, Servers: []Server{{ID: "a", Number: 1, State: state}}})
+		if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
 			t.Errorf("state %d: sent to a", state)
 		}
-		r.do(ServerList{Servers: two()[1:]})
-		if id, got := r.call("plain"); sentTo(got, id) != "b" {
+		r.handle(ServerList{Servers: twoServers()[1:]})
+		if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
 			t.Error("sent to a server gone from the list")
 		}
-		r.do(ServerList{})
-		id, _ := r.call("plain")
-		r.wait(time.Second)
-		if got := r.do(Due{Token: pumpToken}); !refused(got, id) {
+		r.handle(ServerList{})
+		id, _ := r.newCall("plain")
+		r.advance(time.Second)
+		if got := r.handle(Due{Token: waitingTimerToken}); !isAnswered(got, id) {
 			t.Error("no answer with an empty list")
 		}
 	}
 }
 
-func TestColdServerIsSparedByItsAgents(t *testing.T) { // rule 4
+// Rule 4.
+func TestColdServerLoadIsLimitedByItsAgents(t *testing.T) {
 	set := settings()
 	set.Classes[1].Servers, set.Classes[0].Servers = []int{1}, []int{1}
 	r := newRig(t, set, Server{ID: "a", Number: 1, Started: time.Hour})
-	r.do(Agents{Server: "a", Free: 100, Total: 100})
+	r.handle(Agents{Server: "a", Free: 100, Total: 100})
 	sent, window := 0, r.now+set.Rules.FallWindow
-	for ; r.now < window; r.wait(5 * ms) {
-		_, got := r.call("plain")
+	for ; r.now < window; r.advance(5 * ms) {
+		_, got := r.newCall("plain")
 		for _, a := range got {
 			if a, ok := a.(Send); ok {
 				sent++
-				r.do(Stood{Call: a.Call, Server: "a", After: ms})
+				r.handle(Stood{Call: a.Call, Server: "a", After: ms})
 			}
 		}
 	}
-	// 100 agents held for 5 s on average: 20 calls a second when warm, 5 cold, 2 times 5 times 2 s for both proxies.
+	// 100 agents held for 5 s on average: 20 calls a second when warm, 5 cold, 2 times 5 times 2 s for both
+	// proxies.
 	if sent == 0 || sent > 10 {
 		t.Errorf("%d set-ups in the window, want some and at most this proxy's share of 10", sent)
 	}
 }
 
-// Hundreds of first calls at once pushed a cold server over. All proxies together are held to its budget for
-// every size of fleet, with its size told and untold, the proxies just restarted with a stored list. Where the fleet divides
-// what it may be sent, none of them need know how many there are.
-func TestColdServerIsNotPushedOverByManyProxies(t *testing.T) {
+// All proxies together stay within the budget of a cold server for any number of proxies, with and without reported
+// agents, after a restart of all proxies with a stored list. Otherwise hundreds of first calls at once overload it.
+// With assigned fractions, proxies need not know their number.
+func TestColdServerIsNotOverloadedByManyProxies(t *testing.T) {
 	for _, proxies := range []int{3, 30, 300, -3, -30, -300} {
 		divided := proxies < 0
 		proxies = max(proxies, -proxies)
-		for _, told := range []bool{true, false} {
+		for _, reported := range []bool{true, false} {
 			set := settings()
 			set.Proxies = proxies
 			if divided {
@@ -764,19 +782,21 @@
 				}
 				c.Handle(start, ServerList{Stored: true, Servers: []Server{{ID: "cold", Number: 1, Started: start},
 					{ID: "warm", Number: 2}}})
-				if told {
+				if reported {
 					c.Handle(start, Agents{Server: "cold", Free: agents, Total: agents})
 				}
 				if divided {
 					c.Handle(start, ColdPart{})
-					c.Handle(start, ColdPart{Server: "cold", Started: start, Part: 1 / float64(proxies), Until: start + time.Hour})
+					c.Handle(start, ColdPart{Server: "cold", Started: start, Part: 1 / float64(proxies),
+						Until: start + time.Hour})
 				}
 				all = append(all, c)
 			}
 			var sent []time.Duration
 			total, n := 0, 0
 			for now := start; now < start+set.Rules.WarmWithin; n++ {
-				now += time.Duration(random.ExpFloat64() / (2 * warm) * float64(time.Second)) // its whole load for each
+				// The full warm load for each of the two servers.
+				now += time.Duration(random.ExpFloat64() / (2 * warm) * float64(time.Second))
 				c := all[random.IntN(proxies)]
 				id := fmt.Sprint(n)
 				got := c.Handle(now, Arrival{Call: id, Class: "plain", Number: id, TimeLeft: 3 * time.Second,
@@ -797,19 +817,21 @@
 				part := set.Rules.ColdFrom + (1-set.Rules.ColdFrom)*age
 				budget := set.Rules.FallMultiple * part * warm * set.Rules.FallWindow.Seconds()
 				if float64(len(sent)) > budget {
-					t.Fatalf("%d proxies, size told %v: %d set-ups in a window, %.1f s after the start, budget %.0f",
-						proxies, told, len(sent), (now - start).Seconds(), budget)
+					t.Fatalf("%d proxies, size reported %v: "+
+						"%d set-ups in a window, %.1f s after the start, budget %.0f",
+						proxies, reported, len(sent), (now - start).Seconds(), budget)
 				}
 			}
 			if total < agents/10 {
-				t.Errorf("%d proxies, size told %v: only %d set-ups to the cold server", proxies, told, total)
+				t.Errorf("%d proxies, size reported %v: only %d set-ups to the cold server", proxies, reported, total)
 			}
 		}
 	}
 }
 
-// A cold server is sent nothing by who has no part of it any more, nor by the part of an earlier start; a warm one as ever.
-func TestPartOfAColdServer(t *testing.T) {
+// A proxy sends a cold server nothing without an assigned fraction, after its expiry, or with one for an earlier
+// start. A warm server is not affected.
+func TestAssignedFractionOfAColdServer(t *testing.T) {
 	set := settings()
 	c, err := New(set, 1)
 	if err != nil {
@@ -825,7 +847,8 @@
 		for range 50 {
 			n++
 			now += 20 * ms
-			if id := fmt.Sprint(n); sentTo(c.Handle(now, Arrival{Call: id, Class: "plain", Number: id, TimeLeft: 3 * time.Second, Destination: 1}), id) != "" {
+			if id := fmt.Sprint(n); sentTo(c.Handle(now, Arrival{Call: id, Class: "plain", Number: id,
+				TimeLeft: 3 * time.Second, Destination: 1}), id) != "" {
 				sent++
 				c.Handle(now, Stood{Call: id, Server: "cold", After: ms})
 			}
@@ -834,104 +857,109 @@
 	}
 	list(start, start)
 	if sent := try(start); sent != 0 {
-		t.Errorf("%d set-ups without a part", sent)
+		t.Errorf("%d set-ups without a fraction", sent)
 	}
 	c.Handle(start+time.Second, ColdPart{Server: "cold", Started: start, Part: 0.5, Until: start + 3*time.Second})
-	if sent := try(start + 2*time.Second); sent < 5 || sent > 20 { // half of a quarter of 100 a second
-		t.Errorf("%d set-ups by half of what it may be sent", sent)
+	if sent := try(start + 2*time.Second); sent < 5 || sent > 20 { // half of a quarter of 100 calls a second
+		t.Errorf("%d set-ups with a fraction of one half", sent)
 	}
 	if sent := try(start + 4*time.Second); sent > 1 {
-		t.Errorf("%d set-ups after the part's end", sent)
+		t.Errorf("%d set-ups after the fraction expired", sent)
 	}
 	c.Handle(start+6*time.Second, ColdPart{Server: "cold", Started: start, Part: 1, Until: start + time.Hour})
 	list(start+6*time.Second, start+6*time.Second)
 	if sent := try(start + 6*time.Second); sent != 0 {
-		t.Errorf("%d set-ups by the part of an earlier start", sent)
+		t.Errorf("%d set-ups with the fraction of an earlier start", sent)
 	}
 	if sent := try(start + 6*time.Second + set.Rules.WarmWithin); sent < 40 {
 		t.Errorf("%d set-ups to a warm server", sent)
 	}
 }
 
-// With an equal share each, the busiest proxies were refused while agents were free.
+// Busy proxies get a larger share. With equal shares, the busiest refuse calls while agents are free.
 func TestBusierProxyHasALargerShare(t *testing.T) {
 	set := settings()
 	set.Proxies = 100
-	r := newRig(t, set, two()...)
-	r.do(Agents{Server: "a", Free: 100, Total: 600})
-	near(t, "share before any call", r.c.share(), 0.01/shareMost)
+	r := newRig(t, set, twoServers()...)
+	r.handle(Agents{Server: "a", Free: 100, Total: 600})
+	assertNear(t, "share before any call", r.c.share(), 0.01/maxShareFactor)
 	for range 100 { // 10 a second, held for 5 s on average: 50 of 500
-		r.call("plain")
-		r.wait(100 * ms)
+		r.newCall("plain")
+		r.advance(100 * ms)
 	}
-	near(t, "share of a busy proxy, bounded", r.c.share(), shareMost*0.01)
-	r.do(Agents{Server: "a", Free: 600, Total: 3600})
-	near(t, "share of a busy proxy", r.c.share(), 50.0/3000)
+	assertNear(t, "share of a busy proxy, bounded", r.c.share(), maxShareFactor*0.01)
+	r.handle(Agents{Server: "a", Free: 600, Total: 3600})
+	assertNear(t, "share of a busy proxy", r.c.share(), 50.0/3000)
 }
 
 func TestEventsThatDoNotFitAreIgnored(t *testing.T) {
-	r := newRig(t, settings(), two()...)
-	id, _ := r.call("plain")
+	r := newRig(t, settings(), twoServers()...)
+	id, _ := r.newCall("plain")
 	before := fmt.Sprintf("%+v", *r.c.calls[id])
 	for _, e := range []Event{
 		Stood{Call: "nobody"}, Ended{Call: "nobody"}, CallerGone{Call: "nobody"}, Due{Token: 999},
 		Agents{Server: "nowhere"}, Stood{Call: id, Attempt: 3}, Ended{Call: id, Attempt: -1},
 		Arrival{Call: id, Class: "plain", TimeLeft: time.Second}, ServerList{Failed: true}, nil,
 	} {
-		if got := r.do(e); len(got) != 0 {
+		if got := r.handle(e); len(got) != 0 {
 			t.Errorf("%#v: %v", e, got)
 		}
 	}
 	if after := fmt.Sprintf("%+v", *r.c.calls[id]); after != before {
 		t.Error("the call changed")
 	}
-	r.do(Stood{Call: id, Server: "a", After: ms})
-	r.do(Stood{Call: id, Server: "a", After: ms})
-	r.do(Ended{Call: id, Server: "a", Outcome: Concluded, Settled: true})
-	if got := r.do(Ended{Call: id, Server: "a", Outcome: Concluded, Settled: true}); len(got) != 0 || len(r.c.calls) != 0 {
+	r.handle(Stood{Call: id, Server: "a", After: ms})
+	r.handle(Stood{Call: id, Server: "a", After: ms})
+	r.handle(Ended{Call: id, Server: "a", Outcome: Concluded, Settled: true})
+	if got := r.handle(Ended{Call: id, Server: "a", Outcome: Concluded, Settled: true}); len(got) != 0 ||
+		len(r.c.calls) != 0 {
 		t.Error("a repeated end is not ignored")
 	}
-	if _, got := r.call("no such class"); len(got) != 1 {
+	if _, got := r.newCall("no such class"); len(got) != 1 {
 		t.Error("a call of an unknown class is not refused")
 	}
 }
 
-func TestOddListsAndCallsDoNoHarm(t *testing.T) {
+func TestMalformedListsAndCallsAreTolerated(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Name: "known", Quota: 4}}
-	r := newRig(t, set, two()...)
-	r.do(ServerList{Servers: []Server{{ID: "a", Number: 1}, {ID: "a", Number: 1, State: Draining}, {ID: "b", Number: 2}}})
-	if id, got := r.call("plain"); sentTo(got, id) != "b" {
+	r := newRig(t, set, twoServers()...)
+	r.handle(ServerList{Servers: []Server{{ID: "a", Number: 1}, {ID: "a", Number: 1, State: Draining},
+		{ID: "b", Number: 2}}})
+	if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
 		t.Error("of a server listed twice the last entry does not count")
 	}
-	r.do(ServerList{Delta: true, Servers: []Server{{ID: "a", Number: 1, Started: r.now}}})
-	r.do(ServerList{Delta: true, Servers: []Server{{ID: "a", Number: 1}}}) // goes backwards
-	r.do(Agents{Server: "a", Free: -5, Total: -9})
-	r.do(Agents{Server: "a", Free: 50, Total: 10})
-	got := r.do(Arrival{Call: "strange", Class: "plain", Tenant: "nobody", Number: "n", TimeLeft: time.Second, Destination: 9})
+	r.handle(ServerList{Delta: true, Servers: []Server{{ID: "a", Number: 1, Started: r.now}}})
+	r.handle(ServerList{Delta: true, Servers: []Server{{ID: "a", Number: 1}}}) // an older start
+	r.handle(Agents{Server: "a", Free: -5, Total: -9})
+	r.handle(Agents{Server: "a", Free: 50, Total: 10})
+	got := r.handle(Arrival{Call: "strange", Class: "plain", Tenant: "nobody", Number: "n",
+		TimeLeft: time.Second, Destination: 9})
 	if sentTo(got, "strange") == "" {
 		t.Error("a call of an unknown tenant to an unknown number is not sent at all")
 	}
 	for _, left := range []time.Duration{0, -time.Second} {
 		id := fmt.Sprint("late", left)
-		if got := r.do(Arrival{Call: id, Class: "plain", Number: "n", TimeLeft: left}); !refused(got, id) {
+		if got := r.handle(Arrival{Call: id, Class: "plain", Number: "n", TimeLeft: left}); !isAnswered(got, id) {
 			t.Errorf("a caller with %v left is not refused", left)
 		}
 	}
 	r.now -= time.Minute // a clock that goes backwards
-	if id, got := r.call("plain"); sentTo(got, id) == "" {
+	if id, got := r.newCall("plain"); sentTo(got, id) == "" {
 		t.Error("nothing is sent after the clock went backwards")
 	}
 }
 
-func TestNewNamesTheSettingThatCannotBeServed(t *testing.T) {
-	for want, spoil := range map[string]func(*Settings){
+func TestNewNamesTheInvalidSetting(t *testing.T) {
+	for want, invalidate := range map[string]func(*Settings){
 		"Proxies": func(s *Settings) { s.Proxies = 0 }, "Classes is": func(s *Settings) { s.Classes = nil },
-		"Rules": func(s *Settings) { s.Rules.ReleaseWait = -1 }, "MaxAttempts": func(s *Settings) { s.Limits.MaxAttempts = 0 },
-		"Aim": func(s *Settings) { s.Classes[0].Aim = 0 }, "Servers": func(s *Settings) { s.Classes[1].Servers = nil },
+		"Rules":       func(s *Settings) { s.Rules.ReleaseWait = -1 },
+		"MaxAttempts": func(s *Settings) { s.Limits.MaxAttempts = 0 },
+		"Aim":         func(s *Settings) { s.Classes[0].Aim = 0 },
+		"Servers":     func(s *Settings) { s.Classes[1].Servers = nil },
 	} {
 		set := settings()
-		spoil(&set)
+		invalidate(&set)
 		if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("error %v, want one naming %s", err, want)
 		}
@@ -939,31 +967,32 @@
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	if a, b := play(t, settings(), 3), play(t, settings(), 3); !reflect.DeepEqual(a, b) {
+	if a, b := runRandomEvents(t, settings(), 3), runRandomEvents(t, settings(), 3); !reflect.DeepEqual(a, b) {
 		t.Error("two runs of the same events differ")
 	}
 }
 
-func TestTenantBeyondItsQuotaComesLast(t *testing.T) {
+func TestTenantOverQuotaIsSentLast(t *testing.T) {
 	set := settings()
 	set.OverPart = 0.1
 	set.Tenants = []Tenant{{Name: "over", Quota: 4}, {Name: "within", Quota: 4}} // 2 a second for each of 2 proxies
 	r := newRig(t, set, Server{ID: "a", Number: 1})
 	ask := func(id, tenant string) {
-		r.do(Arrival{Call: id, Class: "plain", Tenant: tenant, Number: id, TimeLeft: 3 * time.Second, Destination: 1})
+		r.handle(Arrival{Call: id, Class: "plain", Tenant: tenant, Number: id,
+			TimeLeft: 3 * time.Second, Destination: 1})
 	}
 	s := r.c.byID["a"]
-	s.barred = r.now + 10*time.Second
+	s.coolDownUntil = r.now + 10*time.Second
 	for i := range 10 {
 		ask(fmt.Sprint("flood", i), "over")
-		r.wait(100 * ms)
+		r.advance(100 * ms)
 	}
-	s.barred = r.now + 5*ms
+	s.coolDownUntil = r.now + 5*ms
 	ask("last of the flood", "over")
 	ask("modest", "within")
 	s.gap, s.active = time.Second, true
-	r.wait(5 * ms)
-	if got := r.do(Due{Token: pumpToken}); sentTo(got, "modest") != "a" {
+	r.advance(5 * ms)
+	if got := r.handle(Due{Token: waitingTimerToken}); sentTo(got, "modest") != "a" {
 		t.Error("a tenant within its quota waits behind one beyond it")
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -7,7 +7,7 @@
 	"threadglade.example/threadglade"
 )
 
-// One call comes in and is sent to the server of its first choice.
+// A call arrives and is sent to its first-choice server.
 func Example() {
 	controller, err := threadglade.New(threadglade.Settings{
 		Proxies: 3,
@@ -19,7 +19,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := time.Hour // a clock of your own that only advances
+	now := time.Hour // any monotonic clock
 	controller.Handle(now, threadglade.ServerList{Servers: []threadglade.Server{{ID: "core-1", Number: 1}}})
 	for _, action := range controller.Handle(now, threadglade.Arrival{Call: "c1", Class: "call", Number: "555",
 		TimeLeft: 3 * time.Second, Destination: 1}) {
--- a/fingerprint.go
+++ b/fingerprint.go
@@ -8,166 +8,177 @@
 	"time"
 )
 
-// This file owns the canonical form of a Controller's state, by which an explorer knows that it has been somewhere before. It must
-// name everything that a later decision depends on: what it left out would hide orders of events.
+// This file encodes the state of a Controller in canonical form, by which a model checker recognises states that it
+// has visited. It must cover everything that a later decision depends on: an omission would hide orders of events.
 
-// TimerOf tells what a timer's token is for: the call, empty for the one that looks at waiting calls; false: nothing any more.
+// TimerCall returns the call that a timer's token belongs to, or "" for the timer of waiting calls. It returns
+// false if the timer has no effect any more.
 func (c *Controller) TimerOf(token int64) (call string, live bool) {
-	if token == pumpToken {
+	if token == waitingTimerToken {
 		return "", true
 	}
 	k := c.timers[token]
-	if k == nil || k.closed && !k.out {
+	if k == nil || k.closed && !k.inFlight {
 		return "", false
 	}
 	return k.Call, true
 }
 
-// form is a state being written: times as ages.
-type form struct {
-	b   []byte
+// stateEncoder encodes a state in canonical form, with times relative to now.
+type stateEncoder struct {
+	buf []byte
 	now time.Duration
 }
 
-func (f *form) number(list ...int64) {
+func (f *stateEncoder) integers(list ...int64) {
 	for _, n := range list {
-		f.b = binary.AppendVarint(f.b, n)
+		f.buf = binary.AppendVarint(f.buf, n)
 	}
 }
 
-func (f *form) text(s string) { f.b = append(binary.AppendUvarint(f.b, uint64(len(s))), s...) }
+func (f *stateEncoder) text(s string) {
+	f.buf = append(binary.AppendUvarint(f.buf, uint64(len(s))), s...)
+}
 
-func (f *form) real(x float64) { f.b = binary.LittleEndian.AppendUint64(f.b, math.Float64bits(x)) }
+func (f *stateEncoder) float(x float64) {
+	f.buf = binary.LittleEndian.AppendUint64(f.buf, math.Float64bits(x))
+}
 
-func (f *form) flags(list ...bool) {
+func (f *stateEncoder) bools(list ...bool) {
 	for _, is := range list {
 		if is {
-			f.number(1)
+			f.integers(1)
 		} else {
-			f.number(0)
+			f.integers(0)
 		}
 	}
 }
 
-// past is a time that has been, 0 being never; until is one that only counts while it is to come.
-func (f *form) past(t time.Duration) {
+// pastTime encodes the age of a past time; 0 means never.
+func (f *stateEncoder) pastTime(t time.Duration) {
 	if t == 0 {
-		f.number(-1)
+		f.integers(-1)
 	} else {
-		f.number(int64(f.now - t))
+		f.integers(int64(f.now - t))
 	}
 }
 
-func (f *form) until(t time.Duration) { f.number(int64(max(0, t-f.now))) }
+// remaining encodes the time left until a deadline; all deadlines that have passed are equal.
+func (f *stateEncoder) remaining(t time.Duration) { f.integers(int64(max(0, t-f.now))) }
 
-func (f *form) meter(m *meter) {
-	f.number(int64(m.spacing))
-	f.flags(m.seenCall)
-	f.past(m.lastCall)
+func (f *stateEncoder) meter(m *meter) {
+	f.integers(int64(m.spacing))
+	f.bools(m.hasCall)
+	f.pastTime(m.lastCall)
 }
 
-func (f *form) server(s *server, born time.Duration) {
+func (f *stateEncoder) server(s *server, born time.Duration) {
 	f.text(s.ID)
-	f.number(int64(s.Number), int64(s.State), int64(s.out), int64(s.base), int64(s.failures), int64(s.faults), int64(s.latest), int64(s.trial),
-		int64(s.free), int64(s.total), int64(s.climbing), int64(s.gap), int64(s.admissions), int64(s.answers), int64(s.returns), int64(s.span))
-	f.past(s.Started)
-	if s.out > 0 { // it is compared with when those that are out were sent
-		f.past(s.passed)
-	}
-	f.past(s.goneAt)
-	f.past(s.answered)
-	f.past(s.credited)
-	f.past(s.lastReturn)
-	f.until(s.barred)
-	f.until(s.probe)
-	f.until(s.gapUntil)
-	f.until(s.parted)
-	f.until(s.cared)
-	f.real(s.credit)
-	f.real(s.part)
-	if s.Started > 0 { // it may be cold
-		f.past(s.looked)
-		f.number(int64(s.sized))
-		f.real(s.place)
-		f.real(s.turns)
-		f.flags(born >= s.Started)
-	}
-	f.real(s.rate)
-	f.real(s.left)
-	f.real(s.ratio)
-	f.flags(s.active)
+	f.integers(int64(s.Number), int64(s.State), int64(s.inFlight), int64(s.baseLatency),
+		int64(s.failures), int64(s.faults), int64(s.lastLatency), int64(s.probation),
+		int64(s.freeAgents), int64(s.totalAgents), int64(s.climbIntervals), int64(s.gap),
+		int64(s.admissions), int64(s.answers), int64(s.rejections), int64(s.spanIntervals))
+	f.pastTime(s.Started)
+	if s.inFlight > 0 { // compared with the send times of set-ups in flight
+		f.pastTime(s.answeredSentAt)
+	}
+	f.pastTime(s.removedAt)
+	f.pastTime(s.answeredAt)
+	f.pastTime(s.creditedAt)
+	f.pastTime(s.lastRejection)
+	f.remaining(s.coolDownUntil)
+	f.remaining(s.probeAt)
+	f.remaining(s.gapUntil)
+	f.remaining(s.coldFractionUntil)
+	f.remaining(s.avoidUntil)
+	f.float(s.credit)
+	f.float(s.coldFraction)
+	if s.Started > 0 { // may be cold
+		f.pastTime(s.turnsAt)
+		f.integers(int64(s.turnAgents))
+		f.float(s.turnPosition)
+		f.float(s.usedTurns)
+		f.bools(born >= s.Started)
+	}
+	f.float(s.rate)
+	f.float(s.climbStart)
+	f.float(s.rejectionRatio)
+	f.bools(s.active)
 	f.meter(&s.meter)
-	f.meter(&s.sent)
-	f.number(int64(len(s.overdue)))
+	f.meter(&s.admissionMeter)
+	f.integers(int64(len(s.overdue)))
 	for _, k := range s.overdue {
 		f.text(k.Call)
 	}
 }
 
-func (f *form) call(k *call, set *Settings) {
+func (f *stateEncoder) call(k *call, set *Settings) {
 	f.text(k.Call)
 	f.text(k.Class)
 	f.text(k.Tenant)
 	f.text(k.Number)
-	f.number(int64(k.Destination), int64(k.attempts), int64(k.faults), int64(k.deadline-f.now), int64(k.due-f.now), int64(max(0, k.patience-f.now)))
-	f.flags(k.Retry, k.InTransit, k.out, k.stood, k.closed, k.mayHold, k.late, k.lost, k.returned, k.turned, k.set == set, k.measured != nil, k.at != nil)
-	f.real(k.value)
-	f.past(k.sent)
-	f.past(k.resume) // 0 is none
-	if k.measured != nil {
-		f.text(k.measured.ID)
-	}
-	if k.at != nil {
-		f.text(k.at.ID)
+	f.integers(int64(k.Destination), int64(k.attempts), int64(k.faults),
+		int64(k.deadline-f.now), int64(k.aimEnd-f.now), int64(max(0, k.waitUntil-f.now)))
+	f.bools(k.Retry, k.InTransit, k.inFlight, k.established, k.closed, k.mayHaveRun, k.late, k.lost,
+		k.rejectionCounted, k.redirected, k.settings == set, k.countedAt != nil, k.server != nil)
+	f.float(k.value)
+	f.pastTime(k.sentAt)
+	f.pastTime(k.retryAt) // 0: none
+	if k.countedAt != nil {
+		f.text(k.countedAt.ID)
+	}
+	if k.server != nil {
+		f.text(k.server.ID)
 	}
 }
 
-// AppendState appends a canonical form of all that later decisions depend on but the randomness, with times as ages at now. Two
-// Controllers with the same settings and form that are given the same events and draws decide alike.
+// AppendState appends a canonical form of the state to b, with times relative to now. It covers everything that
+// later decisions depend on except the random numbers: two Controllers with the same settings and form make the
+// same decisions for the same events and random numbers.
 func (c *Controller) AppendState(b []byte, now time.Duration) []byte {
-	f := &form{b: b, now: now}
-	f.number(int64(c.nextTick-now), int64(c.all), int64(c.allAgents))
-	f.past(c.lastLate)
-	f.until(c.wake)
-	f.real(c.loss)
-	f.flags(c.drawn, c.divided, c.further.Limited)
-	f.real(c.alone)
-	f.number(int64(c.further.Left))
-	f.meter(&c.own)
-	f.number(int64(len(c.servers)))
+	enc := &stateEncoder{buf: b, now: now}
+	enc.integers(int64(c.intervalEnd-now), int64(c.agentsInUse), int64(c.totalAgents))
+	enc.pastTime(c.lastLateArrival)
+	enc.remaining(c.waitingPollAt)
+	enc.float(c.lossRate)
+	enc.bools(c.redrawn, c.coldDivided, c.retryBudget.Limited)
+	enc.float(c.unassignedFraction)
+	enc.integers(int64(c.retryBudget.Left))
+	enc.meter(&c.ownArrivals)
+	enc.integers(int64(len(c.servers)))
 	for _, s := range c.servers {
-		f.server(s, c.born)
+		enc.server(s, c.startedAt)
 	}
-	if f.flags(c.remembered != nil); c.remembered != nil {
-		f.text(c.remembered.ID)
+	if enc.bools(c.remembered != nil); c.remembered != nil {
+		enc.text(c.remembered.ID)
 	}
-	f.number(int64(len(c.calls)))
+	enc.integers(int64(len(c.calls)))
 	for _, id := range slices.Sorted(maps.Keys(c.calls)) {
-		f.call(c.calls[id], c.set)
+		enc.call(c.calls[id], c.settings)
 	}
-	f.number(int64(len(c.waiting)))
+	enc.integers(int64(len(c.waiting)))
 	for _, k := range c.waiting {
-		f.text(k.Call)
-		f.flags(k.closed)
+		enc.text(k.Call)
+		enc.bools(k.closed)
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.tenants)) {
-		f.meter(&c.tenants[name].meter)
+		enc.meter(&c.tenants[name].meter)
 	}
-	f.number(int64(len(c.tried)))
-	for _, number := range slices.Sorted(maps.Keys(c.tried)) {
-		f.text(number)
-		f.past(c.tried[number])
+	enc.integers(int64(len(c.firstTries)))
+	for _, number := range slices.Sorted(maps.Keys(c.firstTries)) {
+		enc.text(number)
+		enc.pastTime(c.firstTries[number])
 	}
-	f.number(int64(len(c.tries)))
-	for _, t := range c.tries {
-		f.text(t.number)
-		f.past(t.at)
+	enc.integers(int64(len(c.firstTryOrder)))
+	for _, t := range c.firstTryOrder {
+		enc.text(t.number)
+		enc.pastTime(t.at)
 	}
-	f.number(int64(len(c.busy)))
-	for _, number := range slices.Sorted(maps.Keys(c.busy)) {
-		f.text(number)
-		f.until(c.busy[number].until)
-		f.number(int64(c.busy[number].last))
+	enc.integers(int64(len(c.busyNumbers)))
+	for _, number := range slices.Sorted(maps.Keys(c.busyNumbers)) {
+		enc.text(number)
+		enc.remaining(c.busyNumbers[number].until)
+		enc.integers(int64(c.busyNumbers[number].length))
 	}
-	return f.b
+	return enc.buf
 }
--- a/meter.go
+++ b/meter.go
@@ -2,30 +2,27 @@
 
 import "time"
 
-// This file owns how the rate of calls is measured (step 1 of the page). It must never decide what follows from a rate, or read a
-// clock.
-
-// meter measures the rate at which calls come.
+// meter measures an arrival rate from the smoothed spacing of calls (step 1 of the algorithm).
 type meter struct {
-	spacing  time.Duration // smoothed, between new calls
+	spacing  time.Duration // smoothed time between calls; 0: unknown
 	lastCall time.Duration
-	seenCall bool
+	hasCall  bool
 }
 
-// arrival measures a new call, at a server before any gap (eq. 1).
-func (m *meter) arrival(now time.Duration) {
-	if m.seenCall {
-		newest := now - m.lastCall
+// recordArrival records a new call (eq. 1). At a server, calls are recorded before the gap stops any.
+func (m *meter) recordArrival(now time.Duration) {
+	if m.hasCall {
+		spacing := now - m.lastCall
 		if m.spacing == 0 {
-			m.spacing = newest
+			m.spacing = spacing
 		} else {
-			m.spacing += time.Duration(smoothing * float64(newest-m.spacing))
+			m.spacing += time.Duration(smoothingWeight * float64(spacing-m.spacing))
 		}
 	}
-	m.seenCall, m.lastCall = true, now
+	m.hasCall, m.lastCall = true, now
 }
 
-// lambda is the arrival rate in calls a second.
+// lambda returns the arrival rate λ in calls a second, 0 while it is unknown.
 func (m *meter) lambda() float64 {
 	if m.spacing <= 0 {
 		return 0
--- a/reason.go
+++ b/reason.go
@@ -2,13 +2,15 @@
 
 import "time"
 
-// This file tells why the Controller decided as it did, and what it knew. It reads the Controller and changes nothing that a
-// decision depends on: with it or without, the actions are the same.
+// This file reports why the Controller decided as it did and what it knew. It changes nothing that a decision
+// depends on.
 
-var reasonNames = [...]string{"", "first choice", "remembered", "drawn", "gapped", "resting", "on trial", "hopeless", "budget spent",
-	"not up", "not skilled", "no server", "unknown class", "out of time", "number busy", "crowded out", "returned", "own fault",
+var reasonNames = [...]string{"", "first choice", "remembered", "drawn", "gapped", "resting", "on trial", "hopeless",
+	"budget spent", "not up", "not skilled", "no server", "unknown class", "out of time", "number busy", "crowded out",
+	"returned", "own fault",
 	"no further attempt", "overtaken", "unbillable", "over limit", "shared verdict", "spared", "taken over"}
 
+// String returns the text that traces and logs have for the reason.
 func (r Reason) String() string {
 	if r < 0 || int(r) >= len(reasonNames) {
 		return "unknown"
@@ -16,24 +18,25 @@
 	return reasonNames[r]
 }
 
-// chosen is why a server is sent the call.
-func (c *Controller) chosen(k *call, s *server) Reason {
-	first := c.numbered(k.Destination)
-	switch drawn := c.drawn; {
-	case first == s:
+// sendReason returns why the call is sent to the server.
+func (c *Controller) sendReason(k *call, s *server) Reason {
+	firstChoice := c.serverByNumber(k.Destination)
+	switch drawn := c.redrawn; {
+	case firstChoice == s:
 		return FirstChoice
-	case first != nil && first != k.at && c.now < first.cared && c.now >= first.barred:
-		c.drawn = false
+	case firstChoice != nil && firstChoice != k.server &&
+		c.now < firstChoice.avoidUntil && c.now >= firstChoice.coolDownUntil:
+		c.redrawn = false
 		return Spared
 	case drawn && s == c.remembered:
-		c.drawn = false
+		c.redrawn = false
 		return Drawn
 	}
 	return Remembered
 }
 
-// unfit is why a call is refused as it comes.
-func (c *Controller) unfit(k *call) Reason {
+// arrivalRefusal returns why a call is refused on arrival.
+func (c *Controller) arrivalRefusal(k *call) Reason {
 	switch {
 	case k.class == nil:
 		return UnknownClass
@@ -43,23 +46,24 @@
 	return NumberBusy
 }
 
-// returned is why a call is refused whose attempt has ended.
-func returned(e Ended) Reason {
+// endRefusal returns why a call is refused after a failed attempt.
+func endRefusal(e Ended) Reason {
 	if e.Outcome == Faulted {
 		return OwnFault
 	}
 	return Returned
 }
 
-// obstacle is what keeps the call's first choice, or where there is none the remembered server, from taking it now.
-func (c *Controller) obstacle(k *call) Reason {
-	s := c.numbered(k.Destination)
-	if s == nil || k.turned {
+// blockReason returns what keeps the first-choice server, or without one the remembered server, from taking the
+// call now.
+func (c *Controller) blockReason(k *call) Reason {
+	s := c.serverByNumber(k.Destination)
+	if s == nil || k.redirected {
 		s = c.remembered
 	}
 	if s == nil {
-		for _, one := range c.servers {
-			if one.Number == k.Destination {
+		for _, other := range c.servers {
+			if other.Number == k.Destination {
 				return NotUp
 			}
 		}
@@ -68,59 +72,62 @@
 	switch {
 	case s.State != Up:
 		return NotUp
-	case !c.skilled(s, k.class):
+	case !c.servesClass(s, k.class):
 		return NotSkilled
-	case c.now < s.barred:
+	case c.now < s.coolDownUntil:
 		return Resting
-	case c.now < s.cared:
+	case c.now < s.avoidUntil:
 		return SharedVerdict
-	case len(s.overdue) > 0 && c.now < s.probe || s.trial > 0 && s.out-len(s.overdue) >= s.trial:
+	case len(s.overdue) > 0 && c.now < s.probeAt || s.probation > 0 && s.inFlight-len(s.overdue) >= s.probation:
 		return OnTrial
-	case c.hopeless(s, k):
+	case c.wouldBeLate(s, k):
 		return Hopeless
-	case c.stopped(s):
+	case c.inGap(s):
 		return Gapped
-	case s.credit < 1: // as of the last look: looking again would add to it
+	case s.credit < 1: // as of the last check; checking again would add credit
 		return BudgetSpent
 	}
 	return Returned
 }
 
-// FurtherLeft is what is left of the further attempts that it was told of.
-func (c *Controller) FurtherLeft() Further { return Further{c.further.Limited, max(c.further.Left, 0)} }
+// RetryBudget returns what remains of the budget set by the latest Further.
+func (c *Controller) FurtherLeft() Further {
+	return Further{c.retryBudget.Limited, max(c.retryBudget.Left, 0)}
+}
 
-// Obstacle is why a call waits that has neither an attempt out nor its answer, and the server of its first choice; false if it
-// is not known to wait.
+// BlockReason returns why a call waits that has neither a pending attempt nor its final answer, and its
+// first-choice server. It returns false if the call is not known to wait.
 func (c *Controller) Obstacle(id string) (server string, why Reason, waits bool) {
 	k := c.calls[id]
-	if k == nil || k.out || k.closed || k.resume > 0 || k.class == nil {
+	if k == nil || k.inFlight || k.closed || k.retryAt > 0 || k.class == nil {
 		return "", NoReason, false
 	}
-	return c.Choice(k.Destination), c.obstacle(k), true
+	return c.Choice(k.Destination), c.blockReason(k), true
 }
 
-// Choice is the running server of a number; empty if there is none.
+// FirstChoiceServer returns the ID of the running server of a number, or "" if there is none.
 func (c *Controller) Choice(number int) string {
-	if s := c.numbered(number); s != nil {
+	if s := c.serverByNumber(number); s != nil {
 		return s.ID
 	}
 	return ""
 }
 
-// Phase is what a server's control does.
+// Phase is the state of a server as seen by its admission control.
 type Phase int
 
-// Phases. The numbers stand in trace files.
+// Phases of a server. The numbers are stored in trace files.
 const (
-	Uncontrolled Phase = iota // no return for a while: no gap
-	Climbing                  // the rate rises or follows the calls
-	CutBack                   // the last interval with answers had returns: the rate was cut
-	Rests                     // it failed and is left alone
-	Tried                     // its set-ups are unanswered: few are sent
+	Uncontrolled Phase = iota // no overload rejection for a while: no gap
+	Climbing                  // the rate climbs or follows the arrival rate
+	CutBack                   // the last interval with answers had overload rejections: the rate was cut
+	Rests                     // in cool-down after a failure
+	Tried                     // on probation after unanswered set-ups: few are sent
 )
 
 var phaseNames = [...]string{"uncontrolled", "climbing", "cut back", "resting", "on trial"}
 
+// String returns the text that traces have for the phase.
 func (p Phase) String() string {
 	if p < 0 || int(p) >= len(phaseNames) {
 		return "unknown"
@@ -131,33 +138,33 @@
 // View is what the Controller knows of a server.
 type View struct {
 	Phase  Phase
-	Rate   float64 // r, calls a second; -1 while uncontrolled
-	Lambda float64 // λ, calls a second
-	Out    int     // set-ups unanswered
-	Rest   time.Duration
+	Rate   float64       // admission rate r, calls a second; -1 while uncontrolled
+	Lambda float64       // arrival rate λ, calls a second
+	Out    int           // unanswered set-ups of this proxy
+	Rest   time.Duration // time left of its cool-down
 }
 
-// View returns what is known of a server; false if it is not known.
+// View returns what the Controller knows of a server, or false if the server is unknown.
 func (c *Controller) View(id string) (View, bool) {
 	s := c.byID[id]
 	if s == nil {
 		return View{}, false
 	}
-	v := View{Rate: -1, Lambda: s.lambda(), Out: s.out, Rest: max(0, s.barred-c.now)}
+	view := View{Rate: -1, Lambda: s.lambda(), Out: s.inFlight, Rest: max(0, s.coolDownUntil-c.now)}
 	switch {
-	case s.active && s.climbing == 0 && s.ratio > 0 && s.gap > 0:
-		v.Phase = CutBack
+	case s.active && s.climbIntervals == 0 && s.rejectionRatio > 0 && s.gap > 0:
+		view.Phase = CutBack
 	case s.active:
-		v.Phase = Climbing
+		view.Phase = Climbing
 	}
 	if s.active {
-		v.Rate = s.rate
+		view.Rate = s.rate
 	}
 	switch {
-	case v.Rest > 0:
-		v.Phase = Rests
-	case s.trial > 0:
-		v.Phase = Tried
+	case view.Rest > 0:
+		view.Phase = Rests
+	case s.probation > 0:
+		view.Phase = Tried
 	}
-	return v, true
+	return view, true
 }
--- a/settings.go
+++ b/settings.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// This file owns the settings of a Controller: whether they can be served, and their change while it runs. It must never
-// decide about a call, or change a value that was handed out: calls hold on to the one that they came under.
+// This file validates settings and changes them at run time. It never modifies a Settings value in use, as calls
+// keep the one they came under.
 
-// Validate names the first setting that cannot be served.
+// Validate returns an error that names the first invalid field, or nil.
 func (set Settings) Validate() error {
 	names := map[string]bool{}
 	switch {
@@ -36,42 +36,42 @@
 	return nil
 }
 
-// Change puts other settings in force, whole, from the next arrival on. Calls that are here go on under those that they came
-// under; what is known of servers and how fast tenants' calls come stays. An error names the setting that cannot be served, and
-// nothing has changed.
+// Change replaces the settings for all further arrivals. Calls in progress keep the settings they came under, and
+// what is known of servers and of tenants' arrival rates is kept. If a setting is invalid, Change returns an error
+// that names it and changes nothing.
 func (c *Controller) Change(set Settings) error {
 	if err := set.Validate(); err != nil {
 		return err
 	}
-	c.settle(&set)
+	c.applySettings(&set)
 	return nil
 }
 
-// settle takes settings that were found good, and what follows from them.
-func (c *Controller) settle(set *Settings) {
-	c.set, c.classes = set, make(map[string]*Class, len(set.Classes))
-	c.longest, c.holding, c.topWorth = 0, 0, 0
+// applySettings puts valid settings in force and recomputes what is derived from them.
+func (c *Controller) applySettings(set *Settings) {
+	c.settings, c.classes = set, make(map[string]*Class, len(set.Classes))
+	c.maxDeadline, c.meanHolding, c.maxWorth = 0, 0, 0
 	for i := range set.Classes {
 		class := &set.Classes[i]
 		c.classes[class.Name] = class
-		c.longest = max(c.longest, class.Deadline)
-		c.holding += class.Holding / time.Duration(len(set.Classes))
-		c.topWorth = max(c.topWorth, class.Worth)
+		c.maxDeadline = max(c.maxDeadline, class.Deadline)
+		c.meanHolding += class.Holding / time.Duration(len(set.Classes))
+		c.maxWorth = max(c.maxWorth, class.Worth)
 	}
-	known := c.tenants
+	oldTenants := c.tenants
 	c.tenants = make(map[string]*tenant, len(set.Tenants))
-	for _, t := range set.Tenants {
-		c.tenants[t.Name] = &tenant{Tenant: t}
-		if old := known[t.Name]; old != nil {
-			c.tenants[t.Name].meter = old.meter
+	for _, tenantSettings := range set.Tenants {
+		c.tenants[tenantSettings.Name] = &tenant{Tenant: tenantSettings}
+		if previous := oldTenants[tenantSettings.Name]; previous != nil {
+			c.tenants[tenantSettings.Name].meter = previous.meter
 		}
 	}
 }
 
-// phase is where the turns at a server that has started begin, in parts of one: any, the same for all proxies, and so that
-// none of them is the last at every server.
-func (s Server) phase() float64 {
-	sum := fnv.New64a()
-	fmt.Fprint(sum, s.ID, s.Started)
-	return float64(sum.Sum64()>>11) / (1 << 53)
+// turnPhase returns the offset, from 0 to 1, at which the turns at a started server begin. It is the same for all
+// proxies and differs between servers, so that no proxy is the last at every server.
+func (s Server) turnPhase() float64 {
+	hash := fnv.New64a()
+	fmt.Fprint(hash, s.ID, s.Started)
+	return float64(hash.Sum64()>>11) / (1 << 53)
 }
