--- a/api.go
+++ b/api.go
@@ -4,29 +4,29 @@
 
 // Settings configures a Controller. New and Change return an error that names the first invalid field.
 type Settings struct {
-	Me       int // index of this proxy among all proxies, from 0
-	Proxies  int // number of proxies that share the servers
-	Classes  []Class
-	Tenants  []Tenant
-	Limits   Limits
-	Rules    Rules
-	Callers  Callers
-	Network  bool    // true where calls cross a network of exchanges; false where all proxies share the servers
-	MustAsk  bool    // the server list is only sent to subscribers
-	OverPart float64 // factor on the worth of calls of a tenant that exceeds its quota
+	Index           int // index of this proxy among all proxies, from 0
+	Proxies         int // number of proxies that share the servers
+	Classes         []Class
+	Tenants         []Tenant
+	Limits          Limits
+	Rules           Rules
+	Callers         Callers
+	Network         bool    // true where calls cross a network of exchanges; false where all proxies share the servers
+	SubscribeList   bool    // the server list is only sent to subscribers
+	OverQuotaFactor float64 // factor on the worth of calls of a tenant that exceeds its quota
 }
 
 // Class describes one class of calls.
 type Class struct {
-	Name      string
-	Aim       time.Duration // a call established within it, counted from its first try, earns its full worth
-	Deadline  time.Duration // how long a caller keeps trying, from the first try
-	Holding   time.Duration // mean duration of a call
-	Worth     float64       // value of a call that is established within the aim
-	LateWorth float64       // fraction of the worth that a late call still earns
-	Repeat    Repeat
-	Servers   []int // numbers of the servers that may take the class
-	Width     int   // circuits that a call occupies; 0: unknown
+	Name        string
+	Aim         time.Duration // a call established within it, counted from its first try, earns its full worth
+	Deadline    time.Duration // how long a caller keeps trying, from the first try
+	HoldingTime time.Duration // mean duration of a call
+	Worth       float64       // value of a call that is established within the aim
+	LateFactor  float64       // fraction of the worth that a late call still earns
+	Repeat      Repeat
+	Servers     []int // numbers of the servers that may take the class
+	Circuits    int   // circuits that a call occupies; 0: unknown
 }
 
 // Repeat is the rule for repeating the set-up of a call after an attempt that may have run at a server.
@@ -56,12 +56,12 @@
 
 // Rules holds the parameters of the rules that every decision has to keep.
 type Rules struct {
-	ReleaseWait  time.Duration // minimum delay of a retry attempt after a time-out, a cut or a cancellation
-	DrainGrace   time.Duration // time after which a server that drains or was removed must get no calls
-	ColdFrom     float64       // fraction of its capacity that a server has at least when it starts
-	WarmWithin   time.Duration // time after its start by which a server has its full capacity
-	FallMultiple float64       // load above this multiple of its current capacity
-	FallWindow   time.Duration // for this long makes a cold server collapse
+	ReleaseWait      time.Duration // minimum delay of a retry attempt after a time-out, a cut or a cancellation
+	DrainGrace       time.Duration // time after which a server that drains or was removed must get no calls
+	ColdCapacity     float64       // fraction of its capacity that a server has at least when it starts
+	WarmUpTime       time.Duration // time after its start by which a server has its full capacity
+	CollapseMultiple float64       // load above this multiple of its current capacity
+	CollapseWindow   time.Duration // for this long makes a cold server collapse
 }
 
 // Callers describes how callers behave.
@@ -115,7 +115,7 @@
 	Call    string
 	Attempt int // number of the attempt, from 0
 	Server  string
-	After   time.Duration // from the Send to the answer
+	Latency time.Duration // from the Send to the answer
 }
 
 // Ended reports the end of an attempt. There is exactly one for each attempt.
@@ -125,8 +125,8 @@
 	Server  string
 	Outcome Outcome
 	Cause   Cause
-	After   time.Duration // from the Send to the end
-	Settled bool          // the caller already has the final answer
+	Elapsed time.Duration // from the Send to the end
+	Final   bool          // the caller already has the final answer
 }
 
 // Outcome is how an attempt ended.
@@ -151,7 +151,7 @@
 const (
 	CauseNone          Cause = iota
 	CauseNoAgent             // the server has no free agent
-	CauseTurnedBack          // another exchange sent the call back
+	CauseSentBack            // another exchange sent the call back
 	CauseProcessorFull       // the server's processor is overloaded
 	CauseLinesBusy           // all lines of the called number are busy
 )
@@ -173,17 +173,17 @@
 // started. The first one, without a Server, announces that such fractions are assigned; its fraction applies to
 // every cold server for which this proxy has none.
 type ColdPart struct {
-	Server  string
-	Started time.Duration // clock time of the server's start
-	Part    float64       // fraction, from 0 to 1
-	Until   time.Duration // clock time at which the fraction expires
+	Server   string
+	Started  time.Duration // clock time of the server's start
+	Fraction float64       // fraction, from 0 to 1
+	Until    time.Duration // clock time at which the fraction expires
 }
 
 // Further sets this proxy's budget of retry attempts, for all calls together. It replaces the previous budget.
 // Until the first one, only the limits of each call apply.
 type Further struct {
-	Limited bool // false: no budget applies
-	Left    int  // retry attempts that may still be made
+	Limited   bool // false: no budget applies
+	Remaining int  // retry attempts that may still be made
 }
 
 // spend takes one retry attempt from the budget and reports whether there was one.
@@ -191,8 +191,8 @@
 	if !f.Limited {
 		return true
 	}
-	f.Left = max(f.Left-1, -1)
-	return f.Left >= 0
+	f.Remaining = max(f.Remaining-1, -1)
+	return f.Remaining >= 0
 }
 
 // Care has this proxy avoid a server because of what all proxies together know of it. It only ever adds to the
@@ -266,29 +266,29 @@
 
 // Reasons. Those from Gapped to NoServer say why the first-choice server did not take the call.
 const (
-	NoReason      Reason = iota
-	FirstChoice          // sent to the server that the call names
-	Remembered           // sent to the remembered alternative server
-	Drawn                // sent to an alternative server that was just drawn at random
-	Gapped               // the server's admission rate was used up
-	Resting              // the server is in cool-down after a failure
-	OnTrial              // the server left set-ups unanswered for too long and is on probation
-	Hopeless             // the server's latest answers were too slow for this call's aim
-	BudgetSpent          // this proxy's share of the server's free agents or cold-start budget was used up
-	NotUp                // the server drains or was removed
-	NotSkilled           // the server may not take the call's class
-	NoServer             // the call names no known server
-	UnknownClass         // the call's class does not exist
-	OutOfTime            // the caller's time was up
-	NumberBusy           // all lines of the called number were busy
-	CrowdedOut           // displaced from the full queue by calls that are worth more
-	Returned             // a server rejected the call
-	OwnFault             // several servers reported a fault for this call
-	NoFurther            // no retry attempt is permitted, or it would come too late
-	Overtaken            // a later set-up was answered first: this one was lost
-	Unbillable           // refused by the proxy before any decision of the Controller
-	OverLimit            // likewise, by a limit of the whole fleet
-	SharedVerdict        // all proxies together found the server unfit
-	Spared               // sent to another server because of such a verdict
-	TakenOver            // another proxy took over this proxy's calls
+	NoReason       Reason = iota
+	FirstChoice           // sent to the server that the call names
+	Remembered            // sent to the remembered alternative server
+	Drawn                 // sent to an alternative server that was just drawn at random
+	Gapped                // the server's admission rate was used up
+	InCoolDown            // the server is in cool-down after a failure
+	OnProbation           // the server left set-ups unanswered for too long and is on probation
+	WouldBeLate           // the server's latest answers were too slow for this call's aim
+	ShareExhausted        // this proxy's share of the server's free agents or cold-start budget was used up
+	NotUp                 // the server drains or was removed
+	NotSkilled            // the server may not take the call's class
+	NoServer              // the call names no known server
+	UnknownClass          // the call's class does not exist
+	OutOfTime             // the caller's time was up
+	NumberBusy            // all lines of the called number were busy
+	Displaced             // displaced from the full queue by calls that are worth more
+	ServerRejected        // a server rejected the call
+	CallFaulted           // several servers reported a fault for this call
+	NoRetryAttempt        // no retry attempt is permitted, or it would come too late
+	Overtaken             // a later set-up was answered first: this one was lost
+	Unbillable            // refused by the proxy before any decision of the Controller
+	OverLimit             // likewise, by a limit of the whole fleet
+	SharedVerdict         // all proxies together found the server unfit
+	Avoided               // sent to another server because of such a verdict
+	TakenOver             // another proxy took over this proxy's calls
 )
--- a/clone.go
+++ b/clone.go
@@ -30,7 +30,7 @@
 
 // SetRandomSource replaces the seeded generator with a source for all further random choices. Clones share the
 // source.
-func (c *Controller) Draw(from rand.Source) { c.random = randomness{Rand: rand.New(from)} }
+func (c *Controller) SetRandomSource(from rand.Source) { c.random = randomness{Rand: rand.New(from)} }
 
 // Clone returns a copy that behaves exactly as the original would. The two share only settings and classes, which
 // never change, and a source given to SetRandomSource.
--- a/cmd/threadglade/serve.go
+++ b/cmd/threadglade/serve.go
@@ -84,7 +84,7 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: listen %s, name service %s, %d servers at list %d, %d classes, router %d of %d\n",
-				c.Name, c.Listen, c.Resolver, len(c.Servers), c.Cursor, len(c.Settings.Classes), c.Settings.Me, c.Settings.Proxies)
+				c.Name, c.Listen, c.Resolver, len(c.Servers), c.Cursor, len(c.Settings.Classes), c.Settings.Index, c.Settings.Proxies)
 			if c.Mgmt.IsValid() {
 				fmt.Fprintf(cmd.OutOrStdout(), "operators' door on %s\n", c.Mgmt)
 			}
--- a/coldstart_test.go
+++ b/coldstart_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	const tick = 2 * ms
 	set := settings()
-	set.Proxies, set.Rules.FallMultiple = f.proxies, f.multiple
+	set.Proxies, set.Rules.CollapseMultiple = f.proxies, f.multiple
 	random := rand.New(rand.NewPCG(seed, uint64(f.proxies)))
 	start := 1000 * time.Hour
 	list := func(notified bool) ServerList {
@@ -43,7 +43,7 @@
 	sized := make([]bool, f.proxies)
 	sum := make([]float64, f.proxies)
 	begin := func(i int, now time.Duration) {
-		set.Me = i
+		set.Index = i
 		c, err := New(set, random.Uint64())
 		if err != nil {
 			t.Fatal(err)
@@ -59,12 +59,12 @@
 	}
 	warm := float64(f.agents) / 5 // calls a second, at a mean holding time of 5 s
 	part := func(at time.Duration) float64 {
-		return set.Rules.ColdFrom +
-			(1-set.Rules.ColdFrom)*max(0, (at-start).Seconds())/set.Rules.WarmWithin.Seconds()
+		return set.Rules.ColdCapacity +
+			(1-set.Rules.ColdCapacity)*max(0, (at-start).Seconds())/set.Rules.WarmUpTime.Seconds()
 	}
 	var sent []time.Duration
 	n, over, next := 0, math.Inf(-1), start+f.restartEvery
-	for now := start; now < start+set.Rules.WarmWithin; now += tick {
+	for now := start; now < start+set.Rules.WarmUpTime; now += tick {
 		for i, c := range all {
 			if !knows[i] && now >= start+f.notifyDelay(i) {
 				knows[i] = true
@@ -94,7 +94,7 @@
 			for _, a := range all[i].Handle(now, Arrival{Call: id, Class: "plain", Number: id,
 				TimeLeft: 3 * time.Second, Destination: 1}) {
 				if a, ok := a.(Send); ok {
-					all[i].Handle(now, Stood{Call: a.Call, Server: a.Server, After: 20 * ms})
+					all[i].Handle(now, Stood{Call: a.Call, Server: a.Server, Latency: 20 * ms})
 					if a.Server == "cold" {
 						sent = append(sent, now)
 						total++
@@ -102,12 +102,12 @@
 				}
 			}
 		}
-		for len(sent) > 0 && sent[0] <= now-set.Rules.FallWindow {
+		for len(sent) > 0 && sent[0] <= now-set.Rules.CollapseWindow {
 			sent = sent[1:]
 		}
-		from := max(start, now-set.Rules.FallWindow)
-		allowed := f.multiple * warm * (part(from) + part(from+set.Rules.FallWindow)) / 2 *
-			set.Rules.FallWindow.Seconds()
+		from := max(start, now-set.Rules.CollapseWindow)
+		allowed := f.multiple * warm * (part(from) + part(from+set.Rules.CollapseWindow)) / 2 *
+			set.Rules.CollapseWindow.Seconds()
 		if by := float64(len(sent)) - allowed; by > over {
 			over, worst, budget = by, len(sent), allowed
 		}
--- a/controller.go
+++ b/controller.go
@@ -255,7 +255,7 @@
 // ---- server list ----
 
 func (c *Controller) updateServers(e ServerList) {
-	if c.settings.MustAsk && (e.Failed || e.Stored) {
+	if c.settings.SubscribeList && (e.Failed || e.Stored) {
 		c.emit(Subscribe{})
 	}
 	if e.Failed {
@@ -287,9 +287,9 @@
 // setColdPart stores the assigned fraction of the load of a cold server.
 func (c *Controller) setColdPart(e ColdPart) {
 	if s := c.byID[e.Server]; s != nil && s.Started == e.Started {
-		s.coldFraction, s.coldFractionUntil = e.Part, e.Until
+		s.coldFraction, s.coldFractionUntil = e.Fraction, e.Until
 	} else if e.Server == "" {
-		c.coldDivided, c.unassignedFraction = true, e.Part
+		c.coldDivided, c.unassignedFraction = true, e.Fraction
 	}
 }
 
@@ -366,10 +366,10 @@
 func (c *Controller) value(k *call) float64 {
 	value := k.class.Worth
 	if k.late {
-		value *= k.class.LateWorth
+		value *= k.class.LateFactor
 	}
 	if t := c.tenants[k.Tenant]; t != nil && t.lambda() > t.Quota/float64(c.settings.Proxies) {
-		value *= c.settings.OverPart
+		value *= c.settings.OverQuotaFactor
 	}
 	return value
 }
@@ -433,7 +433,7 @@
 	if len(c.waiting) > maxWaitingCalls {
 		leastValuable := c.waiting[len(c.waiting)-1]
 		c.waiting = c.waiting[:len(c.waiting)-1]
-		c.refuse(leastValuable, CrowdedOut)
+		c.refuse(leastValuable, Displaced)
 	}
 }
 
@@ -497,21 +497,21 @@
 	k.established, k.closed = true, true
 	delete(c.firstTries, k.Number)
 	delete(c.busyNumbers, k.Number)
-	if e.After >= k.lateTimeout() {
+	if e.Latency >= k.lateTimeout() {
 		c.countRejection(k)
 	}
-	k.server.lastLatency, k.server.answeredAt, k.server.faults = e.After, c.now, 0
+	k.server.lastLatency, k.server.answeredAt, k.server.faults = e.Latency, c.now, 0
 	k.server.answeredSentAt = max(k.server.answeredSentAt, k.sentAt)
 	c.lossRate -= smoothingWeight * c.lossRate
 	for _, older := range slices.Clone(k.server.overdue) {
 		c.checkOvertaken(older)
 	}
-	k.server.updateProbation(e.After < k.overdueTimeout())
-	if k.server.baseLatency == 0 || e.After < k.server.baseLatency {
-		k.server.baseLatency = e.After
+	k.server.updateProbation(e.Latency < k.overdueTimeout())
+	if k.server.baseLatency == 0 || e.Latency < k.server.baseLatency {
+		k.server.baseLatency = e.Latency
 	}
-	k.server.baseLatency += (e.After - k.server.baseLatency) / 500
-	if e.After < k.lateTimeout() {
+	k.server.baseLatency += (e.Latency - k.server.baseLatency) / 500
+	if e.Latency < k.lateTimeout() {
 		k.server.failures = 0
 		k.server.answers++
 	}
@@ -527,7 +527,7 @@
 		c.recordFailure(k, e)
 	}
 	k.established = false
-	k.closed = k.closed || e.Settled
+	k.closed = k.closed || e.Final
 	switch e.Outcome {
 	case Concluded, Faulted, TimedOut, Cut, Cancelled:
 		k.mayHaveRun = true
@@ -674,7 +674,7 @@
 	switch {
 	case k.attempts >= k.settings.Limits.MaxAttempts, k.mayHaveRun && k.class.Repeat != RepeatFree,
 		c.now+wait >= k.deadline, !c.retryBudget.spend():
-		c.refuse(k, NoFurther)
+		c.refuse(k, NoRetryAttempt)
 	case wait > 0:
 		k.retryAt = c.now + wait
 		c.setTimer(k, k.retryAt)
@@ -929,7 +929,7 @@
 
 // isCold reports whether the server may still be warming up after its start.
 func (c *Controller) isCold(s *server) bool {
-	return s.Started > 0 && c.now < s.Started+c.settings.Rules.WarmWithin
+	return s.Started > 0 && c.now < s.Started+c.settings.Rules.WarmUpTime
 }
 
 // shareExhausted reports whether this proxy has used up its share of what the server can take. Credit grows
@@ -973,12 +973,12 @@
 func (c *Controller) turnsExhausted(s *server) bool {
 	rate, rules := c.coldRate(s), &c.settings.Rules
 	turnsUntil := func(at time.Duration) float64 { // turns up to a time, for one call a second when warm
-		age, coldCapacity := max(at-s.Started, 0).Seconds(), rules.ColdFrom
-		meanCapacity := coldCapacity + (1-coldCapacity)*age/rules.WarmWithin.Seconds()/2
-		return min(1, coldBudgetFraction*rules.FallMultiple) * meanCapacity * age
+		age, coldCapacity := max(at-s.Started, 0).Seconds(), rules.ColdCapacity
+		meanCapacity := coldCapacity + (1-coldCapacity)*age/rules.WarmUpTime.Seconds()/2
+		return min(1, coldBudgetFraction*rules.CollapseMultiple) * meanCapacity * age
 	}
 	if s.turnPosition += rate * (turnsUntil(c.now) - turnsUntil(s.turnsAt)); s.turnAgents != s.totalAgents {
-		offset := float64(c.settings.Me) / float64(c.settings.Proxies)
+		offset := float64(c.settings.Index) / float64(c.settings.Proxies)
 		s.turnAgents, s.turnPosition = s.totalAgents, s.turnPhase()+offset+rate*turnsUntil(c.now)
 		if s.usedTurns = 0; c.startedAt >= s.Started || s.admissionMeter.lastCall >= s.Started {
 			s.usedTurns = math.Floor(s.turnPosition)
@@ -986,7 +986,7 @@
 	}
 	s.turnsAt = c.now
 	s.usedTurns = max(s.usedTurns,
-		math.Floor(s.turnPosition-rate*(turnsUntil(c.now)-turnsUntil(c.now-rules.FallWindow))))
+		math.Floor(s.turnPosition-rate*(turnsUntil(c.now)-turnsUntil(c.now-rules.CollapseWindow))))
 	return math.Floor(s.turnPosition) <= s.usedTurns
 }
 
--- a/controller_test.go
+++ b/controller_test.go
@@ -18,14 +18,14 @@
 	return Settings{
 		Proxies: 2,
 		Classes: []Class{
-			{Name: "plain", Aim: time.Second, Deadline: 8 * time.Second, Holding: 4 * time.Second, Worth: 1,
-				LateWorth: 0.2, Servers: []int{1, 2}},
-			{Name: "dear", Aim: time.Second, Deadline: 8 * time.Second, Holding: 6 * time.Second, Worth: 5,
-				LateWorth: 0.2, Servers: []int{1, 2}},
+			{Name: "plain", Aim: time.Second, Deadline: 8 * time.Second, HoldingTime: 4 * time.Second, Worth: 1,
+				LateFactor: 0.2, Servers: []int{1, 2}},
+			{Name: "dear", Aim: time.Second, Deadline: 8 * time.Second, HoldingTime: 6 * time.Second, Worth: 5,
+				LateFactor: 0.2, Servers: []int{1, 2}},
 		},
 		Limits: Limits{MaxAttempts: 3, MaxRetryAfter: time.Second, RetryAfter: true, Cancel: true},
-		Rules: Rules{ReleaseWait: 400 * ms, DrainGrace: 100 * ms, ColdFrom: 0.25, WarmWithin: 10 * time.Second,
-			FallMultiple: 2, FallWindow: 2 * time.Second},
+		Rules: Rules{ReleaseWait: 400 * ms, DrainGrace: 100 * ms, ColdCapacity: 0.25, WarmUpTime: 10 * time.Second,
+			CollapseMultiple: 2, CollapseWindow: 2 * time.Second},
 		Callers: Callers{MarkRetries: true},
 	}
 }
@@ -271,7 +271,7 @@
 	}
 	r.now = max(r.now, s.coolDownUntil)
 	id, _ := r.newCall("plain")
-	r.handle(Stood{Call: id, Server: "a", After: ms})
+	r.handle(Stood{Call: id, Server: "a", Latency: ms})
 	id, _ = r.newCall("plain")
 	r.handle(Ended{Call: id, Server: "a", Outcome: Rejected, Cause: CauseProcessorFull})
 	if coolDown := s.coolDownUntil - r.now; coolDown != minCoolDown {
@@ -286,7 +286,7 @@
 	id, timers := r.newCall("plain")
 	r.advance(1200 * ms)
 	r.fireTimers(timers)
-	r.handle(Stood{Call: id, Server: "a", After: 1200 * ms}) // its aim is 1 s
+	r.handle(Stood{Call: id, Server: "a", Latency: 1200 * ms}) // its aim is 1 s
 	r.advance(time.Second)
 	if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
 		t.Error("a fresh call is sent where it would be late")
@@ -295,14 +295,14 @@
 	if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
 		t.Error("without newer answers, the old answer still keeps calls away")
 	} else {
-		r.handle(Stood{Call: id, Server: "a", After: 1200 * ms})
+		r.handle(Stood{Call: id, Server: "a", Latency: 1200 * ms})
 	}
 	got := r.handle(Arrival{Call: "late", Class: "plain", Number: "n", TimeLeft: 3 * time.Second, Destination: 1,
 		Retry: true})
 	if sentTo(got, "late") != "a" {
 		t.Error("a late call is not sent to measure the response time")
 	}
-	r.handle(Stood{Call: "late", Server: "a", After: 100 * ms})
+	r.handle(Stood{Call: "late", Server: "a", Latency: 100 * ms})
 	if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
 		t.Error("an answer in time does not bring fresh calls back")
 	}
@@ -387,7 +387,7 @@
 func TestBaseLatencyBlocksNoServer(t *testing.T) {
 	r := newRig(t, settings(), twoServers()[:1]...)
 	id, _ := r.newCall("plain")
-	r.handle(Stood{Call: id, Server: "a", After: 150 * ms})
+	r.handle(Stood{Call: id, Server: "a", Latency: 150 * ms})
 	_, first := r.newCall("plain")
 	r.advance(200 * ms)
 	r.fireTimers(first)
@@ -425,7 +425,7 @@
 	r.advance(10 * ms)
 	sound, _ := r.newCall("plain")
 	r.advance(30 * ms)
-	r.handle(Stood{Call: sound, Server: "a", After: 30 * ms})
+	r.handle(Stood{Call: sound, Server: "a", Latency: 30 * ms})
 	r.advance(160 * ms)
 	want := GiveUp{Call: lost, Why: Overtaken}
 	if got := r.fireTimers(first); !slices.Contains(got, Action(want)) {
@@ -453,7 +453,7 @@
 		t.Fatal("an overdue set-up does not block its server")
 	}
 	r.advance(20 * ms)
-	r.handle(Stood{Call: sound, Server: "a", After: 30 * ms})
+	r.handle(Stood{Call: sound, Server: "a", Latency: 30 * ms})
 	if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
 		t.Error("an overtaken set-up still blocks its server")
 	}
@@ -506,7 +506,7 @@
 		t.Fatalf("active %v with %d overload rejections, want the set-up unanswered at half its aim counted",
 			s.active, s.rejections)
 	}
-	r.handle(Stood{Call: id, Server: "a", After: 500 * ms})
+	r.handle(Stood{Call: id, Server: "a", Latency: 500 * ms})
 	if s := r.c.byID["a"]; s.rejections != 1 {
 		t.Error("the same set-up was counted twice")
 	}
@@ -521,7 +521,7 @@
 	if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
 		t.Fatal("sent to a server with an overdue set-up")
 	}
-	r.handle(Stood{Call: first, Server: "a", After: 300 * ms})
+	r.handle(Stood{Call: first, Server: "a", Latency: 300 * ms})
 	second, got := r.newCall("plain")
 	if sentTo(got, second) != "a" {
 		t.Fatal("not sent during probation")
@@ -529,7 +529,7 @@
 	if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
 		t.Fatal("two set-ups in flight at the start of probation")
 	}
-	r.handle(Stood{Call: second, Server: "a", After: 20 * ms})
+	r.handle(Stood{Call: second, Server: "a", Latency: 20 * ms})
 	for range 2 {
 		if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
 			t.Fatal("an answer in time does not extend the probation limit")
@@ -560,7 +560,7 @@
 				for _, a := range c.Handle(now, Arrival{Call: id, Class: "plain", Number: id,
 					TimeLeft: 3 * time.Second, Destination: 1}) {
 					if a, ok := a.(Send); ok {
-						c.Handle(now, Stood{Call: a.Call, Server: a.Server, After: ms})
+						c.Handle(now, Stood{Call: a.Call, Server: a.Server, Latency: ms})
 						if a.Server == "a" && i > 0 {
 							sent++
 						}
@@ -739,13 +739,13 @@
 	set.Classes[1].Servers, set.Classes[0].Servers = []int{1}, []int{1}
 	r := newRig(t, set, Server{ID: "a", Number: 1, Started: time.Hour})
 	r.handle(Agents{Server: "a", Free: 100, Total: 100})
-	sent, window := 0, r.now+set.Rules.FallWindow
+	sent, window := 0, r.now+set.Rules.CollapseWindow
 	for ; r.now < window; r.advance(5 * ms) {
 		_, got := r.newCall("plain")
 		for _, a := range got {
 			if a, ok := a.(Send); ok {
 				sent++
-				r.handle(Stood{Call: a.Call, Server: "a", After: ms})
+				r.handle(Stood{Call: a.Call, Server: "a", Latency: ms})
 			}
 		}
 	}
@@ -775,7 +775,7 @@
 			var all []*Controller
 			start := time.Hour
 			for i := range proxies {
-				set.Me = i
+				set.Index = i
 				c, err := New(set, uint64(i))
 				if err != nil {
 					t.Fatal(err)
@@ -787,14 +787,14 @@
 				}
 				if divided {
 					c.Handle(start, ColdPart{})
-					c.Handle(start, ColdPart{Server: "cold", Started: start, Part: 1 / float64(proxies),
+					c.Handle(start, ColdPart{Server: "cold", Started: start, Fraction: 1 / float64(proxies),
 						Until: start + time.Hour})
 				}
 				all = append(all, c)
 			}
 			var sent []time.Duration
 			total, n := 0, 0
-			for now := start; now < start+set.Rules.WarmWithin; n++ {
+			for now := start; now < start+set.Rules.WarmUpTime; n++ {
 				// The full warm load for each of the two servers.
 				now += time.Duration(random.ExpFloat64() / (2 * warm) * float64(time.Second))
 				c := all[random.IntN(proxies)]
@@ -805,17 +805,17 @@
 				if to == "" {
 					continue
 				}
-				c.Handle(now, Stood{Call: id, Server: to, After: 20 * ms})
+				c.Handle(now, Stood{Call: id, Server: to, Latency: 20 * ms})
 				if to == "cold" {
 					total++
 					sent = append(sent, now)
 				}
-				for len(sent) > 0 && sent[0] < now-set.Rules.FallWindow {
+				for len(sent) > 0 && sent[0] < now-set.Rules.CollapseWindow {
 					sent = sent[1:]
 				}
-				age := float64(max(0, now-start-set.Rules.FallWindow)) / float64(set.Rules.WarmWithin)
-				part := set.Rules.ColdFrom + (1-set.Rules.ColdFrom)*age
-				budget := set.Rules.FallMultiple * part * warm * set.Rules.FallWindow.Seconds()
+				age := float64(max(0, now-start-set.Rules.CollapseWindow)) / float64(set.Rules.WarmUpTime)
+				part := set.Rules.ColdCapacity + (1-set.Rules.ColdCapacity)*age
+				budget := set.Rules.CollapseMultiple * part * warm * set.Rules.CollapseWindow.Seconds()
 				if float64(len(sent)) > budget {
 					t.Fatalf("%d proxies, size reported %v: "+
 						"%d set-ups in a window, %.1f s after the start, budget %.0f",
@@ -850,7 +850,7 @@
 			if id := fmt.Sprint(n); sentTo(c.Handle(now, Arrival{Call: id, Class: "plain", Number: id,
 				TimeLeft: 3 * time.Second, Destination: 1}), id) != "" {
 				sent++
-				c.Handle(now, Stood{Call: id, Server: "cold", After: ms})
+				c.Handle(now, Stood{Call: id, Server: "cold", Latency: ms})
 			}
 		}
 		return sent
@@ -859,19 +859,19 @@
 	if sent := try(start); sent != 0 {
 		t.Errorf("%d set-ups without a fraction", sent)
 	}
-	c.Handle(start+time.Second, ColdPart{Server: "cold", Started: start, Part: 0.5, Until: start + 3*time.Second})
+	c.Handle(start+time.Second, ColdPart{Server: "cold", Started: start, Fraction: 0.5, Until: start + 3*time.Second})
 	if sent := try(start + 2*time.Second); sent < 5 || sent > 20 { // half of a quarter of 100 calls a second
 		t.Errorf("%d set-ups with a fraction of one half", sent)
 	}
 	if sent := try(start + 4*time.Second); sent > 1 {
 		t.Errorf("%d set-ups after the fraction expired", sent)
 	}
-	c.Handle(start+6*time.Second, ColdPart{Server: "cold", Started: start, Part: 1, Until: start + time.Hour})
+	c.Handle(start+6*time.Second, ColdPart{Server: "cold", Started: start, Fraction: 1, Until: start + time.Hour})
 	list(start+6*time.Second, start+6*time.Second)
 	if sent := try(start + 6*time.Second); sent != 0 {
 		t.Errorf("%d set-ups with the fraction of an earlier start", sent)
 	}
-	if sent := try(start + 6*time.Second + set.Rules.WarmWithin); sent < 40 {
+	if sent := try(start + 6*time.Second + set.Rules.WarmUpTime); sent < 40 {
 		t.Errorf("%d set-ups to a warm server", sent)
 	}
 }
@@ -908,10 +908,10 @@
 	if after := fmt.Sprintf("%+v", *r.c.calls[id]); after != before {
 		t.Error("the call changed")
 	}
-	r.handle(Stood{Call: id, Server: "a", After: ms})
-	r.handle(Stood{Call: id, Server: "a", After: ms})
-	r.handle(Ended{Call: id, Server: "a", Outcome: Concluded, Settled: true})
-	if got := r.handle(Ended{Call: id, Server: "a", Outcome: Concluded, Settled: true}); len(got) != 0 ||
+	r.handle(Stood{Call: id, Server: "a", Latency: ms})
+	r.handle(Stood{Call: id, Server: "a", Latency: ms})
+	r.handle(Ended{Call: id, Server: "a", Outcome: Concluded, Final: true})
+	if got := r.handle(Ended{Call: id, Server: "a", Outcome: Concluded, Final: true}); len(got) != 0 ||
 		len(r.c.calls) != 0 {
 		t.Error("a repeated end is not ignored")
 	}
@@ -974,7 +974,7 @@
 
 func TestTenantOverQuotaIsSentLast(t *testing.T) {
 	set := settings()
-	set.OverPart = 0.1
+	set.OverQuotaFactor = 0.1
 	set.Tenants = []Tenant{{Name: "over", Quota: 4}, {Name: "within", Quota: 4}} // 2 a second for each of 2 proxies
 	r := newRig(t, set, Server{ID: "a", Number: 1})
 	ask := func(id, tenant string) {
--- a/example_test.go
+++ b/example_test.go
@@ -12,7 +12,7 @@
 	controller, err := threadglade.New(threadglade.Settings{
 		Proxies: 3,
 		Classes: []threadglade.Class{{Name: "call", Aim: time.Second, Deadline: 8 * time.Second,
-			Holding: 5 * time.Second, Worth: 1, Servers: []int{1}}},
+			HoldingTime: 5 * time.Second, Worth: 1, Servers: []int{1}}},
 		Limits: threadglade.Limits{MaxAttempts: 2},
 	}, 42)
 	if err != nil {
--- a/fingerprint.go
+++ b/fingerprint.go
@@ -13,7 +13,7 @@
 
 // TimerCall returns the call that a timer's token belongs to, or "" for the timer of waiting calls. It returns
 // false if the timer has no effect any more.
-func (c *Controller) TimerOf(token int64) (call string, live bool) {
+func (c *Controller) TimerCall(token int64) (call string, live bool) {
 	if token == waitingTimerToken {
 		return "", true
 	}
@@ -143,7 +143,7 @@
 	enc.float(c.lossRate)
 	enc.bools(c.redrawn, c.coldDivided, c.retryBudget.Limited)
 	enc.float(c.unassignedFraction)
-	enc.integers(int64(c.retryBudget.Left))
+	enc.integers(int64(c.retryBudget.Remaining))
 	enc.meter(&c.ownArrivals)
 	enc.integers(int64(len(c.servers)))
 	for _, s := range c.servers {
--- a/internal/explore/model.go
+++ b/internal/explore/model.go
@@ -76,9 +76,9 @@
 
 func (w *World) settings() threadglade.Settings {
 	s := threadglade.Settings{Proxies: 1, Limits: threadglade.Limits{MaxAttempts: w.Attempts, MaxRetryAfter: time.Second, RetryAfter: true, Cancel: true},
-		Rules:   threadglade.Rules{ReleaseWait: releaseWait, DrainGrace: drainGrace, ColdFrom: 0.37, WarmWithin: 9 * time.Second, FallMultiple: 3, FallWindow: 2 * time.Second},
+		Rules:   threadglade.Rules{ReleaseWait: releaseWait, DrainGrace: drainGrace, ColdCapacity: 0.37, WarmUpTime: 9 * time.Second, CollapseMultiple: 3, CollapseWindow: 2 * time.Second},
 		Callers: threadglade.Callers{MarkRetries: true}}
-	class := threadglade.Class{Name: "voice", Aim: aim, Deadline: 2 * within, Holding: time.Second, Worth: 1, LateWorth: 0.5, Repeat: threadglade.RepeatFree}
+	class := threadglade.Class{Name: "voice", Aim: aim, Deadline: 2 * within, HoldingTime: time.Second, Worth: 1, LateFactor: 0.5, Repeat: threadglade.RepeatFree}
 	for n := range w.Servers {
 		class.Servers = append(class.Servers, n)
 	}
--- a/internal/fleetsim/calls.go
+++ b/internal/fleetsim/calls.go
@@ -142,10 +142,10 @@
 	if proxies == 0 {
 		proxies = w.cfg.Members
 	}
-	set := threadglade.Settings{Me: index, Proxies: proxies, Limits: threadglade.Limits{MaxAttempts: 6, RetryAfter: true, MaxRetryAfter: time.Second, Cancel: true},
-		Rules:   threadglade.Rules{ReleaseWait: 200 * time.Millisecond, DrainGrace: time.Second, ColdFrom: 0.2, WarmWithin: 10 * time.Second, FallMultiple: 2, FallWindow: time.Second},
+	set := threadglade.Settings{Index: index, Proxies: proxies, Limits: threadglade.Limits{MaxAttempts: 6, RetryAfter: true, MaxRetryAfter: time.Second, Cancel: true},
+		Rules:   threadglade.Rules{ReleaseWait: 200 * time.Millisecond, DrainGrace: time.Second, ColdCapacity: 0.2, WarmUpTime: 10 * time.Second, CollapseMultiple: 2, CollapseWindow: time.Second},
 		Callers: threadglade.Callers{MarkRetries: true},
-		Classes: []threadglade.Class{{Name: "x", Aim: time.Second, Deadline: 10 * time.Second, Holding: c.Stand, Worth: 1, LateWorth: 0.5}}}
+		Classes: []threadglade.Class{{Name: "x", Aim: time.Second, Deadline: 10 * time.Second, HoldingTime: c.Stand, Worth: 1, LateFactor: 0.5}}}
 	for i := range c.Servers {
 		set.Classes[0].Servers = append(set.Classes[0].Servers, i)
 	}
@@ -205,9 +205,9 @@
 func (d *desk) parts() {
 	now := d.p.clock(d.w.now)
 	if parts, alone, ok := d.p.gate.ColdShares(now); ok {
-		d.router.ColdPart(threadglade.ColdPart{Part: alone})
+		d.router.ColdPart(threadglade.ColdPart{Fraction: alone})
 		for _, p := range parts {
-			d.router.ColdPart(threadglade.ColdPart{Server: p.ID, Started: p.Started, Part: p.Share, Until: d.w.unix() + d.p.gate.LeaseUntil() - now})
+			d.router.ColdPart(threadglade.ColdPart{Server: p.ID, Started: p.Started, Fraction: p.Share, Until: d.w.unix() + d.p.gate.LeaseUntil() - now})
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -161,7 +161,7 @@
 			return nil, err
 		}
 	}
-	log.Info().Str("event", "serving").Stringer("address", n.listen.Addr()).Int("me", c.Settings.Me).Msgf("serving on %s: %d servers known, list %d, name service %s", n.listen.Addr(), len(c.Servers), c.Cursor, c.Resolver)
+	log.Info().Str("event", "serving").Stringer("address", n.listen.Addr()).Int("me", c.Settings.Index).Msgf("serving on %s: %d servers known, list %d, name service %s", n.listen.Addr(), len(c.Servers), c.Cursor, c.Resolver)
 	return n, nil
 }
 
--- a/internal/node/product.go
+++ b/internal/node/product.go
@@ -207,9 +207,9 @@
 
 // parts tells the decisions what this router may send of what case servers that have just started may be sent.
 func (n *Node) parts(parts []quota.ColdShare, hold time.Duration, alone float64) {
-	n.Router.ColdPart(threadglade.ColdPart{Part: alone})
+	n.Router.ColdPart(threadglade.ColdPart{Fraction: alone})
 	for _, p := range parts {
-		n.Router.ColdPart(threadglade.ColdPart{Server: p.ID, Started: p.Started, Part: p.Share, Until: n.clock() + hold})
+		n.Router.ColdPart(threadglade.ColdPart{Server: p.ID, Started: p.Started, Fraction: p.Share, Until: n.clock() + hold})
 	}
 }
 
@@ -217,14 +217,14 @@
 func (n *Node) further(lend func(int) (int, bool)) {
 	n.Router.UpdateRetryBudget(func(left int) threadglade.Further {
 		lent, limited := lend(left)
-		return threadglade.Further{Limited: limited, Left: lent}
+		return threadglade.Further{Limited: limited, Remaining: lent}
 	})
 }
 
 // cold tells the fleet which case servers have just started.
 func (n *Node) cold(servers []sip.Server) {
 	var list []quota.Server
-	now, warm := n.clock(), n.config.Settings.Rules.WarmWithin
+	now, warm := n.clock(), n.config.Settings.Rules.WarmUpTime
 	for _, s := range servers {
 		if left := s.Started + warm - now; s.Started > 0 && left > 0 {
 			list = append(list, quota.Server{ID: s.ID, Started: s.Started, Warm: left})
--- a/internal/sip/front.go
+++ b/internal/sip/front.go
@@ -611,7 +611,7 @@
 			destination = n
 			ok = ok && (n == -1 || slices.Contains(class.Servers, n) || len(class.Servers) == 0 && n >= 0)
 		case "width":
-			ok = ok && n > 0 && (class.Width == 0 || n == class.Width)
+			ok = ok && n > 0 && (class.Circuits == 0 || n == class.Circuits)
 		case "via":
 			ok = ok && n >= -1
 		case "again":
--- a/internal/sip/trunk.go
+++ b/internal/sip/trunk.go
@@ -857,8 +857,8 @@
 	return nil
 }
 
-var words = map[string]threadglade.Cause{"blocked": threadglade.CauseNoAgent, "bounced": threadglade.CauseTurnedBack,
-	"far_swamped": threadglade.CauseTurnedBack, "swamped": threadglade.CauseProcessorFull,
+var words = map[string]threadglade.Cause{"blocked": threadglade.CauseNoAgent, "bounced": threadglade.CauseSentBack,
+	"far_swamped": threadglade.CauseSentBack, "swamped": threadglade.CauseProcessorFull,
 	"occupied": threadglade.CauseLinesBusy}
 
 // outcome maps a refusal.
--- a/internal/traceio/recorder.go
+++ b/internal/traceio/recorder.go
@@ -556,7 +556,7 @@
 		}
 		rec.set(trace.RateMilli, rate)
 		rec.set(trace.LambdaMilli, lambda)
-		rec.set(trace.Out, int64(e.View.Out))
+		rec.set(trace.Out, int64(e.View.InFlight))
 		rec.set(trace.OldestMs, r.oldest(s, e.At).Milliseconds())
 		if e.Kind == router.Sent {
 			c.server, c.sent, c.attempt, c.out = e.Server, e.At, e.Attempt, true
--- a/internal/traceio/traceio_test.go
+++ b/internal/traceio/traceio_test.go
@@ -452,7 +452,7 @@
 	for i, ms := range []int{100, 150} {
 		id := fmt.Sprint(i)
 		g.r.Observe(router.Event{Kind: router.Arrived, At: at(ms), Call: id, Slot: uint32(i + 1), Class: "voice"})
-		g.r.Observe(router.Event{Kind: router.Sent, At: at(ms), Call: id, Slot: uint32(i + 1), Server: "s0", Reason: threadglade.Drawn, View: threadglade.View{Phase: threadglade.Climbing, Rate: 4.5, Lambda: 6, Out: i}})
+		g.r.Observe(router.Event{Kind: router.Sent, At: at(ms), Call: id, Slot: uint32(i + 1), Server: "s0", Reason: threadglade.Drawn, View: threadglade.View{Phase: threadglade.Climbing, Rate: 4.5, Lambda: 6, InFlight: i}})
 	}
 	require.NoError(t, g.r.Close())
 	list, _ := g.files(t, "trace")
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -60,13 +60,13 @@
 		return threadglade.Settings{}, err
 	}
 	s := threadglade.Settings{
-		Me: p.Me, Proxies: p.Proxies, OverPart: p.OverPart,
-		Network: p.Domain.Form == "network", MustAsk: p.Find == "on_request",
+		Index: p.Me, Proxies: p.Proxies, OverQuotaFactor: p.OverPart,
+		Network: p.Domain.Form == "network", SubscribeList: p.Find == "on_request",
 		Limits: threadglade.Limits{MaxAttempts: p.Limits.MaxAttempts, MaxRetryAfter: Span(p.Limits.MaxPause),
 			RetryAfter: p.Limits.RetryAfter, Cancel: p.Limits.Cancel},
 		Rules: threadglade.Rules{ReleaseWait: Span(p.Domain.Release), DrainGrace: Span(p.Rules.DrainGrace),
-			ColdFrom: p.Rules.ColdFrom, WarmWithin: Span(p.Rules.WarmWithin),
-			FallMultiple: p.Rules.Multiple, FallWindow: Span(p.Rules.Window)},
+			ColdCapacity: p.Rules.ColdFrom, WarmUpTime: Span(p.Rules.WarmWithin),
+			CollapseMultiple: p.Rules.Multiple, CollapseWindow: Span(p.Rules.Window)},
 		Callers: threadglade.Callers{MarkRetries: p.Callers.Marks},
 	}
 	for i, c := range p.Classes {
@@ -74,15 +74,15 @@
 			return s, fmt.Errorf("classes[%d].repeat: %q is unknown", i, c.Repeat)
 		}
 		class := threadglade.Class{Name: c.Name, Aim: Span(c.Aim), Deadline: Span(c.Deadline), Worth: c.Gain,
-			LateWorth: c.Late, Repeat: repeats[c.Repeat]}
+			LateFactor: c.Late, Repeat: repeats[c.Repeat]}
 		if i < len(p.Domain.Pools) {
 			class.Servers = p.Domain.Pools[i]
 		}
 		if i < len(p.Domain.Width) {
-			class.Width = p.Domain.Width[i]
+			class.Circuits = p.Domain.Width[i]
 		}
 		if i < len(p.Domain.Holding) {
-			class.Holding = Span(p.Domain.Holding[i])
+			class.HoldingTime = Span(p.Domain.Holding[i])
 		}
 		s.Classes = append(s.Classes, class)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -78,7 +78,7 @@
 
 // codes holds the low four bits of a clear code; 18 is a processor beyond the one that answered.
 var codes = map[int]threadglade.Cause{
-	1: threadglade.CauseNoAgent, 2: threadglade.CauseTurnedBack, 3: threadglade.CauseProcessorFull, 4: threadglade.CauseLinesBusy,
+	1: threadglade.CauseNoAgent, 2: threadglade.CauseSentBack, 3: threadglade.CauseProcessorFull, 4: threadglade.CauseLinesBusy,
 }
 
 // Event translates a line about one instance; known is false for a message that the module has no use for.
@@ -93,7 +93,7 @@
 			Destination: l.Destination, Retry: l.Retry, InTransit: l.InTransit,
 		}, true, nil
 	case "FirstByte":
-		return threadglade.Stood{Call: l.Call, Attempt: l.Attempt, Server: l.Server, After: Span(l.Wait)}, true, nil
+		return threadglade.Stood{Call: l.Call, Attempt: l.Attempt, Server: l.Server, Latency: Span(l.Wait)}, true, nil
 	case "ClosedAttempt":
 		outcome, ok := outcomes[l.Ending]
 		if !ok {
@@ -101,7 +101,7 @@
 		}
 		return threadglade.Ended{
 			Call: l.Call, Attempt: l.Attempt, Server: l.Server, Outcome: outcome, Cause: codes[l.Code&15],
-			After: Span(l.Wait), Settled: l.Settled,
+			Elapsed: Span(l.Wait), Final: l.Settled,
 		}, true, nil
 	case "CheckResult":
 		free, told := l.Pressure["idle"]
--- a/ledger/keeper.go
+++ b/ledger/keeper.go
@@ -34,7 +34,7 @@
 func Classes(list []threadglade.Class) map[string]Class {
 	m := map[string]Class{}
 	for _, c := range list {
-		m[c.Name] = Class{c.Aim, int64(math.Round(1000 * c.Worth)), int64(math.Round(1000 * c.Worth * c.LateWorth))}
+		m[c.Name] = Class{c.Aim, int64(math.Round(1000 * c.Worth)), int64(math.Round(1000 * c.Worth * c.LateFactor))}
 	}
 	return m
 }
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -24,7 +24,7 @@
 	core, err := New(Config{
 		Settings: threadglade.Settings{Proxies: 1, Limits: threadglade.Limits{MaxAttempts: 6, RetryAfter: true, MaxRetryAfter: time.Second},
 			Rules: threadglade.Rules{ReleaseWait: 200 * time.Millisecond, DrainGrace: time.Second},
-			Classes: []threadglade.Class{{Name: "page", Aim: time.Second, Deadline: 5 * time.Second, Holding: time.Second,
+			Classes: []threadglade.Class{{Name: "page", Aim: time.Second, Deadline: 5 * time.Second, HoldingTime: time.Second,
 				Worth: 1, Servers: []int{0, 1}}}},
 		Clock: func() time.Duration { return time.Duration(clock.Load()) },
 		Describe: func(r *http.Request, now time.Duration) router.Request {
--- a/random_test.go
+++ b/random_test.go
@@ -124,11 +124,11 @@
 		if w.random.IntN(8) == 0 {
 			outcome = Cut
 		}
-		w.deliver(Ended{Call: id, Attempt: p.attempts - 1, Server: p.server, Outcome: outcome, Settled: true})
+		w.deliver(Ended{Call: id, Attempt: p.attempts - 1, Server: p.server, Outcome: outcome, Final: true})
 	case p.inFlight && w.random.IntN(3) > 0:
 		p.inFlight, p.established, p.answered = false, true, true
 		w.deliver(Stood{Call: id, Attempt: p.attempts - 1, Server: p.server,
-			After: time.Duration(w.random.IntN(900)) * ms})
+			Latency: time.Duration(w.random.IntN(900)) * ms})
 	case p.inFlight:
 		w.endAttempt(id, p, []Outcome{Faulted, Rejected, TimedOut, Unreachable, Cut, NotSent}[w.random.IntN(6)])
 	case !p.answered && w.random.IntN(20) == 0:
@@ -217,22 +217,22 @@
 			s = x
 		}
 	}
-	if s.Started == 0 || w.now >= s.Started+w.settings.Rules.WarmWithin {
+	if s.Started == 0 || w.now >= s.Started+w.settings.Rules.WarmUpTime {
 		return
 	}
 	sent := append(w.coldSends[id], w.now)
-	for sent[0] < w.now-w.settings.Rules.FallWindow {
+	for sent[0] < w.now-w.settings.Rules.CollapseWindow {
 		sent = sent[1:]
 	}
 	w.coldSends[id] = sent
 	var holding time.Duration
 	for _, class := range w.settings.Classes {
-		holding += class.Holding / time.Duration(len(w.settings.Classes))
+		holding += class.HoldingTime / time.Duration(len(w.settings.Classes))
 	}
-	part := w.settings.Rules.ColdFrom + (1-w.settings.Rules.ColdFrom)*
-		float64(w.now-s.Started)/float64(w.settings.Rules.WarmWithin)
-	maxSent := w.settings.Rules.FallMultiple*part*40/holding.Seconds()*
-		w.settings.Rules.FallWindow.Seconds()/float64(w.settings.Proxies) + 1
+	part := w.settings.Rules.ColdCapacity + (1-w.settings.Rules.ColdCapacity)*
+		float64(w.now-s.Started)/float64(w.settings.Rules.WarmUpTime)
+	maxSent := w.settings.Rules.CollapseMultiple*part*40/holding.Seconds()*
+		w.settings.Rules.CollapseWindow.Seconds()/float64(w.settings.Proxies) + 1
 	if float64(len(sent)) > maxSent {
 		w.t.Fatalf("rule 4: %d set-ups to %s within the window, the share is %.1f", len(sent), id, maxSent)
 	}
--- a/reason.go
+++ b/reason.go
@@ -27,7 +27,7 @@
 	case firstChoice != nil && firstChoice != k.server &&
 		c.now < firstChoice.avoidUntil && c.now >= firstChoice.coolDownUntil:
 		c.redrawn = false
-		return Spared
+		return Avoided
 	case drawn && s == c.remembered:
 		c.redrawn = false
 		return Drawn
@@ -49,9 +49,9 @@
 // endRefusal returns why a call is refused after a failed attempt.
 func endRefusal(e Ended) Reason {
 	if e.Outcome == Faulted {
-		return OwnFault
+		return CallFaulted
 	}
-	return Returned
+	return ServerRejected
 }
 
 // blockReason returns what keeps the first-choice server, or without one the remembered server, from taking the
@@ -75,38 +75,38 @@
 	case !c.servesClass(s, k.class):
 		return NotSkilled
 	case c.now < s.coolDownUntil:
-		return Resting
+		return InCoolDown
 	case c.now < s.avoidUntil:
 		return SharedVerdict
 	case len(s.overdue) > 0 && c.now < s.probeAt || s.probation > 0 && s.inFlight-len(s.overdue) >= s.probation:
-		return OnTrial
+		return OnProbation
 	case c.wouldBeLate(s, k):
-		return Hopeless
+		return WouldBeLate
 	case c.inGap(s):
 		return Gapped
 	case s.credit < 1: // as of the last check; checking again would add credit
-		return BudgetSpent
+		return ShareExhausted
 	}
-	return Returned
+	return ServerRejected
 }
 
 // RetryBudget returns what remains of the budget set by the latest Further.
-func (c *Controller) FurtherLeft() Further {
-	return Further{c.retryBudget.Limited, max(c.retryBudget.Left, 0)}
+func (c *Controller) RetryBudget() Further {
+	return Further{c.retryBudget.Limited, max(c.retryBudget.Remaining, 0)}
 }
 
 // BlockReason returns why a call waits that has neither a pending attempt nor its final answer, and its
 // first-choice server. It returns false if the call is not known to wait.
-func (c *Controller) Obstacle(id string) (server string, why Reason, waits bool) {
+func (c *Controller) BlockReason(id string) (server string, why Reason, waits bool) {
 	k := c.calls[id]
 	if k == nil || k.inFlight || k.closed || k.retryAt > 0 || k.class == nil {
 		return "", NoReason, false
 	}
-	return c.Choice(k.Destination), c.blockReason(k), true
+	return c.FirstChoiceServer(k.Destination), c.blockReason(k), true
 }
 
 // FirstChoiceServer returns the ID of the running server of a number, or "" if there is none.
-func (c *Controller) Choice(number int) string {
+func (c *Controller) FirstChoiceServer(number int) string {
 	if s := c.serverByNumber(number); s != nil {
 		return s.ID
 	}
@@ -121,8 +121,8 @@
 	Uncontrolled Phase = iota // no overload rejection for a while: no gap
 	Climbing                  // the rate climbs or follows the arrival rate
 	CutBack                   // the last interval with answers had overload rejections: the rate was cut
-	Rests                     // in cool-down after a failure
-	Tried                     // on probation after unanswered set-ups: few are sent
+	CoolDown                  // in cool-down after a failure
+	Probation                 // on probation after unanswered set-ups: few are sent
 )
 
 var phaseNames = [...]string{"uncontrolled", "climbing", "cut back", "resting", "on trial"}
@@ -137,11 +137,11 @@
 
 // View is what the Controller knows of a server.
 type View struct {
-	Phase  Phase
-	Rate   float64       // admission rate r, calls a second; -1 while uncontrolled
-	Lambda float64       // arrival rate λ, calls a second
-	Out    int           // unanswered set-ups of this proxy
-	Rest   time.Duration // time left of its cool-down
+	Phase    Phase
+	Rate     float64       // admission rate r, calls a second; -1 while uncontrolled
+	Lambda   float64       // arrival rate λ, calls a second
+	InFlight int           // unanswered set-ups of this proxy
+	CoolDown time.Duration // time left of its cool-down
 }
 
 // View returns what the Controller knows of a server, or false if the server is unknown.
@@ -150,7 +150,7 @@
 	if s == nil {
 		return View{}, false
 	}
-	view := View{Rate: -1, Lambda: s.lambda(), Out: s.inFlight, Rest: max(0, s.coolDownUntil-c.now)}
+	view := View{Rate: -1, Lambda: s.lambda(), InFlight: s.inFlight, CoolDown: max(0, s.coolDownUntil-c.now)}
 	switch {
 	case s.active && s.climbIntervals == 0 && s.rejectionRatio > 0 && s.gap > 0:
 		view.Phase = CutBack
@@ -161,10 +161,10 @@
 		view.Rate = s.rate
 	}
 	switch {
-	case view.Rest > 0:
-		view.Phase = Rests
+	case view.CoolDown > 0:
+		view.Phase = CoolDown
 	case s.probation > 0:
-		view.Phase = Tried
+		view.Phase = Probation
 	}
 	return view, true
 }
--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -35,7 +35,7 @@
 		Proxies: 1,
 		Limits:  threadglade.Limits{MaxAttempts: 6},
 		Rules:   threadglade.Rules{ReleaseWait: 200 * time.Millisecond, DrainGrace: time.Second},
-		Classes: []threadglade.Class{{Name: "x", Aim: time.Second, Deadline: 5 * time.Second, Holding: time.Second,
+		Classes: []threadglade.Class{{Name: "x", Aim: time.Second, Deadline: 5 * time.Second, HoldingTime: time.Second,
 			Worth: 1, Servers: numbers}}}})
 	if err != nil {
 		b.Fatal(err)
--- a/router/clone.go
+++ b/router/clone.go
@@ -132,7 +132,7 @@
 }
 
 // SetRandomSource makes the Controller draw its random choices from source instead of from the seed.
-func (r *Router) SetRandomSource(source rand.Source) { r.controller.Draw(source) }
+func (r *Router) SetRandomSource(source rand.Source) { r.controller.SetRandomSource(source) }
 
 // isLive reports whether a timer can still have an effect, and for which call.
 func (r *Router) isLive(t *timer) (id string, isLive bool) {
@@ -142,7 +142,7 @@
 	case timerExpiry: // it has no effect on decisions
 		return "", false
 	case timerController:
-		return r.controller.TimerOf(t.number)
+		return r.controller.TimerCall(t.number)
 	case timerAttempt:
 		return t.call.ID, t.call.pending && t.call.attempt.Index == int(t.number)
 	}
--- a/router/observer.go
+++ b/router/observer.go
@@ -115,7 +115,7 @@
 		return
 	}
 	if server == "" {
-		server = r.controller.Choice(call.Destination)
+		server = r.controller.FirstChoiceServer(call.Destination)
 	}
 	event.Kind = kind
 	event.Call = call.ID
@@ -137,7 +137,7 @@
 		id = e.Call
 	}
 	if call := r.calls[id]; call != nil && !call.settled && !call.pending && !call.established {
-		if server, reason, waits := r.controller.Obstacle(id); waits {
+		if server, reason, waits := r.controller.BlockReason(id); waits {
 			r.observeDecision(Held, call, server, reason, Event{})
 		}
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -517,8 +517,8 @@
 // for the number left.
 func (r *Router) UpdateRetryBudget(grant func(left int) threadglade.Further) {
 	r.serialize(nil, func([]byte) {
-		previous := r.controller.FurtherLeft()
-		if budget := grant(previous.Left); budget != previous {
+		previous := r.controller.RetryBudget()
+		if budget := grant(previous.Remaining); budget != previous {
 			r.notifyController(budget)
 		}
 	})
@@ -579,7 +579,7 @@
 		r.observeCall(Established, call)
 		call.front.Established(id, answer)
 		r.notifyController(threadglade.Stood{Call: id, Attempt: index, Server: call.attempt.Server,
-			After: r.cfg.Clock() - call.sentAt})
+			Latency: r.cfg.Clock() - call.sentAt})
 	})
 }
 
@@ -640,7 +640,7 @@
 	}
 	call.pending, call.established = false, false
 	r.notifyController(threadglade.Ended{Call: call.ID, Attempt: call.attempt.Index, Server: call.attempt.Server,
-		Outcome: outcome, Cause: cause, After: now - call.sentAt, Settled: call.settled})
+		Outcome: outcome, Cause: cause, Elapsed: now - call.sentAt, Final: call.settled})
 	r.removeIfDone(call)
 }
 
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -34,7 +34,7 @@
 		Proxies: 1,
 		Limits:  threadglade.Limits{MaxAttempts: 6},
 		Rules:   threadglade.Rules{ReleaseWait: 200 * time.Millisecond, DrainGrace: time.Second},
-		Classes: []threadglade.Class{{Name: "x", Aim: time.Second, Deadline: 5 * time.Second, Holding: time.Second,
+		Classes: []threadglade.Class{{Name: "x", Aim: time.Second, Deadline: 5 * time.Second, HoldingTime: time.Second,
 			Worth: 1, Servers: []int{0}}}}})
 	require.NoError(t, err)
 	r.UpdateServers(threadglade.ServerList{Servers: []threadglade.Server{{ID: "s0"}, {ID: "s1", Number: 1}}})
@@ -150,7 +150,7 @@
 	require.Empty(t, r.RelinquishAll())
 	require.ElementsMatch(t, []string{"refused a", "give up a 0"}, d.take())
 	view, _ := r.controller.View("s0")
-	require.Zero(t, view.Out)
+	require.Zero(t, view.InFlight)
 	require.Empty(t, r.calls)
 	require.Equal(t, 0, r.OpenRequests())
 	r.RelinquishAll()
@@ -173,5 +173,5 @@
 	r.Answered("b", 0, nil)
 	require.Equal(t, []string{"stood b "}, d.take())
 	view, _ := r.controller.View("s0")
-	require.Zero(t, view.Out)
+	require.Zero(t, view.InFlight)
 }
--- a/settings.go
+++ b/settings.go
@@ -17,7 +17,7 @@
 		return fmt.Errorf("threadglade: Proxies is %d, want at least 1", set.Proxies)
 	case len(set.Classes) == 0:
 		return fmt.Errorf("threadglade: Classes is empty")
-	case set.Rules.ReleaseWait < 0 || set.Rules.WarmWithin < 0 || set.Rules.FallWindow < 0:
+	case set.Rules.ReleaseWait < 0 || set.Rules.WarmUpTime < 0 || set.Rules.CollapseWindow < 0:
 		return fmt.Errorf("threadglade: Rules has a negative time")
 	case set.Limits.MaxAttempts < 1:
 		return fmt.Errorf("threadglade: Limits.MaxAttempts is %d, want at least 1", set.Limits.MaxAttempts)
@@ -55,7 +55,7 @@
 		class := &set.Classes[i]
 		c.classes[class.Name] = class
 		c.maxDeadline = max(c.maxDeadline, class.Deadline)
-		c.meanHolding += class.Holding / time.Duration(len(set.Classes))
+		c.meanHolding += class.HoldingTime / time.Duration(len(set.Classes))
 		c.maxWorth = max(c.maxWorth, class.Worth)
 	}
 	oldTenants := c.tenants
--- a/settings_test.go
+++ b/settings_test.go
@@ -35,7 +35,7 @@
 	reduced := settings()
 	reduced.Classes = reduced.Classes[1:2] // removes plain
 	reduced.Classes = append(slices.Clone(reduced.Classes), Class{Name: "once", Aim: time.Second,
-		Deadline: 8 * time.Second, Holding: time.Second, Worth: 1, Repeat: RepeatNever, Servers: []int{1, 2}})
+		Deadline: 8 * time.Second, HoldingTime: time.Second, Worth: 1, Repeat: RepeatNever, Servers: []int{1, 2}})
 	reduced.Limits.MaxAttempts = 1
 	reduced.Limits.RetryAfter = false
 	if err := r.c.Change(reduced); err != nil {
--- a/trace/explain.go
+++ b/trace/explain.go
@@ -15,14 +15,14 @@
 var reasonTexts = map[threadglade.Reason]string{
 	threadglade.FirstChoice: "it is the call's first choice", threadglade.Remembered: "the first choice did not take it, and this one was remembered",
 	threadglade.Drawn: "the first choice did not take it, and this one was drawn at random", threadglade.Gapped: "its admission rate was used up",
-	threadglade.Resting: "it had failed a moment ago and was left alone", threadglade.OnTrial: "set-ups there had been unanswered for too long",
-	threadglade.Hopeless: "its latest answers came too late for this call's aim", threadglade.BudgetSpent: "this router's share of what it can take was used up",
+	threadglade.InCoolDown: "it had failed a moment ago and was left alone", threadglade.OnProbation: "set-ups there had been unanswered for too long",
+	threadglade.WouldBeLate: "its latest answers came too late for this call's aim", threadglade.ShareExhausted: "this router's share of what it can take was used up",
 	threadglade.NotUp: "it drained or was gone", threadglade.NotSkilled: "it may not take this class", threadglade.NoServer: "no server was known for the call",
 	threadglade.UnknownClass: "the class does not exist", threadglade.OutOfTime: "the caller's time was up", threadglade.NumberBusy: "all lines of the number were busy",
-	threadglade.CrowdedOut: "too many calls waited that are worth more", threadglade.Returned: "the server had turned it away",
-	threadglade.OwnFault: "servers had found fault with it", threadglade.NoFurther: "no further attempt was allowed or would have come in time",
+	threadglade.Displaced: "too many calls waited that are worth more", threadglade.ServerRejected: "the server had turned it away",
+	threadglade.CallFaulted: "servers had found fault with it", threadglade.NoRetryAttempt: "no further attempt was allowed or would have come in time",
 	threadglade.Overtaken: "a later set-up was answered first, so this one was lost", threadglade.Unbillable: "it could not have been billed",
-	threadglade.Spared:        "the routers together had found its first choice unfit, and this one was sent it in its place",
+	threadglade.Avoided:       "the routers together had found its first choice unfit, and this one was sent it in its place",
 	threadglade.TakenOver:     "this router's lease had run out and nobody vouched for it: what it had in hand was another's",
 	threadglade.SharedVerdict: "the routers together had found its first choice unfit, while this one had not",
 	threadglade.OverLimit:     "a limit of the whole fleet was reached: the share that this router had of it was used up",
@@ -72,7 +72,7 @@
 	cares := map[string]*Record{} // by server, in force
 	judged := func(r *Record) string {
 		switch threadglade.Reason(r.N[Reason]) {
-		case threadglade.SharedVerdict, threadglade.Spared:
+		case threadglade.SharedVerdict, threadglade.Avoided:
 		default:
 			return ""
 		}
@@ -160,7 +160,7 @@
 	switch threadglade.Cause(r.N[Cause]) {
 	case threadglade.CauseNoAgent:
 		text += ", no agent free"
-	case threadglade.CauseTurnedBack:
+	case threadglade.CauseSentBack:
 		text += ", turned back further on"
 	case threadglade.CauseProcessorFull:
 		text += ", processor full"
--- a/trace/select.go
+++ b/trace/select.go
@@ -153,7 +153,7 @@
 // Classes describes the classes of the decisions' settings.
 func Classes(list []threadglade.Class) (out []ClassMeta) {
 	for _, c := range list {
-		out = append(out, ClassMeta{c.Name, c.Aim.Milliseconds(), c.Worth, c.LateWorth})
+		out = append(out, ClassMeta{c.Name, c.Aim.Milliseconds(), c.Worth, c.LateFactor})
 	}
 	return out
 }
--- a/trace/why.go
+++ b/trace/why.go
@@ -190,7 +190,7 @@
 			one.Bad, one.AgeUs = max(one.Bad, r.N[Count]), max(one.AgeUs, r.N[TookUs])
 		}
 	case Decision:
-		if why := threadglade.Reason(r.N[Reason]); i == 1 && (why == threadglade.SharedVerdict || why == threadglade.Spared) {
+		if why := threadglade.Reason(r.N[Reason]); i == 1 && (why == threadglade.SharedVerdict || why == threadglade.Avoided) {
 			w.changed++
 		}
 		p := w.open[r.S[Call]]
