--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,6 +1,9 @@
-// Package handover is the socket between two processes that are one router to their callers: a Unix socket in the folder that they share, frames with a
-// length, a kind and at most one descriptor. It owns the framing, its bounds and who may speak. It must never decide who serves, know what a frame
-// means, block the loop, or trust a length or a descriptor that it was sent.
+// Package handover implements the Unix socket over which a running process hands its work to a newly started process
+// of the same router. The socket lies in a directory that both share. A frame has a length, a kind and at most one
+// file descriptor. The package owns the framing, its limits and the check of who may connect.
+//
+// It doesn't decide which process serves, doesn't interpret the owner's frames, never blocks the loop (only Connect
+// blocks, before the loop runs), and never trusts a length or a descriptor that it receives.
 package handover
 
 import (
@@ -18,29 +21,30 @@
 )
 
 const (
-	// Version is that of the frames. A process of another version is not spoken to.
+	// Version is the version of the frame format. Processes of other versions are rejected.
 	Version = 1
-	// frameMost bytes are in a frame, and queueMost may wait to be sent.
-	frameMost = 96 << 10
-	queueMost = 4 << 20
-	// turnMost frames or reads are worked on in one turn of the loop.
-	turnMost = 64
-	headSize = 6 // length, kind, whether there is a descriptor
-	// answerWithin is how long a starting process waits for the one that serves.
-	answerWithin = 1500 * time.Millisecond
-	hello        = 1
-	welcome      = 2
-	busy         = 3
-	kindsFrom    = 16 // kinds of frames that are the owner's begin here
+	// maxFrameSize and maxQueuedBytes limit the payload of a frame and the bytes queued for sending on one link.
+	maxFrameSize   = 96 << 10
+	maxQueuedBytes = 4 << 20
+	// maxReadsPerIteration limits the reads from a link in one loop iteration.
+	maxReadsPerIteration = 64
+	headerSize           = 6 // length (4 bytes), kind, whether a descriptor is attached
+	// answerTimeout is how long a starting process waits for the answer of the serving one.
+	answerTimeout  = 1500 * time.Millisecond
+	kindHello      = 1
+	kindWelcome    = 2
+	kindBusy       = 3
+	firstOwnerKind = 16 // lower kinds are reserved for this package
 )
 
-// First is the least kind that an owner may give a frame.
-const First byte = kindsFrom
+// FirstOwnerKind is the lowest frame kind that the owner of a link may use.
+const First byte = firstOwnerKind
 
-// ErrBusy is why nobody hands over now: another process is about to take over.
+// ErrBusy means that another process is already about to take over.
 var ErrBusy = errors.New("handover: another process is about to take over")
 
-// Path is where the process of a router's name listens in a folder.
+// Path returns the path of the handover socket of the named router in a directory. Characters that are unsafe in file
+// names are replaced.
 func Path(dir, name string) string {
 	clean := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' {
@@ -51,8 +55,9 @@
 	return filepath.Join(dir, "threadglade-"+clean+".handover")
 }
 
-// address opens a path's folder where the path is too long for a socket's name, and names it by that.
-func address(path string) (sa *unix.SockaddrUnix, done func(), err error) {
+// socketAddress returns the socket address of a path. If the path exceeds the limit for Unix sockets, it opens the
+// directory and addresses the socket through /proc/self/fd; release closes that descriptor.
+func socketAddress(path string) (sa *unix.SockaddrUnix, release func(), err error) {
 	if len(path) < 100 {
 		return &unix.SockaddrUnix{Name: path}, func() {}, nil
 	}
@@ -60,78 +65,82 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return &unix.SockaddrUnix{Name: fmt.Sprintf("/proc/self/fd/%d/%s", dir, filepath.Base(path))}, func() { unix.Close(dir) }, nil
+	return &unix.SockaddrUnix{Name: fmt.Sprintf("/proc/self/fd/%d/%s", dir, filepath.Base(path))},
+		func() { unix.Close(dir) }, nil
 }
 
-// Link is one end of the socket, on the loop.
+// Link is one end of a connection between two processes. After Serve, its methods must only be called on the
+// loop.
 type Link struct {
-	l     *loop.Loop
-	watch *loop.Watch
-	fd    int
-	in    []byte
-	fds   []int // that have come, oldest first
-	out   []parcel
-	size  int // bytes that wait in out
-	ended bool
-	frame func(kind byte, payload []byte, fd int)
-	gone  func(error)
+	loop        *loop.Loop
+	watch       *loop.Watch
+	fd          int
+	received    []byte
+	receivedFDs []int // received, but not yet assigned to a frame; oldest first
+	queue       []queuedFrame
+	queuedBytes int // bytes in queue
+	closed      bool
+	onFrame     func(kind byte, payload []byte, fd int)
+	onClose     func(error)
 }
 
-// parcel is a frame that waits, or the rest of one.
-type parcel struct {
-	b    []byte
-	fd   int // goes with its first byte; -1: none, or it has gone
-	keep bool
+// queuedFrame is a frame that waits to be sent, or the remainder of one.
+type queuedFrame struct {
+	data   []byte
+	fd     int // sent with the first byte; -1: none, or already sent
+	keepFD bool
 }
 
-// Serve has a link call frame for each frame, with a descriptor that is the owner's then or -1, and gone once at its end.
-func (k *Link) Serve(l *loop.Loop, frame func(kind byte, payload []byte, fd int), gone func(error)) error {
-	k.l, k.frame, k.gone = l, frame, gone
+// Serve registers the link with the loop. It calls onFrame for each frame, with a descriptor that the callee then owns
+// or -1, and onClose once when the link fails or the peer closes it.
+func (k *Link) Serve(l *loop.Loop, onFrame func(kind byte, payload []byte, fd int), onClose func(error)) error {
+	k.loop, k.onFrame, k.onClose = l, onFrame, onClose
 	var err error
 	k.watch, err = l.Watch(k.fd, unix.EPOLLIN, k.ready)
 	return err
 }
 
-// Send queues a frame. A descriptor is the link's then and is closed once it has gone, unless keep. False: the link has ended, or too much waits.
-func (k *Link) Send(kind byte, payload []byte, fd int, keep bool) bool {
-	if k.ended || len(payload) > frameMost || k.size+len(payload) > queueMost {
-		if fd >= 0 && !keep {
+// Send queues a frame. fd is -1 or a descriptor to attach; unless keepFD is set, the link owns it and closes it once
+// it was sent. Send returns false if the link is closed, the payload is too long or too many bytes are queued.
+func (k *Link) Send(kind byte, payload []byte, fd int, keepFD bool) bool {
+	if k.closed || len(payload) > maxFrameSize || k.queuedBytes+len(payload) > maxQueuedBytes {
+		if fd >= 0 && !keepFD {
 			unix.Close(fd)
 		}
 		return false
 	}
-	b := make([]byte, headSize, headSize+len(payload))
+	b := make([]byte, headerSize, headerSize+len(payload))
 	binary.BigEndian.PutUint32(b, uint32(len(payload)))
 	b[4] = kind
 	if fd >= 0 {
 		b[5] = 1
 	}
-	k.out = append(k.out, parcel{append(b, payload...), fd, keep})
-	k.size += headSize + len(payload)
-	if len(k.out) == 1 {
+	k.queue = append(k.queue, queuedFrame{append(b, payload...), fd, keepFD})
+	k.queuedBytes += headerSize + len(payload)
+	if len(k.queue) == 1 {
 		k.flush()
 	}
-	return !k.ended
+	return !k.closed
 }
 
-// Unsent is how many bytes wait to be sent.
-func (k *Link) Unsent() int { return k.size }
+// Unsent returns the number of bytes that wait to be sent.
+func (k *Link) Unsent() int { return k.queuedBytes }
 
-// Close ends the link; what waits is dropped, and gone is not called.
+// Close closes the link. Queued frames are dropped, and onClose isn't called.
 func (k *Link) Close() {
-	if k.ended {
+	if k.closed {
 		return
 	}
-	k.ended = true
-	for _, p := range k.out {
-		if p.fd >= 0 && !p.keep {
+	k.closed = true
+	for _, p := range k.queue {
+		if p.fd >= 0 && !p.keepFD {
 			unix.Close(p.fd)
 		}
 	}
-	for _, fd := range k.fds {
+	for _, fd := range k.receivedFDs {
 		unix.Close(fd)
 	}
-	k.out, k.fds, k.in, k.size = nil, nil, nil, 0
+	k.queue, k.receivedFDs, k.received, k.queuedBytes = nil, nil, nil, 0
 	if k.watch != nil {
 		k.watch.Close()
 	} else {
@@ -139,10 +148,11 @@
 	}
 }
 
+// fail closes the link and calls onClose with the error.
 func (k *Link) fail(err error) {
-	if !k.ended {
+	if !k.closed {
 		k.Close()
-		k.gone(err)
+		k.onClose(err)
 	}
 }
 
@@ -150,19 +160,20 @@
 	if events&unix.EPOLLOUT != 0 {
 		k.flush()
 	}
-	if !k.ended && events&^unix.EPOLLOUT != 0 {
+	if !k.closed && events&^unix.EPOLLOUT != 0 {
 		k.read()
 	}
 }
 
+// flush sends as many queued bytes as the socket accepts.
 func (k *Link) flush() {
-	for len(k.out) > 0 && !k.ended {
-		p := &k.out[0]
+	for len(k.queue) > 0 && !k.closed {
+		p := &k.queue[0]
 		var rights []byte
 		if p.fd >= 0 {
 			rights = unix.UnixRights(p.fd)
 		}
-		n, err := unix.SendmsgN(k.fd, p.b, rights, nil, unix.MSG_NOSIGNAL|unix.MSG_DONTWAIT)
+		n, err := unix.SendmsgN(k.fd, p.data, rights, nil, unix.MSG_NOSIGNAL|unix.MSG_DONTWAIT)
 		if err == unix.EAGAIN || err == unix.ETOOMANYREFS || err == unix.ENOBUFS {
 			break
 		}
@@ -170,33 +181,34 @@
 			continue
 		}
 		if err != nil {
-			k.l.Post(func() { k.fail(err) }) // the owner may be in the middle of its own work
+			k.loop.Post(func() { k.fail(err) }) // posted, as the owner calling Send isn't prepared for a reentrant onClose
 			return
 		}
 		if p.fd >= 0 {
-			if !p.keep {
+			if !p.keepFD {
 				unix.Close(p.fd)
 			}
 			p.fd = -1
 		}
-		k.size -= n
-		if p.b = p.b[n:]; len(p.b) == 0 {
-			k.out[0] = parcel{}
-			k.out = k.out[1:]
+		k.queuedBytes -= n
+		if p.data = p.data[n:]; len(p.data) == 0 {
+			k.queue[0] = queuedFrame{}
+			k.queue = k.queue[1:]
 		}
 	}
 	if k.watch != nil {
-		want := uint32(unix.EPOLLIN)
-		if len(k.out) > 0 {
-			want |= unix.EPOLLOUT
+		events := uint32(unix.EPOLLIN)
+		if len(k.queue) > 0 {
+			events |= unix.EPOLLOUT
 		}
-		k.watch.Want(want)
+		k.watch.Want(events)
 	}
 }
 
+// read receives a bounded number of times and dispatches the complete frames.
 func (k *Link) read() {
 	buf, oob := make([]byte, 32<<10), make([]byte, unix.CmsgSpace(4*4))
-	for range turnMost {
+	for range maxReadsPerIteration {
 		n, err := k.receive(buf, oob)
 		if err == unix.EAGAIN {
 			return
@@ -211,18 +223,18 @@
 			k.fail(err)
 			return
 		}
-		k.in = append(k.in, buf[:n]...)
-		if err := k.frames(); err != nil {
+		k.received = append(k.received, buf[:n]...)
+		if err := k.dispatch(); err != nil {
 			k.fail(err)
 			return
 		}
-		if k.ended {
+		if k.closed {
 			return
 		}
 	}
 }
 
-// receive reads bytes and takes what descriptors came with them.
+// receive reads bytes into buf and stores the descriptors that were attached to them.
 func (k *Link) receive(buf, oob []byte) (int, error) {
 	n, oobn, flags, _, err := unix.Recvmsg(k.fd, buf, oob, unix.MSG_DONTWAIT|unix.MSG_CMSG_CLOEXEC)
 	if err != nil {
@@ -235,87 +247,96 @@
 		}
 		for i := range messages {
 			if fds, err := unix.ParseUnixRights(&messages[i]); err == nil {
-				k.fds = append(k.fds, fds...)
+				k.receivedFDs = append(k.receivedFDs, fds...)
 			}
 		}
 	}
-	if flags&unix.MSG_CTRUNC != 0 { // no descriptor was to be had for what came
+	if flags&unix.MSG_CTRUNC != 0 { // attached descriptors were lost, because this process has none left
 		return 0, unix.EMFILE
 	}
 	return n, nil
 }
 
-// frames hands on what is whole.
-func (k *Link) frames() error {
-	for !k.ended {
-		kind, payload, fd, rest, err := k.next()
+// dispatch calls onFrame for each complete frame.
+func (k *Link) dispatch() error {
+	for !k.closed {
+		kind, payload, fd, rest, err := k.nextFrame()
 		if err != nil || rest < 0 {
 			return err
 		}
-		k.frame(kind, payload, fd)
-		if !k.ended {
-			k.in = k.in[rest:]
+		k.onFrame(kind, payload, fd)
+		if !k.closed {
+			k.received = k.received[rest:]
 		}
 	}
 	return nil
 }
 
-// next is the frame at the beginning of in; rest is where the following one begins, -1 where none is whole.
-func (k *Link) next() (kind byte, payload []byte, fd, rest int, err error) {
-	if len(k.in) < headSize {
-		if len(k.in) == 0 {
-			k.in = nil
+// nextFrame decodes the first received frame. rest is the offset of the frame after it, or -1 if the first one is
+// incomplete.
+func (k *Link) nextFrame() (kind byte, payload []byte, fd, rest int, err error) {
+	if len(k.received) < headerSize {
+		if len(k.received) == 0 {
+			k.received = nil
 		}
 		return 0, nil, -1, -1, nil
 	}
-	size := int(binary.BigEndian.Uint32(k.in))
-	if size > frameMost || k.in[5] > 1 {
+	size := int(binary.BigEndian.Uint32(k.received))
+	if size > maxFrameSize || k.received[5] > 1 {
 		return 0, nil, -1, -1, fmt.Errorf("handover: no frame, or one of %d bytes", size)
 	}
-	if len(k.in) < headSize+size {
+	if len(k.received) < headerSize+size {
 		return 0, nil, -1, -1, nil
 	}
 	fd = -1
-	if k.in[5] == 1 {
-		if len(k.fds) == 0 {
+	if k.received[5] == 1 {
+		if len(k.receivedFDs) == 0 {
 			return 0, nil, -1, -1, errors.New("handover: a frame without its descriptor")
 		}
-		fd, k.fds = k.fds[0], k.fds[1:]
+		fd, k.receivedFDs = k.receivedFDs[0], k.receivedFDs[1:]
 	}
-	return k.in[4], k.in[headSize : headSize+size], fd, headSize + size, nil
+	return k.received[4], k.received[headerSize : headerSize+size], fd, headerSize + size, nil
 }
 
-// ---- the process that serves ----
+// ---- serving process ----
 
-// Door is where a new process asks the one that serves.
+// Listener accepts the connections of new processes that ask the serving process for a handover.
 type Door struct {
-	l       *loop.Loop
-	path    string
-	watch   *loop.Watch
-	fd      int
-	listen  func() int // the descriptor to pass on
-	welcome func(*Link) bool
-	refused func(error)
-	waiting int
+	loop         *loop.Loop
+	path         string
+	watch        *loop.Watch
+	fd           int
+	listenFD     func() int // returns the listening socket to pass on
+	admit        func(*Link) bool
+	onRefused    func(error)
+	pendingPeers int
 }
 
-// waitingMost processes may be asking at once.
-const waitingMost = 4
+// maxPendingPeers limits the connected processes that haven't sent their hello yet.
+const maxPendingPeers = 4
 
-// Listen opens the door at a path. What another process of this router has left there is taken away; anything else is left alone and an error. For one
-// that asks and is welcome, listen gives the listening socket to pass on; refused hears why one is not spoken to.
-func Listen(l *loop.Loop, path string, listen func() int, welcome func(*Link) bool, refused func(error)) (*Door, error) {
+// Listen opens the handover socket at a path. It removes a socket that another process of this router has left there;
+// any other file there is left alone and causes an error. admit decides whether a new process may take over and
+// receives its link; listenFD then returns the listening socket to pass on. onRefused is called with the reason for
+// which a process was rejected, or with the error if its link failed before that.
+func Listen(
+	l *loop.Loop,
+	path string,
+	listenFD func() int,
+	admit func(*Link) bool,
+	onRefused func(error),
+) (*Door, error) {
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
 			return nil, fmt.Errorf("handover: %s is no socket", path)
 		}
 		os.Remove(path)
 	}
-	sa, done, err := address(path)
+	sa, release, err := socketAddress(path)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	defer done()
+	defer release()
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -329,74 +350,78 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	d := &Door{l: l, path: path, fd: fd, listen: listen, welcome: welcome, refused: refused}
-	d.watch, err = l.Watch(fd, unix.EPOLLIN, d.ready)
-	return d, err
+	ln := &Door{loop: l, path: path, fd: fd, listenFD: listenFD, admit: admit, onRefused: onRefused}
+	ln.watch, err = l.Watch(fd, unix.EPOLLIN, ln.ready)
+	return ln, err
 }
 
-// Close stops answering. The path is left: a successor may have put its own door there.
-func (d *Door) Close() { d.watch.Close() }
+// Close stops listening. It doesn't remove the path, because a successor may already have created its own socket
+// there.
+func (ln *Door) Close() { ln.watch.Close() }
 
-func (d *Door) ready(uint32) {
-	fd, _, err := unix.Accept4(d.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+func (ln *Door) ready(uint32) {
+	fd, _, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err != nil {
 		return
 	}
-	if peer, err := unix.GetsockoptUcred(fd, unix.SOL_SOCKET, unix.SO_PEERCRED); err != nil || int(peer.Uid) != os.Getuid() || d.waiting >= waitingMost {
+	if peer, err := unix.GetsockoptUcred(fd, unix.SOL_SOCKET, unix.SO_PEERCRED); err != nil ||
+		int(peer.Uid) != os.Getuid() || ln.pendingPeers >= maxPendingPeers {
 		unix.Close(fd)
-		d.refused(errors.New("handover: a process of another user asked, or too many do"))
+		ln.onRefused(errors.New("handover: a process of another user asked, or too many do"))
 		return
 	}
-	d.waiting++
-	k := &Link{fd: fd}
-	leave := func(err error) {
-		d.waiting--
-		d.refused(err)
+	ln.pendingPeers++
+	link := &Link{fd: fd}
+	onClose := func(err error) {
+		ln.pendingPeers--
+		ln.onRefused(err)
 	}
-	greet := func(kind byte, payload []byte, fd int) {
+	onHello := func(kind byte, payload []byte, fd int) {
 		if fd >= 0 {
 			unix.Close(fd)
 		}
-		d.waiting--
-		if kind != hello || len(payload) != 4 || binary.BigEndian.Uint32(payload) != Version {
-			k.Close()
-			d.refused(errors.New("handover: a process of another version asked"))
+		ln.pendingPeers--
+		if kind != kindHello || len(payload) != 4 || binary.BigEndian.Uint32(payload) != Version {
+			link.Close()
+			ln.onRefused(errors.New("handover: a process of another version asked"))
 			return
 		}
-		k.frame, k.gone = func(byte, []byte, int) {}, func(error) {}
-		if !d.welcome(k) {
-			k.Send(busy, nil, -1, false)
-			k.l.Post(func() { k.Close() })
+		link.onFrame, link.onClose = func(byte, []byte, int) {}, func(error) {}
+		if !ln.admit(link) {
+			link.Send(kindBusy, nil, -1, false)
+			link.loop.Post(func() { link.Close() })
 			return
 		}
-		if k.Send(welcome, nil, d.listen(), true); k.ended {
-			k.gone(unix.EPIPE)
+		if link.Send(kindWelcome, nil, ln.listenFD(), true); link.closed {
+			link.onClose(unix.EPIPE)
 		}
 	}
-	if k.Serve(d.l, greet, leave) != nil {
+	if link.Serve(ln.loop, onHello, onClose) != nil {
 		unix.Close(fd)
-		d.waiting--
+		ln.pendingPeers--
 	}
 }
 
-// Take over: Hear sets who hears the frames of a link from now on.
-func (k *Link) Hear(frame func(kind byte, payload []byte, fd int), gone func(error)) {
-	k.frame, k.gone = frame, gone
+// SetHandlers replaces the functions that were passed to Serve.
+func (k *Link) Hear(onFrame func(kind byte, payload []byte, fd int), onClose func(error)) {
+	k.onFrame, k.onClose = onFrame, onClose
 }
 
-// ---- the process that starts ----
+// ---- starting process ----
 
-// Ask asks the process that serves, if there is one, before the loop runs: the link to it and its listening socket. No link and no error: nobody is
-// there. ErrBusy: another process will take over. Any other error says why whoever is there cannot be spoken to.
+// Connect asks the serving process for a handover. It blocks for at most answerTimeout and must be called before the
+// loop runs. It returns the link and the listening socket of that process, or neither and no error if there is no
+// socket at the path. The error is ErrBusy if another process is about to take over; any other error says why a
+// handover isn't possible.
 func Ask(path string) (*Link, int, error) {
 	if _, err := os.Lstat(path); err != nil {
 		return nil, -1, nil
 	}
-	sa, done, err := address(path)
+	sa, release, err := socketAddress(path)
 	if err != nil {
 		return nil, -1, fmt.Errorf("handover: %w", err)
 	}
-	defer done()
+	defer release()
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, -1, fmt.Errorf("handover: %w", err)
@@ -405,42 +430,42 @@
 		unix.Close(fd)
 		return nil, -1, fmt.Errorf("handover: nobody answers at %s: %w", path, err)
 	}
-	k := &Link{fd: fd}
-	k.Send(hello, binary.BigEndian.AppendUint32(nil, Version), -1, false)
-	buf, oob := make([]byte, headSize), make([]byte, unix.CmsgSpace(4*4))
-	for stop := time.Now().Add(answerWithin); time.Now().Before(stop); {
-		unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, int(time.Until(stop)/time.Millisecond)+1)
-		// No more than one head, for what follows is for the loop.
-		n, err := k.receive(buf[:headSize-len(k.in)], oob)
+	link := &Link{fd: fd}
+	link.Send(kindHello, binary.BigEndian.AppendUint32(nil, Version), -1, false)
+	buf, oob := make([]byte, headerSize), make([]byte, unix.CmsgSpace(4*4))
+	for deadline := time.Now().Add(answerTimeout); time.Now().Before(deadline); {
+		unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, int(time.Until(deadline)/time.Millisecond)+1)
+		// At most one header: the bytes after it are read on the loop.
+		n, err := link.receive(buf[:headerSize-len(link.received)], oob)
 		if err == unix.EAGAIN || err == unix.EINTR {
 			continue
 		}
 		if err != nil || n == 0 {
-			k.Close()
+			link.Close()
 			return nil, -1, fmt.Errorf("handover: %s: closed without an answer: %v", path, err)
 		}
-		k.in = append(k.in, buf[:n]...)
-		kind, _, listen, rest, err := k.next()
+		link.received = append(link.received, buf[:n]...)
+		kind, _, listenFD, rest, err := link.nextFrame()
 		if err != nil {
-			k.Close()
+			link.Close()
 			return nil, -1, err
 		}
 		if rest < 0 {
-			if len(k.in) == headSize {
-				break // a frame with a payload is none of these
+			if len(link.received) == headerSize {
+				break // neither kind of answer has a payload
 			}
 			continue
 		}
-		k.in = nil
+		link.received = nil
 		switch {
-		case kind == welcome && listen >= 0:
-			return k, listen, nil
-		case kind == busy:
-			k.Close()
+		case kind == kindWelcome && listenFD >= 0:
+			return link, listenFD, nil
+		case kind == kindBusy:
+			link.Close()
 			return nil, -1, ErrBusy
 		}
 		break
 	}
-	k.Close()
+	link.Close()
 	return nil, -1, fmt.Errorf("handover: %s: not answered as a process of this version does", path)
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -11,8 +11,9 @@
 	"threadglade.example/threadglade/internal/loop"
 )
 
-// pair is two links over a socket pair on one loop; frames that come at the second are kept.
-func pair(t *testing.T) (l *loop.Loop, one, other *Link, got *[]string, fds *[]int, ended *error) {
+// linkPair returns two links over a socket pair on one loop. It collects the payloads and descriptors that the second
+// link receives, and its final error.
+func linkPair(t *testing.T) (l *loop.Loop, one, other *Link, got *[]string, fds *[]int, ended *error) {
 	l, err := loop.New()
 	require.NoError(t, err)
 	t.Cleanup(l.Close)
@@ -29,8 +30,8 @@
 	return l, one, other, got, fds, ended
 }
 
-// turns runs the loop until done, at most 5 s.
-func turns(t *testing.T, l *loop.Loop, done func() bool) {
+// runUntil runs the loop until done returns true, for at most 5 s.
+func runUntil(t *testing.T, l *loop.Loop, done func() bool) {
 	stop := time.Now().Add(5 * time.Second)
 	require.NoError(t, l.Run(func() time.Duration {
 		if done() || time.Now().After(stop) {
@@ -41,9 +42,9 @@
 	require.True(t, done())
 }
 
-// Frames come whole and in order with their own descriptors, however much waits.
+// Frames arrive whole, in order and with their own descriptors, even if many are queued.
 func TestFrames(t *testing.T) {
-	l, one, _, got, fds, _ := pair(t)
+	l, one, _, got, fds, _ := linkPair(t)
 	var want []string
 	for i := range 40 {
 		r, w, err := os.Pipe()
@@ -57,7 +58,7 @@
 		require.True(t, one.Send(First, []byte(text), fd, false))
 		require.True(t, one.Send(First, []byte("plain"), -1, false))
 	}
-	turns(t, l, func() bool { return len(*got) == len(want) && one.Unsent() == 0 })
+	runUntil(t, l, func() bool { return len(*got) == len(want) && one.Unsent() == 0 })
 	require.Equal(t, want, *got)
 	require.Len(t, *fds, 40)
 	for i, fd := range *fds {
@@ -66,11 +67,11 @@
 		require.True(t, err == nil && n == 1 && int(b[0]) == i)
 		unix.Close(fd)
 	}
-	require.False(t, one.Send(First, make([]byte, frameMost+1), -1, false), "too long a frame")
+	require.False(t, one.Send(First, make([]byte, maxFrameSize+1), -1, false), "frame too long")
 }
 
-// What is no frame ends the link, and nothing of it is taken.
-func TestDamage(t *testing.T) {
+// Malformed or truncated frames close the link and aren't delivered.
+func TestMalformedFrames(t *testing.T) {
 	for what, bytes := range map[string]string{
 		"too long":              "\xff\xff\xff\xff\x10\x00",
 		"no flag":               "\x00\x00\x00\x00\x10\x07",
@@ -78,16 +79,16 @@
 		"http":                  "GET / HTTP/1.1\r\n\r\n",
 	} {
 		t.Run(what, func(t *testing.T) {
-			l, one, _, got, _, ended := pair(t)
+			l, one, _, got, _, ended := linkPair(t)
 			unix.Write(one.fd, []byte(bytes))
-			turns(t, l, func() bool { return *ended != nil })
+			runUntil(t, l, func() bool { return *ended != nil })
 			require.Empty(t, *got)
 		})
 	}
-	l, one, _, got, _, ended := pair(t) // cut off in the middle
+	l, one, _, got, _, ended := linkPair(t) // truncated frame
 	unix.Write(one.fd, []byte("\x00\x00\x00\x09\x10\x00abc"))
 	one.Close()
-	turns(t, l, func() bool { return *ended != nil })
+	runUntil(t, l, func() bool { return *ended != nil })
 	require.ErrorIs(t, *ended, loop.ErrEOF)
 	require.Empty(t, *got)
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,7 +1,8 @@
-// Package loop owns the sockets: one epoll set, the listeners, the connections and the UDP sockets in it, and
-// the buffers that their bytes pass through. It serves all of them from one goroutine and calls back into
-// whoever opened them. It must never start a goroutine, block on a socket, know what the bytes mean, or call
-// back from any goroutine but the one in Run; other goroutines may only call Post and Stop.
+// Package loop is a single-threaded event loop over epoll. It owns the listeners, TCP connections and UDP sockets
+// in its epoll set and their buffers, and serves all of them from one goroutine through callbacks.
+//
+// The package starts no goroutines, never blocks on a socket and doesn't interpret the bytes it transfers. All
+// callbacks run on the goroutine in Run; other goroutines may only call Post, Wake and Stop.
 package loop
 
 import (
@@ -16,246 +17,271 @@
 )
 
 const (
-	readMost  = 64 << 10  // bytes that may lie unread by a connection's owner
-	readStep  = 16 << 10  // bytes read from one connection a turn
-	turnMost  = 16        // messages taken from one connection a turn, and fewer where many have some:
-	turnAll   = 256       // no more than so many from all, but one from each
-	writeMost = 256 << 10 // bytes that may wait to be written on one connection
-	queueMost = 1024      // connections that wait to be accepted
-	sendMost  = 32 << 10  // bytes that the kernel may keep for who was dialled, and as much for itself: what it has cannot be taken back
-	batch     = 128       // connections accepted at a time
-	eventMost = 1024      // events taken from epoll at a time: of as many descriptors as a small machine has
-	lookEvery = 32        // messages taken before it is looked again who has closed
-	idleMost  = time.Hour // longest wait with nothing due
-	// turnLong is how long a turn, or a stop in the middle of it, may take before what has come meanwhile is taken, too, ahead of what leaves:
-	// somebody may have withdrawn it.
-	turnLong = 20 * time.Millisecond
-	// lateMost such turns come first, for lateFor at most: a flood must not hold everything else up.
-	lateMost = 64
-	lateFor  = 50 * time.Millisecond
-	// acceptAfter is how long connections are left in the queue when no descriptor is to be had for them, unless one is closed before.
-	acceptAfter = 50 * time.Millisecond
+	maxReadBuffer           = 64 << 10  // bytes buffered per connection until its handler takes them
+	readChunkSize           = 16 << 10  // bytes read from one connection per loop iteration
+	maxMessagesPerConn      = 16        // messages per connection and iteration, fewer if many are ready
+	maxMessagesPerIteration = 256       // messages per iteration over all connections, but at least one from each
+	maxWriteBuffer          = 256 << 10 // bytes queued for writing on one connection
+	acceptBacklog           = 1024      // backlog of a listening socket
+	// dialSendBuffer is SO_SNDBUF, in bytes, of dialed connections. The kernel reserves as much again for its own
+	// bookkeeping. It is small because bytes that the kernel has accepted can't be recalled.
+	dialSendBuffer        = 32 << 10
+	maxBatch              = 128       // connections accepted, or datagrams read, from one socket per event
+	maxEvents             = 1024      // events per epoll_wait; a small machine has about as many descriptors
+	messagesPerCloseCheck = 32        // messages delivered between two checks for peers that have closed
+	maxIdleWait           = time.Hour // longest epoll_wait when no timer is due
+	// slowIterationThreshold is the duration of an iteration, or of a pause of the process within it, from which
+	// input that has arrived meanwhile is read before output is released, as it may withdraw that output.
+	slowIterationThreshold = 20 * time.Millisecond
+	// maxCatchUpRounds and catchUpTimeout bound that reading, so that a flood of input can't delay everything else.
+	maxCatchUpRounds = 64
+	catchUpTimeout   = 50 * time.Millisecond
+	// acceptRetryDelay is the pause of a listener when no descriptor is available, unless one is closed earlier.
+	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// Errors that a connection may close with.
+// Errors passed to Handler.Closed.
 var (
-	ErrEOF       = errors.New("closed by the other side")
-	ErrSlow      = errors.New("the other side does not read")
-	ErrTooLong   = errors.New("message longer than the read buffer")
-	ErrDialLate  = errors.New("not connected in time")
+	// ErrEOF means that the peer has closed the connection.
+	ErrEOF = errors.New("closed by the other side")
+	// ErrSlowPeer means that the peer didn't read fast enough, or that it exceeded a deadline of the connection's owner.
+	ErrSlow = errors.New("the other side does not read")
+	// ErrTooLong means that a message doesn't fit into the read buffer.
+	ErrTooLong = errors.New("message longer than the read buffer")
+	// ErrDialTimeout means that a dialed connection wasn't established in time.
+	ErrDialLate = errors.New("not connected in time")
+	// ErrClosedLocally means that this side has closed the connection.
 	ErrAbandoned = errors.New("closed on this side")
 )
 
-// Handler is told what happens on a connection. Data returns how many bytes it took; the rest is offered again
-// with what follows. The slice is only valid during the call. Closed comes exactly once, also for a connection
-// that never opened.
+// Handler receives the events of a connection. Data returns how many bytes it consumed; the rest is offered again
+// together with the bytes that follow. The slice is only valid during the call. Closed is called exactly once, also
+// for a connection that was never established.
 type Handler interface {
 	Opened(c *Conn)
 	Data(c *Conn, b []byte) int
 	Closed(c *Conn, err error)
 }
 
-// Leaver is a Handler that hears, once and before anything else of a turn, that the other side has closed or reset, though something it
-// sent before that may still have to be taken.
+// PeerCloseHandler is a Handler that is notified once, before the other events of an iteration, that the peer has
+// closed or reset the connection. Data that the peer sent earlier may still be delivered afterwards.
 type Leaver interface{ Leaving(c *Conn) }
 
-// Drainer is a Handler that hears that all that Blocked held up has been written.
+// Drainer is a Handler that is notified when the bytes that made Blocked return true have been written.
 type Drainer interface{ Drained(c *Conn) }
 
-// Loop is one epoll set and all that is in it.
+// Loop is an epoll set with its listeners, connections and sockets. Its methods must be called on the goroutine in
+// Run, or before Run, unless they say otherwise.
 type Loop struct {
-	epoll   int
-	wake    int     // eventfd
-	spare   int     // a descriptor given up to turn away a connection when none is left
-	buf     []byte  // what all connections are read into; only unfinished messages are kept apart
-	again   []*Conn // have whole messages left over from their turn
-	sources map[int32]source
-	first   *Loop // urgent sources, looked into before and within turns; nil while there are none
-	closing []int // closed once the batch is over, so that no number is reused within it
-	seen    []unix.EpollEvent
-	taken   int         // messages since it was last looked who has closed
-	turn    int         // messages that one connection may bring in this turn
-	full    []*Listener // left alone while there is no descriptor
-	until   time.Time   // then
-	mu      sync.Mutex
-	posted  []func()
-	stop    bool
-	outer   *Loop // of a set of urgent sources: the loop that it is in
-	gate    Gate
-	look    func() // first thing after each wait; nil: nothing
-	clock   func() time.Duration
-	last    func()        // last thing before each wait; nil: nothing
-	polled  time.Duration // when it was last looked what has come
-	late    bool          // the latest wait took longer than it was meant to
-	corked  []*Conn       // have bytes of this turn
-	waiting []parcel      // of earlier turns, oldest first
-	recalls []recall      // what may be taken back as long as it waits, oldest first
-}
-
-// Gate holds back what connections write until something else has happened: a record of it is safe. At the end of
-// each turn the loop asks Commit for a ticket; the bytes of that turn leave once Passed has reached it. All of its methods
-// return at once. Whoever lets a ticket pass calls Nudge.
+	epoll              int
+	wakeFD             int     // eventfd that interrupts epoll_wait
+	spareFD            int     // reserve for closing a connection when no descriptor is left; -1: none
+	readBuf            []byte  // shared by all connections; unfinished messages are copied to the connection
+	pending            []*Conn // connections with complete messages left over from the previous iteration
+	sources            map[int32]source
+	urgentLoop         *Loop // epoll set of urgent sources, polled before and during iterations; nil: none
+	closing            []int // descriptors to close after the batch of events, so that no number is reused within it
+	closeCheckEvents   []unix.EpollEvent
+	messagesSinceCheck int         // messages delivered since the last check for closed peers
+	messagesPerConn    int         // limit per connection in this iteration
+	pausedListeners    []*Listener // not accepting for lack of descriptors
+	acceptRetryAt      time.Time   // when pausedListeners accept again
+	mu                 sync.Mutex
+	posted             []func()
+	stop               bool
+	parent             *Loop // the enclosing loop of a set of urgent sources; nil otherwise
+	gate               Gate
+	afterWait          func() // called first after each wait; may be nil
+	clock              func() time.Duration
+	beforeWait         func()            // called last before each wait; may be nil
+	lastPoll           time.Duration     // time of the last epoll_wait
+	waitOverran        bool              // the latest wait took much longer than its timeout
+	corked             []*Conn           // connections written to in this iteration
+	gated              []gatedWrite      // writes of earlier iterations that the gate holds back, oldest first
+	recallable         []recallableWrite // writes that can be recalled until they are released, oldest first
+}
+
+// OutputGate holds back what connections write until a condition is met, such as the durability of a record of it.
+// At the end of each iteration the loop gets a ticket from Commit; the bytes of that iteration are written once
+// Released returns that ticket or a later one. No method may block. The implementation calls Wake when it releases
+// a ticket.
 type Gate interface {
 	Commit() (ticket uint64)
-	Passed() (ticket uint64) // asked once a turn, after Commit
-	Left()                   // what Passed has let go was written, as far as its readers take it
-	// Patience is how long the loop may wait before it asks Passed again although nobody has nudged it.
+	Passed() (ticket uint64) // called once per iteration, after Commit
+	Left()                   // released bytes have been written, as far as the peers accept them
+	// PollInterval is the longest wait before the loop calls Released again without a call of Wake.
 	Patience() time.Duration
 }
 
-// parcel is bytes at the end of what a connection had to write when their turn ended.
-type parcel struct {
+// gatedWrite describes the bytes that were written on a connection in one iteration and wait for its ticket. They were
+// the last bytes of the connection's unsent buffer when that iteration ended.
+type gatedWrite struct {
 	ticket uint64
-	c      *Conn
-	n      int
+	conn   *Conn
+	size   int
 }
 
-// recall is bytes on a connection that may be taken back; at is how many were ever written on it before them.
-type recall struct {
-	c    *Conn
-	at   uint64
-	n    int
-	what any
+// recallableWrite describes bytes on a connection that can be recalled. offset counts the bytes that were written on
+// the connection before them, over its whole lifetime.
+type recallableWrite struct {
+	conn   *Conn
+	offset uint64
+	size   int
+	tag    any
 }
 
-// passed says whether the bytes may leave, or are lost with their connection.
-func (r *recall) passed() bool { return r.c.closed || r.at < r.c.gone+uint64(r.c.free) }
+// released reports whether the gate has released the bytes, or their connection has closed.
+func (r *recallableWrite) released() bool {
+	return r.conn.closed || r.offset < r.conn.sentBytes+uint64(r.conn.releasedBytes)
+}
 
-// Recall takes back all that was written by WriteRecallable and that the gate has not let pass, and returns what it was, oldest first.
-func (l *Loop) Recall() (list []any) {
-	for i := len(l.recalls) - 1; i >= 0; i-- { // the latest first, or places of what lies behind would move
-		if r := &l.recalls[i]; !r.passed() {
-			r.c.unwrite(int(r.at-r.c.gone), r.n)
-			list = append(list, r.what)
+// RecallAll removes all messages written by WriteRecallable that the gate hasn't released yet, and returns their tags,
+// oldest first.
+func (l *Loop) Recall() (tags []any) {
+	for i := len(l.recallable) - 1; i >= 0; i-- { // newest first, so that the offsets of the others stay valid
+		if r := &l.recallable[i]; !r.released() {
+			r.conn.removeUnsent(int(r.offset-r.conn.sentBytes), r.size)
+			tags = append(tags, r.tag)
 		}
 	}
-	l.recalls = nil
-	slices.Reverse(list)
-	return list
+	l.recallable = nil
+	slices.Reverse(tags)
+	return tags
 }
 
-// TakeBack takes back one message that was written by WriteRecallable under that name; false: it has passed, or there is none.
-func (c *Conn) TakeBack(what any) bool {
-	i := slices.IndexFunc(c.l.recalls, func(r recall) bool { return r.c == c && r.what == what })
-	if i < 0 || c.l.recalls[i].passed() {
+// Recall removes the message that was written by WriteRecallable with this tag. It returns false if the message was
+// released already or doesn't exist.
+func (c *Conn) TakeBack(tag any) bool {
+	i := slices.IndexFunc(c.loop.recallable, func(r recallableWrite) bool { return r.conn == c && r.tag == tag })
+	if i < 0 || c.loop.recallable[i].released() {
 		return false
 	}
-	r := c.l.recalls[i]
-	c.unwrite(int(r.at-c.gone), r.n)
-	c.l.recalls = slices.Delete(c.l.recalls, i, i+1)
-	for k := range c.l.recalls[i:] { // what lies behind has moved
-		if later := &c.l.recalls[i+k]; later.c == c {
-			later.at -= uint64(r.n)
+	r := c.loop.recallable[i]
+	c.removeUnsent(int(r.offset-c.sentBytes), r.size)
+	c.loop.recallable = slices.Delete(c.loop.recallable, i, i+1)
+	for k := range c.loop.recallable[i:] { // later messages move forward in the buffer
+		if later := &c.loop.recallable[i+k]; later.conn == c {
+			later.offset -= uint64(r.size)
 		}
 	}
 	return true
 }
 
-// unwrite takes bytes out of what waits, and out of the turn that they were written in.
-func (c *Conn) unwrite(from, n int) {
-	c.out = slices.Delete(c.out, from, from+n)
-	behind := c.free
-	for i := range c.l.waiting {
-		if p := &c.l.waiting[i]; p.c == c {
-			if behind += p.n; from < behind {
-				p.n -= n
+// removeUnsent removes bytes from the unsent buffer and from the account of the iteration that wrote them.
+func (c *Conn) removeUnsent(from, n int) {
+	c.unsent = slices.Delete(c.unsent, from, from+n)
+	end := c.releasedBytes
+	for i := range c.loop.gated {
+		if write := &c.loop.gated[i]; write.conn == c {
+			if end += write.size; from < end {
+				write.size -= n
 				return
 			}
 		}
 	}
-	c.cork -= n
+	c.corkedBytes -= n
 }
 
-// SetGate has a gate hold back what is written from now on. It is called before Run.
+// SetOutputGate sets the gate that holds back written bytes. It must be called before Run.
 func (l *Loop) SetGate(g Gate) { l.gate = g }
 
-// SetLook has something be looked at after each wait, and each stop that was noticed, before anything that has come is taken: time may have gone by in which the process was stopped. It is called before Run.
-func (l *Loop) SetLook(look func()) { l.look = look }
+// SetAfterWait sets a function that is called after each wait, and when a pause of the process was noticed, before any
+// input is handled: the process may have been stopped for a while. It must be called before Run.
+func (l *Loop) SetLook(f func()) { l.afterWait = f }
 
-// SetClock has the loop notice by a clock that a turn took long. It is called before Run.
+// SetClock sets the clock by which the loop detects slow iterations. It must be called before Run.
 func (l *Loop) SetClock(clock func() time.Duration) { l.clock = clock }
 
-// SetLast has something be done last before each wait, when all that has come was taken and what has fallen due is done. It is called before Run.
-func (l *Loop) SetLast(last func()) { l.last = last }
+// SetBeforeWait sets a function that is called last before each wait, after all input and due timers were handled. It
+// must be called before Run.
+func (l *Loop) SetLast(f func()) { l.beforeWait = f }
 
-// Nudge has Run ask the gate again. It may be called from any goroutine.
+// Wake makes Run query the gate again. It may be called from any goroutine.
 func (l *Loop) Nudge() { l.Post(func() {}) }
 
-// pass ends a turn: it commits, and lets go what may leave.
-func (l *Loop) pass() {
+// releaseWrites ends an iteration: it commits its writes to the gate and sends those that the gate has released.
+func (l *Loop) releaseWrites() {
 	ticket := l.gate.Commit()
 	for _, c := range l.corked {
-		l.waiting = append(l.waiting, parcel{ticket, c, c.cork})
-		c.cork = 0
+		l.gated = append(l.gated, gatedWrite{ticket, c, c.corkedBytes})
+		c.corkedBytes = 0
 	}
 	clear(l.corked)
 	l.corked = l.corked[:0]
-	passed, done := l.gate.Passed(), 0
+	released, count := l.gate.Passed(), 0
 	defer l.gate.Left()
-	if len(l.waiting) == 0 {
+	if len(l.gated) == 0 {
 		return
 	}
-	for done < len(l.waiting) && l.waiting[done].ticket <= passed {
-		c := l.waiting[done].c
-		c.free += l.waiting[done].n
-		done++
+	for count < len(l.gated) && l.gated[count].ticket <= released {
+		c := l.gated[count].conn
+		c.releasedBytes += l.gated[count].size
+		count++
 		if !c.closed {
 			c.flush()
 		}
 	}
-	l.waiting = append(l.waiting[:0], l.waiting[done:]...)
-	for len(l.recalls) > 0 && l.recalls[0].passed() {
-		l.recalls = l.recalls[1:]
+	l.gated = append(l.gated[:0], l.gated[count:]...)
+	for len(l.recallable) > 0 && l.recallable[0].released() {
+		l.recallable = l.recallable[1:]
 	}
 }
 
-// source is anything with a descriptor in the set.
+// source is a file descriptor in the epoll set.
 type source interface{ ready(events uint32) }
 
-// urgentEvery events the loop looks whether an urgent source has something.
-const urgentEvery = 8
+// eventsPerUrgentCheck is the number of events handled between two checks of the urgent sources.
+const eventsPerUrgentCheck = 8
 
-// watch waits for a descriptor that is none of the loop's own kinds.
-type watch func(events uint32)
+// watchFunc is a source that calls a function.
+type watchFunc func(events uint32)
 
-func (w watch) ready(events uint32) { w(events) }
+func (w watchFunc) ready(events uint32) { w(events) }
 
-// urgent is the set of urgent sources: an epoll set within the loop's own.
-func (l *Loop) urgent() (*Loop, error) {
-	if l.first == nil {
+// urgentSet returns the loop of the urgent sources and creates it on first use: an epoll set nested in this one.
+func (l *Loop) urgentSet() (*Loop, error) {
+	if l.urgentLoop == nil {
 		epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 		if err != nil {
 			return nil, fmt.Errorf("epoll: %w", err)
 		}
-		l.first = &Loop{epoll: epoll, wake: l.wake, spare: -1, outer: l, sources: map[int32]source{}, buf: make([]byte, readMost+readStep), turn: turnMost}
-		if err := l.add(epoll, unix.EPOLLIN, watch(func(uint32) { l.attend() })); err != nil {
+		l.urgentLoop = &Loop{
+			epoll:           epoll,
+			wakeFD:          l.wakeFD,
+			spareFD:         -1,
+			parent:          l,
+			sources:         map[int32]source{},
+			readBuf:         make([]byte, maxReadBuffer+readChunkSize),
+			messagesPerConn: maxMessagesPerConn,
+		}
+		if err := l.add(epoll, unix.EPOLLIN, watchFunc(func(uint32) { l.serveUrgent() })); err != nil {
 			return nil, err
 		}
 	}
-	return l.first, nil
+	return l.urgentLoop, nil
 }
 
-// attend serves what is urgent.
-func (l *Loop) attend() {
-	var events [urgentEvery]unix.EpollEvent
-	n, _ := unix.EpollWait(l.first.epoll, events[:], 0)
+// serveUrgent handles the events of the urgent sources.
+func (l *Loop) serveUrgent() {
+	var events [eventsPerUrgentCheck]unix.EpollEvent
+	n, _ := unix.EpollWait(l.urgentLoop.epoll, events[:], 0)
 	for _, e := range events[:max(n, 0)] {
-		if s := l.first.sources[e.Fd]; s != nil {
+		if s := l.urgentLoop.sources[e.Fd]; s != nil {
 			s.ready(e.Events)
 		}
 	}
-	again := l.first.again
-	l.first.again = nil
-	for _, c := range again {
-		c.more = false
-		if !c.closed && !c.finish {
-			c.take(copy(c.l.buf, c.in))
+	pending := l.urgentLoop.pending
+	l.urgentLoop.pending = nil
+	for _, c := range pending {
+		c.pending = false
+		if !c.closed && !c.finishing {
+			c.deliver(copy(c.loop.readBuf, c.unread))
 		}
 	}
-	l.first.reap()
+	l.urgentLoop.closeDropped()
 }
 
-// New opens an empty loop.
+// New creates a loop without sources.
 func New() (*Loop, error) {
 	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -266,81 +292,90 @@
 		unix.Close(epoll)
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	l := &Loop{epoll: epoll, wake: wake, spare: -1, sources: map[int32]source{}, buf: make([]byte, readMost+readStep), turn: turnMost, seen: make([]unix.EpollEvent, eventMost)}
-	l.save()
+	l := &Loop{
+		epoll:            epoll,
+		wakeFD:           wake,
+		spareFD:          -1,
+		sources:          map[int32]source{},
+		readBuf:          make([]byte, maxReadBuffer+readChunkSize),
+		messagesPerConn:  maxMessagesPerConn,
+		closeCheckEvents: make([]unix.EpollEvent, maxEvents),
+	}
+	l.openSpare()
 	return l, l.add(wake, unix.EPOLLIN, &waker{l})
 }
 
-// Post has f called on the loop. It may be called from any goroutine.
+// Post schedules f to be called on the loop. It may be called from any goroutine.
 func (l *Loop) Post(f func()) {
-	if l.outer != nil {
-		l.outer.Post(f)
+	if l.parent != nil {
+		l.parent.Post(f)
 		return
 	}
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
 	l.mu.Unlock()
-	unix.Write(l.wake, []byte{1, 0, 0, 0, 0, 0, 0, 0})
+	unix.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 }
 
 // Stop ends Run. It may be called from any goroutine.
 func (l *Loop) Stop() { l.Post(func() { l.stop = true }) }
 
-// Run serves until Stop. Before each wait it calls due, which does what has fallen due and returns how long
-// nothing more will be.
-func (l *Loop) Run(due func() time.Duration) error {
-	events := make([]unix.EpollEvent, eventMost)
-	l.polled = l.now()
+// Run handles events until Stop. Before each wait it calls runDue, which runs the timers that are due and returns the
+// time until the next one.
+func (l *Loop) Run(runDue func() time.Duration) error {
+	events := make([]unix.EpollEvent, maxEvents)
+	l.lastPoll = l.now()
 	for !l.stop {
-		wait := due()
+		wait := runDue()
 		if l.catchUp(events) {
-			wait = due()
+			wait = runDue()
 		}
-		if l.last != nil {
-			l.last()
+		if l.beforeWait != nil {
+			l.beforeWait()
 		}
 		if l.gate != nil {
-			if l.pass(); len(l.waiting) > 0 {
+			if l.releaseWrites(); len(l.gated) > 0 {
 				wait = min(wait, l.gate.Patience())
 			}
-			if l.last != nil { // somebody may have begun to read again
-				l.last()
+			if l.beforeWait != nil { // a peer may have started to read again
+				l.beforeWait()
 			}
-			if len(l.corked) > 0 { // written as a connection closed just now
+			if len(l.corked) > 0 { // written by a callback for a connection that closed just now
 				wait = 0
 			}
 		}
-		l.reap()
+		l.closeDropped()
 		if l.stop {
 			break
 		}
-		if l.first != nil && len(l.first.again) > 0 {
-			l.attend()
+		if l.urgentLoop != nil && len(l.urgentLoop.pending) > 0 {
+			l.serveUrgent()
 		}
-		if len(l.again) > 0 || l.first != nil && len(l.first.again) > 0 {
+		if len(l.pending) > 0 || l.urgentLoop != nil && len(l.urgentLoop.pending) > 0 {
 			wait = 0
 		}
-		if len(l.full) > 0 {
-			wait = min(wait, acceptAfter)
+		if len(l.pausedListeners) > 0 {
+			wait = min(wait, acceptRetryDelay)
 		}
-		// Rounded up, or a timer due in half a millisecond would spin.
-		ms := int((min(max(wait, 0), idleMost) + time.Millisecond - 1) / time.Millisecond)
-		began := l.now()
+		// Rounded up: otherwise the loop would spin until a timer that is due in less than a millisecond.
+		ms := int((min(max(wait, 0), maxIdleWait) + time.Millisecond - 1) / time.Millisecond)
+		waitStart := l.now()
 		n, err := unix.EpollWait(l.epoll, events, ms)
-		if err == unix.EINTR { // also where the process was stopped: what has come meanwhile goes ahead of what has fallen due
+		if err == unix.EINTR {
+			// The process may have been stopped: input that arrived meanwhile is handled before due timers.
 			n, err = unix.EpollWait(l.epoll, events, 0)
 		}
 		if err != nil && err != unix.EINTR {
 			return fmt.Errorf("epoll wait: %w", err)
 		}
-		if l.look != nil {
-			l.look()
+		if l.afterWait != nil {
+			l.afterWait()
 		}
-		l.polled = l.now()
-		l.late = l.polled-began >= time.Duration(ms)*time.Millisecond+turnLong
-		l.serve(events[:max(n, 0)])
-		l.reap()
-		l.resume()
+		l.lastPoll = l.now()
+		l.waitOverran = l.lastPoll-waitStart >= time.Duration(ms)*time.Millisecond+slowIterationThreshold
+		l.serveEvents(events[:max(n, 0)])
+		l.closeDropped()
+		l.resumeListeners()
 	}
 	return nil
 }
@@ -352,125 +387,128 @@
 	return l.clock()
 }
 
-// catchUp takes what has come while the process stood still or a turn took long, before anything leaves that it may withdraw; false: neither was so.
+// catchUp handles the input that has arrived during a slow iteration or while the process was stopped, before output
+// is released that this input may withdraw. It returns false if there was no such delay.
 func (l *Loop) catchUp(events []unix.EpollEvent) bool {
-	from := l.now()
-	if from-l.polled < turnLong && !l.late {
+	start := l.now()
+	if start-l.lastPoll < slowIterationThreshold && !l.waitOverran {
 		return false
 	}
-	l.late = false
-	if l.look != nil {
-		l.look()
+	l.waitOverran = false
+	if l.afterWait != nil {
+		l.afterWait()
 	}
-	for range lateMost {
+	for range maxCatchUpRounds {
 		n, _ := unix.EpollWait(l.epoll, events, 0)
-		if l.polled = l.now(); n <= 0 && len(l.again) == 0 || l.polled-from > lateFor {
+		if l.lastPoll = l.now(); n <= 0 && len(l.pending) == 0 || l.lastPoll-start > catchUpTimeout {
 			break
 		}
-		l.serve(events[:max(n, 0)])
+		l.serveEvents(events[:max(n, 0)])
 	}
 	return true
 }
 
-// serve has all that is ready take its turn: who has closed hears of it first.
-func (l *Loop) serve(events []unix.EpollEvent) {
-	l.leavers(events)
-	l.turn = min(max(turnAll/max(len(events)+len(l.again), 1), 1), turnMost)
+// serveEvents reports closed peers first, then handles each ready source and each connection with pending messages.
+func (l *Loop) serveEvents(events []unix.EpollEvent) {
+	l.notifyPeerCloses(events)
+	l.messagesPerConn = min(max(maxMessagesPerIteration/max(len(events)+len(l.pending), 1), 1), maxMessagesPerConn)
 	for i, e := range events {
-		l.between(i)
+		l.checkBetweenSources(i)
 		if s := l.sources[e.Fd]; s != nil {
 			s.ready(e.Events)
 		}
 	}
-	again := l.again
-	l.again = nil
-	for i, c := range again {
-		l.between(i)
-		c.more = false
-		if !c.closed && !c.finish {
-			c.take(copy(l.buf, c.in))
+	pending := l.pending
+	l.pending = nil
+	for i, c := range pending {
+		l.checkBetweenSources(i)
+		c.pending = false
+		if !c.closed && !c.finishing {
+			c.deliver(copy(l.readBuf, c.unread))
 		}
 	}
 }
 
-// between does what comes between two sources of a turn.
-func (l *Loop) between(i int) {
-	if l.first != nil && i%urgentEvery == urgentEvery-1 {
-		l.attend()
+// checkBetweenSources runs the periodic checks that are due after the i-th source of an iteration.
+func (l *Loop) checkBetweenSources(i int) {
+	if l.urgentLoop != nil && i%eventsPerUrgentCheck == eventsPerUrgentCheck-1 {
+		l.serveUrgent()
 	}
-	if l.taken >= lookEvery {
-		l.closers()
+	if l.messagesSinceCheck >= messagesPerCloseCheck {
+		l.checkPeerCloses()
 	}
 }
 
-// closers has those hear of it whose other side has closed or reset by now.
-func (l *Loop) closers() {
-	l.taken = 0
-	n, _ := unix.EpollWait(l.epoll, l.seen, 0)
-	l.leavers(l.seen[:max(n, 0)])
+// checkPeerCloses polls for connections that their peers have closed or reset, and notifies the handlers.
+func (l *Loop) checkPeerCloses() {
+	l.messagesSinceCheck = 0
+	n, _ := unix.EpollWait(l.epoll, l.closeCheckEvents, 0)
+	l.notifyPeerCloses(l.closeCheckEvents[:max(n, 0)])
 }
 
-func (l *Loop) leavers(events []unix.EpollEvent) {
+// notifyPeerCloses calls PeerClosed for the connections that the events report as closed by their peers.
+func (l *Loop) notifyPeerCloses(events []unix.EpollEvent) {
 	for _, e := range events {
 		if e.Events&(unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) == 0 {
 			continue
 		}
-		c, is := l.sources[e.Fd].(*Conn)
-		if !is || !c.open || c.closed || c.finish || c.left {
+		c, isConn := l.sources[e.Fd].(*Conn)
+		if !isConn || !c.open || c.closed || c.finishing || c.peerCloseReported {
 			continue
 		}
-		if h, hears := c.handler.(Leaver); hears {
-			c.left = true
+		if h, ok := c.handler.(Leaver); ok {
+			c.peerCloseReported = true
 			h.Leaving(c)
 		}
 	}
 }
 
-// resume takes connections again that had to wait for a descriptor.
-func (l *Loop) resume() {
-	if len(l.full) == 0 || time.Now().Before(l.until) {
+// resumeListeners resumes the listeners that were paused for lack of descriptors.
+func (l *Loop) resumeListeners() {
+	if len(l.pausedListeners) == 0 || time.Now().Before(l.acceptRetryAt) {
 		return
 	}
-	full := l.full
-	l.full = nil
-	for _, ln := range full {
-		ln.held &^= holdFull
-		ln.watch()
+	paused := l.pausedListeners
+	l.pausedListeners = nil
+	for _, ln := range paused {
+		ln.pauseReasons &^= pausedNoDescriptor
+		ln.updateInterest()
 	}
 }
 
-// save opens the spare descriptor, if there is one to be had.
-func (l *Loop) save() {
-	if l.spare < 0 {
+// openSpare reserves the spare descriptor, if one is available.
+func (l *Loop) openSpare() {
+	if l.spareFD < 0 {
 		if fd, err := unix.Eventfd(0, unix.EFD_CLOEXEC); err == nil {
-			l.spare = fd
+			l.spareFD = fd
 		}
 	}
 }
 
-// Close closes every descriptor of a loop that has stopped.
+// Close closes all descriptors. It must be called after Run has returned.
 func (l *Loop) Close() {
-	if l.first != nil {
-		l.first.Close()
-		delete(l.sources, int32(l.first.epoll))
+	if l.urgentLoop != nil {
+		l.urgentLoop.Close()
+		delete(l.sources, int32(l.urgentLoop.epoll))
 	}
 	for fd := range l.sources {
 		unix.Close(int(fd))
 	}
 	clear(l.sources)
-	l.reap()
-	if l.spare >= 0 {
-		unix.Close(l.spare)
+	l.closeDropped()
+	if l.spareFD >= 0 {
+		unix.Close(l.spareFD)
 	}
 	unix.Close(l.epoll)
 }
 
-func (l *Loop) reap() {
-	if l.first != nil {
-		l.first.reap()
+// closeDropped closes the descriptors that were removed since the last call.
+func (l *Loop) closeDropped() {
+	if l.urgentLoop != nil {
+		l.urgentLoop.closeDropped()
 	}
 	if len(l.closing) > 0 {
-		l.until = time.Time{}
+		l.acceptRetryAt = time.Time{}
 	}
 	for _, fd := range l.closing {
 		unix.Close(fd)
@@ -483,8 +521,9 @@
 	return unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)})
 }
 
-func (l *Loop) drop(fd int) {
-	if _, in := l.sources[int32(fd)]; !in {
+// remove takes a descriptor out of the epoll set and has it closed at the end of the batch of events.
+func (l *Loop) remove(fd int) {
+	if _, found := l.sources[int32(fd)]; !found {
 		return
 	}
 	delete(l.sources, int32(fd))
@@ -492,15 +531,16 @@
 	l.closing = append(l.closing, fd)
 }
 
-type waker struct{ l *Loop }
+// waker runs the posted functions when the eventfd is signaled.
+type waker struct{ loop *Loop }
 
 func (w *waker) ready(uint32) {
 	var b [8]byte
-	unix.Read(w.l.wake, b[:])
-	w.l.mu.Lock()
-	posted := w.l.posted
-	w.l.posted = nil
-	w.l.mu.Unlock()
+	unix.Read(w.loop.wakeFD, b[:])
+	w.loop.mu.Lock()
+	posted := w.loop.posted
+	w.loop.posted = nil
+	w.loop.mu.Unlock()
 	for _, f := range posted {
 		f()
 	}
@@ -508,35 +548,37 @@
 
 // ---- TCP ----
 
-// Listener accepts connections.
+// Listener accepts connections on a listening socket.
 type Listener struct {
-	l      *Loop
-	fd     int
-	accept func(*Conn) Handler
-	held   int // why it is left alone, bits
+	loop         *Loop
+	fd           int
+	accept       func(*Conn) Handler
+	pauseReasons int // bit set; 0: accepting
 }
 
+// Reasons for which a Listener doesn't accept.
 const (
-	holdOwner = 1 << iota // its owner wants it
-	holdFull              // no descriptor is to be had
+	pausedByOwner      = 1 << iota // by SetPaused
+	pausedNoDescriptor             // no descriptor is available
 )
 
-// Listen accepts connections on an address; accept gives each its handler, or nil to have it closed.
+// Listen accepts connections on an address. accept returns the handler of each connection, or nil to close it. Errors
+// name the address.
 func (l *Loop) Listen(addr netip.AddrPort, accept func(*Conn) Handler) (*Listener, error) {
 	return l.listen(addr, false, accept)
 }
 
-// ListenUrgent is Listen for connections that are served before all others, also in the middle of a turn that is busy with those.
-// No gate holds them back.
+// ListenUrgent is like Listen for connections that are served before all others, also in the middle of a busy
+// iteration. The output gate doesn't apply to them.
 func (l *Loop) ListenUrgent(addr netip.AddrPort, accept func(*Conn) Handler) (*Listener, error) {
-	first, err := l.urgent()
+	urgent, err := l.urgentSet()
 	if err != nil {
 		return nil, err
 	}
-	return first.listen(addr, false, accept)
+	return urgent.listen(addr, false, accept)
 }
 
-// ListenShared is Listen on an address at which another process of the same user may listen, too (SO_REUSEPORT).
+// ListenShared is like Listen on an address that other processes of the same user may listen on too (SO_REUSEPORT).
 func (l *Loop) ListenShared(addr netip.AddrPort, accept func(*Conn) Handler) (*Listener, error) {
 	return l.listen(addr, true, accept)
 }
@@ -557,101 +599,104 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("bind %s: %w", addr, err)
 	}
-	if err := unix.Listen(fd, queueMost); err != nil {
+	if err := unix.Listen(fd, acceptBacklog); err != nil {
 		unix.Close(fd)
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
 	}
-	return l.listening(fd, accept)
+	return l.addListener(fd, accept)
 }
 
-func (l *Loop) listening(fd int, accept func(*Conn) Handler) (*Listener, error) {
-	ln := &Listener{l: l, fd: fd, accept: accept}
+func (l *Loop) addListener(fd int, accept func(*Conn) Handler) (*Listener, error) {
+	ln := &Listener{loop: l, fd: fd, accept: accept}
 	return ln, l.add(fd, unix.EPOLLIN, ln)
 }
 
-// ListenOn accepts connections of a listening socket that another process has passed on, and owns it.
+// ListenFD accepts connections on a listening socket that was inherited from another process, and takes ownership of
+// the descriptor.
 func (l *Loop) ListenOn(fd int, accept func(*Conn) Handler) (*Listener, error) {
 	if n, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || n == 0 {
 		unix.Close(fd)
-		return nil, errors.New("the descriptor that was passed on is no listening socket")
+		return nil, errors.New("the inherited descriptor is not a listening socket")
 	}
 	unix.SetNonblock(fd, true)
-	return l.listening(fd, accept)
+	return l.addListener(fd, accept)
 }
 
-// Hold leaves connections in the queue, or takes them again.
+// SetPaused stops accepting, so that new connections stay in the backlog, or resumes it.
 func (ln *Listener) Hold(on bool) {
-	if ln.held &^= holdOwner; on {
-		ln.held |= holdOwner
+	if ln.pauseReasons &^= pausedByOwner; on {
+		ln.pauseReasons |= pausedByOwner
 	}
-	ln.watch()
+	ln.updateInterest()
 }
 
-func (ln *Listener) watch() {
-	if _, in := ln.l.sources[int32(ln.fd)]; !in {
+func (ln *Listener) updateInterest() {
+	if _, found := ln.loop.sources[int32(ln.fd)]; !found {
 		return
 	}
-	want := uint32(unix.EPOLLIN)
-	if ln.held != 0 {
-		want = 0
+	events := uint32(unix.EPOLLIN)
+	if ln.pauseReasons != 0 {
+		events = 0
 	}
-	unix.EpollCtl(ln.l.epoll, unix.EPOLL_CTL_MOD, ln.fd, &unix.EpollEvent{Events: want, Fd: int32(ln.fd)})
+	unix.EpollCtl(ln.loop.epoll, unix.EPOLL_CTL_MOD, ln.fd, &unix.EpollEvent{Events: events, Fd: int32(ln.fd)})
 }
 
-// Descriptor is the listening socket, to be passed on while the Listener is open.
+// Descriptor returns the listening socket. It is valid until Close and stays owned by the Listener.
 func (ln *Listener) Descriptor() int { return ln.fd }
 
-// Empty takes all that waits in the queue, which holds no more than so many batches.
+// DrainBacklog accepts all connections that wait in the backlog, in as many batches as a full backlog needs.
 func (ln *Listener) Empty() {
-	for range queueMost/batch + 1 {
+	for range acceptBacklog/maxBatch + 1 {
 		ln.ready(0)
 	}
 }
 
-// Addr is where the listener listens.
-func (ln *Listener) Addr() netip.AddrPort { return local(ln.fd) }
+// Addr returns the local address.
+func (ln *Listener) Addr() netip.AddrPort { return localAddr(ln.fd) }
 
-// Close stops accepting.
-func (ln *Listener) Close() { ln.l.drop(ln.fd) }
+// Close closes the listening socket.
+func (ln *Listener) Close() { ln.loop.remove(ln.fd) }
 
 func (ln *Listener) ready(uint32) {
-	for range batch {
+	for range maxBatch {
 		fd, from, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		if err == unix.EINTR || err == unix.ECONNABORTED {
 			continue
 		}
-		home := ln.l
-		if home.outer != nil {
-			home = home.outer
+		root := ln.loop
+		if root.parent != nil {
+			root = root.parent
 		}
-		if (err == unix.EMFILE || err == unix.ENFILE) && home.spare >= 0 && len(home.closing) == 0 {
-			// Left in the backlog it would wake the loop for ever and its client would hear nothing.
-			unix.Close(home.spare)
-			home.spare = -1
+		if (err == unix.EMFILE || err == unix.ENFILE) && root.spareFD >= 0 && len(root.closing) == 0 {
+			// In the backlog the connection would wake the loop forever, and its client would get no response.
+			// So the spare descriptor is used to accept and close it.
+			unix.Close(root.spareFD)
+			root.spareFD = -1
 			if fd, _, err := unix.Accept(ln.fd); err == nil {
 				unix.Close(fd)
 			}
-			home.save()
+			root.openSpare()
 			continue
 		}
 		if err == unix.EMFILE || err == unix.ENFILE || err == unix.ENOBUFS || err == unix.ENOMEM {
-			// What waits would wake the loop for ever. It is let in once this turn is over, if something was closed in it.
-			ln.held |= holdFull
-			ln.watch()
-			home.full, home.until = append(home.full, ln), time.Now().Add(acceptAfter)
+			// The backlog would wake the loop forever. Accepting resumes after acceptRetryDelay, or at the end of
+			// this iteration if a descriptor was closed in it.
+			ln.pauseReasons |= pausedNoDescriptor
+			ln.updateInterest()
+			root.pausedListeners, root.acceptRetryAt = append(root.pausedListeners, ln), time.Now().Add(acceptRetryDelay)
 			return
 		}
 		if err != nil {
-			return // EAGAIN
+			return // usually EAGAIN: the backlog is empty
 		}
-		c := &Conn{l: ln.l, fd: fd, remote: addrPort(from), open: true}
+		c := &Conn{loop: ln.loop, fd: fd, remote: addrPort(from), open: true}
 		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 		if c.handler = ln.accept(c); c.handler == nil {
 			unix.Close(fd)
 			continue
 		}
 		c.interest = unix.EPOLLIN | unix.EPOLLRDHUP
-		if ln.l.add(fd, c.interest, c) != nil {
+		if ln.loop.add(fd, c.interest, c) != nil {
 			c.Close(ErrAbandoned)
 			continue
 		}
@@ -659,37 +704,38 @@
 	}
 }
 
-// Conn is one TCP connection.
+// Conn is a TCP connection.
 type Conn struct {
-	l        *Loop
-	fd       int
-	remote   netip.AddrPort
-	handler  Handler
-	open     bool // connected
-	closed   bool
-	interest uint32
-	in, out  []byte
-	more     bool   // whole messages may be left in in: the next turn takes them before it reads
-	finish   bool   // nothing more is taken or written: the other side is to read to the end
-	half     bool   // nothing more is written
-	left     bool   // its owner has heard that the other side has closed
-	ended    bool   // the other side was told
-	cork     int    // bytes at the end of out that were written in this turn, where there is a gate
-	free     int    // bytes at the beginning of out that may leave, where there is a gate
-	gone     uint64 // and that have left
-}
-
-// Dial begins to connect; the handler hears Opened or Closed, always after Dial has returned.
+	loop              *Loop
+	fd                int
+	remote            netip.AddrPort
+	handler           Handler
+	open              bool // the connection has been established
+	closed            bool
+	interest          uint32
+	unread            []byte // read, but not consumed by the handler
+	unsent            []byte // written, but not yet accepted by the kernel
+	pending           bool   // unread may hold complete messages: the next iteration delivers them before it reads
+	finishing         bool   // input is discarded and nothing more is written, but unsent bytes still are
+	writeClosed       bool   // CloseWrite was called
+	peerCloseReported bool   // PeerClosed was called
+	shutdownSent      bool   // the write side has been shut down
+	corkedBytes       int    // bytes at the end of unsent that were written in this iteration; only with a gate
+	releasedBytes     int    // bytes at the start of unsent that the gate has released
+	sentBytes         uint64 // bytes passed to the kernel; only counted with a gate
+}
+
+// Dial starts to connect to an address. The handler's Opened or Closed is called after Dial has returned.
 func (l *Loop) Dial(addr netip.AddrPort, h Handler) *Conn {
-	c := &Conn{l: l, fd: -1, remote: addr, handler: h}
+	c := &Conn{loop: l, fd: -1, remote: addr, handler: h}
 	c.dial()
 	return c
 }
 
 func (c *Conn) dial() {
-	l := c.l
+	l := c.loop
 	fd, err := socket(c.remote, unix.SOCK_STREAM)
-	if errors.Is(err, unix.EMFILE) && len(l.closing) > 0 { // some are there once this turn is over
+	if errors.Is(err, unix.EMFILE) && len(l.closing) > 0 { // descriptors are freed at the end of this iteration
 		l.Post(func() {
 			if !c.closed {
 				c.dial()
@@ -700,7 +746,7 @@
 	if err == nil {
 		c.fd = fd
 		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, sendMost)
+		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, dialSendBuffer)
 		if err = unix.Connect(fd, sockaddr(c.remote)); err == nil || err == unix.EINPROGRESS {
 			c.interest = unix.EPOLLOUT
 			err = l.add(fd, c.interest, c)
@@ -711,11 +757,12 @@
 	}
 }
 
-// Adopt serves a connection that another process has passed on. in is what that had read of it; it is offered with what follows. accept gives the handler, or
-// nil to have it closed.
-func (l *Loop) Adopt(fd int, in []byte, accept func(*Conn) Handler) *Conn {
+// Adopt serves a connection that was inherited from another process. unread holds the bytes that process has read but
+// not consumed; they are offered together with the bytes that follow. accept returns the handler, or nil to close the
+// connection.
+func (l *Loop) Adopt(fd int, unread []byte, accept func(*Conn) Handler) *Conn {
 	unix.SetNonblock(fd, true)
-	c := &Conn{l: l, fd: fd, open: true}
+	c := &Conn{loop: l, fd: fd, open: true}
 	if from, err := unix.Getpeername(fd); err == nil {
 		c.remote = addrPort(from)
 	}
@@ -728,82 +775,84 @@
 		c.Close(ErrAbandoned)
 		return nil
 	}
-	if len(in) > 0 {
-		c.in, c.more = in, true
-		l.again = append(l.again, c)
+	if len(unread) > 0 {
+		c.unread, c.pending = unread, true
+		l.pending = append(l.pending, c)
 	}
 	c.handler.Opened(c)
 	return c
 }
 
-// Detach takes an open connection that nothing waits to be written on out of the loop, to be passed on: its descriptor, which is the caller's now, and what was read and
-// not taken. The handler hears nothing more. False: it cannot be.
-func (c *Conn) Detach() (fd int, in []byte, ok bool) {
-	if !c.Open() || len(c.out) > 0 || c.cork > 0 {
+// Detach removes an open connection from the loop so that another process can adopt it. It returns the descriptor,
+// which the caller owns from then on, and the bytes that were read but not consumed. The handler isn't called
+// afterwards. ok is false if the connection isn't open or has unsent bytes.
+func (c *Conn) Detach() (fd int, unread []byte, ok bool) {
+	if !c.Open() || len(c.unsent) > 0 || c.corkedBytes > 0 {
 		return -1, nil, false
 	}
-	delete(c.l.sources, int32(c.fd))
-	unix.EpollCtl(c.l.epoll, unix.EPOLL_CTL_DEL, c.fd, nil)
-	in, c.in, c.closed = c.in, nil, true
-	return c.fd, in, true
+	delete(c.loop.sources, int32(c.fd))
+	unix.EpollCtl(c.loop.epoll, unix.EPOLL_CTL_DEL, c.fd, nil)
+	unread, c.unread, c.closed = c.unread, nil, true
+	return c.fd, unread, true
 }
 
-// Watch waits for a descriptor of somebody else's.
+// Watch monitors a descriptor that was opened outside this package.
 type Watch struct {
-	l    *Loop
-	fd   int
-	want uint32
-	f    func(events uint32)
+	loop    *Loop
+	fd      int
+	events  uint32
+	onReady func(events uint32)
 }
 
-// Watch has f called when the descriptor is ready for what is wanted, epoll events; the loop owns it from now on.
-func (l *Loop) Watch(fd int, want uint32, f func(events uint32)) (*Watch, error) {
-	w := &Watch{l, fd, want, f}
-	return w, l.add(fd, want, w)
+// Watch calls onReady when the descriptor is ready for one of the epoll events. The loop takes ownership of the
+// descriptor.
+func (l *Loop) Watch(fd int, events uint32, onReady func(events uint32)) (*Watch, error) {
+	w := &Watch{l, fd, events, onReady}
+	return w, l.add(fd, events, w)
 }
 
-// Want changes what is waited for.
-func (w *Watch) Want(want uint32) {
-	if want != w.want {
-		w.want = want
-		unix.EpollCtl(w.l.epoll, unix.EPOLL_CTL_MOD, w.fd, &unix.EpollEvent{Events: want, Fd: int32(w.fd)})
+// SetEvents changes the epoll events to wait for.
+func (w *Watch) Want(events uint32) {
+	if events != w.events {
+		w.events = events
+		unix.EpollCtl(w.loop.epoll, unix.EPOLL_CTL_MOD, w.fd, &unix.EpollEvent{Events: events, Fd: int32(w.fd)})
 	}
 }
 
-// Close closes the descriptor.
-func (w *Watch) Close() { w.l.drop(w.fd) }
+// Close stops watching and closes the descriptor.
+func (w *Watch) Close() { w.loop.remove(w.fd) }
 
-func (w *Watch) ready(events uint32) { w.f(events) }
+func (w *Watch) ready(events uint32) { w.onReady(events) }
 
-// Remote is the other side's address.
+// Remote returns the peer's address.
 func (c *Conn) Remote() netip.AddrPort { return c.remote }
 
-// Open says whether the connection can be written to.
-func (c *Conn) Open() bool { return c.open && !c.closed && !c.finish && !c.half }
+// Open reports whether the connection can be written to.
+func (c *Conn) Open() bool { return c.open && !c.closed && !c.finishing && !c.writeClosed }
 
-// Unsent is how many bytes wait to be written.
-func (c *Conn) Unsent() int { return len(c.out) }
+// Unsent returns the number of bytes that wait to be written, including those that the gate holds back.
+func (c *Conn) Unsent() int { return len(c.unsent) }
 
-// More says whether messages that were read wait for the connection's next turn.
-func (c *Conn) More() bool { return c.more && !c.closed && !c.finish }
+// Pending reports whether messages that were read wait for the next iteration.
+func (c *Conn) More() bool { return c.pending && !c.closed && !c.finishing }
 
-// Blocked says whether the other side does not take what may be written.
-func (c *Conn) Blocked() bool { return c.leaving() > 0 }
+// Blocked reports whether released bytes wait because the peer doesn't read fast enough.
+func (c *Conn) Blocked() bool { return c.writable() > 0 }
 
-// Write sends bytes or keeps a copy of those that the kernel does not take yet. False means that none of them has
-// left and none will.
+// Write sends bytes, or buffers a copy of those that the kernel doesn't accept yet. It returns false if none of them
+// was sent or will be.
 func (c *Conn) Write(b []byte) bool {
 	if !c.Open() {
 		return false
 	}
-	if c.l.gate != nil {
-		return c.hold(b)
+	if c.loop.gate != nil {
+		return c.holdWrite(b)
 	}
-	if len(c.out) == 0 {
+	if len(c.unsent) == 0 {
 		n, err := unix.Write(c.fd, b)
 		if err != nil && err != unix.EAGAIN && err != unix.EINTR {
-			// The owner may be in the middle of its own work: it hears of the end from the loop.
-			c.l.Post(func() { c.Close(err) })
+			// Posted, as the owner calling Write isn't prepared for a reentrant call of Closed.
+			c.loop.Post(func() { c.Close(err) })
 			return false
 		}
 		b = b[max(n, 0):]
@@ -811,105 +860,107 @@
 	if len(b) == 0 {
 		return true
 	}
-	if len(c.out)+len(b) > writeMost {
-		c.l.Post(func() { c.Close(ErrSlow) })
+	if len(c.unsent)+len(b) > maxWriteBuffer {
+		c.loop.Post(func() { c.Close(ErrSlow) })
 		return false
 	}
-	c.out = append(c.out, b...)
-	c.watch()
+	c.unsent = append(c.unsent, b...)
+	c.updateInterest()
 	return true
 }
 
-// Gated says whether what is written waits for a gate.
-func (c *Conn) Gated() bool { return c.l.gate != nil }
+// Gated reports whether written bytes wait for an output gate.
+func (c *Conn) Gated() bool { return c.loop.gate != nil }
 
-// WriteRecallable is Write of a whole message that Recall takes back as long as the gate has not let it pass; what names it then.
-func (c *Conn) WriteRecallable(b []byte, what any) bool {
-	at := c.gone + uint64(len(c.out))
+// WriteRecallable is like Write for a whole message that Recall and RecallAll can remove until the gate releases it.
+// The tag identifies the message.
+func (c *Conn) WriteRecallable(b []byte, tag any) bool {
+	offset := c.sentBytes + uint64(len(c.unsent))
 	if !c.Write(b) {
 		return false
 	}
-	if c.l.gate != nil && len(b) > 0 {
-		c.l.recalls = append(c.l.recalls, recall{c, at, len(b), what})
+	if c.loop.gate != nil && len(b) > 0 {
+		c.loop.recallable = append(c.loop.recallable, recallableWrite{c, offset, len(b), tag})
 	}
 	return true
 }
 
-// hold keeps bytes until the gate lets them leave.
-func (c *Conn) hold(b []byte) bool {
-	if len(c.out)+len(b) > writeMost {
-		c.l.Post(func() { c.Close(ErrSlow) })
+// holdWrite buffers bytes until the gate releases them.
+func (c *Conn) holdWrite(b []byte) bool {
+	if len(c.unsent)+len(b) > maxWriteBuffer {
+		c.loop.Post(func() { c.Close(ErrSlow) })
 		return false
 	}
-	if c.cork == 0 && len(b) > 0 {
-		c.l.corked = append(c.l.corked, c)
+	if c.corkedBytes == 0 && len(b) > 0 {
+		c.loop.corked = append(c.loop.corked, c)
 	}
-	c.out = append(c.out, b...)
-	c.cork += len(b)
+	c.unsent = append(c.unsent, b...)
+	c.corkedBytes += len(b)
 	return true
 }
 
-// leaving is how many bytes may be written now: all where there is no gate.
-func (c *Conn) leaving() int {
-	if c.l.gate == nil {
-		return len(c.out)
+// writable returns how many unsent bytes may be written now: all of them if there is no gate.
+func (c *Conn) writable() int {
+	if c.loop.gate == nil {
+		return len(c.unsent)
 	}
-	return c.free
+	return c.releasedBytes
 }
 
-// Finish takes nothing more and ends the connection once everything is written: the other side is told the end, and
-// what it goes on to send is thrown away until it ends too, for a close over unread input is a reset that takes
-// the last answer with it. The owner bounds how long that may last by Close.
+// Finish ends the connection gracefully: it sends the unsent bytes, shuts down the write side, and discards input
+// until the peer closes too. Closing a socket with unread input would send a reset, which can discard the last answer
+// before the peer reads it. There is no timeout: the owner has to call Close if the peer takes too long.
 func (c *Conn) Finish() {
-	if c.finish || c.closed {
+	if c.finishing || c.closed {
 		return
 	}
-	c.finish, c.in = true, nil
-	c.end()
+	c.finishing, c.unread = true, nil
+	c.shutdownWrite()
 }
 
-// Half ends this side alone: nothing more is written, but what the other side has sent until it sees the end, and
-// ends too, is still offered. The owner bounds how long that may last by Close.
+// CloseWrite shuts down the write side after the unsent bytes. What the peer sends until it closes too is still passed
+// to the handler. There is no timeout: the owner has to call Close if the peer takes too long.
 func (c *Conn) Half() {
 	if c.Open() {
-		c.half = true
-		c.end()
+		c.writeClosed = true
+		c.shutdownWrite()
 	}
 }
 
-// end tells the other side that nothing more comes.
-func (c *Conn) end() {
-	if len(c.out) == 0 && !c.ended {
-		c.ended = true
+// shutdownWrite shuts down the write side once no bytes are unsent.
+func (c *Conn) shutdownWrite() {
+	if len(c.unsent) == 0 && !c.shutdownSent {
+		c.shutdownSent = true
 		unix.Shutdown(c.fd, unix.SHUT_WR)
 	}
 }
 
-// Close ends the connection; bytes not yet written are lost.
+// Close closes the connection and calls the handler's Closed with err. Unsent bytes are lost.
 func (c *Conn) Close(err error) {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	if c.fd >= 0 {
-		if _, in := c.l.sources[int32(c.fd)]; in {
-			c.l.drop(c.fd)
+		if _, found := c.loop.sources[int32(c.fd)]; found {
+			c.loop.remove(c.fd)
 		} else {
 			unix.Close(c.fd)
 		}
 	}
-	c.in, c.out, c.cork, c.free = nil, nil, 0, 0
+	c.unread, c.unsent, c.corkedBytes, c.releasedBytes = nil, nil, 0, 0
 	c.handler.Closed(c, err)
 }
 
-func (c *Conn) watch() {
-	want := uint32(unix.EPOLLIN | unix.EPOLLRDHUP)
-	if c.leaving() > 0 {
-		want |= unix.EPOLLOUT
+// updateInterest waits for writability only while there are bytes to write.
+func (c *Conn) updateInterest() {
+	events := uint32(unix.EPOLLIN | unix.EPOLLRDHUP)
+	if c.writable() > 0 {
+		events |= unix.EPOLLOUT
 	}
-	if want != c.interest {
-		c.interest = want
-		unix.EpollCtl(c.l.epoll, unix.EPOLL_CTL_MOD, c.fd, &unix.EpollEvent{Events: want, Fd: int32(c.fd)})
+	if events != c.interest {
+		c.interest = events
+		unix.EpollCtl(c.loop.epoll, unix.EPOLL_CTL_MOD, c.fd, &unix.EpollEvent{Events: events, Fd: int32(c.fd)})
 	}
 }
 
@@ -925,7 +976,7 @@
 			return
 		}
 		c.open = true
-		c.watch()
+		c.updateInterest()
 		c.handler.Opened(c)
 	}
 	if events&unix.EPOLLOUT != 0 && !c.flush() {
@@ -936,10 +987,11 @@
 	}
 }
 
+// flush writes as many released bytes as the kernel accepts. It returns false if the connection has closed.
 func (c *Conn) flush() bool {
-	blocked := c.leaving() > 0
-	for c.leaving() > 0 {
-		n, err := unix.Write(c.fd, c.out[:c.leaving()])
+	blocked := c.writable() > 0
+	for c.writable() > 0 {
+		n, err := unix.Write(c.fd, c.unsent[:c.writable()])
 		if err == unix.EAGAIN {
 			break
 		}
@@ -947,106 +999,107 @@
 			c.Close(err)
 			return false
 		}
-		c.out = c.out[max(n, 0):]
-		if c.l.gate != nil {
-			c.free -= max(n, 0)
-			c.gone += uint64(max(n, 0))
+		c.unsent = c.unsent[max(n, 0):]
+		if c.loop.gate != nil {
+			c.releasedBytes -= max(n, 0)
+			c.sentBytes += uint64(max(n, 0))
 		}
 	}
-	if len(c.out) == 0 {
-		c.out = nil
-		if c.finish || c.half {
-			c.end()
+	if len(c.unsent) == 0 {
+		c.unsent = nil
+		if c.finishing || c.writeClosed {
+			c.shutdownWrite()
 		}
 	}
-	c.watch()
-	if h, hears := c.handler.(Drainer); hears && blocked && c.leaving() == 0 {
+	c.updateInterest()
+	if h, ok := c.handler.(Drainer); ok && blocked && c.writable() == 0 {
 		h.Drained(c)
 	}
 	return !c.closed
 }
 
-// read takes what has come, a bounded part of it each turn so that no connection starves the others. All are read
-// into one buffer; only what is left of an unfinished message, or of a turn, is kept with the connection.
+// read reads a bounded number of bytes per iteration so that no connection starves the others. All connections share
+// one read buffer; only incomplete messages, and those beyond the limit of an iteration, are copied to the connection.
 func (c *Conn) read() {
-	if c.more {
-		return // its turn comes
+	if c.pending {
+		return // unread messages are delivered first, in serveEvents
 	}
-	have := 0
-	if !c.finish {
-		have = copy(c.l.buf, c.in)
+	kept := 0
+	if !c.finishing {
+		kept = copy(c.loop.readBuf, c.unread)
 	}
-	n, err := unix.Read(c.fd, c.l.buf[have:have+readStep])
+	n, err := unix.Read(c.fd, c.loop.readBuf[kept:kept+readChunkSize])
 	switch {
 	case err == unix.EAGAIN || err == unix.EINTR:
 	case err != nil:
 		c.Close(err)
-	case n == 0 && c.finish:
+	case n == 0 && c.finishing:
 		c.Close(ErrAbandoned)
 	case n == 0:
 		c.Close(ErrEOF)
-	case !c.finish:
-		c.take(have + n)
+	case !c.finishing:
+		c.deliver(kept + n)
 	}
 }
 
-// take offers the owner the first n bytes of the buffer.
-func (c *Conn) take(n int) {
-	b, turns := c.l.buf[:n], 0
-	for ; len(b) > 0 && turns < c.l.turn; turns++ {
+// deliver passes the first n bytes of the read buffer to the handler, message by message.
+func (c *Conn) deliver(n int) {
+	b, messages := c.loop.readBuf[:n], 0
+	for ; len(b) > 0 && messages < c.loop.messagesPerConn; messages++ {
 		used := c.handler.Data(c, b)
-		if c.closed || c.finish {
+		if c.closed || c.finishing {
 			return
 		}
 		if used <= 0 {
 			break
 		}
 		b = b[used:]
-		c.l.taken++
+		c.loop.messagesSinceCheck++
 	}
 	if len(b) == 0 {
-		c.in = nil
+		c.unread = nil
 		return
 	}
-	c.in = append(c.in[:0], b...)
-	if turns == c.l.turn {
-		c.more = true
-		c.l.again = append(c.l.again, c)
-	} else if len(c.in) >= readMost {
+	c.unread = append(c.unread[:0], b...)
+	if messages == c.loop.messagesPerConn {
+		c.pending = true
+		c.loop.pending = append(c.loop.pending, c)
+	} else if len(c.unread) >= maxReadBuffer {
 		c.Close(ErrTooLong)
 	}
 }
 
-// Bucket bounds how often a connection may do something: Rate times a second, Burst times at once.
+// Bucket is a leaky-bucket rate limiter that allows Rate events per second and bursts of Burst events.
 type Bucket struct {
 	Rate, Burst float64
-	used        float64
-	at          time.Duration
+	level       float64
+	updated     time.Duration
 }
 
-// Take counts one at a time on the owner's clock, and says whether it is within bounds.
+// Take reports whether an event at the given time is within the limits, and counts it if so.
 func (b *Bucket) Take(now time.Duration) bool {
-	b.used = max(0, b.used-b.Rate*(now-b.at).Seconds())
-	b.at = now
-	if b.used+1 > b.Burst {
+	b.level = max(0, b.level-b.Rate*(now-b.updated).Seconds())
+	b.updated = now
+	if b.level+1 > b.Burst {
 		return false
 	}
-	b.used++
+	b.level++
 	return true
 }
 
 // ---- UDP ----
 
-// Packets is one UDP socket bound to one peer.
+// UDPSocket is a UDP socket that is connected to one peer.
 type Packets struct {
-	l    *Loop
-	fd   int
-	take func(b []byte)
-	buf  []byte
+	loop    *Loop
+	fd      int
+	receive func(b []byte)
+	buf     []byte
 }
 
-// UDP opens a socket to a peer. take gets each datagram; the slice is only valid during the call.
-func (l *Loop) UDP(peer netip.AddrPort, take func(b []byte)) (*Packets, error) {
+// DialUDP opens a socket that is connected to a peer. receive is called for each datagram; the slice is only valid
+// during the call.
+func (l *Loop) UDP(peer netip.AddrPort, receive func(b []byte)) (*Packets, error) {
 	fd, err := socket(peer, unix.SOCK_DGRAM)
 	if err != nil {
 		return nil, err
@@ -1055,27 +1108,27 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("connect to %s: %w", peer, err)
 	}
-	p := &Packets{l: l, fd: fd, take: take, buf: make([]byte, readMost)}
-	return p, l.add(fd, unix.EPOLLIN, p)
+	s := &Packets{loop: l, fd: fd, receive: receive, buf: make([]byte, maxReadBuffer)}
+	return s, l.add(fd, unix.EPOLLIN, s)
 }
 
-// Send sends one datagram. One that cannot be sent is lost, as any may be.
-func (p *Packets) Send(b []byte) { unix.Write(p.fd, b) }
+// Send sends one datagram. Errors are ignored, since datagrams may be lost anyway.
+func (s *Packets) Send(b []byte) { unix.Write(s.fd, b) }
 
 // Close closes the socket.
-func (p *Packets) Close() { p.l.drop(p.fd) }
+func (s *Packets) Close() { s.loop.remove(s.fd) }
 
-func (p *Packets) ready(uint32) {
-	for range batch {
-		if p.l.sources[int32(p.fd)] != p { // closed by what it was told
+func (s *Packets) ready(uint32) {
+	for range maxBatch {
+		if s.loop.sources[int32(s.fd)] != s { // receive has closed the socket
 			return
 		}
-		n, err := unix.Read(p.fd, p.buf)
+		n, err := unix.Read(s.fd, s.buf)
 		if err == unix.EAGAIN {
 			return
 		}
 		if err == nil {
-			p.take(p.buf[:n])
+			s.receive(s.buf[:n])
 		}
 	}
 }
@@ -1111,7 +1164,7 @@
 	return netip.AddrPort{}
 }
 
-func local(fd int) netip.AddrPort {
+func localAddr(fd int) netip.AddrPort {
 	sa, err := unix.Getsockname(fd)
 	if err != nil {
 		return netip.AddrPort{}
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -11,59 +11,71 @@
 	"golang.org/x/sys/unix"
 )
 
+// handler calls opened and consumes no data.
 type handler struct {
 	opened func(*Conn)
 	closed chan error
 }
 
 func (h handler) Opened(c *Conn)             { h.opened(c) }
-func (h handler) Data(_ *Conn, _ []byte) int { return 0 } // never a whole message
+func (h handler) Data(_ *Conn, _ []byte) int { return 0 } // no message is ever complete
 func (h handler) Closed(_ *Conn, err error)  { h.closed <- err }
 
-func run(t *testing.T) *Loop {
+// runLoop runs a loop on its own goroutine until the test ends.
+func runLoop(t *testing.T) *Loop {
 	l, err := New()
 	require.NoError(t, err)
 	done := make(chan bool)
-	t.Cleanup(func() { l.Stop(); <-done; l.Close() })
-	go func() { l.Run(func() time.Duration { return time.Hour }); close(done) }()
+	t.Cleanup(func() {
+		l.Stop()
+		<-done
+		l.Close()
+	})
+	go func() {
+		l.Run(func() time.Duration { return time.Hour })
+		close(done)
+	}()
 	return l
 }
 
-// Neither a peer that never reads nor one that never ends its message takes memory without bound.
+// A connection is closed when its buffers are full: if the peer never reads, or never completes its message. Without
+// these limits such a peer could use up the memory.
 func TestBounds(t *testing.T) {
-	for want, serve := range map[error]struct{ opened func(*Conn) }{
+	for want, test := range map[error]struct{ opened func(*Conn) }{
 		ErrSlow: {func(c *Conn) {
 			for range 1024 {
-				c.Write(make([]byte, writeMost/8))
+				c.Write(make([]byte, maxWriteBuffer/8))
 			}
 		}},
 		ErrTooLong: {func(*Conn) {}},
 	} {
-		l, closed, addr := run(t), make(chan error, 1), make(chan netip.AddrPort)
+		l, closed, addr := runLoop(t), make(chan error, 1), make(chan netip.AddrPort)
 		l.Post(func() {
-			ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(*Conn) Handler { return handler{serve.opened, closed} })
+			ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(*Conn) Handler {
+				return handler{test.opened, closed}
+			})
 			require.NoError(t, err)
 			addr <- ln.Addr()
 		})
 		conn, err := net.Dial("tcp", (<-addr).String())
 		require.NoError(t, err)
 		if want == ErrTooLong {
-			conn.Write(make([]byte, readMost+1))
+			conn.Write(make([]byte, maxReadBuffer+1))
 		}
 		require.Equal(t, want, <-closed)
 		_, err = io.Copy(io.Discard, conn)
-		_ = err // a reset is as good as an end
+		_ = err // either EOF or a reset is fine
 		conn.Close()
 	}
 }
 
-// A refused connection is told to its handler after Dial has returned, once.
+// If a connection is refused, the handler's Closed is called once, and not before Dial has returned.
 func TestRefused(t *testing.T) {
-	l, closed := run(t), make(chan error, 2)
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	l, closed := runLoop(t), make(chan error, 2)
+	unused, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	addr := netip.MustParseAddrPort(gone.Addr().String())
-	gone.Close()
+	addr := netip.MustParseAddrPort(unused.Addr().String())
+	unused.Close()
 	l.Post(func() {
 		c := l.Dial(addr, handler{func(*Conn) { t.Error("opened") }, closed})
 		require.Empty(t, closed)
@@ -76,17 +88,17 @@
 	require.Empty(t, closed)
 }
 
-// talker is a handler made of functions.
-type talker struct {
+// funcHandler passes its data to a function.
+type funcHandler struct {
 	data   func(c *Conn, b []byte) int
 	closed chan error
 }
 
-func (talker) Opened(*Conn)                 {}
-func (h talker) Data(c *Conn, b []byte) int { return h.data(c, b) }
-func (h talker) Closed(_ *Conn, err error)  { h.closed <- err }
+func (funcHandler) Opened(*Conn)                 {}
+func (h funcHandler) Data(c *Conn, b []byte) int { return h.data(c, b) }
+func (h funcHandler) Closed(_ *Conn, err error)  { h.closed <- err }
 
-// connect has a client connected to a listener whose connections get the handler.
+// connect returns a client connected to a new listener whose connections get the handler.
 func connect(t *testing.T, l *Loop, h Handler) *net.TCPConn {
 	addr := make(chan netip.AddrPort)
 	l.Post(func() {
@@ -100,39 +112,40 @@
 	return conn.(*net.TCPConn)
 }
 
-// One connection that has many messages ready gets a bounded turn, then the others have theirs; nothing is lost.
-func TestTurns(t *testing.T) {
-	l, taken, seen, done := run(t), 0, 0, make(chan bool)
-	conn := connect(t, l, talker{data: func(_ *Conn, b []byte) int {
+// A connection with many messages ready may deliver only a limited number per iteration, so that it doesn't starve the
+// others. The remaining messages aren't lost.
+func TestMessagesPerIteration(t *testing.T) {
+	l, taken, firstIteration, done := runLoop(t), 0, 0, make(chan bool)
+	conn := connect(t, l, funcHandler{data: func(_ *Conn, b []byte) int {
 		if taken++; taken == 1 {
-			l.Post(func() { seen = taken })
+			l.Post(func() { firstIteration = taken })
 		}
 		if taken == 1000 {
 			close(done)
 		}
 		return 1
 	}, closed: make(chan error, 1)})
-	hold := make(chan bool)
-	l.Post(func() { <-hold }) // so that all of it is there at once
+	resume := make(chan bool)
+	l.Post(func() { <-resume }) // blocks the loop until all messages have arrived
 	_, err := conn.Write(make([]byte, 1000))
 	require.NoError(t, err)
-	close(hold)
+	close(resume)
 	<-done
 	settled := make(chan bool)
 	l.Post(func() { close(settled) })
 	<-settled
-	require.LessOrEqual(t, seen, 2*turnMost)
+	require.LessOrEqual(t, firstIteration, 2*maxMessagesPerConn)
 }
 
-// The last word reaches a client that is still sending: no reset over what it sent overtakes it. And a connection at
-// rest holds no buffer.
-func TestLastWord(t *testing.T) {
-	l, closed := run(t), make(chan error, 1)
-	conn := connect(t, l, talker{data: func(c *Conn, b []byte) int {
+// An answer written before Finish reaches a client that is still sending: closing the socket with unread input would
+// cause a reset that discards the answer. Also, a connection without an unfinished message holds no buffer.
+func TestFinishDeliversLastAnswer(t *testing.T) {
+	l, closed := runLoop(t), make(chan error, 1)
+	conn := connect(t, l, funcHandler{data: func(c *Conn, b []byte) int {
 		if len(b) < 8 {
 			return 0
 		}
-		require.Nil(t, c.in)
+		require.Nil(t, c.unread)
 		c.Write([]byte("no"))
 		c.Finish()
 		return 0
@@ -146,29 +159,31 @@
 	require.Equal(t, ErrAbandoned, <-closed)
 }
 
-// After Half nothing more can be written, but what the other side still sends is heard until it ends too.
-func TestHalf(t *testing.T) {
-	l, closed, heard := run(t), make(chan error, 1), make(chan string, 9)
-	conn := connect(t, l, talker{data: func(c *Conn, b []byte) int {
+// After CloseWrite nothing more can be written, but data that the peer sends is still delivered until the peer closes
+// too.
+func TestCloseWrite(t *testing.T) {
+	l, closed, received := runLoop(t), make(chan error, 1), make(chan string, 9)
+	conn := connect(t, l, funcHandler{data: func(c *Conn, b []byte) int {
 		c.Half()
 		require.False(t, c.Write([]byte("x")))
-		heard <- string(b)
+		received <- string(b)
 		return len(b)
 	}, closed: closed})
 	conn.Write([]byte("one"))
-	require.Equal(t, "one", <-heard)
+	require.Equal(t, "one", <-received)
 	text, err := io.ReadAll(conn)
 	require.NoError(t, err)
 	require.Empty(t, text)
 	conn.Write([]byte("two"))
-	require.Equal(t, "two", <-heard)
+	require.Equal(t, "two", <-received)
 	conn.Close()
 	require.Equal(t, ErrEOF, <-closed)
 }
 
-// Without a descriptor to spare, a connection is turned away instead of waking the loop for ever.
+// When the process is out of descriptors, a new connection is accepted with the spare one and closed. In the backlog
+// it would wake the loop forever.
 func TestOutOfDescriptors(t *testing.T) {
-	l, addr := run(t), make(chan netip.AddrPort)
+	l, addr := runLoop(t), make(chan netip.AddrPort)
 	l.Post(func() {
 		ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(*Conn) Handler { return nil })
 		require.NoError(t, err)
@@ -190,7 +205,7 @@
 		fill = append(fill, fd)
 	}
 	require.NoError(t, unix.Connect(client, sockaddr(to)))
-	n, _ := unix.Read(client, make([]byte, 1)) // an end or a reset, but not for ever nothing
+	n, _ := unix.Read(client, make([]byte, 1)) // EOF or a reset; without either the test would hang here
 	for _, fd := range append(fill, client) {
 		unix.Close(fd)
 	}
@@ -198,7 +213,7 @@
 	require.LessOrEqual(t, n, 0)
 }
 
-// A bucket lets a burst through at once and then its rate.
+// Take allows a burst at once, and then events at the rate.
 func TestBucket(t *testing.T) {
 	b, now, taken := Bucket{Rate: 10, Burst: 3}, time.Hour, 0
 	for range 9 {
@@ -211,40 +226,50 @@
 	require.False(t, b.Take(now+100*time.Millisecond))
 }
 
-// What was accepted for a listener before its close is taken, more than one batch of it.
-func TestEmpty(t *testing.T) {
+// DrainBacklog accepts all connections in the backlog, even more than one batch. Otherwise they would be reset when
+// the listener closes.
+func TestDrainBacklog(t *testing.T) {
 	l, err := New()
 	require.NoError(t, err)
 	defer l.Close()
 	accepted := 0
-	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(*Conn) Handler { accepted++; return nil })
+	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(*Conn) Handler {
+		accepted++
+		return nil
+	})
 	require.NoError(t, err)
-	for range 2*batch + 5 {
+	for range 2*maxBatch + 5 {
 		conn, err := net.Dial("tcp", ln.Addr().String())
 		require.NoError(t, err)
 		defer conn.Close()
 	}
 	ln.Empty()
-	require.Equal(t, 2*batch+5, accepted)
+	require.Equal(t, 2*maxBatch+5, accepted)
 }
 
-// An urgent connection is served in the middle of a turn that is busy with others, which came first.
+// An urgent connection is served in the middle of an iteration that is busy with other connections ahead of it.
 func TestUrgent(t *testing.T) {
 	l, err := New()
 	require.NoError(t, err)
 	defer l.Close()
 	const others = 40
-	served, accepted, before := 0, 0, -1
+	served, accepted, servedBefore := 0, 0, -1
 	closed := make(chan error, others+1)
-	count := func(*Conn) Handler {
+	acceptPlain := func(*Conn) Handler {
 		accepted++
-		return talker{func(_ *Conn, b []byte) int { served++; return len(b) }, closed}
+		return funcHandler{func(_ *Conn, b []byte) int {
+			served++
+			return len(b)
+		}, closed}
 	}
-	plain, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), count)
+	plain, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), acceptPlain)
 	require.NoError(t, err)
 	urgent, err := l.ListenUrgent(netip.MustParseAddrPort("127.0.0.1:0"), func(*Conn) Handler {
 		accepted++
-		return talker{func(_ *Conn, b []byte) int { before = served; return len(b) }, closed}
+		return funcHandler{func(_ *Conn, b []byte) int {
+			servedBefore = served
+			return len(b)
+		}, closed}
 	})
 	require.NoError(t, err)
 	var conns []net.Conn
@@ -258,27 +283,28 @@
 		defer conn.Close()
 		conns = append(conns, conn)
 	}
-	turns := 0
+	iterations := 0
 	stop := time.Now().Add(5 * time.Second)
 	require.NoError(t, l.Run(func() time.Duration {
 		if accepted == others+1 {
-			turns++
+			iterations++
 		}
-		if turns == 5 { // nothing of the accepting is left to look at; all of them at once, the urgent one last
+		if iterations == 5 { // no events of accepting are left; all clients write at once, the urgent one last
 			for _, conn := range conns {
 				conn.Write([]byte("x"))
 			}
 		}
-		if before >= 0 && served == others || time.Now().After(stop) {
+		if servedBefore >= 0 && served == others || time.Now().After(stop) {
 			l.Stop()
 		}
 		return time.Millisecond
 	}))
-	require.GreaterOrEqual(t, before, 0)
-	require.Less(t, before, 2*urgentEvery)
+	require.GreaterOrEqual(t, servedBefore, 0)
+	require.Less(t, servedBefore, 2*eventsPerUrgentCheck)
 }
 
-// Connections that find no descriptor stay in the queue: the loop neither spins nor throws them away, and takes them once there is one.
+// When neither a descriptor nor the spare one is available, connections stay in the backlog. The loop neither spins
+// nor closes them, and accepts them once a descriptor is free.
 func TestAcceptWithoutDescriptors(t *testing.T) {
 	l, err := New()
 	require.NoError(t, err)
@@ -297,8 +323,8 @@
 	lower.Cur = 200
 	require.NoError(t, unix.Setrlimit(unix.RLIMIT_NOFILE, &lower))
 	defer unix.Setrlimit(unix.RLIMIT_NOFILE, &limit)
-	unix.Close(l.spare)
-	l.spare = -1 // somebody else has taken it meanwhile
+	unix.Close(l.spareFD)
+	l.spareFD = -1 // as if the process had used it up
 	var fill []int
 	for {
 		fd, err := unix.Dup(client)
@@ -308,10 +334,13 @@
 		fill = append(fill, fd)
 	}
 	require.NoError(t, unix.Connect(client, sockaddr(ln.Addr())))
-	turns, ended := 0, make(chan bool)
+	iterations, ended := 0, make(chan bool)
 	go func() {
 		defer close(ended)
-		l.Run(func() time.Duration { turns++; return time.Hour })
+		l.Run(func() time.Duration {
+			iterations++
+			return time.Hour
+		})
 	}()
 	time.Sleep(300 * time.Millisecond)
 	require.Empty(t, taken)
@@ -323,30 +352,41 @@
 	select {
 	case <-taken:
 	case <-time.After(time.Second):
-		require.Fail(t, "the connection that waited is not taken")
+		require.Fail(t, "the waiting connection was not accepted")
 	}
 	l.Stop()
 	<-ended
-	require.Less(t, turns, 30)
+	require.Less(t, iterations, 30)
 }
 
-// latch is a gate that lets turns pass up to a ticket.
-type latch struct{ ticket, upto, left uint64 }
+// fakeGate is an OutputGate that releases the tickets up to released.
+type fakeGate struct{ ticket, released, flushes uint64 }
 
-func (g *latch) Commit() uint64          { g.ticket++; return g.ticket }
-func (g *latch) Passed() uint64          { return g.upto }
-func (g *latch) Left()                   { g.left++ }
-func (g *latch) Patience() time.Duration { return time.Hour }
+func (g *fakeGate) Commit() uint64 {
+	g.ticket++
+	return g.ticket
+}
+func (g *fakeGate) Passed() uint64          { return g.released }
+func (g *fakeGate) Left()                   { g.flushes++ }
+func (g *fakeGate) Patience() time.Duration { return time.Hour }
 
-// What may be taken back is, whole and alone, of each turn that the gate holds and of the present one; what the gate has let pass is not.
+// Recall and RecallAll remove exactly the recallable messages of the current iteration and of those that the gate
+// holds back. Released messages and other bytes aren't affected.
 func TestRecall(t *testing.T) {
 	l, err := New()
 	require.NoError(t, err)
-	gate := &latch{}
+	gate := &fakeGate{}
 	l.SetGate(gate)
 	done := make(chan bool)
-	t.Cleanup(func() { l.Stop(); <-done; l.Close() })
-	go func() { l.Run(func() time.Duration { return time.Hour }); close(done) }()
+	t.Cleanup(func() {
+		l.Stop()
+		<-done
+		l.Close()
+	})
+	go func() {
+		l.Run(func() time.Duration { return time.Hour })
+		close(done)
+	}()
 	conns := make(chan *Conn, 2)
 	addr := make(chan netip.AddrPort)
 	l.Post(func() {
@@ -358,47 +398,47 @@
 	})
 	to := <-addr
 	var peers [2]net.Conn
-	var ours [2]*Conn
+	var serverConns [2]*Conn
 	for i := range peers {
 		peers[i], err = net.Dial("tcp", to.String())
 		require.NoError(t, err)
 		defer peers[i].Close()
-		ours[i] = <-conns
+		serverConns[i] = <-conns
 	}
-	turn := func(f func()) { // one turn of the loop, whole
+	runIteration := func(f func()) { // waits until the iteration has ended
 		over := make(chan bool)
 		l.Post(f)
 		l.Post(func() { l.Post(func() { close(over) }) })
 		<-over
 	}
-	turn(func() {
-		ours[0].WriteRecallable([]byte("passed "), "p")
-		gate.upto = gate.ticket + 1
+	runIteration(func() {
+		serverConns[0].WriteRecallable([]byte("passed "), "p")
+		gate.released = gate.ticket + 1
 	})
-	turn(func() {
-		ours[0].Write([]byte("kept "))
-		ours[0].WriteRecallable([]byte("one "), 1)
-		ours[1].WriteRecallable([]byte("two "), 2)
-		ours[0].Write([]byte("also "))
+	runIteration(func() {
+		serverConns[0].Write([]byte("kept "))
+		serverConns[0].WriteRecallable([]byte("one "), 1)
+		serverConns[1].WriteRecallable([]byte("two "), 2)
+		serverConns[0].Write([]byte("also "))
 	})
-	turn(func() {
-		ours[0].WriteRecallable([]byte("three "), 3)
-		ours[0].WriteRecallable([]byte("four "), 4)
-		require.False(t, ours[0].TakeBack("p"), "it has passed")
-		require.False(t, ours[1].TakeBack(3), "it is on another connection")
-		require.True(t, ours[0].TakeBack(3))
-		require.False(t, ours[0].TakeBack(3), "once")
+	runIteration(func() {
+		serverConns[0].WriteRecallable([]byte("three "), 3)
+		serverConns[0].WriteRecallable([]byte("four "), 4)
+		require.False(t, serverConns[0].TakeBack("p"), "already released")
+		require.False(t, serverConns[1].TakeBack(3), "written on another connection")
+		require.True(t, serverConns[0].TakeBack(3))
+		require.False(t, serverConns[0].TakeBack(3), "already recalled")
 	})
-	var back []any
-	turn(func() {
-		ours[1].Write([]byte("rest."))
-		ours[0].WriteRecallable([]byte("five "), 5)
-		back = l.Recall()
-		require.Empty(t, l.Recall(), "once")
-		ours[0].WriteRecallable([]byte("end."), 6)
+	var recalled []any
+	runIteration(func() {
+		serverConns[1].Write([]byte("rest."))
+		serverConns[0].WriteRecallable([]byte("five "), 5)
+		recalled = l.Recall()
+		require.Empty(t, l.Recall(), "already recalled")
+		serverConns[0].WriteRecallable([]byte("end."), 6)
 	})
-	require.Equal(t, []any{1, 2, 4, 5}, back)
-	turn(func() { gate.upto = 1 << 40 })
+	require.Equal(t, []any{1, 2, 4, 5}, recalled)
+	runIteration(func() { gate.released = 1 << 40 })
 	for i, want := range []string{"passed kept also end.", "rest."} {
 		b := make([]byte, len(want))
 		peers[i].SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -406,9 +446,9 @@
 		require.NoError(t, err)
 		require.Equal(t, want, string(b))
 	}
-	turn(func() {
-		require.Empty(t, l.recalls, "nothing is kept of what has left")
+	runIteration(func() {
+		require.Empty(t, l.recallable, "released messages are forgotten")
 		require.Empty(t, l.Recall())
-		require.NotZero(t, gate.left)
+		require.NotZero(t, gate.flushes)
 	})
 }
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -1,6 +1,8 @@
-// Package mgmt is the operators' door: HTTP/1.1, one call a connection, on the loop. It owns the parsing of a call, its bounds
-// and the room that its callers may take. It knows ready, drain and resume and nothing of calls; it must never start a goroutine,
-// wait for anything, or let a caller that says nothing keep another one out.
+// Package mgmt is the management server: a minimal HTTP/1.1 server on the event loop with one request per connection.
+// It parses requests, limits their size and bounds the number of connections.
+//
+// It only knows readiness, drain and resume, and nothing about calls. It starts no goroutines, never blocks, and
+// doesn't let a silent client keep others out.
 package mgmt
 
 import (
@@ -17,191 +19,211 @@
 )
 
 const (
-	headMost = 4 << 10 // bytes of request line and headers
-	bodyMost = 4 << 10 // bytes of a body, which is read and not used
-	// connsMost connections are held at once; callers of the other fronts leave as many descriptors free.
-	connsMost = 24
-	// wholeWithin is how long a caller has for a whole call, and lingerFor how long one that has its answer may keep its side open.
-	wholeWithin = 4 * time.Second
-	lingerFor   = time.Second
-	// sweepEvery is how often connections are looked at.
-	sweepEvery = 200 * time.Millisecond
+	maxHeadSize = 4 << 10 // request line and headers, in bytes
+	maxBodySize = 4 << 10 // body, in bytes; it is read and ignored
+	// maxConnections limits open connections. The limits of the other listeners leave this number of descriptors free.
+	maxConnections = 24
+	// requestTimeout is the time for receiving a whole request, and lingerTimeout how long the client may keep the
+	// connection open after the response.
+	requestTimeout = 4 * time.Second
+	lingerTimeout  = time.Second
+	// sweepInterval is the interval at which expired connections are closed.
+	sweepInterval = 200 * time.Millisecond
 )
 
-// Process is what the door asks and tells. Errors are refusals whose text the operator sees.
+// Process is the process that the server controls. The server answers errors with status 409 and their text as the
+// body.
 type Process interface {
+	// Ready reports whether the process accepts calls, and its state as text.
 	Ready() (ok bool, state string)
 	Drain() error
 	Resume() error
 }
 
-// Config is what a Door needs.
+// Config holds the dependencies of a Server.
 type Config struct {
 	Loop    *loop.Loop
 	Addr    netip.AddrPort
 	Clock   router.Clock
-	At      func(time.Duration, func())
+	At      func(time.Duration, func()) // runs a function on the loop at a time of Clock
 	Process Process
 	Log     zerolog.Logger
 }
 
-// Door answers operators.
+// Server is the management server. Its methods must be called on the loop.
 type Door struct {
-	cfg    Config
-	listen *loop.Listener
-	calls  []*call // oldest first
-	count  Counters
+	cfg         Config
+	listener    *loop.Listener
+	connections []*connection // oldest first
+	counters    Counters
 }
 
-// Counters count calls by what became of them. Open is what is held now.
+// Counters counts connections by their result. Open is the number of connections that are open now.
 type Counters struct {
 	Accepted, Answered, Refused, Malformed, Late, Evicted uint64
 	Open                                                  int
 }
 
-// Open listens. The error names the address.
+// Open starts to listen on the configured address. Errors name the address.
 func Open(cfg Config) (*Door, error) {
-	d := &Door{cfg: cfg}
+	s := &Door{cfg: cfg}
 	var err error
-	if d.listen, err = cfg.Loop.ListenUrgent(cfg.Addr, d.accept); err != nil {
+	if s.listener, err = cfg.Loop.ListenUrgent(cfg.Addr, s.accept); err != nil {
 		return nil, fmt.Errorf("mgmt: %w", err)
 	}
-	d.sweep()
-	return d, nil
+	s.sweep()
+	return s, nil
 }
 
-// Addr is where the door listens.
-func (d *Door) Addr() netip.AddrPort { return d.listen.Addr() }
+// Addr returns the local address.
+func (s *Door) Addr() netip.AddrPort { return s.listener.Addr() }
 
-// Counters returns a copy.
-func (d *Door) Counters() Counters {
-	d.count.Open = len(d.calls)
-	return d.count
+// Counters returns the current counts.
+func (s *Door) Counters() Counters {
+	s.counters.Open = len(s.connections)
+	return s.counters
 }
 
-func (d *Door) accept(c *loop.Conn) loop.Handler {
-	if len(d.calls) >= connsMost {
-		out := d.calls[0]
-		for _, k := range d.calls {
-			if k.done { // has its answer, or could have
-				out = k
+// accept closes one connection if the limit is reached: the oldest that has its response, else the oldest.
+func (s *Door) accept(conn *loop.Conn) loop.Handler {
+	if len(s.connections) >= maxConnections {
+		evicted := s.connections[0]
+		for _, c := range s.connections {
+			if c.answered { // the client has had a chance to read its response
+				evicted = c
 				break
 			}
 		}
-		d.count.Evicted++
-		out.conn.Close(loop.ErrAbandoned)
+		s.counters.Evicted++
+		evicted.conn.Close(loop.ErrAbandoned)
 	}
-	d.count.Accepted++
-	k := &call{d: d, conn: c, by: d.cfg.Clock() + wholeWithin}
-	d.calls = append(d.calls, k)
-	return k
+	s.counters.Accepted++
+	c := &connection{server: s, conn: conn, deadline: s.cfg.Clock() + requestTimeout}
+	s.connections = append(s.connections, c)
+	return c
 }
 
-// sweep ends connections whose time is up.
-func (d *Door) sweep() {
-	now := d.cfg.Clock()
-	for i := 0; i < len(d.calls); {
-		k := d.calls[i]
-		if now < k.by {
+// sweep closes expired connections and schedules the next sweep.
+func (s *Door) sweep() {
+	now := s.cfg.Clock()
+	for i := 0; i < len(s.connections); {
+		c := s.connections[i]
+		if now < c.deadline {
 			i++
 			continue
 		}
-		if !k.done {
-			d.count.Late++
+		if !c.answered {
+			s.counters.Late++
 		}
-		k.conn.Close(loop.ErrSlow)
+		c.conn.Close(loop.ErrSlow)
 	}
-	d.cfg.At(now+sweepEvery, d.sweep)
+	s.cfg.At(now+sweepInterval, s.sweep)
 }
 
-// call is one connection, which brings one call.
-type call struct {
-	d         *Door
-	conn      *loop.Conn
-	by        time.Duration // when it is closed
-	continued bool          // it was told to send its body
-	done      bool
+// connection is the loop.Handler of a connection, which carries one request.
+type connection struct {
+	server       *Door
+	conn         *loop.Conn
+	deadline     time.Duration // closed at this time
+	sentContinue bool          // 100 Continue was sent
+	answered     bool
 }
 
-func (k *call) Opened(*loop.Conn) {}
+// Opened implements loop.Handler.
+func (c *connection) Opened(*loop.Conn) {}
 
-func (k *call) Closed(*loop.Conn, error) {
-	for i, other := range k.d.calls {
-		if other == k {
-			k.d.calls = append(k.d.calls[:i], k.d.calls[i+1:]...)
+// Closed implements loop.Handler.
+func (c *connection) Closed(*loop.Conn, error) {
+	for i, other := range c.server.connections {
+		if other == c {
+			c.server.connections = append(c.server.connections[:i], c.server.connections[i+1:]...)
 			break
 		}
 	}
 }
 
-func (k *call) Data(_ *loop.Conn, b []byte) int {
-	r, need := parse(b)
+// Data implements loop.Handler.
+func (c *connection) Data(_ *loop.Conn, b []byte) int {
+	req, status := parseRequest(b)
 	switch {
-	case need == more:
-		if r.expects && !k.continued {
-			k.continued = true
-			k.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	case status == incomplete:
+		if req.expectsContinue && !c.sentContinue {
+			c.sentContinue = true
+			c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
 		return 0
-	case need != 0:
-		k.d.count.Malformed++
-		if need != 400 { // a malformed call may hold anything
-			k.d.cfg.Log.Warn().Str("event", "mgmt_malformed").Int("status", need).Msgf("operators' door: %s: status %d", k.conn.Remote(), need)
+	case status != 0:
+		c.server.counters.Malformed++
+		if status != 400 { // status 400 isn't logged: its cause may be any kind of garbage
+			c.server.cfg.Log.Warn().Str("event", "mgmt_malformed").Int("status", status).
+				Msgf("operators' door: %s: status %d", c.conn.Remote(), status)
 		}
-		k.answer(need, texts[need], "", false)
+		c.respond(status, statusTexts[status], "", false)
 	default:
-		k.serve(r)
+		c.serve(req)
 	}
 	return len(b)
 }
 
-// serve carries a whole call out.
-func (k *call) serve(r request) {
-	d, head := k.d, string(r.method) == "HEAD"
-	want := map[string]string{"/-/ready": "GET", "/-/drain": "PUT", "/-/resume": "PUT"}[string(r.path)]
+// serve executes a complete request.
+func (c *connection) serve(req request) {
+	s, head := c.server, string(req.method) == "HEAD"
+	allowed := map[string]string{"/-/ready": "GET", "/-/drain": "PUT", "/-/resume": "PUT"}[string(req.path)]
 	switch {
-	case want == "":
-		d.count.Refused++
-		k.answer(404, "no such path; there are /-/ready, /-/drain and /-/resume", "", head)
+	case allowed == "":
+		s.counters.Refused++
+		c.respond(404, "no such path; there are /-/ready, /-/drain and /-/resume", "", head)
 		return
-	case string(r.method) != want && !(head && want == "GET"):
-		d.count.Refused++
-		if want == "GET" {
-			want = "GET, HEAD"
+	case string(req.method) != allowed && !(head && allowed == "GET"):
+		s.counters.Refused++
+		if allowed == "GET" {
+			allowed = "GET, HEAD"
 		}
-		k.answer(405, "method not allowed", want, head)
+		c.respond(405, "method not allowed", allowed, head)
 		return
 	}
 	var err error
 	ok, text := true, ""
-	switch string(r.path) {
+	switch string(req.path) {
 	case "/-/ready":
-		ok, text = d.cfg.Process.Ready()
+		ok, text = s.cfg.Process.Ready()
 	case "/-/drain":
-		text, err = "draining", d.cfg.Process.Drain()
+		text, err = "draining", s.cfg.Process.Drain()
 	case "/-/resume":
-		text, err = "serving", d.cfg.Process.Resume()
+		text, err = "serving", s.cfg.Process.Resume()
 	}
 	switch {
 	case err != nil:
-		d.count.Refused++
-		k.answer(409, err.Error(), "", head)
+		s.counters.Refused++
+		c.respond(409, err.Error(), "", head)
 	case !ok:
-		d.count.Answered++
-		k.answer(503, text, "", head)
+		s.counters.Answered++
+		c.respond(503, text, "", head)
 	default:
-		d.count.Answered++
-		k.answer(200, text, "", head)
+		s.counters.Answered++
+		c.respond(200, text, "", head)
 	}
 }
 
-var texts = map[int]string{400: "Bad Request", 411: "Length Required", 413: "Content Too Large", 431: "Request Header Fields Too Large",
-	505: "HTTP Version Not Supported", 200: "OK", 404: "Not Found", 405: "Method Not Allowed", 409: "Conflict", 503: "Service Unavailable"}
+// statusTexts holds the reason phrases of the statuses in use.
+var statusTexts = map[int]string{
+	400: "Bad Request",
+	411: "Length Required",
+	413: "Content Too Large",
+	431: "Request Header Fields Too Large",
+	505: "HTTP Version Not Supported",
+	200: "OK",
+	404: "Not Found",
+	405: "Method Not Allowed",
+	409: "Conflict",
+	503: "Service Unavailable",
+}
 
-// answer gives the one answer and ends the connection, so that it can be read.
-func (k *call) answer(status int, text, allow string, head bool) {
-	b := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: text/plain; charset=utf-8\r\nCache-Control: no-store\r\nConnection: close\r\nContent-Length: %d\r\n",
-		status, texts[status], len(text)+1)
+// respond writes the response and finishes the connection in such a way that the client can read it.
+func (c *connection) respond(status int, text, allow string, head bool) {
+	b := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: text/plain; charset=utf-8\r\n"+
+		"Cache-Control: no-store\r\nConnection: close\r\nContent-Length: %d\r\n",
+		status, statusTexts[status], len(text)+1)
 	if allow != "" {
 		b = append(append(append(b, "Allow: "...), allow...), "\r\n"...)
 	}
@@ -209,52 +231,53 @@
 	if !head {
 		b = append(append(b, text...), '\n')
 	}
-	k.conn.Write(b)
-	k.done, k.by = true, k.d.cfg.Clock()+lingerFor
-	k.conn.Finish()
+	c.conn.Write(b)
+	c.answered, c.deadline = true, c.server.cfg.Clock()+lingerTimeout
+	c.conn.Finish()
 }
 
-// request is what a call asks; its slices are of the read buffer.
+// request is a parsed request. Its slices refer to the read buffer.
 type request struct {
-	method, path []byte
-	expects      bool // waits for a 100 before it sends its body
+	method, path    []byte
+	expectsContinue bool // the client waits for 100 Continue before it sends the body
 }
 
-// more is parse's word that the call is not whole yet.
-const more = -1
+// incomplete is the status that parseRequest returns for a request that isn't complete yet.
+const incomplete = -1
 
-// parse reads one call: 0 where it is whole, more, or the status that it is refused with.
-func parse(b []byte) (r request, need int) {
+// parseRequest parses one request. status is 0 for a complete request, incomplete if bytes are missing, or the HTTP
+// status to reject it with.
+func parseRequest(b []byte) (req request, status int) {
 	b = bytes.TrimLeft(b, "\r\n")
 	end := bytes.Index(b, []byte("\r\n\r\n"))
-	if end < 0 && len(b) > headMost || end > headMost {
-		return r, 431
+	if end < 0 && len(b) > maxHeadSize || end > maxHeadSize {
+		return req, 431
 	}
-	first := b
+	requestLine := b
 	if i := bytes.IndexByte(b, '\n'); i >= 0 {
-		var whole bool
-		if first, whole = bytes.CutSuffix(b[:i], []byte("\r")); !whole {
-			return r, 400
+		var ok bool
+		if requestLine, ok = bytes.CutSuffix(b[:i], []byte("\r")); !ok {
+			return req, 400
 		}
 	} else if end < 0 {
-		if len(b) > 0 && !token(b[:min(len(b), 1)]) {
-			return r, 400
+		if len(b) > 0 && !isToken(b[:min(len(b), 1)]) {
+			return req, 400
 		}
-		return r, more
+		return req, incomplete
 	}
-	method, rest, _ := bytes.Cut(first, []byte(" "))
+	method, rest, _ := bytes.Cut(requestLine, []byte(" "))
 	target, version, ok := bytes.Cut(rest, []byte(" "))
-	if !ok || !token(method) || len(target) == 0 || !bytes.HasPrefix(version, []byte("HTTP/")) {
-		return r, 400
+	if !ok || !isToken(method) || len(target) == 0 || !bytes.HasPrefix(version, []byte("HTTP/")) {
+		return req, 400
 	}
 	if string(version) != "HTTP/1.1" && string(version) != "HTTP/1.0" {
 		if len(version) == len("HTTP/1.1") || string(version) == "HTTP/2.0" {
-			return r, 505
+			return req, 505
 		}
-		return r, 400
+		return req, 400
 	}
 	if end < 0 {
-		return r, more
+		return req, incomplete
 	}
 	if i := bytes.Index(target, []byte("://")); i >= 0 && target[0] != '/' { // absolute form
 		target = target[i+3:]
@@ -265,44 +288,44 @@
 		}
 	}
 	path, _, _ := bytes.Cut(target, []byte("?"))
-	r.method, r.path = method, path
+	req.method, req.path = method, path
 	length := -1
 	var lines []byte
-	if len(first)+2 < end {
-		lines = b[len(first)+2 : end]
+	if len(requestLine)+2 < end {
+		lines = b[len(requestLine)+2 : end]
 	}
 	for len(lines) > 0 {
-		line, after, _ := bytes.Cut(lines, []byte("\r\n"))
-		lines = after
+		line, remaining, _ := bytes.Cut(lines, []byte("\r\n"))
+		lines = remaining
 		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok || !token(name) || bytes.IndexByte(line, '\n') >= 0 {
-			return r, 400
+		if !ok || !isToken(name) || bytes.IndexByte(line, '\n') >= 0 {
+			return req, 400
 		}
 		value = bytes.TrimSpace(value)
 		switch {
 		case bytes.EqualFold(name, []byte("content-length")):
 			n, err := strconv.ParseUint(string(value), 10, 31)
 			if err != nil || length >= 0 && int(n) != length {
-				return r, 400
+				return req, 400
 			}
 			length = int(n)
 		case bytes.EqualFold(name, []byte("transfer-encoding")):
-			return r, 411
+			return req, 411
 		case bytes.EqualFold(name, []byte("expect")):
-			r.expects = bytes.EqualFold(value, []byte("100-continue"))
+			req.expectsContinue = bytes.EqualFold(value, []byte("100-continue"))
 		}
 	}
-	if length > bodyMost {
-		return r, 413
+	if length > maxBodySize {
+		return req, 413
 	}
 	if len(b) < end+4+max(length, 0) {
-		return r, more
+		return req, incomplete
 	}
-	return r, 0
+	return req, 0
 }
 
-// token says whether b is a token of RFC 9110.
-func token(b []byte) bool {
+// isToken reports whether b is a token of RFC 9110.
+func isToken(b []byte) bool {
 	for _, c := range b {
 		switch {
 		case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
