--- a/internal/callcontrol/callcontrol.go
+++ b/internal/callcontrol/callcontrol.go
@@ -265,7 +265,7 @@
 		switch {
 		case s.by > 0 && now >= s.by, s.conn.Unsent() > unsentMost, quiet >= goneAfter:
 			f.count.Late++
-			s.conn.Close(loop.ErrSlow)
+			s.conn.Close(loop.ErrSlowPeer)
 		case s.caller.ID == "" || s.closing:
 		case now >= time.Duration(s.caller.Expires.UnixNano()):
 			// The token speaks for its caller until then and no longer.
--- a/internal/fleetio/work.go
+++ b/internal/fleetio/work.go
@@ -468,12 +468,12 @@
 }
 
 // Hold puts the work's gate before another: the bytes of a turn leave once the other lets them, and a holder has what they tell of kept classes.
-func (f *Fleet) Hold(inner loop.Gate) loop.Gate { return &workGate{f: f, inner: inner} }
+func (f *Fleet) Hold(inner loop.OutputGate) loop.OutputGate { return &workGate{f: f, inner: inner} }
 
 type workGate struct {
 	f     *Fleet
-	inner loop.Gate // nil: none
-	kept  uint64    // and inner ticket, of the latest turn
+	inner loop.OutputGate // nil: none
+	kept  uint64          // and inner ticket, of the latest turn
 	last  uint64
 	ended uint64 // the latest end that was noted
 	gone  uint64 // and the latest whose word has passed
@@ -497,11 +497,11 @@
 }
 
 // Passed implements loop.Gate.
-func (g *workGate) Passed() uint64 {
+func (g *workGate) Released() uint64 {
 	w := g.f.work
 	inner := uint64(math.MaxUint64)
 	if g.inner != nil {
-		inner = g.inner.Passed()
+		inner = g.inner.Released()
 	}
 	upto, now := w.upto.Load(), Clock()
 	if g.f.lapsed(now) { // the next look lets go: what waits may be another's to tell by now
@@ -526,10 +526,10 @@
 }
 
 // Left implements loop.Gate: now holders are told of the ends whose word has left.
-func (g *workGate) Left() {
+func (g *workGate) Flushed() {
 	w := g.f.work
 	if g.inner != nil {
-		g.inner.Left()
+		g.inner.Flushed()
 	}
 	if w.giver.RecordEnds(g.gone); w.giver.HasRecords() {
 		g.f.flushWork(0, false)
@@ -554,10 +554,10 @@
 }
 
 // Patience implements loop.Gate.
-func (g *workGate) Patience() time.Duration {
+func (g *workGate) PollInterval() time.Duration {
 	p := g.f.work.terms.ConfirmTimeout
 	if g.inner != nil {
-		p = min(p, g.inner.Patience())
+		p = min(p, g.inner.PollInterval())
 	}
 	return p
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -38,7 +38,7 @@
 )
 
 // FirstOwnerKind is the lowest frame kind that the owner of a link may use.
-const First byte = firstOwnerKind
+const FirstOwnerKind byte = firstOwnerKind
 
 // ErrBusy means that another process is already about to take over.
 var ErrBusy = errors.New("handover: another process is about to take over")
@@ -201,7 +201,7 @@
 		if len(k.queue) > 0 {
 			events |= unix.EPOLLOUT
 		}
-		k.watch.Want(events)
+		k.watch.SetEvents(events)
 	}
 }
 
@@ -301,7 +301,7 @@
 // ---- serving process ----
 
 // Listener accepts the connections of new processes that ask the serving process for a handover.
-type Door struct {
+type Listener struct {
 	loop         *loop.Loop
 	path         string
 	watch        *loop.Watch
@@ -325,7 +325,7 @@
 	listenFD func() int,
 	admit func(*Link) bool,
 	onRefused func(error),
-) (*Door, error) {
+) (*Listener, error) {
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
 			return nil, fmt.Errorf("handover: %s is no socket", path)
@@ -350,16 +350,16 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	ln := &Door{loop: l, path: path, fd: fd, listenFD: listenFD, admit: admit, onRefused: onRefused}
+	ln := &Listener{loop: l, path: path, fd: fd, listenFD: listenFD, admit: admit, onRefused: onRefused}
 	ln.watch, err = l.Watch(fd, unix.EPOLLIN, ln.ready)
 	return ln, err
 }
 
 // Close stops listening. It doesn't remove the path, because a successor may already have created its own socket
 // there.
-func (ln *Door) Close() { ln.watch.Close() }
+func (ln *Listener) Close() { ln.watch.Close() }
 
-func (ln *Door) ready(uint32) {
+func (ln *Listener) ready(uint32) {
 	fd, _, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err != nil {
 		return
@@ -403,7 +403,7 @@
 }
 
 // SetHandlers replaces the functions that were passed to Serve.
-func (k *Link) Hear(onFrame func(kind byte, payload []byte, fd int), onClose func(error)) {
+func (k *Link) SetHandlers(onFrame func(kind byte, payload []byte, fd int), onClose func(error)) {
 	k.onFrame, k.onClose = onFrame, onClose
 }
 
@@ -413,7 +413,7 @@
 // loop runs. It returns the link and the listening socket of that process, or neither and no error if there is no
 // socket at the path. The error is ErrBusy if another process is about to take over; any other error says why a
 // handover isn't possible.
-func Ask(path string) (*Link, int, error) {
+func Connect(path string) (*Link, int, error) {
 	if _, err := os.Lstat(path); err != nil {
 		return nil, -1, nil
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -55,8 +55,8 @@
 		want = append(want, text, "plain")
 		fd, _ := unix.Dup(int(r.Fd()))
 		r.Close()
-		require.True(t, one.Send(First, []byte(text), fd, false))
-		require.True(t, one.Send(First, []byte("plain"), -1, false))
+		require.True(t, one.Send(FirstOwnerKind, []byte(text), fd, false))
+		require.True(t, one.Send(FirstOwnerKind, []byte("plain"), -1, false))
 	}
 	runUntil(t, l, func() bool { return len(*got) == len(want) && one.Unsent() == 0 })
 	require.Equal(t, want, *got)
@@ -67,7 +67,7 @@
 		require.True(t, err == nil && n == 1 && int(b[0]) == i)
 		unix.Close(fd)
 	}
-	require.False(t, one.Send(First, make([]byte, maxFrameSize+1), -1, false), "frame too long")
+	require.False(t, one.Send(FirstOwnerKind, make([]byte, maxFrameSize+1), -1, false), "frame too long")
 }
 
 // Malformed or truncated frames close the link and aren't delivered.
--- a/internal/ledgerio/carrier.go
+++ b/internal/ledgerio/carrier.go
@@ -242,7 +242,7 @@
 }
 
 // Passed implements loop.Gate.
-func (c *Carrier) Passed() uint64 {
+func (c *Carrier) Released() uint64 {
 	p := c.passed.Load()
 	if p < c.ticket {
 		c.waits.Store(true)
@@ -278,10 +278,10 @@
 }
 
 // Left implements loop.Gate.
-func (c *Carrier) Left() {}
+func (c *Carrier) Flushed() {}
 
 // Patience implements loop.Gate.
-func (c *Carrier) Patience() time.Duration { return c.cfg.Patience }
+func (c *Carrier) PollInterval() time.Duration { return c.cfg.Patience }
 
 // Counters returns a copy.
 func (c *Carrier) Counters() Counters {
--- a/internal/ledgerio/carrier_test.go
+++ b/internal/ledgerio/carrier_test.go
@@ -67,7 +67,7 @@
 func (d *desk) turn() bool {
 	ticket := d.c.Commit()
 	return durabletest.Wait(func() bool {
-		p := d.c.Passed()
+		p := d.c.Released()
 		return p == math.MaxUint64 || p >= ticket || d.fs.Dead()
 	}) && d.c.passed.Load() >= ticket
 }
@@ -282,7 +282,7 @@
 				d.tell(router.Sent, id, router.Event{Server: "s0"})
 				ticket := d.c.Commit()
 				d.clock += 30 * time.Millisecond
-				p := d.c.Passed()
+				p := d.c.Released()
 				if i > 2 { // the first batch may still be on its way to the writer
 					require.True(t, p >= ticket, "calls go on")
 				}
@@ -301,7 +301,7 @@
 			mend()
 			require.True(t, durabletest.Wait(func() bool {
 				d.c.Commit()
-				d.c.Passed()
+				d.c.Released()
 				why, _ := d.c.Admit(router.Request{})
 				ok := why == threadglade.NoReason
 				return ok
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -45,13 +45,13 @@
 	// ErrEOF means that the peer has closed the connection.
 	ErrEOF = errors.New("closed by the other side")
 	// ErrSlowPeer means that the peer didn't read fast enough, or that it exceeded a deadline of the connection's owner.
-	ErrSlow = errors.New("the other side does not read")
+	ErrSlowPeer = errors.New("the other side does not read")
 	// ErrTooLong means that a message doesn't fit into the read buffer.
 	ErrTooLong = errors.New("message longer than the read buffer")
 	// ErrDialTimeout means that a dialed connection wasn't established in time.
-	ErrDialLate = errors.New("not connected in time")
+	ErrDialTimeout = errors.New("not connected in time")
 	// ErrClosedLocally means that this side has closed the connection.
-	ErrAbandoned = errors.New("closed on this side")
+	ErrClosedLocally = errors.New("closed on this side")
 )
 
 // Handler receives the events of a connection. Data returns how many bytes it consumed; the rest is offered again
@@ -65,7 +65,7 @@
 
 // PeerCloseHandler is a Handler that is notified once, before the other events of an iteration, that the peer has
 // closed or reset the connection. Data that the peer sent earlier may still be delivered afterwards.
-type Leaver interface{ Leaving(c *Conn) }
+type PeerCloseHandler interface{ PeerClosed(c *Conn) }
 
 // Drainer is a Handler that is notified when the bytes that made Blocked return true have been written.
 type Drainer interface{ Drained(c *Conn) }
@@ -90,7 +90,7 @@
 	posted             []func()
 	stop               bool
 	parent             *Loop // the enclosing loop of a set of urgent sources; nil otherwise
-	gate               Gate
+	gate               OutputGate
 	afterWait          func() // called first after each wait; may be nil
 	clock              func() time.Duration
 	beforeWait         func()            // called last before each wait; may be nil
@@ -105,12 +105,12 @@
 // At the end of each iteration the loop gets a ticket from Commit; the bytes of that iteration are written once
 // Released returns that ticket or a later one. No method may block. The implementation calls Wake when it releases
 // a ticket.
-type Gate interface {
+type OutputGate interface {
 	Commit() (ticket uint64)
-	Passed() (ticket uint64) // called once per iteration, after Commit
-	Left()                   // released bytes have been written, as far as the peers accept them
+	Released() (ticket uint64) // called once per iteration, after Commit
+	Flushed()                  // released bytes have been written, as far as the peers accept them
 	// PollInterval is the longest wait before the loop calls Released again without a call of Wake.
-	Patience() time.Duration
+	PollInterval() time.Duration
 }
 
 // gatedWrite describes the bytes that were written on a connection in one iteration and wait for its ticket. They were
@@ -137,7 +137,7 @@
 
 // RecallAll removes all messages written by WriteRecallable that the gate hasn't released yet, and returns their tags,
 // oldest first.
-func (l *Loop) Recall() (tags []any) {
+func (l *Loop) RecallAll() (tags []any) {
 	for i := len(l.recallable) - 1; i >= 0; i-- { // newest first, so that the offsets of the others stay valid
 		if r := &l.recallable[i]; !r.released() {
 			r.conn.removeUnsent(int(r.offset-r.conn.sentBytes), r.size)
@@ -151,7 +151,7 @@
 
 // Recall removes the message that was written by WriteRecallable with this tag. It returns false if the message was
 // released already or doesn't exist.
-func (c *Conn) TakeBack(tag any) bool {
+func (c *Conn) Recall(tag any) bool {
 	i := slices.IndexFunc(c.loop.recallable, func(r recallableWrite) bool { return r.conn == c && r.tag == tag })
 	if i < 0 || c.loop.recallable[i].released() {
 		return false
@@ -183,21 +183,21 @@
 }
 
 // SetOutputGate sets the gate that holds back written bytes. It must be called before Run.
-func (l *Loop) SetGate(g Gate) { l.gate = g }
+func (l *Loop) SetOutputGate(g OutputGate) { l.gate = g }
 
 // SetAfterWait sets a function that is called after each wait, and when a pause of the process was noticed, before any
 // input is handled: the process may have been stopped for a while. It must be called before Run.
-func (l *Loop) SetLook(f func()) { l.afterWait = f }
+func (l *Loop) SetAfterWait(f func()) { l.afterWait = f }
 
 // SetClock sets the clock by which the loop detects slow iterations. It must be called before Run.
 func (l *Loop) SetClock(clock func() time.Duration) { l.clock = clock }
 
 // SetBeforeWait sets a function that is called last before each wait, after all input and due timers were handled. It
 // must be called before Run.
-func (l *Loop) SetLast(f func()) { l.beforeWait = f }
+func (l *Loop) SetBeforeWait(f func()) { l.beforeWait = f }
 
 // Wake makes Run query the gate again. It may be called from any goroutine.
-func (l *Loop) Nudge() { l.Post(func() {}) }
+func (l *Loop) Wake() { l.Post(func() {}) }
 
 // releaseWrites ends an iteration: it commits its writes to the gate and sends those that the gate has released.
 func (l *Loop) releaseWrites() {
@@ -208,8 +208,8 @@
 	}
 	clear(l.corked)
 	l.corked = l.corked[:0]
-	released, count := l.gate.Passed(), 0
-	defer l.gate.Left()
+	released, count := l.gate.Released(), 0
+	defer l.gate.Flushed()
 	if len(l.gated) == 0 {
 		return
 	}
@@ -335,7 +335,7 @@
 		}
 		if l.gate != nil {
 			if l.releaseWrites(); len(l.gated) > 0 {
-				wait = min(wait, l.gate.Patience())
+				wait = min(wait, l.gate.PollInterval())
 			}
 			if l.beforeWait != nil { // a peer may have started to read again
 				l.beforeWait()
@@ -456,9 +456,9 @@
 		if !isConn || !c.open || c.closed || c.finishing || c.peerCloseReported {
 			continue
 		}
-		if h, ok := c.handler.(Leaver); ok {
+		if h, ok := c.handler.(PeerCloseHandler); ok {
 			c.peerCloseReported = true
-			h.Leaving(c)
+			h.PeerClosed(c)
 		}
 	}
 }
@@ -613,7 +613,7 @@
 
 // ListenFD accepts connections on a listening socket that was inherited from another process, and takes ownership of
 // the descriptor.
-func (l *Loop) ListenOn(fd int, accept func(*Conn) Handler) (*Listener, error) {
+func (l *Loop) ListenFD(fd int, accept func(*Conn) Handler) (*Listener, error) {
 	if n, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || n == 0 {
 		unix.Close(fd)
 		return nil, errors.New("the inherited descriptor is not a listening socket")
@@ -623,7 +623,7 @@
 }
 
 // SetPaused stops accepting, so that new connections stay in the backlog, or resumes it.
-func (ln *Listener) Hold(on bool) {
+func (ln *Listener) SetPaused(on bool) {
 	if ln.pauseReasons &^= pausedByOwner; on {
 		ln.pauseReasons |= pausedByOwner
 	}
@@ -645,7 +645,7 @@
 func (ln *Listener) Descriptor() int { return ln.fd }
 
 // DrainBacklog accepts all connections that wait in the backlog, in as many batches as a full backlog needs.
-func (ln *Listener) Empty() {
+func (ln *Listener) DrainBacklog() {
 	for range acceptBacklog/maxBatch + 1 {
 		ln.ready(0)
 	}
@@ -697,7 +697,7 @@
 		}
 		c.interest = unix.EPOLLIN | unix.EPOLLRDHUP
 		if ln.loop.add(fd, c.interest, c) != nil {
-			c.Close(ErrAbandoned)
+			c.Close(ErrClosedLocally)
 			continue
 		}
 		c.handler.Opened(c)
@@ -772,7 +772,7 @@
 	}
 	c.interest = unix.EPOLLIN | unix.EPOLLRDHUP
 	if l.add(fd, c.interest, c) != nil {
-		c.Close(ErrAbandoned)
+		c.Close(ErrClosedLocally)
 		return nil
 	}
 	if len(unread) > 0 {
@@ -812,7 +812,7 @@
 }
 
 // SetEvents changes the epoll events to wait for.
-func (w *Watch) Want(events uint32) {
+func (w *Watch) SetEvents(events uint32) {
 	if events != w.events {
 		w.events = events
 		unix.EpollCtl(w.loop.epoll, unix.EPOLL_CTL_MOD, w.fd, &unix.EpollEvent{Events: events, Fd: int32(w.fd)})
@@ -834,7 +834,7 @@
 func (c *Conn) Unsent() int { return len(c.unsent) }
 
 // Pending reports whether messages that were read wait for the next iteration.
-func (c *Conn) More() bool { return c.pending && !c.closed && !c.finishing }
+func (c *Conn) Pending() bool { return c.pending && !c.closed && !c.finishing }
 
 // Blocked reports whether released bytes wait because the peer doesn't read fast enough.
 func (c *Conn) Blocked() bool { return c.writable() > 0 }
@@ -861,7 +861,7 @@
 		return true
 	}
 	if len(c.unsent)+len(b) > maxWriteBuffer {
-		c.loop.Post(func() { c.Close(ErrSlow) })
+		c.loop.Post(func() { c.Close(ErrSlowPeer) })
 		return false
 	}
 	c.unsent = append(c.unsent, b...)
@@ -888,7 +888,7 @@
 // holdWrite buffers bytes until the gate releases them.
 func (c *Conn) holdWrite(b []byte) bool {
 	if len(c.unsent)+len(b) > maxWriteBuffer {
-		c.loop.Post(func() { c.Close(ErrSlow) })
+		c.loop.Post(func() { c.Close(ErrSlowPeer) })
 		return false
 	}
 	if c.corkedBytes == 0 && len(b) > 0 {
@@ -920,7 +920,7 @@
 
 // CloseWrite shuts down the write side after the unsent bytes. What the peer sends until it closes too is still passed
 // to the handler. There is no timeout: the owner has to call Close if the peer takes too long.
-func (c *Conn) Half() {
+func (c *Conn) CloseWrite() {
 	if c.Open() {
 		c.writeClosed = true
 		c.shutdownWrite()
@@ -1034,7 +1034,7 @@
 	case err != nil:
 		c.Close(err)
 	case n == 0 && c.finishing:
-		c.Close(ErrAbandoned)
+		c.Close(ErrClosedLocally)
 	case n == 0:
 		c.Close(ErrEOF)
 	case !c.finishing:
@@ -1090,7 +1090,7 @@
 // ---- UDP ----
 
 // UDPSocket is a UDP socket that is connected to one peer.
-type Packets struct {
+type UDPSocket struct {
 	loop    *Loop
 	fd      int
 	receive func(b []byte)
@@ -1099,7 +1099,7 @@
 
 // DialUDP opens a socket that is connected to a peer. receive is called for each datagram; the slice is only valid
 // during the call.
-func (l *Loop) UDP(peer netip.AddrPort, receive func(b []byte)) (*Packets, error) {
+func (l *Loop) DialUDP(peer netip.AddrPort, receive func(b []byte)) (*UDPSocket, error) {
 	fd, err := socket(peer, unix.SOCK_DGRAM)
 	if err != nil {
 		return nil, err
@@ -1108,17 +1108,17 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("connect to %s: %w", peer, err)
 	}
-	s := &Packets{loop: l, fd: fd, receive: receive, buf: make([]byte, maxReadBuffer)}
+	s := &UDPSocket{loop: l, fd: fd, receive: receive, buf: make([]byte, maxReadBuffer)}
 	return s, l.add(fd, unix.EPOLLIN, s)
 }
 
 // Send sends one datagram. Errors are ignored, since datagrams may be lost anyway.
-func (s *Packets) Send(b []byte) { unix.Write(s.fd, b) }
+func (s *UDPSocket) Send(b []byte) { unix.Write(s.fd, b) }
 
 // Close closes the socket.
-func (s *Packets) Close() { s.loop.remove(s.fd) }
+func (s *UDPSocket) Close() { s.loop.remove(s.fd) }
 
-func (s *Packets) ready(uint32) {
+func (s *UDPSocket) ready(uint32) {
 	for range maxBatch {
 		if s.loop.sources[int32(s.fd)] != s { // receive has closed the socket
 			return
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -42,7 +42,7 @@
 // these limits such a peer could use up the memory.
 func TestBounds(t *testing.T) {
 	for want, test := range map[error]struct{ opened func(*Conn) }{
-		ErrSlow: {func(c *Conn) {
+		ErrSlowPeer: {func(c *Conn) {
 			for range 1024 {
 				c.Write(make([]byte, maxWriteBuffer/8))
 			}
@@ -156,7 +156,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "no", string(text))
 	conn.Close()
-	require.Equal(t, ErrAbandoned, <-closed)
+	require.Equal(t, ErrClosedLocally, <-closed)
 }
 
 // After CloseWrite nothing more can be written, but data that the peer sends is still delivered until the peer closes
@@ -164,7 +164,7 @@
 func TestCloseWrite(t *testing.T) {
 	l, closed, received := runLoop(t), make(chan error, 1), make(chan string, 9)
 	conn := connect(t, l, funcHandler{data: func(c *Conn, b []byte) int {
-		c.Half()
+		c.CloseWrite()
 		require.False(t, c.Write([]byte("x")))
 		received <- string(b)
 		return len(b)
@@ -243,7 +243,7 @@
 		require.NoError(t, err)
 		defer conn.Close()
 	}
-	ln.Empty()
+	ln.DrainBacklog()
 	require.Equal(t, 2*maxBatch+5, accepted)
 }
 
@@ -366,9 +366,9 @@
 	g.ticket++
 	return g.ticket
 }
-func (g *fakeGate) Passed() uint64          { return g.released }
-func (g *fakeGate) Left()                   { g.flushes++ }
-func (g *fakeGate) Patience() time.Duration { return time.Hour }
+func (g *fakeGate) Released() uint64            { return g.released }
+func (g *fakeGate) Flushed()                    { g.flushes++ }
+func (g *fakeGate) PollInterval() time.Duration { return time.Hour }
 
 // Recall and RecallAll remove exactly the recallable messages of the current iteration and of those that the gate
 // holds back. Released messages and other bytes aren't affected.
@@ -376,7 +376,7 @@
 	l, err := New()
 	require.NoError(t, err)
 	gate := &fakeGate{}
-	l.SetGate(gate)
+	l.SetOutputGate(gate)
 	done := make(chan bool)
 	t.Cleanup(func() {
 		l.Stop()
@@ -424,17 +424,17 @@
 	runIteration(func() {
 		serverConns[0].WriteRecallable([]byte("three "), 3)
 		serverConns[0].WriteRecallable([]byte("four "), 4)
-		require.False(t, serverConns[0].TakeBack("p"), "already released")
-		require.False(t, serverConns[1].TakeBack(3), "written on another connection")
-		require.True(t, serverConns[0].TakeBack(3))
-		require.False(t, serverConns[0].TakeBack(3), "already recalled")
+		require.False(t, serverConns[0].Recall("p"), "already released")
+		require.False(t, serverConns[1].Recall(3), "written on another connection")
+		require.True(t, serverConns[0].Recall(3))
+		require.False(t, serverConns[0].Recall(3), "already recalled")
 	})
 	var recalled []any
 	runIteration(func() {
 		serverConns[1].Write([]byte("rest."))
 		serverConns[0].WriteRecallable([]byte("five "), 5)
-		recalled = l.Recall()
-		require.Empty(t, l.Recall(), "already recalled")
+		recalled = l.RecallAll()
+		require.Empty(t, l.RecallAll(), "already recalled")
 		serverConns[0].WriteRecallable([]byte("end."), 6)
 	})
 	require.Equal(t, []any{1, 2, 4, 5}, recalled)
@@ -448,7 +448,7 @@
 	}
 	runIteration(func() {
 		require.Empty(t, l.recallable, "released messages are forgotten")
-		require.Empty(t, l.Recall())
+		require.Empty(t, l.RecallAll())
 		require.NotZero(t, gate.flushes)
 	})
 }
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -42,16 +42,16 @@
 
 // Config holds the dependencies of a Server.
 type Config struct {
-	Loop    *loop.Loop
-	Addr    netip.AddrPort
-	Clock   router.Clock
-	At      func(time.Duration, func()) // runs a function on the loop at a time of Clock
-	Process Process
-	Log     zerolog.Logger
+	Loop     *loop.Loop
+	Addr     netip.AddrPort
+	Clock    router.Clock
+	Schedule func(time.Duration, func()) // runs a function on the loop at a time of Clock
+	Process  Process
+	Log      zerolog.Logger
 }
 
 // Server is the management server. Its methods must be called on the loop.
-type Door struct {
+type Server struct {
 	cfg         Config
 	listener    *loop.Listener
 	connections []*connection // oldest first
@@ -65,8 +65,8 @@
 }
 
 // Open starts to listen on the configured address. Errors name the address.
-func Open(cfg Config) (*Door, error) {
-	s := &Door{cfg: cfg}
+func Open(cfg Config) (*Server, error) {
+	s := &Server{cfg: cfg}
 	var err error
 	if s.listener, err = cfg.Loop.ListenUrgent(cfg.Addr, s.accept); err != nil {
 		return nil, fmt.Errorf("mgmt: %w", err)
@@ -76,16 +76,16 @@
 }
 
 // Addr returns the local address.
-func (s *Door) Addr() netip.AddrPort { return s.listener.Addr() }
+func (s *Server) Addr() netip.AddrPort { return s.listener.Addr() }
 
 // Counters returns the current counts.
-func (s *Door) Counters() Counters {
+func (s *Server) Counters() Counters {
 	s.counters.Open = len(s.connections)
 	return s.counters
 }
 
 // accept closes one connection if the limit is reached: the oldest that has its response, else the oldest.
-func (s *Door) accept(conn *loop.Conn) loop.Handler {
+func (s *Server) accept(conn *loop.Conn) loop.Handler {
 	if len(s.connections) >= maxConnections {
 		evicted := s.connections[0]
 		for _, c := range s.connections {
@@ -95,7 +95,7 @@
 			}
 		}
 		s.counters.Evicted++
-		evicted.conn.Close(loop.ErrAbandoned)
+		evicted.conn.Close(loop.ErrClosedLocally)
 	}
 	s.counters.Accepted++
 	c := &connection{server: s, conn: conn, deadline: s.cfg.Clock() + requestTimeout}
@@ -104,7 +104,7 @@
 }
 
 // sweep closes expired connections and schedules the next sweep.
-func (s *Door) sweep() {
+func (s *Server) sweep() {
 	now := s.cfg.Clock()
 	for i := 0; i < len(s.connections); {
 		c := s.connections[i]
@@ -115,14 +115,14 @@
 		if !c.answered {
 			s.counters.Late++
 		}
-		c.conn.Close(loop.ErrSlow)
+		c.conn.Close(loop.ErrSlowPeer)
 	}
-	s.cfg.At(now+sweepInterval, s.sweep)
+	s.cfg.Schedule(now+sweepInterval, s.sweep)
 }
 
 // connection is the loop.Handler of a connection, which carries one request.
 type connection struct {
-	server       *Door
+	server       *Server
 	conn         *loop.Conn
 	deadline     time.Duration // closed at this time
 	sentContinue bool          // 100 Continue was sent
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -65,7 +65,7 @@
 	other  *loop.Listener // of the second front; nil where it is off
 	turn   turnover
 	life   *lifecycle.Process
-	door   *mgmt.Door        // nil where it is off
+	door   *mgmt.Server      // nil where it is off
 	ledger *ledgerio.Carrier // nil where it is off
 	trace  *traceio.Recorder // nil where it is off
 	fleet  *fleetio.Fleet    // nil where it is off
@@ -151,7 +151,7 @@
 	}
 	n.life.Listening()
 	if c.Mgmt.IsValid() {
-		if n.door, err = mgmt.Open(mgmt.Config{Loop: l, Addr: c.Mgmt, Clock: clock, At: n.Router.Schedule, Process: operated{n}, Log: log}); err != nil {
+		if n.door, err = mgmt.Open(mgmt.Config{Loop: l, Addr: c.Mgmt, Clock: clock, Schedule: n.Router.Schedule, Process: operated{n}, Log: log}); err != nil {
 			return nil, err
 		}
 		log.Info().Str("event", "mgmt_serving").Stringer("address", n.door.Addr()).Msgf("operators' door on %s", n.door.Addr())
@@ -221,7 +221,7 @@
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	listen.Hold(n.turn.successor.InStandby())
+	listen.SetPaused(n.turn.successor.InStandby())
 	n.other = listen
 	n.log.Info().Str("event", "callcontrol_serving").Msgf("call control on %s", listen.Addr())
 	return listen.Addr(), nil
@@ -255,7 +255,7 @@
 		due = func() time.Duration { return min(n.fleet.Turn(), n.Router.Tick()) }
 	}
 	n.Loop.SetClock(n.clock)
-	n.Loop.SetLast(n.trunk.Flush)
+	n.Loop.SetBeforeWait(n.trunk.Flush)
 	err := n.Loop.Run(due)
 	n.log.Info().Str("event", "counters").Msgf("counters %s", n.Counters())
 	n.Loop.Close()
@@ -294,7 +294,7 @@
 			over = n.handed()
 		case over && !closing: // what has been accepted for this process is taken, and what it has sent already is read in the turn after this,
 			closing, over = true, false
-			n.listen.Empty()
+			n.listen.DrainBacklog()
 			n.listen.Close()
 			earliest = n.clock() + lookEvery
 		case over && !resting && n.turn.path != "": // where another process serves beside this one, releases that are on their way to this one are heard,
--- a/internal/node/product.go
+++ b/internal/node/product.go
@@ -182,18 +182,18 @@
 	if n.config.Product.Fleet.Keeper(n.config.Name) {
 		signal.Ignore(syscall.SIGXFSZ) // a limit on files is an error of the write, which stops the vote and not the process
 	}
-	c := fleetio.Config{Options: *n.config.Product.Fleet, FS: n.files(), Name: n.config.Name, Member: true, Wake: n.Loop.Nudge, Log: n.log,
+	c := fleetio.Config{Options: *n.config.Product.Fleet, FS: n.files(), Name: n.config.Name, Member: true, Wake: n.Loop.Wake, Log: n.log,
 		Limits: n.config.Product.Limits, Parts: n.parts, Further: n.further, Care: n.care, Now: n.clock}
 	if c.Work != nil {
 		n.takeover(&c)
 	}
 	n.fleet, err = fleetio.Open(c)
 	if err == nil && n.fleet.Works() {
-		n.Loop.SetLook(func() { n.fleet.LookAtWork(fleetio.Clock()) })
+		n.Loop.SetAfterWait(func() { n.fleet.LookAtWork(fleetio.Clock()) })
 		if n.ledger != nil {
-			n.Loop.SetGate(n.fleet.Hold(n.ledger))
+			n.Loop.SetOutputGate(n.fleet.Hold(n.ledger))
 		} else {
-			n.Loop.SetGate(n.fleet.Hold(nil))
+			n.Loop.SetOutputGate(n.fleet.Hold(nil))
 		}
 	}
 	if err == nil && n.fleet.Limited() {
@@ -329,7 +329,7 @@
 // Unsay takes back what waits to be told of calls that are another's from now on. Whoever was to hear that a call stands hears that it failed, and the call is released.
 func (d desk) RetractEnds() (unsaid []takeover.End) {
 	failed := map[string]bool{}
-	for _, what := range d.n.Loop.Recall() {
+	for _, what := range d.n.Loop.RecallAll() {
 		id, how, answer, mine := d.n.front.Recalled(what)
 		if !mine { // a set-up: it was given up with its connection
 			continue
@@ -442,7 +442,7 @@
 // openLedger opens the ledger and puts it before the router and the loop.
 func (n *Node) openLedger(rc *router.Config) (err error) {
 	n.ledger, err = ledgerio.Open(ledgerio.Config{Options: *n.config.Product.Ledger, FS: n.files(), Classes: ledger.Classes(n.config.Settings.Classes),
-		Wall: func() int64 { return time.Now().UnixMilli() }, Clock: n.clock, Nudge: n.Loop.Nudge, Log: n.log})
+		Wall: func() int64 { return time.Now().UnixMilli() }, Clock: n.clock, Nudge: n.Loop.Wake, Log: n.log})
 	if err != nil {
 		return err
 	}
@@ -450,7 +450,7 @@
 	if n.config.Product.Ledger.Refuse {
 		rc.Admit = n.ledger.Admit
 	}
-	n.Loop.SetGate(n.ledger)
+	n.Loop.SetOutputGate(n.ledger)
 	return nil
 }
 
--- a/internal/node/turnover.go
+++ b/internal/node/turnover.go
@@ -34,7 +34,7 @@
 // turnover is a node's part in changes of the process.
 type turnover struct {
 	path      string // of the socket; empty: off
-	door      *handover.Door
+	door      *handover.Listener
 	elder     lifecycle.OldProcess // this process, as one that is followed
 	successor lifecycle.NewProcess // and as one that follows
 	next      *handover.Link       // to the process that takes this one's place; nil: none stands by
@@ -57,7 +57,7 @@
 	}
 	n.turn.path = handover.Path(c.Handover, c.Name)
 	for first := true; ; first = false {
-		link, listen, err := handover.Ask(n.turn.path)
+		link, listen, err := handover.Connect(n.turn.path)
 		switch {
 		case errors.Is(err, handover.ErrBusy):
 			if first {
@@ -95,13 +95,13 @@
 		}
 		return err
 	}
-	if n.listen, err = n.Loop.ListenOn(inherited, n.front.Accept); err != nil {
+	if n.listen, err = n.Loop.ListenFD(inherited, n.front.Accept); err != nil {
 		return err
 	}
 	if at := n.listen.Addr(); at != c.Listen && c.Listen.Port() != 0 {
 		return fmt.Errorf("handover: the process that serves listens on %s, not on %s", at, c.Listen)
 	}
-	n.listen.Hold(true)
+	n.listen.SetPaused(true)
 	n.log.Info().Str("event", "standby").Stringer("address", n.listen.Addr()).Msgf("standing by for the process that serves on %s", n.listen.Addr())
 	return t.last.Serve(n.Loop, n.fromElder, n.elderGone)
 }
@@ -150,7 +150,7 @@
 		return false
 	}
 	t.next = k
-	k.Hear(n.fromSuccessor, func(err error) {
+	k.SetHandlers(n.fromSuccessor, func(err error) {
 		t.next = nil
 		t.count.Lost++
 		n.log.Warn().Str("event", "handover_lost").Bool("handed", t.elder.HandedOver()).Msgf("the process that stood by has gone: %v", err)
@@ -250,9 +250,9 @@
 		return
 	}
 	n.turn.count.Taken++
-	n.listen.Hold(false)
+	n.listen.SetPaused(false)
 	if n.other != nil {
-		n.other.Hold(false)
+		n.other.SetPaused(false)
 	}
 	n.invite()
 	n.log.Info().Str("event", "taken_over").Msgf("%s: serving callers in the place of the process before", why)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -94,7 +94,7 @@
 	draw    func() float64
 	log     zerolog.Logger
 	changed func(uint32, []sip.Server)
-	socket  *loop.Packets
+	socket  *loop.UDPSocket
 	serial  uint32
 	id      uint16
 	waiting int    // queries since the last answer
@@ -122,7 +122,7 @@
 	if c.socket != nil && resolver == c.peer {
 		return nil
 	}
-	socket, err := c.loop.UDP(resolver, c.take)
+	socket, err := c.loop.DialUDP(resolver, c.take)
 	if err != nil {
 		return fmt.Errorf("name service: %w", err)
 	}
--- a/internal/sip/front.go
+++ b/internal/sip/front.go
@@ -157,7 +157,7 @@
 // Unread says whether messages that have been read wait for their turn.
 func (f *Front) Unread() bool {
 	for k := range f.conns {
-		if k.conn.More() {
+		if k.conn.Pending() {
 			return true
 		}
 	}
@@ -187,7 +187,7 @@
 		return false
 	}
 	f.count.Evicted++
-	idle.conn.Close(loop.ErrAbandoned)
+	idle.conn.Close(loop.ErrClosedLocally)
 	return true
 }
 
@@ -213,7 +213,7 @@
 		}
 		if k.lifetime.TimedOut(now) || k.conn.Unsent() > unsentMost {
 			f.count.Late++
-			k.conn.Close(loop.ErrSlow)
+			k.conn.Close(loop.ErrSlowPeer)
 		} else if !k.lifetime.Closing() && f.life.ShouldClose(now, k.state()) {
 			f.count.Let++
 			k.finish()
@@ -409,7 +409,7 @@
 }
 
 // Leaving hears that the caller has closed: nothing begins for it any more. Releases of its that are still unread are taken.
-func (k *caller) Leaving(*loop.Conn) {
+func (k *caller) PeerClosed(*loop.Conn) {
 	k.left = true
 	k.gone()
 	k.leave()
--- a/internal/sip/trunk.go
+++ b/internal/sip/trunk.go
@@ -223,7 +223,7 @@
 	p.line, p.dial, p.old = nil, nil, nil
 	for _, l := range lines {
 		if l != nil {
-			l.conn.Close(loop.ErrAbandoned)
+			l.conn.Close(loop.ErrClosedLocally)
 		}
 	}
 }
@@ -255,10 +255,10 @@
 		case l.until == 0 && !l.dead && l.conn.Open():
 			// The end is told first and then awaited: releases of calls that stand may be on their way.
 			l.until = now + deadFor
-			l.conn.Half()
+			l.conn.CloseWrite()
 			p.old = append(p.old, l)
 		default:
-			l.conn.Close(loop.ErrAbandoned)
+			l.conn.Close(loop.ErrClosedLocally)
 		}
 	}
 }
@@ -280,7 +280,7 @@
 		for _, l := range p.old {
 			if l.until == 0 && !l.dead && l.conn.Open() {
 				l.until = t.cfg.Clock() + deadFor
-				l.conn.Half()
+				l.conn.CloseWrite()
 			}
 		}
 	}
@@ -332,7 +332,7 @@
 		}
 	}
 	if p.dial != nil && now-p.lastDial >= p.t.cfg.ConnectTimeout {
-		p.dial.conn.Close(loop.ErrDialLate)
+		p.dial.conn.Close(loop.ErrDialTimeout)
 	}
 	for _, l := range append([]*outLeg(nil), p.pending...) {
 		if now >= l.by {
@@ -375,7 +375,7 @@
 	l.sound.Opened(now)
 	p.t.count.Opened++
 	if p.dial != l {
-		l.conn.Close(loop.ErrAbandoned)
+		l.conn.Close(loop.ErrClosedLocally)
 		return
 	}
 	if p.lostSince > 0 {
@@ -401,7 +401,7 @@
 }
 
 // Leaving hears that the server has closed: what would be written now would not be read. What it sent before is taken.
-func (l *line) Leaving(*loop.Conn) {
+func (l *line) PeerClosed(*loop.Conn) {
 	if l.left = true; l.p.line == l {
 		l.p.retire()
 		l.p.connect()
@@ -572,7 +572,7 @@
 // cancel gives an unanswered attempt up on its line.
 func (t *Trunk) cancel(l *outLeg) {
 	if l.on != nil && !l.standing && l.on.conn.Open() {
-		if l.on.conn.Gated() && l.on.conn.TakeBack(l) { // it has not left, and does not any more
+		if l.on.conn.Gated() && l.on.conn.Recall(l) { // it has not left, and does not any more
 			t.count.Unsent++
 			return
 		}
@@ -738,7 +738,7 @@
 		t.cfg.Log.Warn().Str("event", "server_spoilt").Str("server", p.server.ID).Msgf("server %s: %v, connection closed", p.server.ID, err)
 	}
 	l.dead, l.by = true, now+deadFor
-	l.conn.Half()
+	l.conn.CloseWrite()
 	if p.line == l {
 		p.retire()
 	}
