--- a/internal/sip/front.go
+++ b/internal/sip/front.go
@@ -16,593 +16,652 @@
 )
 
 const (
-	// answerEarly is taken off what a caller waits, for its clock runs from its send and ours from the read.
-	answerEarly = 30 * time.Millisecond
-	// owedFor is how long a release that found no connection waits for the next one.
-	owedFor = 30 * time.Second
-	// sweepEvery is how often connections are looked at.
-	sweepEvery = 100 * time.Millisecond
-	// strikesMost messages of one connection may be unusable before it is closed.
-	strikesMost = 8
-	// ratePerConn set-ups a second, and burstPerConn at once, are taken from one connection: several times what a
-	// whole router carries on its busiest day. More is a flood, which must not crowd out the other connections.
-	ratePerConn  = 400
-	burstPerConn = 64
-	// descriptionMost bytes may describe a call: the message that passes it on has room for no more.
-	descriptionMost = messageMost - 512
-	// unsentMost bytes may wait for a caller that does not read.
-	unsentMost = 64 << 10
-	// reserved descriptors are for the name service, operators and the process itself, and perServer for each case server: a connection in use, one
-	// that comes up, and those replaced whose end is awaited.
-	reserved  = 48
-	perServer = 4
-	// callerPart of the descriptors at least may be held by callers.
-	callerPart = 3
+	// callerClockMargin is subtracted from the time that a caller waits for an answer, because the caller counts from
+	// sending the set-up and the front from reading it.
+	callerClockMargin = 30 * time.Millisecond
+	// pendingReleaseTTL is how long a release waits for a connection to be sent on.
+	pendingReleaseTTL = 30 * time.Second
+	// sweepInterval is the interval at which deadlines of connections, set-ups and releases are checked.
+	sweepInterval = 100 * time.Millisecond
+	// maxUnusableMessages is how many unusable messages a connection may send before it is closed.
+	maxUnusableMessages = 8
+	// maxSetupRate is the sustained rate of set-ups per second on one connection, and maxSetupBurst the number at
+	// once. The rate is several times what a whole router carries on its busiest day; a flood above it must not crowd
+	// out the other connections.
+	maxSetupRate  = 400
+	maxSetupBurst = 64
+	// maxDescriptionSize is the limit in bytes of a call's description, which leaves room for the headers of the
+	// INVITE to the case server.
+	maxDescriptionSize = maxMessageSize - 512
+	// maxUnsentBytes may be queued for a caller that doesn't read.
+	maxUnsentBytes = 64 << 10
+	// reservedDescriptors are kept for the name service, operators and the process itself.
+	reservedDescriptors = 48
+	// descriptorsPerServer are kept for each case server: the connection in use, one being opened, and replaced ones
+	// that are closing.
+	descriptorsPerServer = 4
+	// callerShareDivisor guarantees callers at least 1/callerShareDivisor of all descriptors.
+	callerShareDivisor = 3
 )
 
-// FrontConfig is what a Front needs.
+// FrontConfig configures a Front. Router and Clock are required.
 type FrontConfig struct {
 	Router   *router.Router
 	Clock    router.Clock
-	Sockets  int // descriptors that the process may hold
+	Sockets  int // limit of the process's file descriptors
 	Settings threadglade.Settings
-	Life     *lifecycle.Process // says which connections are let go; nil: none ever
+	Life     *lifecycle.Process // decides which connections are closed in a drain or shutdown; nil: none
 }
 
-// Front answers callers.
+// Front accepts callers' SIP connections, passes their set-ups and releases to the router and sends its answers. It
+// implements the callers' side of a hot restart. It runs on the event loop's goroutine; no method may be called from
+// another one.
 type Front struct {
-	router  *router.Router
-	clock   router.Clock
-	classes map[string]*threadglade.Class
-	wait    time.Duration // what a flood is told to stay away; 0: nothing
-	life    *lifecycle.Process
-	sockets int
-	set     int // connections set aside for another front
-	servers int // case servers known
-	conns   map[*caller]bool
-	owed    []owed
-	across  Across             // to the process that takes this one's place; nil: none does
-	passed  uint32             // connections passed on
-	away    map[uint32]*caller // passed on, with set-ups that are still open here
-	there   map[uint32]*caller // with set-ups that are open at the process before this one
-	buf     out
-	seed    maphash.Seed
-	count   FrontCounters
-}
-
-// FrontCounters count what came from callers and went to them. Open and Owed are what is held now: connections,
-// and releases without one.
+	router           *router.Router
+	clock            router.Clock
+	classes          map[string]*threadglade.Class
+	floodRetryAfter  time.Duration // retry advice to callers above maxSetupRate; 0: none
+	process          *lifecycle.Process
+	maxDescriptors   int
+	reservedConns    int // connections reserved for another front
+	serverCount      int // case servers whose connections need descriptors
+	conns            map[*callerConn]bool
+	pendingReleases  []releaseRecord
+	successor        Across                 // to the process that takes over; nil: none does
+	handedOver       uint32                 // connections handed over; numbers them
+	handedOverSetups map[uint32]*callerConn // handed over, with set-ups pending here, by number
+	oldProcessSetups map[uint32]*callerConn // adopted, with set-ups pending in the old process, by its number
+	buf              messageBuffer
+	hashSeed         maphash.Seed
+	counters         FrontCounters
+}
+
+// FrontCounters counts the traffic with callers since the start. Open and Owed are current values.
 type FrontCounters struct {
-	Accepted, Turned, Evicted, Late, Messages, Malformed, Flooded, Answers, Releases, Moved, Let, Drained, Overstayed, Passed, Adopted, Forsaken, Retold uint64
-	Open, Owed                                                                                                                                           int
-}
-
-// owed is a release without a connection to send it on.
-type owed struct {
-	id  string
-	how threadglade.Outcome
-	at  time.Duration
-}
-
-// NewFront makes a front; Start begins its watch over deadlines.
+	Accepted   uint64 // connections, including adopted ones
+	Turned     uint64 // connections rejected because all descriptors for callers were in use
+	Evicted    uint64 // connections closed to free a descriptor
+	Late       uint64 // connections closed because of a timeout or because the caller did not read
+	Messages   uint64 // well-formed messages
+	Malformed  uint64 // messages rejected as unusable
+	Flooded    uint64 // set-ups refused above maxSetupRate
+	Answers    uint64 // final answers to set-ups
+	Releases   uint64 // releases sent to callers
+	Moved      uint64 // releases sent on another connection than the one of the set-up
+	Let        uint64 // connections closed by a drain or shutdown
+	Drained    uint64 // set-ups refused late in a drain
+	Overstayed uint64 // set-ups ended so that their connection could close in time
+	Passed     uint64 // connections handed over to the successor
+	Adopted    uint64 // connections taken over from the old process
+	Forsaken   uint64 // set-ups ignored because their caller had closed the connection
+	Retold     uint64 // releases sent again because their connection closed before they were acknowledged
+	Open       int    // connections
+	Owed       int    // releases that wait for a connection
+}
+
+// releaseRecord is a release that waits for a connection or for its acknowledgement, since the given time.
+type releaseRecord struct {
+	id      string
+	outcome threadglade.Outcome
+	since   time.Duration
+}
+
+// NewFront returns a front for the callers that Accept is called for. Deadlines are only checked after Start.
 func NewFront(c FrontConfig) *Front {
-	f := &Front{router: c.Router, clock: c.Clock, sockets: c.Sockets, conns: map[*caller]bool{}, away: map[uint32]*caller{}, there: map[uint32]*caller{}, seed: maphash.MakeSeed(), life: c.Life}
-	if f.life == nil {
-		f.life = &lifecycle.Process{}
+	f := &Front{
+		router: c.Router, clock: c.Clock, maxDescriptors: c.Sockets, conns: map[*callerConn]bool{},
+		handedOverSetups: map[uint32]*callerConn{}, oldProcessSetups: map[uint32]*callerConn{},
+		hashSeed: maphash.MakeSeed(), process: c.Life,
+	}
+	if f.process == nil {
+		f.process = &lifecycle.Process{}
 	}
 	f.Change(c.Settings)
 	return f
 }
 
-// Change has set-ups that come from now on be read by other settings.
-func (f *Front) Change(set threadglade.Settings) {
-	classes := make(map[string]*threadglade.Class, len(set.Classes))
-	for _, class := range set.Classes {
+// UpdateSettings applies settings to set-ups that arrive from now on.
+func (f *Front) Change(settings threadglade.Settings) {
+	classes := make(map[string]*threadglade.Class, len(settings.Classes))
+	for _, class := range settings.Classes {
 		classes[class.Name] = &class
 	}
-	f.classes, f.wait = classes, 0
-	if set.Limits.RetryAfter {
-		f.wait = min(time.Second, set.Limits.MaxRetryAfter)
+	f.classes, f.floodRetryAfter = classes, 0
+	if settings.Limits.RetryAfter {
+		f.floodRetryAfter = min(time.Second, settings.Limits.MaxRetryAfter)
 	}
 }
 
-// Start begins to watch the connections.
+// Start begins the periodic checks of deadlines.
 func (f *Front) Start() { f.sweep() }
 
-// most is how many connections the front may hold: all that case servers and the process can spare, so that callers
-// who use up theirs leave room for the others, and no less than a third.
-func (f *Front) most() int {
-	return max(1, max(f.sockets/callerPart, f.sockets-reserved-perServer*f.servers)-f.set)
+// maxConns returns the limit of callers' connections: the descriptors that the case servers and the process don't
+// need, so that callers can't exhaust them, but at least a third of all, less those reserved for another front.
+func (f *Front) maxConns() int {
+	return max(1, max(f.maxDescriptors/callerShareDivisor,
+		f.maxDescriptors-reservedDescriptors-descriptorsPerServer*f.serverCount)-f.reservedConns)
 }
 
-// Leave leaves room for the connections to so many case servers. Where callers have taken it already, those go that have no set-up.
+// ReserveForServers reserves descriptors for the connections to so many case servers. It closes connections without
+// a pending set-up if callers hold too many.
 func (f *Front) Leave(servers int) {
-	f.servers = servers
-	for len(f.conns) > f.most() && f.evict() {
+	f.serverCount = servers
+	for len(f.conns) > f.maxConns() && f.evict() {
 	}
 }
 
-// Reserve leaves some of the callers' connections to another front.
+// ReserveForFront reserves some of the callers' connections for another front. It fails if that would leave none to
+// this one.
 func (f *Front) Reserve(connections int) error {
-	f.set = 0
-	if most := f.most(); connections >= most {
-		return fmt.Errorf("%d of the %d connections that callers may hold", connections, most)
+	f.reservedConns = 0
+	if limit := f.maxConns(); connections >= limit {
+		return fmt.Errorf("%d connections must be fewer than the %d that callers may hold", connections, limit)
 	}
-	f.set = connections
+	f.reservedConns = connections
 	return nil
 }
 
-// Hold changes how many descriptors the process may hold. Connections with a set-up stay.
+// SetMaxDescriptors changes the limit of the process's file descriptors. It closes connections above the new limit
+// that have no pending set-up.
 func (f *Front) Hold(sockets int) {
-	f.sockets = sockets
-	f.Leave(f.servers)
+	f.maxDescriptors = sockets
+	f.Leave(f.serverCount)
 }
 
-// Counters returns a copy.
+// Counters returns a copy of the counters.
 func (f *Front) Counters() FrontCounters {
-	f.count.Open, f.count.Owed = len(f.conns), len(f.owed)
-	return f.count
+	f.counters.Open, f.counters.Owed = len(f.conns), len(f.pendingReleases)
+	return f.counters
 }
 
-// Unsent says whether an answer waits to be written.
+// HasUnsent reports whether bytes to a caller are queued.
 func (f *Front) Unsent() bool {
-	for k := range f.conns {
-		if k.conn.Unsent() > 0 {
+	for conn := range f.conns {
+		if conn.conn.Unsent() > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Unread says whether messages that have been read wait for their turn.
+// HasUnread reports whether messages were read from a connection and are not handled yet.
 func (f *Front) Unread() bool {
-	for k := range f.conns {
-		if k.conn.Pending() {
+	for conn := range f.conns {
+		if conn.conn.Pending() {
 			return true
 		}
 	}
 	return false
 }
 
-// Accept takes a new connection of a caller. Where there is no room, one without a set-up goes: one that has been
-// told its end, else the one that has been silent longest since it connected, else the one idle longest.
+// Accept returns the handler of a new connection, or nil to reject it. At the limit of connections it closes one
+// without a pending set-up in the order of lifecycle.CallerConn.ClosesBefore, and rejects the new one if there is
+// none.
 func (f *Front) Accept(c *loop.Conn) loop.Handler {
 	now := f.clock()
-	if len(f.conns) >= f.most() && !f.evict() {
-		f.count.Turned++
+	if len(f.conns) >= f.maxConns() && !f.evict() {
+		f.counters.Turned++
 		return nil
 	}
-	return f.caller(c, now)
+	return f.newCallerConn(c, now)
 }
 
-// evict closes the connection that goes first; false: all have set-ups.
+// evict closes the first connection in eviction order. It returns false if all have pending set-ups.
 func (f *Front) evict() bool {
-	var idle *caller
-	for k := range f.conns {
-		if len(k.open)+len(k.there) == 0 && (idle == nil || k.lifetime.ClosesBefore(&idle.lifetime)) {
-			idle = k
+	var idle *callerConn
+	for conn := range f.conns {
+		if len(conn.setups)+len(conn.oldProcessSetups) == 0 &&
+			(idle == nil || conn.lifetime.ClosesBefore(&idle.lifetime)) {
+			idle = conn
 		}
 	}
 	if idle == nil {
 		return false
 	}
-	f.count.Evicted++
+	f.counters.Evicted++
 	idle.conn.Close(loop.ErrClosedLocally)
 	return true
 }
 
-// caller is a connection that begins.
-func (f *Front) caller(c *loop.Conn, now time.Duration) *caller {
-	f.count.Accepted++
-	_, share := math.Modf(float64(f.count.Accepted) * math.Phi) // evenly spread, however many there are
-	k := &caller{f: f, conn: c, share: share, rate: loop.Bucket{Rate: ratePerConn, Burst: burstPerConn}}
-	k.lifetime.Connected(now)
-	f.conns[k] = true
-	return k
+// newCallerConn registers a new or adopted connection.
+func (f *Front) newCallerConn(loopConn *loop.Conn, now time.Duration) *callerConn {
+	f.counters.Accepted++
+	// Multiples of the golden ratio are evenly spread over 0 to 1, however many there are.
+	_, spreadPosition := math.Modf(float64(f.counters.Accepted) * math.Phi)
+	conn := &callerConn{
+		front: f, conn: loopConn, spreadPosition: spreadPosition,
+		setupRate: loop.Bucket{Rate: maxSetupRate, Burst: maxSetupBurst},
+	}
+	conn.lifetime.Connected(now)
+	f.conns[conn] = true
+	return conn
 }
 
-// sweep closes connections whose deadline has passed, and forgets releases that nobody came for.
+// sweep closes connections whose deadline has passed or that a drain wants closed, sends pending releases, and drops
+// those that have expired. It schedules itself again.
 func (f *Front) sweep() {
 	now := f.clock()
-	for k := range f.conns {
-		for id, l := range k.open {
-			if f.life.ShouldEndSetup(now, l.came) {
-				f.count.Overstayed++
-				f.router.Abandon(l, id)
+	for conn := range f.conns {
+		for id, leg := range conn.setups {
+			if f.process.ShouldEndSetup(now, leg.arrivedAt) {
+				f.counters.Overstayed++
+				f.router.Abandon(leg, id)
 			}
 		}
-		if k.lifetime.TimedOut(now) || k.conn.Unsent() > unsentMost {
-			f.count.Late++
-			k.conn.Close(loop.ErrSlowPeer)
-		} else if !k.lifetime.Closing() && f.life.ShouldClose(now, k.state()) {
-			f.count.Let++
-			k.finish()
-		} else if len(f.owed) > 0 && k.hears() {
-			k.pay()
+		if conn.lifetime.TimedOut(now) || conn.conn.Unsent() > maxUnsentBytes {
+			f.counters.Late++
+			conn.conn.Close(loop.ErrSlowPeer)
+		} else if !conn.lifetime.Closing() && f.process.ShouldClose(now, conn.connState()) {
+			f.counters.Let++
+			conn.finish()
+		} else if len(f.pendingReleases) > 0 && conn.canReceiveReleases() {
+			conn.sendPendingReleases()
 		}
 	}
-	for len(f.owed) > 0 && now-f.owed[0].at >= owedFor {
-		f.owed = f.owed[1:]
+	for len(f.pendingReleases) > 0 && now-f.pendingReleases[0].since >= pendingReleaseTTL {
+		f.pendingReleases = f.pendingReleases[1:]
 	}
-	if len(f.owed) == 0 {
-		f.owed = nil
+	if len(f.pendingReleases) == 0 {
+		f.pendingReleases = nil
 	}
-	f.router.Schedule(now+sweepEvery, f.sweep)
+	f.router.Schedule(now+sweepInterval, f.sweep)
 }
 
-// LetGo closes connections that may go, without waiting for the next look at them.
+// CloseIdle closes the connections that a drain or shutdown wants closed, without waiting for the next sweep.
 func (f *Front) LetGo() {
 	now := f.clock()
-	for k := range f.conns {
-		if !k.lifetime.Closing() && f.life.ShouldClose(now, k.state()) {
-			f.count.Let++
-			k.finish()
+	for conn := range f.conns {
+		if !conn.lifetime.Closing() && f.process.ShouldClose(now, conn.connState()) {
+			f.counters.Let++
+			conn.finish()
 		}
 	}
 }
 
-// Owed is a release that found no caller's connection.
+// PendingRelease is a release that waits for a caller's connection.
 type Owed struct {
 	ID  string
 	How threadglade.Outcome
 }
 
-// Owed are the releases that wait for a connection.
+// PendingReleases returns the releases that wait for a caller's connection, oldest first.
 func (f *Front) Owed() (list []Owed) {
-	for _, o := range f.owed {
-		list = append(list, Owed{o.id, o.how})
+	for _, release := range f.pendingReleases {
+		list = append(list, Owed{release.id, release.outcome})
 	}
 	return list
 }
 
-// Orphan passes on the release of a call of an earlier life of this router.
-func (f *Front) Orphan(id string, how threadglade.Outcome) { f.release(nil, id, how) }
+// ReleaseToCaller sends the release of a call that this process doesn't know, such as one of an earlier incarnation.
+func (f *Front) Orphan(id string, outcome threadglade.Outcome) { f.release(nil, id, outcome) }
 
-// release sends a release on the connection that the call came by, else on another one from there, else on any,
-// else by the process that has taken the callers over, else on the next that opens: no connection owns a call.
-func (f *Front) release(on *caller, id string, how threadglade.Outcome) {
-	if on != nil && on.hears() && on.tell(id, how) {
+// release sends a release to a caller. A call isn't bound to a connection: if the one that its set-up arrived on
+// can't be used, the release goes out on another one from the same address, else on any, else through the successor,
+// else on the next that opens. conn is nil if the connection is not known.
+func (f *Front) release(conn *callerConn, id string, outcome threadglade.Outcome) {
+	if conn != nil && conn.canReceiveReleases() && conn.sendRelease(id, outcome) {
 		return
 	}
 	var from netip.Addr
-	if on != nil {
-		from = on.conn.Remote().Addr()
+	if conn != nil {
+		from = conn.conn.Remote().Addr()
 	}
-	f.hand(from, id, how)
+	f.releaseFrom(from, id, outcome)
 }
 
-// hand sends a release of a call that came from an address on whatever connection there is.
-func (f *Front) hand(from netip.Addr, id string, how threadglade.Outcome) {
+// releaseFrom sends a release of a call from an address on any connection, preferably one from there.
+func (f *Front) releaseFrom(from netip.Addr, id string, outcome threadglade.Outcome) {
 	now := f.clock()
-	var on *caller
-	for k := range f.conns {
-		if k.hears() && (on == nil || k.conn.Remote().Addr() == from) {
-			on = k
+	var chosen *callerConn
+	for conn := range f.conns {
+		if conn.canReceiveReleases() && (chosen == nil || conn.conn.Remote().Addr() == from) {
+			chosen = conn
 		}
 	}
-	f.count.Moved++
-	if on != nil && on.tell(id, how) {
+	f.counters.Moved++
+	if chosen != nil && chosen.sendRelease(id, outcome) {
 		return
 	}
-	if f.across != nil {
+	if f.successor != nil {
 		addr := from.AsSlice()
-		if f.across.Send(frameRelease, append(append([]byte{byte(how), byte(len(addr))}, addr...), id...), -1, false) {
+		if f.successor.Send(frameRelease,
+			append(append([]byte{byte(outcome), byte(len(addr))}, addr...), id...), -1, false) {
 			return
 		}
 	}
-	f.count.Moved--
-	f.owed = append(f.owed, owed{id, how, now})
+	f.counters.Moved--
+	f.pendingReleases = append(f.pendingReleases, releaseRecord{id, outcome, now})
 }
 
-// recalled is what was taken back before it left: a release, or with a route the answer that a call stands.
-type recalled struct {
-	on    *caller
-	id    string
-	how   threadglade.Outcome
-	route out
+// recallable identifies a message that the loop may take back while the output gate holds it: a release, or, if
+// routing is set, the answer that a call is established.
+type recallable struct {
+	conn    *callerConn
+	id      string
+	outcome threadglade.Outcome
+	routing messageBuffer
 }
 
-// Recalled hears that something was taken back; mine is false where it is none of the front's. A caller who was to hear that the call stands hears that it failed: something may have run.
-func (f *Front) Recalled(what any) (id string, how threadglade.Outcome, answer, mine bool) {
-	r, mine := what.(*recalled)
+// HandleRecalled handles a message that the loop has taken back before it was sent, and returns its call and outcome.
+// known is false if the message is not the front's. answer is true if it was the answer that a call is established:
+// the caller then receives a failure, as the call may have been established at the server.
+func (f *Front) Recalled(message any) (id string, outcome threadglade.Outcome, answer, known bool) {
+	r, known := message.(*recallable)
 	switch {
-	case !mine:
-		return "", how, false, false
-	case r.route == nil:
-		f.count.Releases--
-		r.on.told.heard([]byte(r.id))
-		return r.id, r.how, false, true
+	case !known:
+		return "", outcome, false, false
+	case r.routing == nil:
+		f.counters.Releases--
+		r.conn.unacked.acknowledge([]byte(r.id))
+		return r.id, r.outcome, false, true
 	}
-	r.on.answer(append(response(f.buf[:0], 500), r.route...).body(nil))
-	return r.id, r.how, true, true
+	r.conn.reply(append(appendResponse(f.buf[:0], 500), r.routing...).addBody(nil))
+	return r.id, r.outcome, true, true
 }
 
-// tell sends a release by the connection; false: it cannot be written to any more.
-func (k *caller) tell(id string, how threadglade.Outcome) bool {
-	if k.f.buf = bye(k.f.buf[:0], id, 1, how); !k.write(k.f.buf, id, how, nil) {
+// sendRelease sends a release on the connection. It returns false if nothing can be written there any more.
+func (c *callerConn) sendRelease(id string, outcome threadglade.Outcome) bool {
+	if c.front.buf = appendBye(c.front.buf[:0], id, 1, outcome); !c.writeRecallable(c.front.buf, id, outcome, nil) {
 		return false
 	}
-	k.f.count.Releases++
-	k.told.add(id, how, k.f.clock())
+	c.front.counters.Releases++
+	c.unacked.add(id, outcome, c.front.clock())
 	return true
 }
 
-// write sends what may be taken back as long as a gate holds it.
-func (k *caller) write(b out, id string, how threadglade.Outcome, route out) bool {
-	if !k.conn.Gated() {
-		return k.conn.Write(b)
+// writeRecallable writes a message that can be taken back while the output gate holds it, if there is one.
+func (c *callerConn) writeRecallable(b messageBuffer, id string, outcome threadglade.Outcome,
+	routing messageBuffer) bool {
+	if !c.conn.Gated() {
+		return c.conn.Write(b)
 	}
-	return k.conn.WriteRecallable(b, &recalled{k, id, how, route})
+	return c.conn.WriteRecallable(b, &recallable{c, id, outcome, routing})
 }
 
-// bye writes a release.
-func bye(b out, id string, cseq int, how threadglade.Outcome) out {
+// appendBye appends a release.
+func appendBye(b messageBuffer, id string, cseq int, outcome threadglade.Outcome) messageBuffer {
 	cause := "Q.850;cause=41"
-	if how == threadglade.Concluded || how == threadglade.Cancelled {
+	if outcome == threadglade.Concluded || outcome == threadglade.Cancelled {
 		cause = "Q.850;cause=16"
 	}
-	return request(b, "BYE", id, id, cseq, "BYE").head("Reason", cause).body(nil)
-}
-
-// caller is one connection of a caller.
-type caller struct {
-	f        *Front
-	conn     *loop.Conn
-	open     map[string]*leg      // set-ups that came by it and are owed an answer; nil while there is none
-	lifetime lifecycle.CallerConn // how long it may
-	heard    time.Duration
-	share    float64 // its place where connections are closed one after the other
-	calls    bool    // something has come that only a caller sends, not just a question whether the router is there
-	left     bool    // the other side has closed, though something that it sent before may be unread
-	told     unheard // releases that it may not have read
-	strikes  int
-	rate     loop.Bucket     // of set-ups
-	passed   uint32          // its number with the other process, once it was passed on; 0: it was not
-	there    map[string]bool // set-ups that came by it and are open at the process before this one; nil while there is none
-	elder    Across          // the way to that
-	away     uint32          // its number there
-	m        message
-}
-
-// state is what decides whether the connection is let go.
-func (k *caller) state() lifecycle.ConnState {
-	last := k.f.life.Leaving()
-	for other := range k.f.conns {
-		if !last {
+	return appendRequest(b, "BYE", id, id, cseq, "BYE").addHeader("Reason", cause).addBody(nil)
+}
+
+// callerConn is the connection of one caller. It implements loop.Handler and loop.Leaver.
+type callerConn struct {
+	front            *Front
+	conn             *loop.Conn
+	setups           map[string]*inboundLeg // pending set-ups by call id; nil while there is none
+	lifetime         lifecycle.CallerConn   // timeouts
+	lastReceived     time.Duration
+	spreadPosition   float64         // position in the order of a drain, from 0 to 1
+	hasSentCalls     bool            // a message other than OPTIONS, a health check, has arrived
+	peerClosed       bool            // the caller has closed it; earlier messages may still be unread
+	unacked          unackedReleases // releases that the caller may not have read
+	unusableMessages int
+	setupRate        loop.Bucket
+	handOverID       uint32          // number under which it was handed over to the successor; 0: it was not
+	oldProcessSetups map[string]bool // call ids of set-ups pending in the old process; nil while there is none
+	oldProcess       Across          // link to the old process
+	oldProcessID     uint32          // number under which the old process handed it over
+	msg              message
+}
+
+// connState returns what the lifecycle needs to decide whether the connection is closed.
+func (c *callerConn) connState() lifecycle.ConnState {
+	isLast := c.front.process.Leaving()
+	for other := range c.front.conns {
+		if !isLast {
 			break
 		}
-		last = other == k || !other.hears()
+		isLast = other == c || !other.canReceiveReleases()
+	}
+	return lifecycle.ConnState{
+		OpenSetups: len(c.setups) + len(c.oldProcessSetups), ConnectedAt: c.lifetime.ConnectedAt(),
+		LastReceived: c.lifetime.LastReceived(), SpreadPosition: c.spreadPosition, LastForReleases: isLast,
 	}
-	return lifecycle.ConnState{OpenSetups: len(k.open) + len(k.there), ConnectedAt: k.lifetime.ConnectedAt(), LastReceived: k.lifetime.LastReceived(), SpreadPosition: k.share, LastForReleases: last}
 }
 
-// leg is one set-up as its caller sees it; it is the request's front.
-type leg struct {
-	on    *caller
-	came  time.Duration
-	route out    // what answers repeat
-	sum   uint64 // of number, class and description
+// inboundLeg is the caller's side of a set-up. It implements router.Front.
+type inboundLeg struct {
+	conn      *callerConn
+	arrivedAt time.Duration
+	routing   messageBuffer // headers that answers copy from the INVITE
+	checksum  uint64        // of number, class and description; tells a repeat from another set-up with the same id
 }
 
-func (k *caller) Opened(*loop.Conn) {}
+// Opened implements loop.Handler. Callers' connections are open from the start.
+func (c *callerConn) Opened(*loop.Conn) {}
 
-// hears says whether releases may go by the connection: to somebody who has called by it. Whoever only asks whether the router is there, or has
-// said nothing yet, may never read them.
-func (k *caller) hears() bool { return k.conn.Open() && k.calls && !k.left }
+// canReceiveReleases reports whether releases may be sent on the connection: only if calls were sent on it. A client
+// that only sends health checks, or nothing yet, may never read them.
+func (c *callerConn) canReceiveReleases() bool {
+	return c.conn.Open() && c.hasSentCalls && !c.peerClosed
+}
 
-// pay sends by the connection the releases that found none.
-func (k *caller) pay() {
-	owed := k.f.owed
-	k.f.owed = nil
-	for _, o := range owed {
-		if k.f.clock()-o.at < owedFor {
-			k.f.release(k, o.id, o.how)
+// sendPendingReleases sends the releases that wait for a connection.
+func (c *callerConn) sendPendingReleases() {
+	pending := c.front.pendingReleases
+	c.front.pendingReleases = nil
+	for _, release := range pending {
+		if c.front.clock()-release.since < pendingReleaseTTL {
+			c.front.release(c, release.id, release.outcome)
 		}
 	}
 }
 
-func (k *caller) Closed(*loop.Conn, error) {
-	delete(k.f.conns, k)
-	k.gone()
-	k.leave()
-	k.retell()
+// Closed implements loop.Handler.
+func (c *callerConn) Closed(*loop.Conn, error) {
+	delete(c.front.conns, c)
+	c.notifyOldProcess()
+	c.cancelSetups()
+	c.resendUnacked()
 }
 
-// Leaving hears that the caller has closed: nothing begins for it any more. Releases of its that are still unread are taken.
-func (k *caller) PeerClosed(*loop.Conn) {
-	k.left = true
-	k.gone()
-	k.leave()
+// Leaving implements loop.Leaver: the caller has closed the connection. No set-up is started for it any more;
+// releases that it sent before and that are still unread are handled.
+func (c *callerConn) PeerClosed(*loop.Conn) {
+	c.peerClosed = true
+	c.notifyOldProcess()
+	c.cancelSetups()
 }
 
-// retell sends the releases that the caller may not have read as it closed by other connections.
-func (k *caller) retell() {
-	for _, o := range k.told.lost(k.f.clock()) {
-		k.f.count.Retold++
-		k.f.hand(k.conn.Remote().Addr(), o.id, o.how)
+// resendUnacked sends the releases that the caller may not have read before the connection closed on other ones.
+func (c *callerConn) resendUnacked() {
+	for _, release := range c.unacked.takeLost(c.front.clock()) {
+		c.front.counters.Retold++
+		c.front.releaseFrom(c.conn.Remote().Addr(), release.id, release.outcome)
 	}
 }
 
-func (k *caller) Data(_ *loop.Conn, b []byte) int {
-	k.heard = k.f.clock()
-	k.lifetime.Received(k.heard)
-	n, err := parse(b, &k.m)
-	if err == nil && n > 0 && !begins(b[n:]) { // its length was wrong: what follows is no message
-		n, err = 0, errFrame
+// Data implements loop.Handler: it handles the message at the start of b and returns its length.
+func (c *callerConn) Data(_ *loop.Conn, b []byte) int {
+	c.lastReceived = c.front.clock()
+	c.lifetime.Received(c.lastReceived)
+	n, err := parse(b, &c.msg)
+	if err == nil && n > 0 && !startsMessage(b[n:]) { // its Content-Length was wrong
+		n, err = 0, errFraming
 	}
 	switch {
-	case err == errFrame:
-		k.refuse(400)
-		k.finish()
+	case err == errFraming:
+		c.rejectMessage(400)
+		c.finish()
 		return len(b)
 	case err != nil:
-		k.refuse(400)
+		c.rejectMessage(400)
 		return n
 	case n == 0:
-		k.lifetime.MessageBegun(k.heard)
+		c.lifetime.MessageBegun(c.lastReceived)
 		return 0
 	}
-	if len(k.m.headers) > 0 { // else it was white space between messages
-		k.f.count.Messages++
-		if len(k.there) == 0 || !k.elders(&k.m, b[:n]) {
-			k.take(&k.m)
+	if len(c.msg.headers) > 0 { // otherwise it was white space between messages
+		c.front.counters.Messages++
+		if len(c.oldProcessSetups) == 0 || !c.handleOldProcessSetup(&c.msg, b[:n]) {
+			c.handleMessage(&c.msg)
 		}
-		k.lifetime.MessageComplete()
+		c.lifetime.MessageComplete()
 	}
 	return n
 }
 
-// refuse answers a message that cannot be used. Who goes on sending such is closed.
-func (k *caller) refuse(status int) {
-	k.f.count.Malformed++
-	if string(k.m.method) != "ACK" {
-		k.answer(reply(k.f.buf[:0], status, &k.m))
+// rejectMessage answers an unusable message. After maxUnusableMessages it closes the connection.
+func (c *callerConn) rejectMessage(status int) {
+	c.front.counters.Malformed++
+	if string(c.msg.method) != "ACK" {
+		c.reply(appendReply(c.front.buf[:0], status, &c.msg))
 	}
-	if k.strikes++; k.strikes > strikesMost {
-		k.finish()
+	if c.unusableMessages++; c.unusableMessages > maxUnusableMessages {
+		c.finish()
 	}
 }
 
-// finish ends the connection so that its last answer can be read.
-func (k *caller) finish() {
-	if k.lifetime.BeginClose(k.f.clock()) {
-		k.conn.Finish()
-		k.gone()
-		k.leave()
+// finish closes the connection in such a way that the caller can read the last answer.
+func (c *callerConn) finish() {
+	if c.lifetime.BeginClose(c.front.clock()) {
+		c.conn.Finish()
+		c.notifyOldProcess()
+		c.cancelSetups()
 	}
 }
 
-// leave withdraws what is open on the connection.
-func (k *caller) leave() {
-	open := k.open
-	k.open = nil
-	for id, l := range open {
-		k.f.router.Cancel(l, id)
+// cancelSetups cancels the pending set-ups of the connection.
+func (c *callerConn) cancelSetups() {
+	setups := c.setups
+	c.setups = nil
+	for id, leg := range setups {
+		c.front.router.Cancel(leg, id)
 	}
 }
 
-func (k *caller) answer(b out) { k.final("", b, nil) }
+// reply writes a message that doesn't end a set-up.
+func (c *callerConn) reply(b messageBuffer) { c.writeFinal("", b, nil) }
 
-// final writes what ends a set-up, or with no id anything else. With a route it says that the call stands, which can be taken back.
-func (k *caller) final(id string, b, route out) {
-	switch k.f.buf = b; {
-	case k.passed > 0:
-		k.send(id, b)
+// writeFinal writes the final answer to a set-up, or any other message if id is empty. If routing is set, the answer
+// is that the call is established, which can be taken back.
+func (c *callerConn) writeFinal(id string, b, routing messageBuffer) {
+	switch c.front.buf = b; {
+	case c.handOverID > 0:
+		c.replyViaSuccessor(id, b)
 		return
-	case k.left: // nobody reads it, and a reset in answer would take what is still unread with it
+	case c.peerClosed: // the peer would answer with a reset, which discards what is still unread here
 		return
 	}
-	if route != nil {
-		k.write(b, id, threadglade.Cancelled, route)
+	if routing != nil {
+		c.writeRecallable(b, id, threadglade.Cancelled, routing)
 		return
 	}
-	k.conn.Write(b)
+	c.conn.Write(b)
 }
 
-func (k *caller) take(m *message) {
-	k.lifetime.MessageValid()
-	if !k.calls && string(m.method) != "OPTIONS" {
-		if k.calls = true; len(k.f.owed) > 0 {
-			k.pay()
+// handleMessage handles a well-formed message.
+func (c *callerConn) handleMessage(m *message) {
+	c.lifetime.MessageValid()
+	if !c.hasSentCalls && string(m.method) != "OPTIONS" {
+		if c.hasSentCalls = true; len(c.front.pendingReleases) > 0 {
+			c.sendPendingReleases()
 		}
 	}
 	switch string(m.method) {
 	case "":
-		if string(m.cmethod) == "BYE" {
-			k.told.heard(m.callID)
+		if string(m.cseqMethod) == "BYE" {
+			c.unacked.acknowledge(m.callID)
 		}
 	case "INVITE":
-		if !k.invite(m) {
-			k.refuse(400)
+		if !c.handleInvite(m) {
+			c.rejectMessage(400)
 		}
 	case "ACK":
 	case "CANCEL":
-		k.answer(reply(k.f.buf[:0], 200, m))
-		// Only whoever sent a set-up can give it up; others may name its id by chance or malice.
+		c.reply(appendReply(c.front.buf[:0], 200, m))
+		// A set-up can only be cancelled on its own connection: others may send its id by mistake or on purpose.
 		id := string(m.callID)
-		if l := k.open[id]; l != nil {
-			delete(k.open, id)
-			k.f.router.Cancel(l, id)
-			k.final(id, append(response(k.f.buf[:0], 487), l.route...).body(nil), nil)
+		if leg := c.setups[id]; leg != nil {
+			delete(c.setups, id)
+			c.front.router.Cancel(leg, id)
+			c.writeFinal(id, append(appendResponse(c.front.buf[:0], 487), leg.routing...).addBody(nil), nil)
 		}
 	case "BYE":
-		k.answer(reply(k.f.buf[:0], 200, m))
-		if hexID(m.callID) {
-			k.f.router.Release(string(m.callID))
+		c.reply(appendReply(c.front.buf[:0], 200, m))
+		if isCallID(m.callID) {
+			c.front.router.Release(string(m.callID))
 		}
 	case "OPTIONS":
 		status := 200
-		if k.f.life.Leaving() { // whoever asks sends its callers elsewhere
+		if c.front.process.Leaving() { // so that the client sends its calls to another router
 			status = 503
 		}
-		k.answer(reply(k.f.buf[:0], status, m))
+		c.reply(appendReply(c.front.buf[:0], status, m))
 	default:
-		k.refuse(501)
-	}
-}
-
-// invite takes a set-up; false if it cannot be used. All is checked here that a case server would stumble over, for
-// its error, or its close, would cost other callers.
-func (k *caller) invite(m *message) bool {
-	class := k.f.classes[string(m.get("call-kind"))]
-	called := user(m.uri)
-	ms, ok := number(m.get("answer-within"))
-	within := time.Duration(ms) * time.Millisecond
-	mark := string(m.get("repeat-mark"))
-	// No try of a caller may last longer than its class goes on trying.
-	if !ok || class == nil || within <= 0 || within > class.Deadline || !hexID(m.callID) || !dialable(called) ||
-		mark != "" && mark != "0" && mark != "1" || !sound(m.body) || len(m.body) > descriptionMost {
+		c.rejectMessage(501)
+	}
+}
+
+// handleInvite handles a set-up. It returns false if the set-up is invalid. Everything that a case server might fail
+// on is validated here, because an error or a close of its connection would affect other callers.
+func (c *callerConn) handleInvite(m *message) bool {
+	class := c.front.classes[string(m.headerValue("call-kind"))]
+	called := userPart(m.uri)
+	withinMs, ok := parseNumber(m.headerValue("answer-within"))
+	within := time.Duration(withinMs) * time.Millisecond
+	repeatMark := string(m.headerValue("repeat-mark"))
+	// A set-up may not wait longer than its class's deadline.
+	if !ok || class == nil || within <= 0 || within > class.Deadline || !isCallID(m.callID) || !isDialable(called) ||
+		repeatMark != "" && repeatMark != "0" && repeatMark != "1" ||
+		!isValidDescription(m.body) || len(m.body) > maxDescriptionSize {
 		return false
 	}
-	destination, ok := figures(m.get("routing-data"), class)
+	destination, ok := parseRoutingData(m.headerValue("routing-data"), class)
 	if !ok {
 		return false
 	}
-	if k.left {
-		k.f.count.Forsaken++
+	if c.peerClosed {
+		c.front.counters.Forsaken++
 		return true
 	}
 	id := string(m.callID)
-	sum := maphash.Bytes(k.f.seed, m.body) ^ maphash.Bytes(k.f.seed, called) ^ maphash.String(k.f.seed, class.Name)
-	if l := k.open[id]; l != nil {
-		return l.sum == sum // a repeat of one that is being worked on needs no answer of its own
+	checksum := maphash.Bytes(c.front.hashSeed, m.body) ^ maphash.Bytes(c.front.hashSeed, called) ^
+		maphash.String(c.front.hashSeed, class.Name)
+	if leg := c.setups[id]; leg != nil {
+		return leg.checksum == checksum // a repeat of a pending set-up gets no answer of its own
 	}
-	flooded := !k.rate.Take(k.heard)
-	if flooded || k.f.life.RefusesSetup(k.heard, k.state()) {
+	flooded := !c.setupRate.Take(c.lastReceived)
+	if flooded || c.front.process.RefusesSetup(c.lastReceived, c.connState()) {
 		if flooded {
-			k.f.count.Flooded++
+			c.front.counters.Flooded++
 		} else {
-			k.f.count.Drained++
+			c.front.counters.Drained++
 		}
-		b := response(k.f.buf[:0], 503).route(m)
-		if k.f.wait > 0 {
-			b = b.headInt("Come-Back-Ms", k.f.wait.Milliseconds())
+		b := appendResponse(c.front.buf[:0], 503).addRouting(m)
+		if c.front.floodRetryAfter > 0 {
+			b = b.addIntHeader("Come-Back-Ms", c.front.floodRetryAfter.Milliseconds())
 		}
-		k.answer(b.body(nil))
+		c.reply(b.addBody(nil))
 		return true
 	}
-	l := &leg{on: k, came: k.heard, route: out(nil).route(m), sum: sum}
-	if k.open == nil {
-		k.open = map[string]*leg{}
+	leg := &inboundLeg{
+		conn: c, arrivedAt: c.lastReceived, routing: messageBuffer(nil).addRouting(m), checksum: checksum,
+	}
+	if c.setups == nil {
+		c.setups = map[string]*inboundLeg{}
 	}
-	k.open[id] = l
-	k.f.router.Arrive(l, router.Request{ID: id, Class: class.Name, Tenant: string(m.get("charged-party")),
-		Number: string(called), Description: m.body, Destination: destination, Retry: mark == "1",
-		Deadline: k.heard + within - answerEarly, Caller: k.conn.Remote().Addr(), Front: "sip"})
+	c.setups[id] = leg
+	c.front.router.Arrive(leg, router.Request{ID: id, Class: class.Name, Tenant: string(m.headerValue("charged-party")),
+		Number: string(called), Description: m.body, Destination: destination, Retry: repeatMark == "1",
+		Deadline: c.lastReceived + within - callerClockMargin, Caller: c.conn.Remote().Addr(), Front: "sip"})
 	return true
 }
 
-// figures reads Routing-Data; false if it holds anything but whole numbers, or a server or width that the class does
-// not have.
-func figures(text []byte, class *threadglade.Class) (destination int, ok bool) {
+// parseRoutingData parses the Routing-Data header and returns the requested server, or -1. It returns false if a
+// value is not a whole number, or names a server or a number of circuits that the class does not have.
+func parseRoutingData(text []byte, class *threadglade.Class) (destination int, ok bool) {
 	destination = -1
 	if text == nil {
 		return destination, true
 	}
-	for one := range bytes.SplitSeq(text, []byte(";")) {
-		name, value, _ := bytes.Cut(one, []byte(":"))
+	for entry := range bytes.SplitSeq(text, []byte(";")) {
+		name, value, _ := bytes.Cut(entry, []byte(":"))
 		digits, negative := bytes.CutPrefix(bytes.TrimSpace(value), []byte("-"))
-		n, ok := number(digits)
+		n, ok := parseNumber(digits)
 		if negative {
 			n = -n
 		}
@@ -626,38 +685,46 @@
 
 // ---- router.Front ----
 
-func (l *leg) final(id string, b, route out) {
-	if delete(l.on.open, id); len(l.on.open) == 0 {
-		l.on.open = nil
+// sendFinal sends the final answer, and closes the connection if a drain or shutdown was waiting for it.
+func (l *inboundLeg) sendFinal(id string, b, routing messageBuffer) {
+	if delete(l.conn.setups, id); len(l.conn.setups) == 0 {
+		l.conn.setups = nil
 	}
-	l.on.f.count.Answers++
-	l.on.final(id, b, route)
-	if l.on.f.life.ShouldCloseAnswered(l.on.f.clock(), l.on.state()) && !l.on.lifetime.Closing() {
-		l.on.f.count.Let++
-		l.on.finish()
+	l.conn.front.counters.Answers++
+	l.conn.writeFinal(id, b, routing)
+	if l.conn.front.process.ShouldCloseAnswered(l.conn.front.clock(), l.conn.connState()) &&
+		!l.conn.lifetime.Closing() {
+		l.conn.front.counters.Let++
+		l.conn.finish()
 	}
 }
 
-func (l *leg) Established(id string, description []byte) {
-	l.final(id, append(response(l.on.f.buf[:0], 200), l.route...).body(description), l.route)
-	l.route = nil
+// Established implements router.Front.
+func (l *inboundLeg) Established(id string, description []byte) {
+	l.sendFinal(id, append(appendResponse(l.conn.front.buf[:0], 200), l.routing...).addBody(description), l.routing)
+	l.routing = nil
 }
 
-func (l *leg) Refused(id string, retryAfter time.Duration) {
-	b := append(response(l.on.f.buf[:0], 503), l.route...)
+// Refused implements router.Front.
+func (l *inboundLeg) Refused(id string, retryAfter time.Duration) {
+	b := append(appendResponse(l.conn.front.buf[:0], 503), l.routing...)
 	if retryAfter > 0 {
-		b = b.headInt("Come-Back-Ms", int64((retryAfter+time.Millisecond-1)/time.Millisecond))
+		b = b.addIntHeader("Come-Back-Ms", int64((retryAfter+time.Millisecond-1)/time.Millisecond))
 	}
-	l.final(id, b.body(nil), nil)
+	l.sendFinal(id, b.addBody(nil), nil)
 }
 
-func (l *leg) Failed(id string, why router.Failure) {
+// Failed implements router.Front.
+func (l *inboundLeg) Failed(id string, reason router.Failure) {
 	status := 500
-	if why == router.DuplicateID { // the id is another request's, which goes on
-		l.on.f.count.Malformed++
+	if reason == router.DuplicateID { // another request with that id goes on
+		l.conn.front.counters.Malformed++
 		status = 400
 	}
-	l.final(id, append(response(l.on.f.buf[:0], status), l.route...).body(nil), nil)
+	l.sendFinal(id, append(appendResponse(l.conn.front.buf[:0], status), l.routing...).addBody(nil), nil)
 }
 
-func (l *leg) Released(id string, how threadglade.Outcome) { l.on.f.release(l.on, id, how) }
+// Released implements router.Front.
+func (l *inboundLeg) Released(id string, outcome threadglade.Outcome) {
+	l.conn.front.release(l.conn, id, outcome)
+}
--- a/internal/sip/message_test.go
+++ b/internal/sip/message_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzParse guards the parser against anything that a connection may carry: it never panics, never takes more than
-// there is, and takes the same from a message that comes whole as from one that comes byte by byte.
+// FuzzParse guards the parser against arbitrary input: it must not panic or consume more bytes than there are, and
+// must parse a message that arrives byte by byte like one that arrives at once.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		"INVITE sip:1@net SIP/2.0\r\nCall-ID: a\r\nCSeq: 1 INVITE\r\nContent-Length: 2\r\n\r\nhi",
@@ -22,8 +22,8 @@
 		var whole, parts message
 		n, err := parse(bytes.Clone(b), &whole)
 		require.LessOrEqual(t, n, len(b))
-		user(whole.uri)
-		field(whole.get("link-state"), "x0")
+		userPart(whole.uri)
+		parseField(whole.headerValue("link-state"), "x0")
 		if n == 0 || err != nil || len(whole.headers) == 0 {
 			return
 		}
--- a/internal/sip/trunk.go
+++ b/internal/sip/trunk.go
@@ -17,146 +17,178 @@
 )
 
 const (
-	// redialAfter is the pause between two tries to connect to a listed server.
-	redialAfter = 250 * time.Millisecond
-	// deadAfter is how long a server must have been out of reach before its calls count as cut.
-	deadAfter = 2 * time.Second
-	// watchEvery is how often servers are looked at.
-	watchEvery = 100 * time.Millisecond
-	// answerWithin is how long a message of a server may take from its first byte until it is whole. Servers write
-	// one at once; what stops short will not go on, nor will anything else on that connection.
-	answerWithin = 200 * time.Millisecond
-	// deadFor is how long the other side has to end a connection that this one has ended.
-	deadFor = 500 * time.Millisecond
-	// givenFor is how long an attempt that was given up is known, in case its answer has crossed the CANCEL.
-	givenFor = 15 * time.Second
-	// complainEvery is how often a server that sends what cannot be read is named in the log.
-	complainEvery = time.Second
-	// owedMost releases may wait for a connection to a server that is out of reach.
-	owedMost = 1000
-	// stuckFor is how long the rest of a set-up whose caller has gone may wait to be written: within 0.1 s nothing begins for it any more.
-	stuckFor = 90 * time.Millisecond
-	// oldMost connections that have been replaced may be left where one more is opened for a server that does not read: it is told of four at most.
-	oldMost = 2
-	// agentsMost is more than any server has.
-	agentsMost = 1 << 20
+	// redialDelay is the minimum interval between two attempts to connect to a server.
+	redialDelay = 250 * time.Millisecond
+	// deadServerTimeout is how long a server must be unreachable before its calls are considered cut.
+	deadServerTimeout = 2 * time.Second
+	// watchInterval is the interval at which servers are checked.
+	watchInterval = 100 * time.Millisecond
+	// partialMessageTimeout is how long a message of a server may take from its first byte to its last. Servers write
+	// a message at once, so one that stops short will not be continued, nor will anything else arrive on that
+	// connection.
+	partialMessageTimeout = 200 * time.Millisecond
+	// peerCloseTimeout is how long the server has to close a connection after it was half-closed here.
+	peerCloseTimeout = 500 * time.Millisecond
+	// cancelledAttemptTTL is how long a cancelled attempt is remembered, in case its answer crosses the CANCEL.
+	cancelledAttemptTTL = 15 * time.Second
+	// malformedLogInterval limits how often connections of one server that are closed as unusable are logged.
+	malformedLogInterval = time.Second
+	// maxPendingReleases may wait for a connection to an unreachable server.
+	maxPendingReleases = 1000
+	// blockedSetupTimeout is how long a partly written set-up may stay unwritten after it was cancelled. No call may
+	// begin at a server later than 0.1 s after its caller has gone.
+	blockedSetupTimeout = 90 * time.Millisecond
+	// maxReplacedConns is the number of replaced connections from which on no further connection is opened to a
+	// server that doesn't read. With the current and the one being opened it has at most four.
+	maxReplacedConns = 2
+	// maxAgents is the upper limit of plausible reports of a server's agents.
+	maxAgents = 1 << 20
 )
 
-// errSpoilt is why a connection is closed whose last message is not what its server meant to send: what else it
-// would carry cannot be told either.
-var errSpoilt = errors.New("spoilt message")
+// errCorrupt closes a connection on which a message arrived truncated or with a wrong length, so that the start of
+// the next message is unknown.
+var errCorrupt = errors.New("spoilt message")
 
-// errMute is why a connection is closed that says nothing while its server speaks on a newer one: no answer will come on it.
-var errMute = errors.New("silent connection")
+// errUnresponsive closes a connection that is silent while its server sends on a newer one: no answer will arrive on
+// it.
+var errUnresponsive = errors.New("silent connection")
 
-// errStuck is why a connection is closed whose server does not read, with part of a set-up written that nobody wants any more.
-var errStuck = errors.New("stuck connection")
+// errBlocked closes a connection whose server doesn't read, with a cancelled set-up partly written on it.
+var errBlocked = errors.New("connection blocked by a cancelled set-up")
 
-// Server is an entry of the server list with its address.
+// Server is an entry of the server list with its SIP address.
 type Server struct {
 	threadglade.Server
 	Addr netip.AddrPort
 }
 
-// TrunkConfig is what a Trunk needs.
+// TrunkConfig configures a Trunk. Loop and Clock are required.
 type TrunkConfig struct {
 	Loop           *loop.Loop
 	Clock          router.Clock
-	ConnectTimeout time.Duration // from the settings
-	Free, Total    string        // names of the figures in a server's state
+	ConnectTimeout time.Duration
+	Free           string // name of the field with the free agents in a server's state report
+	Total          string // name of the field with all agents
 	Log            zerolog.Logger
-	Loads          bool // what servers report of their processors is passed on
+	Loads          bool // pass servers' load reports on to the router
 }
 
-// Trunk carries attempts to case servers. A server is its id: an address may come to belong to another one.
+// Trunk sends attempts to case servers and reports their outcome to the router. It implements router.Trunk. A server
+// is identified by its id, as its address may be assigned to another one later. A Trunk runs on the event loop's
+// goroutine; no method may be called from another one.
 type Trunk struct {
-	cfg    TrunkConfig
-	router *router.Router
-	peers  map[string]*peer
-	legs   map[string]*outLeg // the one attempt of each call that is out or stands
-	given  map[string]given   // attempts that were given up unanswered
-	fresh  []*outLeg          // leave once all that has come was taken: it may withdraw them
-	rests  bool               // no connection is opened but for a set-up
-	buf    out
-	count  TrunkCounters
+	cfg       TrunkConfig
+	router    *router.Router
+	peers     map[string]*serverPeer
+	legs      map[string]*outboundLeg     // the one pending or established attempt of each call, by call id
+	cancelled map[string]cancelledAttempt // attempts cancelled before their answer, by call id
+	unsent    []*outboundLeg              // attempts for the next Flush; input handled before may withdraw them
+	closing   bool                        // connections are only opened for pending set-ups
+	buf       messageBuffer
+	counters  TrunkCounters
 }
 
-// given is an attempt that was given up on a line.
-type given struct {
-	on *line
-	at time.Duration
+// cancelledAttempt is an attempt whose CANCEL was sent on conn.
+type cancelledAttempt struct {
+	conn  *serverConn
+	since time.Duration
 }
 
-// TrunkCounters count what went to case servers and came from them. Peers, Legs and Given are what is held now.
+// TrunkCounters counts the traffic with case servers since the start. Peers, Legs and Given are current values.
 type TrunkCounters struct {
-	Dials, DialsFailed, Opened, Closed, Invites, Unsent, Cancels, Withdrawn, Releases, Messages, Malformed, Cut, Salvaged, States, Crossed, Unknown, Silent, Mute, Blocked, Stuck, Retold uint64
-	Peers, Legs, Given                                                                                                                                                                    int
-}
-
-// peer is one server and the connections to it.
-type peer struct {
-	t         *Trunk
-	server    Server
-	gone      bool
-	line      *line   // where new set-ups go; nil while there is none
-	dial      *line   // connecting
-	old       []*line // replaced, but with attempts on them
-	lastDial  time.Duration
-	lostSince time.Duration // out of reach since then; 0: in reach
-	pending   []*outLeg     // wait for a connection
-	owed      []string      // calls to be released that found no connection
-	legs      int           // attempts of it in Trunk.legs
-	complains time.Duration // when it was last named in the log for what it sent
-	reports   silence.ReportIntervals
-}
-
-// line is one connection to a peer.
-type line struct {
-	p     *peer
-	conn  *loop.Conn
-	since time.Duration // when it was opened
-	sound silence.Connection
-	by    time.Duration // when the message that has begun must be whole, or a dead line closed; 0: neither
-	dead  bool          // something spoilt came on it, or it went silent
-	left  bool          // its server has closed, though something that it sent before may be unread
-	until time.Duration // replaced and unused, it has been told its end, for which it has so long; 0: it has not
-	mute  *line         // the line before, which has said nothing for too long
-	part  *outLeg       // written in part when the server stopped reading; nil: none is
-	told  unheard
-	m     message
-}
-
-// outLeg is one attempt as the case server sees it.
-type outLeg struct {
+	Dials       uint64 // attempts to connect
+	DialsFailed uint64
+	Opened      uint64 // connections opened
+	Closed      uint64 // opened connections closed
+	Invites     uint64 // INVITEs written
+	Unsent      uint64 // INVITEs that never left this process, also because they were taken back
+	Cancels     uint64 // CANCELs of attempts
+	Withdrawn   uint64 // CANCELs of set-ups of another router
+	Releases    uint64 // BYEs written
+	Messages    uint64 // well-formed messages received
+	Malformed   uint64 // connections closed because of a corrupt message
+	Cut         uint64 // attempts cut on connections that became unusable
+	Salvaged    uint64 // releases found behind a corrupt message
+	States      uint64 // state reports
+	Crossed     uint64 // positive answers that crossed a CANCEL
+	Unknown     uint64 // answers without a matching attempt
+	Silent      uint64 // connections opened to probe a silent server
+	Mute        uint64 // unresponsive connections replaced by a newer one
+	Blocked     uint64 // set-ups that waited because their server did not read
+	Stuck       uint64 // connections closed because a cancelled set-up was partly written
+	Retold      uint64 // releases sent again because their connection closed before they were acknowledged
+	Peers       int    // servers
+	Legs        int    // attempts pending or established
+	Given       int    // cancelled attempts remembered
+}
+
+// serverPeer is a server and the connections to it.
+type serverPeer struct {
+	trunk             *Trunk
+	server            Server
+	removed           bool
+	conn              *serverConn   // for new set-ups; nil while there is none
+	dialing           *serverConn   // being opened; nil: none
+	replaced          []*serverConn // former connections that are still open
+	lastDial          time.Duration
+	unreachableSince  time.Duration  // when it became unreachable; 0: it is reachable
+	pending           []*outboundLeg // attempts that wait for a connection
+	pendingReleases   []string       // ids of calls whose release waits for a connection
+	legCount          int            // its attempts in Trunk.legs
+	malformedLoggedAt time.Duration  // when an unusable connection was last logged; 0: never
+	reportIntervals   silence.ReportIntervals
+}
+
+// serverConn is one connection to a server. It implements loop.Handler, loop.Leaver and loop.Drainer.
+type serverConn struct {
+	peer          *serverPeer
+	conn          *loop.Conn
+	openedAt      time.Duration
+	silence       silence.Connection
+	deadline      time.Duration // of the message in progress, or if unusable of the server's close; 0: none
+	unusable      bool          // a corrupt message arrived on it, or it was found unresponsive
+	peerClosed    bool          // the server has closed it; earlier messages may still be unread
+	closeDeadline time.Duration // of the server's close, once half-closed as unused; 0: it was not
+	predecessor   *serverConn   // the connection that it replaces because of its silence; nil: none
+	partialSetup  *outboundLeg  // last set-up, written in part as the server doesn't read; nil: none
+	unacked       unackedReleases
+	msg           message
+}
+
+// outboundLeg is the server's side of a set-up: one attempt.
+type outboundLeg struct {
 	router.Attempt
-	p        *peer
-	on       *line // nil while it waits for a connection
-	by       time.Duration
-	sent     time.Duration
-	standing bool
+	peer            *serverPeer
+	conn            *serverConn // nil until the INVITE is written
+	connectDeadline time.Duration
+	sentAt          time.Duration
+	established     bool
 }
 
-// NewTrunk makes a trunk; Start gives it its router.
+// NewTrunk returns a trunk without servers. Start must be called before any other method.
 func NewTrunk(cfg TrunkConfig) *Trunk {
-	return &Trunk{cfg: cfg, peers: map[string]*peer{}, legs: map[string]*outLeg{}, given: map[string]given{}}
+	return &Trunk{
+		cfg: cfg, peers: map[string]*serverPeer{}, legs: map[string]*outboundLeg{},
+		cancelled: map[string]cancelledAttempt{},
+	}
 }
 
-// Start begins to watch the servers.
+// Start sets the router and begins the periodic checks of servers.
 func (t *Trunk) Start(r *router.Router) {
 	t.router = r
-	t.watch()
+	t.checkServers()
 }
 
-// Counters returns a copy.
+// Counters returns a copy of the counters.
 func (t *Trunk) Counters() TrunkCounters {
-	t.count.Peers, t.count.Legs, t.count.Given = len(t.peers), len(t.legs), len(t.given)
-	return t.count
+	t.counters.Peers, t.counters.Legs, t.counters.Given = len(t.peers), len(t.legs), len(t.cancelled)
+	return t.counters
 }
 
-// Reached says whether every server that takes set-ups has told something on a connection.
+// AllReached reports whether every server that takes set-ups has sent data on its current connection.
 func (t *Trunk) Reached() bool {
-	for _, p := range t.peers {
-		if p.server.State == threadglade.Up && (p.line == nil || !p.line.sound.HasReceived()) {
+	for _, peer := range t.peers {
+		if peer.server.State == threadglade.Up && (peer.conn == nil || !peer.conn.silence.HasReceived()) {
 			return false
 		}
 	}
@@ -165,705 +197,741 @@
 
 // ---- the server list ----
 
-// List takes the whole list. A server that it does not name is gone.
+// UpdateServers replaces the server list. It connects to new servers, reconnects to moved and restarted ones, and
+// cuts the attempts of servers that are not listed any more.
 func (t *Trunk) List(servers []Server) {
 	named := map[string]bool{}
-	for _, s := range servers {
-		named[s.ID] = s.State != threadglade.Removed
-		if s.State == threadglade.Removed {
+	for _, server := range servers {
+		named[server.ID] = server.State != threadglade.Removed
+		if server.State == threadglade.Removed {
 			continue
 		}
-		p := t.peers[s.ID]
-		if p == nil {
-			p = &peer{t: t}
-			t.peers[s.ID] = p
-			p.server = s
-			p.connect()
+		peer := t.peers[server.ID]
+		if peer == nil {
+			peer = &serverPeer{trunk: t}
+			t.peers[server.ID] = peer
+			peer.server = server
+			peer.connect()
 			continue
 		}
-		old := p.server
-		p.server, p.gone = s, false
+		old := peer.server
+		peer.server, peer.removed = server, false
 		switch {
-		case old.Addr != s.Addr:
-			t.cfg.Log.Info().Str("event", "server_moved").Str("server", s.ID).Stringer("address", s.Addr).
-				Msgf("server %s has moved to %s", s.ID, s.Addr)
-			p.cutAll(func(l *outLeg) bool { return l.on != nil })
-			p.hangUp()
-			p.connect()
-		case old.Started != s.Started:
-			t.cfg.Log.Info().Str("event", "server_restarted").Str("server", s.ID).Msgf("server %s started anew", s.ID)
-			p.restarted(s.Started)
-		}
-	}
-	for id, p := range t.peers {
-		if !named[id] && !p.gone {
-			p.gone = true
-			cut := p.cutAll(func(*outLeg) bool { return true })
+		case old.Addr != server.Addr:
+			t.cfg.Log.Info().Str("event", "server_moved").Str("server", server.ID).Stringer("address", server.Addr).
+				Msgf("server %s has moved to %s", server.ID, server.Addr)
+			peer.cutLegs(func(leg *outboundLeg) bool { return leg.conn != nil })
+			peer.closeConns()
+			peer.connect()
+		case old.Started != server.Started:
+			t.cfg.Log.Info().Str("event", "server_restarted").Str("server", server.ID).
+				Msgf("server %s started anew", server.ID)
+			peer.handleRestart(server.Started)
+		}
+	}
+	for id, peer := range t.peers {
+		if !named[id] && !peer.removed {
+			peer.removed = true
+			cut := peer.cutLegs(func(*outboundLeg) bool { return true })
 			t.cfg.Log.Info().Str("event", "server_gone").Str("server", id).Int("cut", cut).
 				Msgf("server %s is gone, %d attempts cut", id, cut)
-			p.hangUp()
+			peer.closeConns()
 			delete(t.peers, id)
 		}
 	}
 }
 
-// restarted drops what belonged to the process before.
-func (p *peer) restarted(at time.Duration) {
-	p.cutAll(func(l *outLeg) bool { return l.on != nil && l.on.since < at })
-	if p.line != nil && p.line.since < at {
-		p.hangUp()
+// handleRestart cuts the attempts and closes the connection of the server's previous incarnation.
+func (p *serverPeer) handleRestart(startedAt time.Duration) {
+	p.cutLegs(func(leg *outboundLeg) bool { return leg.conn != nil && leg.conn.openedAt < startedAt })
+	if p.conn != nil && p.conn.openedAt < startedAt {
+		p.closeConns()
 	}
-	if p.line == nil {
+	if p.conn == nil {
 		p.connect()
 	}
 }
 
-func (p *peer) hangUp() {
-	lines := append(p.old, p.line, p.dial)
-	p.line, p.dial, p.old = nil, nil, nil
-	for _, l := range lines {
-		if l != nil {
-			l.conn.Close(loop.ErrClosedLocally)
+// closeConns closes all connections to the server.
+func (p *serverPeer) closeConns() {
+	conns := append(p.replaced, p.conn, p.dialing)
+	p.conn, p.dialing, p.replaced = nil, nil, nil
+	for _, conn := range conns {
+		if conn != nil {
+			conn.conn.Close(loop.ErrClosedLocally)
 		}
 	}
 }
 
-// retire takes the present line out of use. It stays open for what is out on it.
-func (p *peer) retire() {
-	if p.line != nil {
-		p.old = append(p.old, p.line)
-		p.line = nil
+// retire takes the current connection out of use. It stays open for the attempts that are pending on it.
+func (p *serverPeer) retire() {
+	if p.conn != nil {
+		p.replaced = append(p.replaced, p.conn)
+		p.conn = nil
 	}
 }
 
-// tidy closes replaced lines that nothing is on any more.
-func (p *peer) tidy() {
-	if len(p.old) == 0 {
+// closeUnused closes replaced connections that have no pending attempts any more.
+func (p *serverPeer) closeUnused() {
+	if len(p.replaced) == 0 {
 		return
 	}
-	used := map[*line]bool{}
-	for _, l := range p.t.legs {
-		used[l.on] = !l.standing || used[l.on]
+	used := map[*serverConn]bool{}
+	for _, leg := range p.trunk.legs {
+		used[leg.conn] = !leg.established || used[leg.conn]
 	}
-	lines := p.old
-	p.old = nil
-	for _, l := range lines {
-		now := p.t.cfg.Clock()
+	conns := p.replaced
+	p.replaced = nil
+	for _, conn := range conns {
+		now := p.trunk.cfg.Clock()
 		switch {
-		case used[l] && l.conn.Open(), l.dead && l.by > now, l.until > now:
-			p.old = append(p.old, l)
-		case l.until == 0 && !l.dead && l.conn.Open():
-			// The end is told first and then awaited: releases of calls that stand may be on their way.
-			l.until = now + deadFor
-			l.conn.CloseWrite()
-			p.old = append(p.old, l)
+		case used[conn] && conn.conn.Open(), conn.unusable && conn.deadline > now, conn.closeDeadline > now:
+			p.replaced = append(p.replaced, conn)
+		case conn.closeDeadline == 0 && !conn.unusable && conn.conn.Open():
+			// Releases of established calls may be on their way, so it is half-closed until the server closes too.
+			conn.closeDeadline = now + peerCloseTimeout
+			conn.conn.CloseWrite()
+			p.replaced = append(p.replaced, conn)
 		default:
-			l.conn.Close(loop.ErrClosedLocally)
+			conn.conn.Close(loop.ErrClosedLocally)
 		}
 	}
 }
 
-// Renew opens a new connection to every server: what one has had to tell a process that is gone, and was not heard, it tells on the
-// next connection that opens.
+// Reconnect opens a new connection to every server. A server sends the releases that a process which has gone did not
+// acknowledge on the next connection that opens.
 func (t *Trunk) Renew() {
-	for _, p := range t.peers {
-		p.connect()
+	for _, peer := range t.peers {
+		peer.connect()
 	}
 }
 
-// Rest tells servers the end of every connection, as a process does that ends while another one of this router serves: what they have written is read until they end, too, and what they have to say
-// from then on they say to the other.
+// HalfCloseAll half-closes all connections, as a process does that ends while another process of this router serves.
+// Messages of a server are still read until it closes its side too; later ones it sends to the other process.
 func (t *Trunk) Rest() {
-	t.rests = true
-	for _, p := range t.peers {
-		p.retire()
-		for _, l := range p.old {
-			if l.until == 0 && !l.dead && l.conn.Open() {
-				l.until = t.cfg.Clock() + deadFor
-				l.conn.CloseWrite()
+	t.closing = true
+	for _, peer := range t.peers {
+		peer.retire()
+		for _, conn := range peer.replaced {
+			if conn.closeDeadline == 0 && !conn.unusable && conn.conn.Open() {
+				conn.closeDeadline = t.cfg.Clock() + peerCloseTimeout
+				conn.conn.CloseWrite()
 			}
 		}
 	}
 }
 
-// Resting says whether a server has still to end a connection whose end it was told, and has time to.
+// HalfClosing reports whether a half-closed connection still waits for the server's close, within peerCloseTimeout.
 func (t *Trunk) Resting() bool {
-	for _, p := range t.peers {
-		if slices.ContainsFunc(p.old, func(l *line) bool { return l.until > t.cfg.Clock() }) {
+	for _, peer := range t.peers {
+		if slices.ContainsFunc(peer.replaced, func(conn *serverConn) bool {
+			return conn.closeDeadline > t.cfg.Clock()
+		}) {
 			return true
 		}
 	}
 	return false
 }
 
-// cutAll ends those of the peer's attempts that match, as if they had been reset, and counts them. What is
-// unanswered is given up on the wire in the same moment, for the wait before the next attempt begins now.
-func (p *peer) cutAll(match func(*outLeg) bool) (count int) {
-	for _, l := range p.t.legs {
-		if l.p == p && match(l) {
-			p.t.cancel(l)
-			p.t.end(l, threadglade.Cut, threadglade.CauseNone)
+// cutLegs ends the server's matching attempts as cut and returns their number. Unanswered ones are cancelled on the
+// wire at once, because the delay before the next attempt begins now.
+func (p *serverPeer) cutLegs(match func(*outboundLeg) bool) (count int) {
+	for _, leg := range p.trunk.legs {
+		if leg.peer == p && match(leg) {
+			p.trunk.cancelLeg(leg)
+			p.trunk.endLeg(leg, threadglade.Cut, threadglade.CauseNone)
 			count++
 		}
 	}
-	p.tidy()
+	p.closeUnused()
 	return count
 }
 
-// watch looks after every server: it redials, notices silence and gives up the calls of a dead one.
-func (t *Trunk) watch() {
+// checkServers checks every server and drops expired cancelled attempts. It schedules itself again.
+func (t *Trunk) checkServers() {
 	now := t.cfg.Clock()
-	for _, p := range t.peers {
-		p.look(now)
+	for _, peer := range t.peers {
+		peer.check(now)
 	}
-	for id, g := range t.given {
-		if now-g.at >= givenFor {
-			delete(t.given, id)
+	for id, attempt := range t.cancelled {
+		if now-attempt.since >= cancelledAttemptTTL {
+			delete(t.cancelled, id)
 		}
 	}
-	t.router.Schedule(now+watchEvery, t.watch)
+	t.router.Schedule(now+watchInterval, t.checkServers)
 }
 
-func (p *peer) look(now time.Duration) {
-	p.tidy()
-	for _, l := range append([]*line{p.line}, p.old...) {
-		if l != nil && l.by > 0 && now >= l.by && !l.dead {
-			l.spoilt(errSpoilt)
+// check closes unused connections and those with an incomplete message, fails attempts that have waited too long for
+// a connection, reconnects if the server is not connected or silent, and cuts its calls after deadServerTimeout.
+func (p *serverPeer) check(now time.Duration) {
+	p.closeUnused()
+	for _, conn := range append([]*serverConn{p.conn}, p.replaced...) {
+		if conn != nil && conn.deadline > 0 && now >= conn.deadline && !conn.unusable {
+			conn.closeCorrupt(errCorrupt)
 		}
 	}
-	if p.dial != nil && now-p.lastDial >= p.t.cfg.ConnectTimeout {
-		p.dial.conn.Close(loop.ErrDialTimeout)
+	if p.dialing != nil && now-p.lastDial >= p.trunk.cfg.ConnectTimeout {
+		p.dialing.conn.Close(loop.ErrDialTimeout)
 	}
-	for _, l := range append([]*outLeg(nil), p.pending...) {
-		if now >= l.by {
-			p.t.end(l, threadglade.Unreachable, threadglade.CauseNone)
+	for _, leg := range append([]*outboundLeg(nil), p.pending...) {
+		if now >= leg.connectDeadline {
+			p.trunk.endLeg(leg, threadglade.Unreachable, threadglade.CauseNone)
 		}
 	}
-	if p.dial == nil && now-p.lastDial >= redialAfter {
+	if p.dialing == nil && now-p.lastDial >= redialDelay {
 		switch {
-		case p.line == nil:
+		case p.conn == nil:
 			p.connect()
-		case p.legs > 0 && p.line.sound.NeedsProbe(now) || p.line.sound.MissedReport(now, &p.reports):
-			p.t.count.Silent++
+		case p.legCount > 0 && p.conn.silence.NeedsProbe(now) ||
+			p.conn.silence.MissedReport(now, &p.reportIntervals):
+			p.trunk.counters.Silent++
 			p.connect()
 		}
 	}
-	if p.lostSince > 0 && now-p.lostSince > deadAfter && p.legs > 0 {
-		// What waits for a connection has its own, shorter time.
-		if n := p.cutAll(func(l *outLeg) bool { return l.on != nil }); n > 0 {
-			p.t.cfg.Log.Warn().Str("event", "server_dead").Str("server", p.server.ID).Int("cut", n).
-				Msgf("server %s has been out of reach for %v, %d attempts cut", p.server.ID, deadAfter, n)
+	if p.unreachableSince > 0 && now-p.unreachableSince > deadServerTimeout && p.legCount > 0 {
+		// Attempts that wait for a connection have their own, shorter timeout.
+		if n := p.cutLegs(func(leg *outboundLeg) bool { return leg.conn != nil }); n > 0 {
+			p.trunk.cfg.Log.Warn().Str("event", "server_dead").Str("server", p.server.ID).Int("cut", n).
+				Msgf("server %s has been out of reach for %v, %d attempts cut", p.server.ID, deadServerTimeout, n)
 		}
 	}
 }
 
-// connect opens a connection that takes the place of the present one once it is up.
-func (p *peer) connect() {
-	if p.dial != nil || p.gone || p.t.rests && len(p.pending) == 0 {
+// connect opens a connection, which replaces the current one once it is established.
+func (p *serverPeer) connect() {
+	if p.dialing != nil || p.removed || p.trunk.closing && len(p.pending) == 0 {
 		return
 	}
-	p.t.count.Dials++
-	p.lastDial = p.t.cfg.Clock()
-	p.dial = &line{p: p}
-	p.dial.conn = p.t.cfg.Loop.Dial(p.server.Addr, p.dial)
-}
-
-func (l *line) Opened(*loop.Conn) {
-	p := l.p
-	now := p.t.cfg.Clock()
-	l.since = now
-	l.sound.Opened(now)
-	p.t.count.Opened++
-	if p.dial != l {
-		l.conn.Close(loop.ErrClosedLocally)
+	p.trunk.counters.Dials++
+	p.lastDial = p.trunk.cfg.Clock()
+	p.dialing = &serverConn{peer: p}
+	p.dialing.conn = p.trunk.cfg.Loop.Dial(p.server.Addr, p.dialing)
+}
+
+// Opened implements loop.Handler.
+func (c *serverConn) Opened(*loop.Conn) {
+	peer := c.peer
+	now := peer.trunk.cfg.Clock()
+	c.openedAt = now
+	c.silence.Opened(now)
+	peer.trunk.counters.Opened++
+	if peer.dialing != c {
+		c.conn.Close(loop.ErrClosedLocally)
 		return
 	}
-	if p.lostSince > 0 {
-		p.t.cfg.Log.Info().Str("event", "server_reached").Str("server", p.server.ID).Msgf("server %s is in reach again", p.server.ID)
+	if peer.unreachableSince > 0 {
+		peer.trunk.cfg.Log.Info().Str("event", "server_reached").Str("server", peer.server.ID).
+			Msgf("server %s is in reach again", peer.server.ID)
 	}
-	if p.line != nil && p.line.sound.MissedReport(now, &p.reports) {
-		l.mute = p.line
+	if peer.conn != nil && peer.conn.silence.MissedReport(now, &peer.reportIntervals) {
+		c.predecessor = peer.conn
 	}
-	p.retire()
-	p.dial, p.line, p.lostSince = nil, l, 0
-	p.place()
-	owed := p.owed
-	p.owed = nil
-	for _, id := range owed {
-		l.release(id)
+	peer.retire()
+	peer.dialing, peer.conn, peer.unreachableSince = nil, c, 0
+	peer.sendPending()
+	pending := peer.pendingReleases
+	peer.pendingReleases = nil
+	for _, id := range pending {
+		c.sendRelease(id)
 	}
 }
 
-// place sends what waits for a connection.
-func (p *peer) place() {
-	p.t.fresh = append(p.t.fresh, p.pending...)
+// sendPending queues the attempts that wait for a connection for the next Flush.
+func (p *serverPeer) sendPending() {
+	p.trunk.unsent = append(p.trunk.unsent, p.pending...)
 	p.pending = nil
 }
 
-// Leaving hears that the server has closed: what would be written now would not be read. What it sent before is taken.
-func (l *line) PeerClosed(*loop.Conn) {
-	if l.left = true; l.p.line == l {
-		l.p.retire()
-		l.p.connect()
+// Leaving implements loop.Leaver: the server has closed the connection and reads nothing more from it. What it sent
+// before is still handled.
+func (c *serverConn) PeerClosed(*loop.Conn) {
+	if c.peerClosed = true; c.peer.conn == c {
+		c.peer.retire()
+		c.peer.connect()
 	}
 }
 
-// Drained hears that the server reads again.
-func (l *line) Drained(*loop.Conn) {
-	l.part = nil
-	if l.p.line == l {
-		l.p.place()
+// Drained implements loop.Drainer: the server reads again.
+func (c *serverConn) Drained(*loop.Conn) {
+	c.partialSetup = nil
+	if c.peer.conn == c {
+		c.peer.sendPending()
 	}
 }
 
-// release ends a call on the line, or where that cannot be written to any more on the next.
-func (l *line) release(id string) {
-	p := l.p
-	p.t.count.Releases++
-	if p.t.buf = bye(p.t.buf[:0], id, 2, threadglade.Cancelled); l.conn.Write(p.t.buf) {
-		l.told.add(id, threadglade.Cancelled, p.t.cfg.Clock())
+// sendRelease sends a release on the connection, or queues it for the next one if nothing can be written here any
+// more.
+func (c *serverConn) sendRelease(id string) {
+	peer := c.peer
+	peer.trunk.counters.Releases++
+	if peer.trunk.buf = appendBye(peer.trunk.buf[:0], id, 2, threadglade.Cancelled); c.conn.Write(peer.trunk.buf) {
+		c.unacked.add(id, threadglade.Cancelled, peer.trunk.cfg.Clock())
 		return
 	}
-	p.owe(id)
+	peer.queueRelease(id)
 }
 
-// owe keeps a release for the next connection.
-func (p *peer) owe(id string) {
-	if !p.gone && len(p.owed) < owedMost {
-		p.owed = append(p.owed, id)
+// queueRelease keeps a release for the next connection, unless maxPendingReleases wait already.
+func (p *serverPeer) queueRelease(id string) {
+	if !p.removed && len(p.pendingReleases) < maxPendingReleases {
+		p.pendingReleases = append(p.pendingReleases, id)
 	}
 }
 
-func (l *line) Closed(_ *loop.Conn, err error) {
-	p := l.p
-	now := p.t.cfg.Clock()
-	if p.dial == l {
-		p.dial = nil
-		p.t.count.DialsFailed++
-		p.lost(now)
+// Closed implements loop.Handler. For a connection that never opened it reports the failed attempt to connect.
+func (c *serverConn) Closed(_ *loop.Conn, err error) {
+	peer := c.peer
+	now := peer.trunk.cfg.Clock()
+	if peer.dialing == c {
+		peer.dialing = nil
+		peer.trunk.counters.DialsFailed++
+		peer.markUnreachable(now)
 		if err == unix.ECONNREFUSED || err == unix.ECONNRESET {
-			p.failPending()
+			peer.failPending()
 		}
-		// Late: a line that is still open is one to a machine that says nothing any more.
-		if p.line != nil && p.line.sound.NeedsProbe(now) {
-			p.t.cfg.Log.Warn().Str("event", "server_silent").Str("server", p.server.ID).Msgf("server %s is silent", p.server.ID)
-			p.retire()
+		// The server can't be reached, so the silent connection leads to a machine that sends nothing any more.
+		if peer.conn != nil && peer.conn.silence.NeedsProbe(now) {
+			peer.trunk.cfg.Log.Warn().Str("event", "server_silent").Str("server", peer.server.ID).
+				Msgf("server %s is silent", peer.server.ID)
+			peer.retire()
 		}
 		return
 	}
-	p.t.count.Closed++
-	// What was out on it has been given up on the other side; what stands there goes on.
-	l.cut()
-	if p.line == l {
-		p.line = nil
-		p.connect()
-	}
-	for _, o := range l.told.lost(now) {
-		p.t.count.Retold++
-		if p.line != nil {
-			p.line.release(o.id)
+	peer.trunk.counters.Closed++
+	// The server has given up attempts that were pending on it; established calls go on.
+	c.cutPending()
+	if peer.conn == c {
+		peer.conn = nil
+		peer.connect()
+	}
+	for _, release := range c.unacked.takeLost(now) {
+		peer.trunk.counters.Retold++
+		if peer.conn != nil {
+			peer.conn.sendRelease(release.id)
 		} else {
-			p.owe(o.id)
+			peer.queueRelease(release.id)
 		}
 	}
 }
 
-func (p *peer) lost(now time.Duration) {
-	if p.lostSince == 0 {
-		p.lostSince = now
-		p.t.cfg.Log.Warn().Str("event", "server_lost").Str("server", p.server.ID).Msgf("server %s is out of reach", p.server.ID)
+// markUnreachable records that the server is unreachable, if it wasn't before.
+func (p *serverPeer) markUnreachable(now time.Duration) {
+	if p.unreachableSince == 0 {
+		p.unreachableSince = now
+		p.trunk.cfg.Log.Warn().Str("event", "server_lost").Str("server", p.server.ID).
+			Msgf("server %s is out of reach", p.server.ID)
 	}
 }
 
-func (p *peer) failPending() {
-	for _, l := range append([]*outLeg(nil), p.pending...) {
-		p.t.end(l, threadglade.Unreachable, threadglade.CauseNone)
+// failPending fails the attempts that wait for a connection.
+func (p *serverPeer) failPending() {
+	for _, leg := range append([]*outboundLeg(nil), p.pending...) {
+		p.trunk.endLeg(leg, threadglade.Unreachable, threadglade.CauseNone)
 	}
 }
 
 // ---- router.Trunk ----
 
-// Send starts an attempt.
-func (t *Trunk) Send(a router.Attempt) {
-	p := t.peers[a.Server]
-	if p == nil || t.legs[a.ID] != nil {
-		t.router.Ended(a.ID, a.Index, threadglade.Unreachable, threadglade.CauseNone)
+// Send implements router.Trunk. The INVITE is written by the next Flush.
+func (t *Trunk) Send(attempt router.Attempt) {
+	peer := t.peers[attempt.Server]
+	if peer == nil || t.legs[attempt.ID] != nil {
+		t.router.Ended(attempt.ID, attempt.Index, threadglade.Unreachable, threadglade.CauseNone)
 		return
 	}
-	l := &outLeg{Attempt: a, p: p}
-	t.legs[a.ID] = l
-	p.legs++
-	t.fresh = append(t.fresh, l)
+	leg := &outboundLeg{Attempt: attempt, peer: peer}
+	t.legs[attempt.ID] = leg
+	peer.legCount++
+	t.unsent = append(t.unsent, leg)
 }
 
-// Flush sends what was started since the last time and not withdrawn meanwhile.
+// Flush writes the attempts that were started since the last call and not withdrawn in the meantime.
 func (t *Trunk) Flush() {
-	fresh := t.fresh
-	t.fresh = nil
-	for _, l := range fresh {
+	unsent := t.unsent
+	t.unsent = nil
+	for _, leg := range unsent {
 		switch {
-		case t.legs[l.ID] != l || l.on != nil:
-		case l.p.line != nil:
-			l.p.invite(l)
+		case t.legs[leg.ID] != leg || leg.conn != nil:
+		case leg.peer.conn != nil:
+			leg.peer.sendInvite(leg)
 		default:
-			l.p.wait(l)
+			leg.peer.awaitConn(leg)
 		}
 	}
 }
 
-// wait has an attempt wait for a connection, or for a server that does not read to do so: until it is written it can be taken back.
-func (p *peer) wait(l *outLeg) {
-	t := p.t
-	l.by = t.cfg.Clock() + t.cfg.ConnectTimeout
-	p.pending = append(p.pending, l)
-	t.router.Schedule(l.by, func() {
-		if t.legs[l.ID] == l && l.on == nil {
-			t.end(l, threadglade.Unreachable, threadglade.CauseNone)
+// awaitConn has an attempt wait up to the connect timeout for a connection, or for a server that doesn't read to read
+// again. An attempt that is not written yet can be withdrawn without a trace.
+func (p *serverPeer) awaitConn(leg *outboundLeg) {
+	trunk := p.trunk
+	leg.connectDeadline = trunk.cfg.Clock() + trunk.cfg.ConnectTimeout
+	p.pending = append(p.pending, leg)
+	trunk.router.Schedule(leg.connectDeadline, func() {
+		if trunk.legs[leg.ID] == leg && leg.conn == nil {
+			trunk.endLeg(leg, threadglade.Unreachable, threadglade.CauseNone)
 		}
 	})
-	if p.line == nil || len(p.old) < oldMost { // a server that reads nothing on any is given no more
+	if p.conn == nil || len(p.replaced) < maxReplacedConns { // no more to a server that reads on none
 		p.connect()
 	}
 }
 
-func (p *peer) invite(l *outLeg) {
-	t := p.t
-	now := t.cfg.Clock()
-	if p.line.conn.Blocked() {
-		t.count.Blocked++
-		p.wait(l)
+// sendInvite writes an attempt's INVITE on the current connection, or has it wait if that is not possible.
+func (p *serverPeer) sendInvite(leg *outboundLeg) {
+	trunk := p.trunk
+	now := trunk.cfg.Clock()
+	if p.conn.conn.Blocked() {
+		trunk.counters.Blocked++
+		p.awaitConn(leg)
 		return
 	}
-	l.on, l.sent = p.line, now
-	l.on.sound.SetupSent(now)
-	t.count.Invites++
-	b := request(t.buf[:0], "INVITE", l.Number, l.ID, 1, "INVITE").head("Call-Kind", l.Class)
-	b = b.headInt("Answer-Within", max(1, int64((l.Deadline-now)/time.Millisecond))).body(l.Description)
-	t.buf = b
+	leg.conn, leg.sentAt = p.conn, now
+	leg.conn.silence.SetupSent(now)
+	trunk.counters.Invites++
+	b := appendRequest(trunk.buf[:0], "INVITE", leg.Number, leg.ID, 1, "INVITE").addHeader("Call-Kind", leg.Class)
+	b = b.addIntHeader("Answer-Within", max(1, int64((leg.Deadline-now)/time.Millisecond))).addBody(leg.Description)
+	trunk.buf = b
 	written := false
-	if l.on.conn.Gated() { // until it leaves it can be taken back
-		written = l.on.conn.WriteRecallable(b, l)
+	if leg.conn.conn.Gated() { // it can be taken back while the output gate holds it
+		written = leg.conn.conn.WriteRecallable(b, leg)
 	} else {
-		written = l.on.conn.Write(b)
+		written = leg.conn.conn.Write(b)
 	}
 	if !written {
-		// Nothing has left, so nothing can run: the attempt goes by the next connection.
-		t.count.Unsent++
-		p.line, l.on = nil, nil
-		p.wait(l)
+		// Nothing was sent, so the server can't run it: the attempt uses the next connection.
+		trunk.counters.Unsent++
+		p.conn, leg.conn = nil, nil
+		p.awaitConn(leg)
 		return
 	}
-	if l.on.conn.Blocked() {
-		l.on.part = l
+	if leg.conn.conn.Blocked() {
+		leg.conn.partialSetup = leg
 	}
 }
 
-// GiveUp withdraws an attempt that is unanswered.
-func (t *Trunk) GiveUp(a router.Attempt) {
-	l := t.legs[a.ID]
-	if l == nil || l.Index != a.Index {
+// GiveUp implements router.Trunk.
+func (t *Trunk) GiveUp(attempt router.Attempt) {
+	leg := t.legs[attempt.ID]
+	if leg == nil || leg.Index != attempt.Index {
 		return
 	}
-	t.drop(l)
-	t.cancel(l)
-	l.p.tidy()
+	t.removeLeg(leg)
+	t.cancelLeg(leg)
+	leg.peer.closeUnused()
 }
 
-// cancel gives an unanswered attempt up on its line.
-func (t *Trunk) cancel(l *outLeg) {
-	if l.on != nil && !l.standing && l.on.conn.Open() {
-		if l.on.conn.Gated() && l.on.conn.Recall(l) { // it has not left, and does not any more
-			t.count.Unsent++
+// cancelLeg takes an unanswered attempt back if it was not sent yet, and otherwise sends a CANCEL. If the INVITE is
+// written in part and the server doesn't read on within blockedSetupTimeout, it closes the connection.
+func (t *Trunk) cancelLeg(leg *outboundLeg) {
+	if leg.conn != nil && !leg.established && leg.conn.conn.Open() {
+		if leg.conn.conn.Gated() && leg.conn.conn.Recall(leg) { // it was never sent
+			t.counters.Unsent++
 			return
 		}
-		t.count.Cancels++
-		t.given[l.ID] = given{l.on, t.cfg.Clock()}
-		t.buf = request(t.buf[:0], "CANCEL", l.Number, l.ID, 1, "CANCEL").body(nil)
-		l.on.conn.Write(t.buf)
-		if on := l.on; on.part == l {
-			t.router.Schedule(t.cfg.Clock()+stuckFor, func() {
-				if on.part == l && on.conn.Blocked() {
-					t.count.Stuck++
-					t.cfg.Log.Warn().Str("event", "server_stuck").Str("server", l.p.server.ID).Msgf("server %s does not read: connection closed over a set-up that was given up", l.p.server.ID)
-					on.conn.Close(errStuck)
+		t.counters.Cancels++
+		t.cancelled[leg.ID] = cancelledAttempt{leg.conn, t.cfg.Clock()}
+		t.buf = appendRequest(t.buf[:0], "CANCEL", leg.Number, leg.ID, 1, "CANCEL").addBody(nil)
+		leg.conn.conn.Write(t.buf)
+		if conn := leg.conn; conn.partialSetup == leg {
+			t.router.Schedule(t.cfg.Clock()+blockedSetupTimeout, func() {
+				if conn.partialSetup == leg && conn.conn.Blocked() {
+					t.counters.Stuck++
+					t.cfg.Log.Warn().Str("event", "server_stuck").Str("server", leg.peer.server.ID).
+						Msgf("server %s does not read: connection closed over a set-up that was given up",
+							leg.peer.server.ID)
+					conn.conn.Close(errBlocked)
 				}
 			})
 		}
 	}
 }
 
-// Release ends a call that stands.
-func (t *Trunk) Release(a router.Attempt, _ threadglade.Outcome) {
-	l := t.legs[a.ID]
-	if l == nil || l.Index != a.Index {
+// Release implements router.Trunk.
+func (t *Trunk) Release(attempt router.Attempt, _ threadglade.Outcome) {
+	leg := t.legs[attempt.ID]
+	if leg == nil || leg.Index != attempt.Index {
 		return
 	}
-	t.drop(l)
-	on := l.on
-	if !on.conn.Open() || on.left {
-		on = l.p.line
+	t.removeLeg(leg)
+	conn := leg.conn
+	if !conn.conn.Open() || conn.peerClosed {
+		conn = leg.peer.conn
 	}
-	if on == nil {
-		l.p.owe(l.ID)
+	if conn == nil {
+		leg.peer.queueRelease(leg.ID)
 		return
 	}
-	on.release(l.ID)
+	conn.sendRelease(leg.ID)
 }
 
-// ReleaseAnywhere releases a call that may stand at any server: one of an earlier life of this router. Servers that
-// do not know it have nothing to release.
+// ReleaseAtAllServers releases a call of an earlier incarnation of this router, whose server is not known. Servers
+// that don't know the call ignore the release.
 func (t *Trunk) ReleaseAnywhere(id string) {
-	for _, p := range t.peers {
-		if p.line != nil {
-			p.line.release(id)
+	for _, peer := range t.peers {
+		if peer.conn != nil {
+			peer.conn.sendRelease(id)
 		} else {
-			p.owe(id)
+			peer.queueRelease(id)
 		}
 	}
 }
 
-// Cease lets go of all that stands or is out, and closes every connection unread: what servers have to say of it they say to others.
+// RelinquishAll drops all pending attempts and established calls, and reopens every connection without reading what
+// has arrived: servers report on those calls to other routers.
 func (t *Trunk) Cease() {
-	for _, l := range t.legs {
-		t.drop(l)
+	for _, leg := range t.legs {
+		t.removeLeg(leg)
 	}
-	clear(t.given)
-	for _, p := range t.peers {
-		p.owed = nil
-		p.hangUp()
-		p.connect()
+	clear(t.cancelled)
+	for _, peer := range t.peers {
+		peer.pendingReleases = nil
+		peer.closeConns()
+		peer.connect()
 	}
 }
 
-// Cede lets go of all that stands. Connections stay: what servers have to say of it is passed on as of any call that is not known here.
+// RelinquishEstablished drops all established calls. Connections stay open: releases of those calls are passed on
+// like those of any unknown call.
 func (t *Trunk) Cede() {
-	for _, l := range t.legs {
-		if l.standing {
-			t.drop(l)
+	for _, leg := range t.legs {
+		if leg.established {
+			t.removeLeg(leg)
 		}
 	}
 }
 
-// Ended takes the end of a call that may stand here, as another router has heard it.
-func (t *Trunk) Ended(id string, how threadglade.Outcome, byCaller bool) {
-	switch l := t.legs[id]; {
-	case l == nil || !l.standing:
+// EndCall ends a call that may be established here and whose end was reported to another router.
+func (t *Trunk) Ended(id string, outcome threadglade.Outcome, byCaller bool) {
+	switch leg := t.legs[id]; {
+	case leg == nil || !leg.established:
 	case byCaller:
 		t.router.Release(id)
 	default:
-		t.end(l, how, threadglade.CauseNone)
+		t.endLeg(leg, outcome, threadglade.CauseNone)
 	}
 }
 
-// Withdraw gives up at its server, and should it have been answered releases, a set-up that another router had out there.
+// CancelAndRelease cancels a set-up of another router at its server, and releases the call in case it is established.
+// It does nothing if there is no connection to the server.
 func (t *Trunk) Withdraw(server, id, number string) {
-	if p := t.peers[server]; p != nil && p.line != nil {
-		t.count.Withdrawn++
-		t.buf = request(t.buf[:0], "CANCEL", number, id, 1, "CANCEL").body(nil)
-		p.line.conn.Write(t.buf)
-		p.line.release(id)
+	if peer := t.peers[server]; peer != nil && peer.conn != nil {
+		t.counters.Withdrawn++
+		t.buf = appendRequest(t.buf[:0], "CANCEL", number, id, 1, "CANCEL").addBody(nil)
+		peer.conn.conn.Write(t.buf)
+		peer.conn.sendRelease(id)
 	}
 }
 
-// drop takes an attempt off the books.
-func (t *Trunk) drop(l *outLeg) {
-	delete(t.legs, l.ID)
-	l.p.legs--
-	for i, other := range l.p.pending {
-		if other == l {
-			l.p.pending = append(l.p.pending[:i], l.p.pending[i+1:]...)
+// removeLeg forgets an attempt.
+func (t *Trunk) removeLeg(leg *outboundLeg) {
+	delete(t.legs, leg.ID)
+	leg.peer.legCount--
+	for i, other := range leg.peer.pending {
+		if other == leg {
+			leg.peer.pending = append(leg.peer.pending[:i], leg.peer.pending[i+1:]...)
 			break
 		}
 	}
 }
 
-func (t *Trunk) end(l *outLeg, how threadglade.Outcome, cause threadglade.Cause) {
-	t.drop(l)
-	t.router.Ended(l.ID, l.Index, how, cause)
+// endLeg forgets an attempt and reports its end to the router.
+func (t *Trunk) endLeg(leg *outboundLeg, outcome threadglade.Outcome, cause threadglade.Cause) {
+	t.removeLeg(leg)
+	t.router.Ended(leg.ID, leg.Index, outcome, cause)
 }
 
-// ---- what servers say ----
+// ---- messages of servers ----
 
-func (l *line) Data(c *loop.Conn, b []byte) int {
-	t := l.p.t
-	now := t.cfg.Clock()
-	l.sound.Received(now)
-	if l.dead {
-		return l.salvage(b)
+// Data implements loop.Handler: it handles the message at the start of b and returns its length. On a connection that
+// is closing because it is unusable it only looks for releases.
+func (c *serverConn) Data(_ *loop.Conn, b []byte) int {
+	trunk := c.peer.trunk
+	now := trunk.cfg.Clock()
+	c.silence.Received(now)
+	if c.unusable {
+		return c.salvageReleases(b)
 	}
-	if old := l.mute; old != nil { // the server speaks, and here
-		if l.mute = nil; old.sound.Unresponsive(&l.sound) && old.conn.Open() && !old.dead {
-			t.count.Mute++
-			old.end(errMute)
+	if predecessor := c.predecessor; predecessor != nil { // the server sends, and on this connection
+		if c.predecessor = nil; predecessor.silence.Unresponsive(&c.silence) && predecessor.conn.Open() &&
+			!predecessor.unusable {
+			trunk.counters.Mute++
+			predecessor.beginClose(errUnresponsive)
 		}
 	}
-	n, err := parse(b, &l.m)
+	n, err := parse(b, &c.msg)
 	switch {
 	case err != nil:
 	case n == 0:
-		if l.by == 0 {
-			l.by = now + answerWithin
+		if c.deadline == 0 {
+			c.deadline = now + partialMessageTimeout
 		}
 		return 0
-	case !begins(b[n:]):
-		err = errSpoilt
+	case !startsMessage(b[n:]):
+		err = errCorrupt
 	default:
-		l.by = 0
-		if len(l.m.headers) > 0 {
-			t.count.Messages++
-			err = l.take(&l.m)
+		c.deadline = 0
+		if len(c.msg.headers) > 0 {
+			trunk.counters.Messages++
+			err = c.handleMessage(&c.msg)
 		}
 	}
 	if err != nil {
-		l.spoilt(err)
-		return l.salvage(b)
+		c.closeCorrupt(err)
+		return c.salvageReleases(b)
 	}
 	return n
 }
 
-// spoilt ends a connection on which something came that cannot be read, or not whole: neither can what follows. Every
-// set-up that was out on it may have run; that is its outcome. The end is told first and then awaited, for releases
-// of calls that stand may be on their way.
-func (l *line) spoilt(err error) {
-	l.p.t.count.Malformed++
-	l.end(err)
-	l.p.connect()
+// closeCorrupt closes a connection on which a malformed or truncated message arrived, as what follows can't be parsed
+// either, and opens another one. Set-ups pending on it may have been established, so their outcome is Cut. The
+// connection is half-closed until the server closes too, because releases of established calls may be on their way.
+func (c *serverConn) closeCorrupt(err error) {
+	c.peer.trunk.counters.Malformed++
+	c.beginClose(err)
+	c.peer.connect()
 }
 
-// end tells the end of a connection on which nothing can come any more, and cuts what was out on it.
-func (l *line) end(err error) {
-	p, t, now := l.p, l.p.t, l.p.t.cfg.Clock()
-	if p.complains == 0 || now-p.complains >= complainEvery {
-		p.complains = now
-		t.cfg.Log.Warn().Str("event", "server_spoilt").Str("server", p.server.ID).Msgf("server %s: %v, connection closed", p.server.ID, err)
+// beginClose half-closes a connection on which no answers can arrive any more, and cuts the attempts pending on it.
+func (c *serverConn) beginClose(err error) {
+	peer, trunk, now := c.peer, c.peer.trunk, c.peer.trunk.cfg.Clock()
+	if peer.malformedLoggedAt == 0 || now-peer.malformedLoggedAt >= malformedLogInterval {
+		peer.malformedLoggedAt = now
+		trunk.cfg.Log.Warn().Str("event", "server_spoilt").Str("server", peer.server.ID).
+			Msgf("server %s: %v, connection closed", peer.server.ID, err)
 	}
-	l.dead, l.by = true, now+deadFor
-	l.conn.CloseWrite()
-	if p.line == l {
-		p.retire()
+	c.unusable, c.deadline = true, now+peerCloseTimeout
+	c.conn.CloseWrite()
+	if peer.conn == c {
+		peer.retire()
 	}
-	t.count.Cut += uint64(l.cut())
+	trunk.counters.Cut += uint64(c.cutPending())
 }
 
-// salvage finds the releases among what comes on a dead line; the last bytes may be the beginning of one.
-func (l *line) salvage(b []byte) int {
-	const sign = "BYE sip:"
-	at := bytes.Index(b, []byte(sign))
-	if at < 0 {
-		return max(0, len(b)-len(sign)+1)
+// salvageReleases handles a release in what arrives on an unusable connection, and returns how many bytes to discard.
+// It keeps the last bytes if a release may begin there.
+func (c *serverConn) salvageReleases(b []byte) int {
+	const prefix = "BYE sip:"
+	start := bytes.Index(b, []byte(prefix))
+	if start < 0 {
+		return max(0, len(b)-len(prefix)+1)
 	}
-	n, err := parse(b[at:], &l.m)
+	n, err := parse(b[start:], &c.msg)
 	switch {
 	case err != nil:
-		return at + len(sign)
-	case n > 0 && hexID(l.m.callID):
-		l.p.t.count.Salvaged++
-		l.heed(&l.m)
-		l.released(&l.m)
-	}
-	return at + n
-}
-
-// cut ends what is unanswered on the line: the other side has given it up or is told so by the end of the line.
-func (l *line) cut() (count int) {
-	t := l.p.t
-	for _, leg := range t.legs {
-		if leg.on == l && !leg.standing {
-			t.end(leg, threadglade.Cut, threadglade.CauseNone)
+		return start + len(prefix)
+	case n > 0 && isCallID(c.msg.callID):
+		c.peer.trunk.counters.Salvaged++
+		c.acknowledgeRelease(&c.msg)
+		c.handleRelease(&c.msg)
+	}
+	return start + n
+}
+
+// cutPending ends the pending attempts of the connection as cut and returns their number. The server has given them
+// up, or does so when the connection closes.
+func (c *serverConn) cutPending() (count int) {
+	trunk := c.peer.trunk
+	for _, leg := range trunk.legs {
+		if leg.conn == c && !leg.established {
+			trunk.endLeg(leg, threadglade.Cut, threadglade.CauseNone)
 			count++
 		}
 	}
-	for id, g := range t.given {
-		if g.on == l {
-			delete(t.given, id)
+	for id, attempt := range trunk.cancelled {
+		if attempt.conn == c {
+			delete(trunk.cancelled, id)
 		}
 	}
 	return count
 }
 
-// heed says that a release was heard: where nothing can be written on its line any more, on the present one.
-func (l *line) heed(m *message) {
-	if !l.conn.Open() && l.p.line != nil {
-		l = l.p.line
+// acknowledgeRelease answers a release, on the current connection if nothing can be written on this one any more.
+func (c *serverConn) acknowledgeRelease(m *message) {
+	if !c.conn.Open() && c.peer.conn != nil {
+		c = c.peer.conn
 	}
-	l.write(reply(l.p.t.buf[:0], 200, m))
+	c.write(appendReply(c.peer.trunk.buf[:0], 200, m))
 }
 
-func (l *line) write(b out) {
-	l.p.t.buf = b
-	l.conn.Write(b)
+// write writes a message that was appended to the trunk's buffer.
+func (c *serverConn) write(b messageBuffer) {
+	c.peer.trunk.buf = b
+	c.conn.Write(b)
 }
 
-func (l *line) take(m *message) error {
-	t := l.p.t
+// handleMessage handles a well-formed message. An error means that the connection can't be used any more.
+func (c *serverConn) handleMessage(m *message) error {
+	trunk := c.peer.trunk
 	switch string(m.method) {
 	case "":
-		if string(m.cmethod) == "INVITE" && m.status >= 200 {
-			return l.answered(m)
+		if string(m.cseqMethod) == "INVITE" && m.status >= 200 {
+			return c.handleInviteResponse(m)
 		}
-		if string(m.cmethod) == "BYE" {
-			l.told.heard(m.callID)
+		if string(m.cseqMethod) == "BYE" {
+			c.unacked.acknowledge(m.callID)
 		}
 	case "NOTIFY":
-		l.state(m)
+		c.handleStateReport(m)
 	case "BYE":
-		l.heed(m)
-		l.released(m)
+		c.acknowledgeRelease(m)
+		c.handleRelease(m)
 	case "OPTIONS":
-		l.write(reply(t.buf[:0], 200, m))
+		c.write(appendReply(trunk.buf[:0], 200, m))
 	case "ACK":
 	default:
-		l.write(reply(t.buf[:0], 501, m))
+		c.write(appendReply(trunk.buf[:0], 501, m))
 	}
 	return nil
 }
 
-// answered takes the final answer to a set-up that was sent on this server's connections. One that crossed our CANCEL
-// stands on the other side, is acknowledged and released. The number in CSeq tells attempts of one call
-// apart no more than the Call-ID does: case servers answer with 1 whatever they were sent.
-func (l *line) answered(m *message) error {
-	t := l.p.t
+// handleInviteResponse handles the final answer to a set-up that was sent on a connection to this server. A positive
+// answer that crossed the CANCEL means that the call is established at the server, so it is acknowledged and
+// released. Neither Call-ID nor CSeq tells attempts of one call apart, as case servers answer with CSeq 1 whatever
+// was sent.
+func (c *serverConn) handleInviteResponse(m *message) error {
+	trunk := c.peer.trunk
 	id := string(m.callID)
-	leg := t.legs[id]
-	ours := leg != nil && leg.p == l.p && leg.on != nil
-	_, crossed := t.given[id]
-	if crossed = crossed && t.given[id].on == l; crossed && !ours {
-		delete(t.given, id)
-	}
-	if !ours && !crossed { // a second copy, or nothing that was ever asked: it changes nothing
-		t.count.Unknown++
+	leg := trunk.legs[id]
+	isCurrent := leg != nil && leg.peer == c.peer && leg.conn != nil
+	_, crossed := trunk.cancelled[id]
+	if crossed = crossed && trunk.cancelled[id].conn == c; crossed && !isCurrent {
+		delete(trunk.cancelled, id)
+	}
+	if !isCurrent && !crossed { // a duplicate, or an answer to nothing that was sent
+		trunk.counters.Unknown++
 		return nil
 	}
-	if ours && !leg.standing && m.status < 300 && !sound(m.body) {
-		return errSpoilt
+	if isCurrent && !leg.established && m.status < 300 && !isValidDescription(m.body) {
+		return errCorrupt
 	}
-	l.write(request(t.buf[:0], "ACK", id, id, m.cseq, "ACK").body(nil))
+	c.write(appendRequest(trunk.buf[:0], "ACK", id, id, m.cseq, "ACK").addBody(nil))
 	switch {
-	case m.status == 487: // to an attempt that we gave up
+	case m.status == 487: // to a cancelled attempt
 	case m.status >= 300:
-		if ours && !leg.standing {
-			l.load(m)
-			how, cause := outcome(m.status, m.get("fail-word"))
-			t.end(leg, how, cause)
-		}
-	case ours && !leg.standing:
-		leg.standing = true
-		t.router.Answered(id, leg.Index, m.body)
-	case ours:
+		if isCurrent && !leg.established {
+			c.reportLoad(m)
+			outcome, cause := refusalOutcome(m.status, m.headerValue("fail-word"))
+			trunk.endLeg(leg, outcome, cause)
+		}
+	case isCurrent && !leg.established:
+		leg.established = true
+		trunk.router.Answered(id, leg.Index, m.body)
+	case isCurrent:
 	default:
-		t.count.Crossed++
-		l.write(bye(t.buf[:0], id, m.cseq+1, threadglade.Cancelled))
+		trunk.counters.Crossed++
+		c.write(appendBye(trunk.buf[:0], id, m.cseq+1, threadglade.Cancelled))
 	}
 	return nil
 }
 
-var words = map[string]threadglade.Cause{"blocked": threadglade.CauseNoAgent, "bounced": threadglade.CauseSentBack,
-	"far_swamped": threadglade.CauseSentBack, "swamped": threadglade.CauseProcessorFull,
-	"occupied": threadglade.CauseLinesBusy}
+// failWordCauses maps the values of the Fail-Word header to causes.
+var failWordCauses = map[string]threadglade.Cause{"blocked": threadglade.CauseNoAgent,
+	"bounced": threadglade.CauseSentBack, "far_swamped": threadglade.CauseSentBack,
+	"swamped": threadglade.CauseProcessorFull, "occupied": threadglade.CauseLinesBusy}
 
-// outcome maps a refusal.
-func outcome(status int, word []byte) (threadglade.Outcome, threadglade.Cause) {
-	cause := words[string(word)]
+// refusalOutcome maps the status and the Fail-Word header of a refusal to an outcome and its cause.
+func refusalOutcome(status int, failWord []byte) (threadglade.Outcome, threadglade.Cause) {
+	cause := failWordCauses[string(failWord)]
 	switch status {
 	case 503:
 		return threadglade.Rejected, cause
@@ -875,23 +943,24 @@
 	return threadglade.Faulted, cause
 }
 
-// released takes the end of a call that stood, by whichever connection it comes.
-func (l *line) released(m *message) {
-	t := l.p.t
-	l.load(m)
-	how := threadglade.Cut
-	if causeIs16(m.get("reason")) {
-		how = threadglade.Concluded
+// handleRelease handles the release of an established call, which may arrive on any connection to its server.
+func (c *serverConn) handleRelease(m *message) {
+	trunk := c.peer.trunk
+	c.reportLoad(m)
+	outcome := threadglade.Cut
+	if isNormalClearing(m.headerValue("reason")) {
+		outcome = threadglade.Concluded
 	}
 	id := string(m.callID)
-	if leg := t.legs[id]; leg != nil && leg.p == l.p && leg.standing {
-		t.end(leg, how, threadglade.CauseNone)
+	if leg := trunk.legs[id]; leg != nil && leg.peer == c.peer && leg.established {
+		trunk.endLeg(leg, outcome, threadglade.CauseNone)
 		return
 	}
-	t.router.UnmatchedRelease(id, how)
+	trunk.router.UnmatchedRelease(id, outcome)
 }
 
-func causeIs16(reason []byte) bool {
+// isNormalClearing reports whether a Reason header has the Q.850 cause 16, normal call clearing.
+func isNormalClearing(reason []byte) bool {
 	for i := 0; i+8 <= len(reason); i++ {
 		if string(reason[i:i+8]) == "cause=16" {
 			return i+8 == len(reason) || reason[i+8] < '0' || reason[i+8] > '9'
@@ -900,38 +969,38 @@
 	return false
 }
 
-// load passes on what a message reports of its server's processor, where somebody wants to know.
-func (l *line) load(m *message) {
-	if !l.p.t.cfg.Loads {
+// reportLoad passes a message's load report on to the router, if the configuration wants it.
+func (c *serverConn) reportLoad(m *message) {
+	if !c.peer.trunk.cfg.Loads {
 		return
 	}
-	report := m.get("link-state")
-	ms, told := field(report, "latency_ms")
-	rate, known := field(report, "qps")
-	if !known {
-		rate, known = field(report, "max_rate")
+	report := m.headerValue("link-state")
+	latencyMs, hasLatency := parseField(report, "latency_ms")
+	rate, hasRate := parseField(report, "qps")
+	if !hasRate {
+		rate, hasRate = parseField(report, "max_rate")
 	}
-	if (told || known) && ms >= 0 && ms < 1e6 && rate < 1e9 { // also no NaN
-		l.p.t.router.ReportLoad(l.p.server.ID, time.Duration(ms*float64(time.Millisecond)), rate)
+	if (hasLatency || hasRate) && latencyMs >= 0 && latencyMs < 1e6 && rate < 1e9 { // false for NaN
+		c.peer.trunk.router.ReportLoad(c.peer.server.ID, time.Duration(latencyMs*float64(time.Millisecond)), rate)
 	}
 }
 
-// state takes a report of free agents.
-func (l *line) state(m *message) {
-	t := l.p.t
-	l.load(m)
-	report := m.get("link-state")
-	free, told := field(report, t.cfg.Free)
-	total, sized := field(report, t.cfg.Total)
-	if !told || !sized {
-		free, told = field(report, "x0")
-		total, sized = field(report, "x1")
+// handleStateReport passes a report of free and total agents on to the router.
+func (c *serverConn) handleStateReport(m *message) {
+	trunk := c.peer.trunk
+	c.reportLoad(m)
+	report := m.headerValue("link-state")
+	free, hasFree := parseField(report, trunk.cfg.Free)
+	total, hasTotal := parseField(report, trunk.cfg.Total)
+	if !hasFree || !hasTotal {
+		free, hasFree = parseField(report, "x0")
+		total, hasTotal = parseField(report, "x1")
 	}
-	if told && sized {
-		l.sound.ReportReceived(t.cfg.Clock(), &l.p.reports)
+	if hasFree && hasTotal {
+		c.silence.ReportReceived(trunk.cfg.Clock(), &c.peer.reportIntervals)
 	}
-	if told && sized && free >= 0 && total >= free && total <= agentsMost { // also no NaN
-		t.count.States++
-		t.router.ReportAgents(threadglade.Agents{Server: l.p.server.ID, Free: int(free), Total: int(total)})
+	if hasFree && hasTotal && free >= 0 && total >= free && total <= maxAgents { // false for NaN
+		trunk.counters.States++
+		trunk.router.ReportAgents(threadglade.Agents{Server: c.peer.server.ID, Free: int(free), Total: int(total)})
 	}
 }
