--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -100,8 +100,8 @@
 	if err != nil {
 		return nil, err
 	}
-	n.trunk = sip.NewTrunk(sip.TrunkConfig{Loop: l, Clock: clock, ConnectTimeout: c.ConnectTimeout, Free: c.Free,
-		Total: c.Total, Log: log, Loads: c.Product.Trace != nil})
+	n.trunk = sip.NewTrunk(sip.TrunkConfig{Loop: l, Clock: clock, ConnectTimeout: c.ConnectTimeout, FreeField: c.Free,
+		TotalField: c.Total, Log: log, ReportLoads: c.Product.Trace != nil})
 	rc := router.Config{Settings: c.Settings, Seed: c.Seed, Clock: clock, Trunk: n.trunk, Log: log,
 		OnUnknownServerRelease: n.orphan, OnUnknownCallerRelease: n.stray}
 	if c.Product.Ledger != nil {
@@ -129,7 +129,7 @@
 	if n.ledger != nil {
 		n.tickLedger()
 	}
-	n.front = sip.NewFront(sip.FrontConfig{Router: n.Router, Clock: clock, Sockets: c.Sockets, Settings: c.Settings, Life: n.life})
+	n.front = sip.NewFront(sip.FrontConfig{Router: n.Router, Clock: clock, MaxDescriptors: c.Sockets, Settings: c.Settings, Process: n.life})
 	n.front.Start()
 	n.trunk.Start(n.Router)
 	if n.trace != nil {
@@ -170,7 +170,7 @@
 
 func (o operated) Ready() (bool, string) {
 	// Who stands by will have all callers at once: it first hears from the case servers what they have free.
-	if n := o.n; n.turn.successor.InStandby() && n.life.Ready() && n.clock() < n.turn.began+reachWithin && !n.trunk.Reached() {
+	if n := o.n; n.turn.successor.InStandby() && n.life.Ready() && n.clock() < n.turn.began+reachWithin && !n.trunk.AllReached() {
 		return false, "standing by, case servers are not reached yet"
 	}
 	return o.n.life.Ready(), o.n.life.State().String()
@@ -209,7 +209,7 @@
 
 // CallControl opens the second front and returns where it listens.
 func (n *Node) CallControl(c callcontrol.Config, classes []threadglade.Class, verify callcontrol.Verify) (netip.AddrPort, error) {
-	if err := n.front.Reserve(c.Sockets); err != nil {
+	if err := n.front.ReserveForFront(c.Sockets); err != nil {
 		return netip.AddrPort{}, fmt.Errorf("call control: sockets: %w", err)
 	}
 	n.second = callcontrol.New(c, classes, n.Router, n.clock, verify, n.log)
@@ -244,8 +244,8 @@
 	if n.fleet != nil && n.fleet.Watches() {
 		n.watched(servers)
 	}
-	n.front.Leave(len(servers))
-	n.trunk.List(servers)
+	n.front.ReserveForServers(len(servers))
+	n.trunk.UpdateServers(servers)
 }
 
 // Run serves until Shutdown has been called and nothing is owed any more.
@@ -288,7 +288,7 @@
 		if n.Router.OpenRequests() > 0 {
 			latest = max(latest, n.clock()+flushFor)
 		}
-		over := n.Router.OpenRequests() == 0 && n.clock() >= earliest && (!n.front.Unsent() && !n.front.Unread() || n.clock() >= latest)
+		over := n.Router.OpenRequests() == 0 && n.clock() >= earliest && (!n.front.HasUnsent() && !n.front.HasUnread() || n.clock() >= latest)
 		switch {
 		case n.turn.elder.HandedOver():
 			over = n.handed()
@@ -299,13 +299,13 @@
 			earliest = n.clock() + lookEvery
 		case over && !resting && n.turn.path != "": // where another process serves beside this one, releases that are on their way to this one are heard,
 			resting, over = true, false
-			n.trunk.Rest()
-		case over && resting && !parting && n.trunk.Resting():
+			n.trunk.HalfCloseAll()
+		case over && resting && !parting && n.trunk.HalfClosing():
 			over = false
 		case over && !parting: // and idle callers hear the end before it comes
 			parting, over = true, false
 			n.life.BeginClosing()
-			n.front.LetGo()
+			n.front.CloseIdle()
 			earliest = n.clock() + partFor
 		}
 		if over {
@@ -335,7 +335,7 @@
 		return err
 	}
 	n.names.Known(c.Cursor, c.Servers)
-	n.front.Hold(c.Sockets)
+	n.front.SetMaxDescriptors(c.Sockets)
 	if !reflect.DeepEqual(c.Settings, old.Settings) {
 		n.change(c.Settings)
 	}
@@ -360,7 +360,7 @@
 	if err := n.Router.Change(set); err != nil {
 		return
 	}
-	n.front.Change(set)
+	n.front.UpdateSettings(set)
 	if n.second != nil {
 		n.second.Change(set.Classes)
 	}
--- a/internal/node/product.go
+++ b/internal/node/product.go
@@ -316,13 +316,13 @@
 
 func (d desk) RelinquishAll() []string {
 	standing := d.n.Router.RelinquishAll()
-	d.n.trunk.Cease()
+	d.n.trunk.RelinquishAll()
 	return standing
 }
 
 func (d desk) RelinquishEstablished() []string {
 	standing := d.n.Router.RelinquishEstablished()
-	d.n.trunk.Cede()
+	d.n.trunk.RelinquishEstablished()
 	return standing
 }
 
@@ -330,7 +330,7 @@
 func (d desk) RetractEnds() (unsaid []takeover.End) {
 	failed := map[string]bool{}
 	for _, what := range d.n.Loop.RecallAll() {
-		id, how, answer, mine := d.n.front.Recalled(what)
+		id, how, answer, mine := d.n.front.HandleRecalled(what)
 		if !mine { // a set-up: it was given up with its connection
 			continue
 		}
@@ -349,7 +349,7 @@
 
 func (d desk) Adopt(t takeover.Call) bool {
 	if !t.Established { // nobody waits for its answer any more
-		d.n.trunk.Withdraw(t.Server, t.ID, "0")
+		d.n.trunk.CancelAndRelease(t.Server, t.ID, "0")
 		return false
 	}
 	return d.n.ledger == nil || d.n.ledger.Adopt(ledger.Taken{ID: t.ID, Tenant: t.Tenant, Class: t.Class, Server: t.Server, Attempt: t.Attempt, Retry: t.Retry, InTime: t.InTime, Stood: t.EstablishedAt})
@@ -364,20 +364,22 @@
 func (d desk) EndCall(e takeover.End, taken bool) {
 	how := threadglade.Outcome(e.Outcome)
 	if !taken {
-		d.n.trunk.Ended(e.Call, how, e.ByCaller)
+		d.n.trunk.EndCall(e.Call, how, e.ByCaller)
 		return
 	}
 	if d.n.ledger != nil {
 		d.n.ledger.Observe(router.Event{Kind: router.UnknownServerRelease, At: d.n.clock(), Call: e.Call, Outcome: how})
 	}
 	if !e.ByCaller {
-		d.n.front.Orphan(e.Call, how)
+		d.n.front.ReleaseToCaller(e.Call, how)
 	}
 }
 
-func (d desk) NotifyCaller(e takeover.End) { d.n.front.Orphan(e.Call, threadglade.Outcome(e.Outcome)) }
+func (d desk) NotifyCaller(e takeover.End) {
+	d.n.front.ReleaseToCaller(e.Call, threadglade.Outcome(e.Outcome))
+}
 
-func (d desk) RequestReports() { d.n.trunk.Renew() }
+func (d desk) RequestReports() { d.n.trunk.Reconnect() }
 
 func (d desk) MarkTaken(ids []string) {
 	for _, id := range ids {
@@ -394,8 +396,8 @@
 // owe names the callers that could not be told of their calls' ends.
 func (n *Node) owe() {
 	var list []takeover.End
-	for _, o := range n.front.Owed() {
-		list = append(list, takeover.End{Call: o.ID, Outcome: uint8(o.How), NotifyCaller: true})
+	for _, o := range n.front.PendingReleases() {
+		list = append(list, takeover.End{Call: o.ID, Outcome: uint8(o.Outcome), NotifyCaller: true})
 	}
 	n.fleet.Owe(list)
 }
--- a/internal/node/turnover.go
+++ b/internal/node/turnover.go
@@ -21,8 +21,8 @@
 
 const (
 	// frameTake asks the successor to take over; it says how many calls stand here. frameTaken is its word that it accepts callers.
-	frameTake  = sip.FrameOwner
-	frameTaken = sip.FrameOwner + 1
+	frameTake  = sip.FirstOwnerFrame
+	frameTaken = sip.FirstOwnerFrame + 1
 	// busyEvery is how often a process asks again that has found another one about to take over.
 	busyEvery = 100 * time.Millisecond
 	// reachWithin is how long a process that stands by may take to hear from all case servers before it says that it could serve.
@@ -128,14 +128,14 @@
 		return // whose call it is hears of it, and tells its caller
 	}
 	if !n.turn.successor.InStandby() { // else it is of the elder's, which hears it, too
-		n.front.Orphan(id, how)
+		n.front.ReleaseToCaller(id, how)
 	}
 }
 
 // stray hears a caller's release of a call that this process does not know.
 func (n *Node) stray(id string) {
-	if n.turn.last == nil || !sip.Bye(n.turn.last, id) {
-		n.trunk.ReleaseAnywhere(id)
+	if n.turn.last == nil || !sip.ForwardCallerRelease(n.turn.last, id) {
+		n.trunk.ReleaseAtAllServers(id)
 	}
 	if n.fleet != nil && n.fleet.Works() {
 		n.fleet.Heard(id, uint8(threadglade.Cancelled), true)
@@ -158,7 +158,7 @@
 			t.elder.SuccessorLost()
 			n.life.SetSuccessor(false)
 		}
-		n.front.SuccessorGone()
+		n.front.SuccessorLost()
 	})
 	n.log.Info().Str("event", "handover_ready").Msg("another process stands by to take over")
 	return true
@@ -208,9 +208,9 @@
 		if n.fleet != nil {
 			n.fleet.Yield()
 		}
-		n.front.Pass(t.next)
+		n.front.HandOver(t.next)
 		n.log.Info().Str("event", "handed_over").Int("open", n.Router.OpenRequests()).Msgf("callers handed over: %d requests are still answered from here", n.Router.OpenRequests())
-	case fd < 0 && n.front.Hear(kind, payload):
+	case fd < 0 && n.front.HandleSuccessorFrame(kind, payload):
 	default:
 		t.count.Malformed++
 	}
@@ -235,7 +235,7 @@
 		n.Router.AllowForeignReleases(int(min(binary.BigEndian.Uint32(payload), 1<<20)))
 		n.take("asked to")
 		t.last.Send(frameTaken, nil, -1, false)
-	case n.front.Take(n.Loop, kind, payload, fd, t.last):
+	case n.front.HandleOldProcessFrame(n.Loop, kind, payload, fd, t.last):
 	default:
 		if fd >= 0 {
 			unix.Close(fd)
@@ -263,8 +263,8 @@
 	if n.turn.successor.OldProcessLost() {
 		n.take("the process before has gone")
 	}
-	n.front.ElderGone()
-	n.trunk.Renew()
+	n.front.OldProcessLost()
+	n.trunk.Reconnect()
 	if !errors.Is(err, loop.ErrEOF) {
 		n.log.Warn().Str("event", "handover_broken").Msgf("the process before is not to be heard any more: %v", err)
 	}
--- a/internal/sip/front.go
+++ b/internal/sip/front.go
@@ -46,11 +46,11 @@
 
 // FrontConfig configures a Front. Router and Clock are required.
 type FrontConfig struct {
-	Router   *router.Router
-	Clock    router.Clock
-	Sockets  int // limit of the process's file descriptors
-	Settings threadglade.Settings
-	Life     *lifecycle.Process // decides which connections are closed in a drain or shutdown; nil: none
+	Router         *router.Router
+	Clock          router.Clock
+	MaxDescriptors int // limit of the process's file descriptors
+	Settings       threadglade.Settings
+	Process        *lifecycle.Process // decides which connections are closed in a drain or shutdown; nil: none
 }
 
 // Front accepts callers' SIP connections, passes their set-ups and releases to the router and sends its answers. It
@@ -67,7 +67,7 @@
 	serverCount      int // case servers whose connections need descriptors
 	conns            map[*callerConn]bool
 	pendingReleases  []releaseRecord
-	successor        Across                 // to the process that takes over; nil: none does
+	successor        ProcessLink            // to the process that takes over; nil: none does
 	handedOver       uint32                 // connections handed over; numbers them
 	handedOverSetups map[uint32]*callerConn // handed over, with set-ups pending here, by number
 	oldProcessSetups map[uint32]*callerConn // adopted, with set-ups pending in the old process, by its number
@@ -109,19 +109,19 @@
 // NewFront returns a front for the callers that Accept is called for. Deadlines are only checked after Start.
 func NewFront(c FrontConfig) *Front {
 	f := &Front{
-		router: c.Router, clock: c.Clock, maxDescriptors: c.Sockets, conns: map[*callerConn]bool{},
+		router: c.Router, clock: c.Clock, maxDescriptors: c.MaxDescriptors, conns: map[*callerConn]bool{},
 		handedOverSetups: map[uint32]*callerConn{}, oldProcessSetups: map[uint32]*callerConn{},
-		hashSeed: maphash.MakeSeed(), process: c.Life,
+		hashSeed: maphash.MakeSeed(), process: c.Process,
 	}
 	if f.process == nil {
 		f.process = &lifecycle.Process{}
 	}
-	f.Change(c.Settings)
+	f.UpdateSettings(c.Settings)
 	return f
 }
 
 // UpdateSettings applies settings to set-ups that arrive from now on.
-func (f *Front) Change(settings threadglade.Settings) {
+func (f *Front) UpdateSettings(settings threadglade.Settings) {
 	classes := make(map[string]*threadglade.Class, len(settings.Classes))
 	for _, class := range settings.Classes {
 		classes[class.Name] = &class
@@ -144,7 +144,7 @@
 
 // ReserveForServers reserves descriptors for the connections to so many case servers. It closes connections without
 // a pending set-up if callers hold too many.
-func (f *Front) Leave(servers int) {
+func (f *Front) ReserveForServers(servers int) {
 	f.serverCount = servers
 	for len(f.conns) > f.maxConns() && f.evict() {
 	}
@@ -152,7 +152,7 @@
 
 // ReserveForFront reserves some of the callers' connections for another front. It fails if that would leave none to
 // this one.
-func (f *Front) Reserve(connections int) error {
+func (f *Front) ReserveForFront(connections int) error {
 	f.reservedConns = 0
 	if limit := f.maxConns(); connections >= limit {
 		return fmt.Errorf("%d connections must be fewer than the %d that callers may hold", connections, limit)
@@ -163,9 +163,9 @@
 
 // SetMaxDescriptors changes the limit of the process's file descriptors. It closes connections above the new limit
 // that have no pending set-up.
-func (f *Front) Hold(sockets int) {
+func (f *Front) SetMaxDescriptors(sockets int) {
 	f.maxDescriptors = sockets
-	f.Leave(f.serverCount)
+	f.ReserveForServers(f.serverCount)
 }
 
 // Counters returns a copy of the counters.
@@ -175,7 +175,7 @@
 }
 
 // HasUnsent reports whether bytes to a caller are queued.
-func (f *Front) Unsent() bool {
+func (f *Front) HasUnsent() bool {
 	for conn := range f.conns {
 		if conn.conn.Unsent() > 0 {
 			return true
@@ -185,7 +185,7 @@
 }
 
 // HasUnread reports whether messages were read from a connection and are not handled yet.
-func (f *Front) Unread() bool {
+func (f *Front) HasUnread() bool {
 	for conn := range f.conns {
 		if conn.conn.Pending() {
 			return true
@@ -268,7 +268,7 @@
 }
 
 // CloseIdle closes the connections that a drain or shutdown wants closed, without waiting for the next sweep.
-func (f *Front) LetGo() {
+func (f *Front) CloseIdle() {
 	now := f.clock()
 	for conn := range f.conns {
 		if !conn.lifetime.Closing() && f.process.ShouldClose(now, conn.connState()) {
@@ -279,21 +279,21 @@
 }
 
 // PendingRelease is a release that waits for a caller's connection.
-type Owed struct {
-	ID  string
-	How threadglade.Outcome
+type PendingRelease struct {
+	ID      string
+	Outcome threadglade.Outcome
 }
 
 // PendingReleases returns the releases that wait for a caller's connection, oldest first.
-func (f *Front) Owed() (list []Owed) {
+func (f *Front) PendingReleases() (list []PendingRelease) {
 	for _, release := range f.pendingReleases {
-		list = append(list, Owed{release.id, release.outcome})
+		list = append(list, PendingRelease{release.id, release.outcome})
 	}
 	return list
 }
 
 // ReleaseToCaller sends the release of a call that this process doesn't know, such as one of an earlier incarnation.
-func (f *Front) Orphan(id string, outcome threadglade.Outcome) { f.release(nil, id, outcome) }
+func (f *Front) ReleaseToCaller(id string, outcome threadglade.Outcome) { f.release(nil, id, outcome) }
 
 // release sends a release to a caller. A call isn't bound to a connection: if the one that its set-up arrived on
 // can't be used, the release goes out on another one from the same address, else on any, else through the successor,
@@ -345,7 +345,7 @@
 // HandleRecalled handles a message that the loop has taken back before it was sent, and returns its call and outcome.
 // known is false if the message is not the front's. answer is true if it was the answer that a call is established:
 // the caller then receives a failure, as the call may have been established at the server.
-func (f *Front) Recalled(message any) (id string, outcome threadglade.Outcome, answer, known bool) {
+func (f *Front) HandleRecalled(message any) (id string, outcome threadglade.Outcome, answer, known bool) {
 	r, known := message.(*recallable)
 	switch {
 	case !known:
@@ -402,7 +402,7 @@
 	setupRate        loop.Bucket
 	handOverID       uint32          // number under which it was handed over to the successor; 0: it was not
 	oldProcessSetups map[string]bool // call ids of set-ups pending in the old process; nil while there is none
-	oldProcess       Across          // link to the old process
+	oldProcess       ProcessLink     // link to the old process
 	oldProcessID     uint32          // number under which the old process handed it over
 	msg              message
 }
--- a/internal/sip/handover.go
+++ b/internal/sip/handover.go
@@ -23,11 +23,11 @@
 	frameConnClosed                // to the old process: a connection with such set-ups has closed
 	frameCallerRelease             // to the old process: a caller's release of a call that is unknown to the successor
 	// FirstOwnerFrame is the first kind that the fronts don't use.
-	FrameOwner
+	FirstOwnerFrame
 )
 
 // ProcessLink sends frames to the other process.
-type Across interface {
+type ProcessLink interface {
 	// Send sends a frame. fd is a descriptor to pass along, or -1. It returns false if the frame can't be sent.
 	Send(kind byte, payload []byte, fd int, keep bool) bool
 }
@@ -43,7 +43,7 @@
 
 // HandOver hands the callers' connections over to the successor, those with unsent bytes once they are written, and
 // answers through the successor from then on.
-func (f *Front) Pass(link Across) {
+func (f *Front) HandOver(link ProcessLink) {
 	f.successor = link
 	pending := f.pendingReleases
 	f.pendingReleases = nil
@@ -117,7 +117,7 @@
 }
 
 // HandleSuccessorFrame handles a frame from the successor. It returns false if the frame is malformed.
-func (f *Front) Hear(kind byte, payload []byte) bool {
+func (f *Front) HandleSuccessorFrame(kind byte, payload []byte) bool {
 	if kind == frameCallerRelease {
 		if isCallID(payload) {
 			f.router.Release(string(payload))
@@ -144,7 +144,7 @@
 
 // SuccessorLost handles the loss of the successor: the connections that were handed over have closed with it, so
 // their set-ups are cancelled.
-func (f *Front) SuccessorGone() {
+func (f *Front) SuccessorLost() {
 	f.successor = nil
 	for id, conn := range f.handedOverSetups {
 		delete(f.handedOverSetups, id)
@@ -153,13 +153,13 @@
 }
 
 // HandedOverPending returns the number of connections that were handed over and have set-ups pending in this process.
-func (f *Front) Away() int { return len(f.handedOverSetups) }
+func (f *Front) HandedOverPending() int { return len(f.handedOverSetups) }
 
 // ---- successor ----
 
 // HandleOldProcessFrame handles a frame from the old process. It returns false if the frame is malformed. If it
 // returns true the front owns fd.
-func (f *Front) Take(l *loop.Loop, kind byte, payload []byte, fd int, oldProcess Across) bool {
+func (f *Front) HandleOldProcessFrame(l *loop.Loop, kind byte, payload []byte, fd int, oldProcess ProcessLink) bool {
 	switch {
 	case kind == frameConn && fd >= 0 && len(payload) >= 8:
 		return f.adopt(l, payload, fd, oldProcess)
@@ -188,7 +188,7 @@
 }
 
 // adopt takes over a connection of the old process. It returns false if the frame is malformed.
-func (f *Front) adopt(l *loop.Loop, payload []byte, fd int, oldProcess Across) bool {
+func (f *Front) adopt(l *loop.Loop, payload []byte, fd int, oldProcess ProcessLink) bool {
 	id, flags, unusableMessages, setupCount := binary.BigEndian.Uint32(payload), payload[4], payload[5],
 		int(binary.BigEndian.Uint16(payload[6:]))
 	rest := payload[8:]
@@ -251,7 +251,7 @@
 
 // OldProcessLost answers the pending set-ups of an old process that has died with 500, the failure after which the
 // caller can't know whether the call was established.
-func (f *Front) ElderGone() {
+func (f *Front) OldProcessLost() {
 	for _, conn := range f.oldProcessSetups {
 		for callID := range conn.oldProcessSetups {
 			f.counters.Answers++
@@ -265,4 +265,6 @@
 
 // ForwardCallerRelease forwards a caller's release of an unknown call to the old process. It returns false if it
 // can't be sent.
-func Bye(link Across, id string) bool { return link.Send(frameCallerRelease, []byte(id), -1, false) }
+func ForwardCallerRelease(link ProcessLink, id string) bool {
+	return link.Send(frameCallerRelease, []byte(id), -1, false)
+}
--- a/internal/sip/trunk.go
+++ b/internal/sip/trunk.go
@@ -67,10 +67,10 @@
 	Loop           *loop.Loop
 	Clock          router.Clock
 	ConnectTimeout time.Duration
-	Free           string // name of the field with the free agents in a server's state report
-	Total          string // name of the field with all agents
+	FreeField      string // name of the field with the free agents in a server's state report
+	TotalField     string // name of the field with all agents
 	Log            zerolog.Logger
-	Loads          bool // pass servers' load reports on to the router
+	ReportLoads    bool // pass servers' load reports on to the router
 }
 
 // Trunk sends attempts to case servers and reports their outcome to the router. It implements router.Trunk. A server
@@ -186,7 +186,7 @@
 }
 
 // AllReached reports whether every server that takes set-ups has sent data on its current connection.
-func (t *Trunk) Reached() bool {
+func (t *Trunk) AllReached() bool {
 	for _, peer := range t.peers {
 		if peer.server.State == threadglade.Up && (peer.conn == nil || !peer.conn.silence.HasReceived()) {
 			return false
@@ -199,7 +199,7 @@
 
 // UpdateServers replaces the server list. It connects to new servers, reconnects to moved and restarted ones, and
 // cuts the attempts of servers that are not listed any more.
-func (t *Trunk) List(servers []Server) {
+func (t *Trunk) UpdateServers(servers []Server) {
 	named := map[string]bool{}
 	for _, server := range servers {
 		named[server.ID] = server.State != threadglade.Removed
@@ -300,7 +300,7 @@
 
 // Reconnect opens a new connection to every server. A server sends the releases that a process which has gone did not
 // acknowledge on the next connection that opens.
-func (t *Trunk) Renew() {
+func (t *Trunk) Reconnect() {
 	for _, peer := range t.peers {
 		peer.connect()
 	}
@@ -308,7 +308,7 @@
 
 // HalfCloseAll half-closes all connections, as a process does that ends while another process of this router serves.
 // Messages of a server are still read until it closes its side too; later ones it sends to the other process.
-func (t *Trunk) Rest() {
+func (t *Trunk) HalfCloseAll() {
 	t.closing = true
 	for _, peer := range t.peers {
 		peer.retire()
@@ -322,7 +322,7 @@
 }
 
 // HalfClosing reports whether a half-closed connection still waits for the server's close, within peerCloseTimeout.
-func (t *Trunk) Resting() bool {
+func (t *Trunk) HalfClosing() bool {
 	for _, peer := range t.peers {
 		if slices.ContainsFunc(peer.replaced, func(conn *serverConn) bool {
 			return conn.closeDeadline > t.cfg.Clock()
@@ -666,7 +666,7 @@
 
 // ReleaseAtAllServers releases a call of an earlier incarnation of this router, whose server is not known. Servers
 // that don't know the call ignore the release.
-func (t *Trunk) ReleaseAnywhere(id string) {
+func (t *Trunk) ReleaseAtAllServers(id string) {
 	for _, peer := range t.peers {
 		if peer.conn != nil {
 			peer.conn.sendRelease(id)
@@ -678,7 +678,7 @@
 
 // RelinquishAll drops all pending attempts and established calls, and reopens every connection without reading what
 // has arrived: servers report on those calls to other routers.
-func (t *Trunk) Cease() {
+func (t *Trunk) RelinquishAll() {
 	for _, leg := range t.legs {
 		t.removeLeg(leg)
 	}
@@ -692,7 +692,7 @@
 
 // RelinquishEstablished drops all established calls. Connections stay open: releases of those calls are passed on
 // like those of any unknown call.
-func (t *Trunk) Cede() {
+func (t *Trunk) RelinquishEstablished() {
 	for _, leg := range t.legs {
 		if leg.established {
 			t.removeLeg(leg)
@@ -701,7 +701,7 @@
 }
 
 // EndCall ends a call that may be established here and whose end was reported to another router.
-func (t *Trunk) Ended(id string, outcome threadglade.Outcome, byCaller bool) {
+func (t *Trunk) EndCall(id string, outcome threadglade.Outcome, byCaller bool) {
 	switch leg := t.legs[id]; {
 	case leg == nil || !leg.established:
 	case byCaller:
@@ -713,7 +713,7 @@
 
 // CancelAndRelease cancels a set-up of another router at its server, and releases the call in case it is established.
 // It does nothing if there is no connection to the server.
-func (t *Trunk) Withdraw(server, id, number string) {
+func (t *Trunk) CancelAndRelease(server, id, number string) {
 	if peer := t.peers[server]; peer != nil && peer.conn != nil {
 		t.counters.Withdrawn++
 		t.buf = appendRequest(t.buf[:0], "CANCEL", number, id, 1, "CANCEL").addBody(nil)
@@ -971,7 +971,7 @@
 
 // reportLoad passes a message's load report on to the router, if the configuration wants it.
 func (c *serverConn) reportLoad(m *message) {
-	if !c.peer.trunk.cfg.Loads {
+	if !c.peer.trunk.cfg.ReportLoads {
 		return
 	}
 	report := m.headerValue("link-state")
@@ -990,8 +990,8 @@
 	trunk := c.peer.trunk
 	c.reportLoad(m)
 	report := m.headerValue("link-state")
-	free, hasFree := parseField(report, trunk.cfg.Free)
-	total, hasTotal := parseField(report, trunk.cfg.Total)
+	free, hasFree := parseField(report, trunk.cfg.FreeField)
+	total, hasTotal := parseField(report, trunk.cfg.TotalField)
 	if !hasFree || !hasTotal {
 		free, hasFree = parseField(report, "x0")
 		total, hasTotal = parseField(report, "x1")
