--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,7 +1,9 @@
-// Package fleet owns who acts in a fleet of call routers: members and their incarnations, leases, and the state machine of the log that
-// keepers agree on (raft, as a library without I/O). Events and absolute times go in; what to store, send and tell comes out. It must never
-// know what a limit, a verdict, a call or a version is (they are facts and observers of it), do I/O, start a goroutine or read a clock.
-// docs/design/fleet-floor.md states what it promises and why that holds.
+// Package fleet decides which process acts under each router's name in a fleet of call routers. It implements the
+// members with their incarnations and leases, and the replicated state machine of the raft log that the keepers agree
+// on. The package is a library without I/O: events and absolute times go in; data to store, frames to send and
+// notifications come out. It does no I/O, starts no goroutine, reads no clock, and knows nothing of limits, verdicts,
+// calls or program versions, which are facts in its log or observers of it.
+// docs/design/fleet-floor.md states its guarantees and the argument for them.
 package fleet
 
 import (
@@ -13,98 +15,107 @@
 	"threadglade.example/threadglade/fleet/fleetpb"
 )
 
-// The version of links that this program speaks, and the oldest that it still does.
 const (
+	// LinkVersion is the newest version of the link protocol that this program speaks.
 	LinkVersion = 1
-	LinkLeast   = 1
+	// MinLinkVersion is the oldest version of the link protocol that this program still accepts.
+	LinkLeast = 1
 )
 
-// Terms are what all of a fleet agree on beforehand. All times are on clocks that also run while a process is stopped.
+// Settings are the parameters that all processes of a fleet have to share. All durations are measured on clocks that
+// keep running while a process is stopped.
 type Terms struct {
-	Fleet   string
-	Lease   time.Duration // L: what a holder may act for, from before it asked
-	Renew   time.Duration // R: how often it asks
-	Drift   float64       // r: bound on how far any clock's rate is from true time
+	Fleet   string        // name of the fleet
+	Lease   time.Duration // L: how long a lease is valid, counted from before the request was sent
+	Renew   time.Duration // R: interval between renewal requests
+	Drift   float64       // r: bound on the relative deviation of any clock's rate from true time
 	Keepers []string      // names, in the order of the settings
-	Members []string      // names of routers; one that ends in * stands for all that begin so
+	Members []string      // names of routers; a trailing * matches any suffix
 }
 
-// DefaultTerms are those without a word in the settings.
-func DefaultTerms() Terms { return Terms{Lease: 3 * time.Second, Renew: time.Second, Drift: 0.01} }
+// DefaultSettings returns the values that apply where the configuration sets none.
+func DefaultTerms() Terms {
+	return Terms{Lease: 3 * time.Second, Renew: time.Second, Drift: 0.01}
+}
 
-// Wait is K = L (1+r) / (1-r): how long keepers wait after a grant until the lease is over on any clock.
-func (t Terms) Wait() time.Duration {
-	return time.Duration(float64(t.Lease)*(1+t.Drift)/(1-t.Drift)) + time.Nanosecond
+// RegrantDelay returns K = L (1+r) / (1-r): how long keepers wait after a grant until the lease has expired on any
+// clock that keeps the drift bound.
+func (s Terms) Wait() time.Duration {
+	return time.Duration(float64(s.Lease)*(1+s.Drift)/(1-s.Drift)) + time.Nanosecond
 }
 
-// Known is the bound L + 1 s within which a lost router is known as lost by whoever is linked.
-func (t Terms) Known() time.Duration { return t.Lease + time.Second }
+// LossDetectionTime returns L + 1 s, the bound within which every linked process learns that a router is lost.
+func (s Terms) Known() time.Duration { return s.Lease + time.Second }
 
-// Validate says what is wrong with them.
-func (t Terms) Validate() error {
+// Validate returns an error that names the first invalid setting.
+func (s Terms) Validate() error {
 	switch {
-	case t.Fleet == "" || len(t.Fleet) > nameMost:
-		return fmt.Errorf("a fleet's name has 1 to %d bytes", nameMost)
-	case t.Drift < 0 || t.Drift > 0.1:
-		return errors.New("a drift is within 0 and 0.1")
-	case t.Renew <= 0 || t.Renew*2 > t.Lease:
+	case s.Fleet == "" || len(s.Fleet) > maxNameLength:
+		return fmt.Errorf("the name of a fleet has to have 1 to %d bytes", maxNameLength)
+	case s.Drift < 0 || s.Drift > 0.1:
+		return errors.New("the clock drift has to be between 0 and 0.1")
+	case s.Renew <= 0 || s.Renew*2 > s.Lease:
 		return errors.New("a lease is renewed at least twice in its time")
-	case len(t.Keepers) != 1 && len(t.Keepers) != 3 && len(t.Keepers) != 5:
-		return fmt.Errorf("a fleet has 1, 3 or 5 keepers, not %d", len(t.Keepers))
-	case len(t.Members) == 0:
+	case len(s.Keepers) != 1 && len(s.Keepers) != 3 && len(s.Keepers) != 5:
+		return fmt.Errorf("a fleet has 1, 3 or 5 keepers, not %d", len(s.Keepers))
+	case len(s.Members) == 0:
 		return errors.New("a fleet lists its members")
 	}
 	seen := map[string]bool{}
-	for _, name := range t.Keepers {
-		if name == "" || len(name) > nameMost || seen[name] {
-			return fmt.Errorf("keeper %q: a name of its own with 1 to %d bytes is wanted", name, nameMost)
+	for _, name := range s.Keepers {
+		if name == "" || len(name) > maxNameLength || seen[name] {
+			return fmt.Errorf("keeper %q: names have to be unique and have 1 to %d bytes", name, maxNameLength)
 		}
 		seen[name] = true
 	}
 	return nil
 }
 
-// Listed says whether a router of that name belongs to the fleet.
-func (t Terms) Listed(name string) bool {
-	for _, m := range t.Members {
-		if m == name || strings.HasSuffix(m, "*") && strings.HasPrefix(name, m[:len(m)-1]) {
-			return name != "" && len(name) <= nameMost
+// IsListed reports whether a router of that name belongs to the fleet.
+func (s Terms) Listed(name string) bool {
+	for _, member := range s.Members {
+		if member == name || strings.HasSuffix(member, "*") && strings.HasPrefix(name, member[:len(member)-1]) {
+			return name != "" && len(name) <= maxNameLength
 		}
 	}
 	return false
 }
 
-// RefusedError is why a link is not opened.
+// RefusedError reports why a link was not accepted.
 type RefusedError struct{ Why string }
 
+// Error implements error.
 func (e *RefusedError) Error() string { return "link refused: " + e.Why }
 
-// Welcome checks how the other side of a link introduces itself; voters are the keepers by the founding (nil: by a member, which knows of none). Without a name it is an
-// operator, who may only inquire.
-func (t Terms) Welcome(h *fleetpb.Hello, voters map[string]uint64) error {
+// CheckHello validates the hello of the other side of a link and returns a *RefusedError if the link must not be
+// accepted. voters are the keepers' raft IDs from the bootstrap; nil on a member, which doesn't know them. A hello
+// without a name is an operator's; an operator doesn't act as a member.
+func (s Terms) Welcome(hello *fleetpb.Hello, voters map[string]uint64) error {
 	refuse := func(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 	switch {
-	case h == nil:
+	case hello == nil:
 		return refuse("it does not begin with a hello")
-	case h.Fleet != t.Fleet:
-		return refuse("fleet %.64q, this is %q", h.Fleet, t.Fleet)
-	case h.Version < LinkLeast || h.Least > LinkVersion:
-		return refuse("link versions %d to %d, this program speaks %d to %d", h.Least, h.Version, LinkLeast, LinkVersion)
-	case h.Voter != 0 && voters != nil && voters[h.Name] != h.Voter:
-		return refuse("%.64q is no keeper by that number: its files are not those of the founding", h.Name)
-	case h.Voter == 0 && h.Name != "" && !t.Listed(h.Name):
-		return refuse("%.64q is not listed", h.Name)
+	case hello.Fleet != s.Fleet:
+		return refuse("fleet %.64q, this is %q", hello.Fleet, s.Fleet)
+	case hello.Version < LinkLeast || hello.Least > LinkVersion:
+		return refuse("link versions %d to %d, this program speaks %d to %d",
+			hello.Least, hello.Version, LinkLeast, LinkVersion)
+	case hello.Voter != 0 && voters != nil && voters[hello.Name] != hello.Voter:
+		return refuse("%.64q is no keeper by that number: its files are not those of the founding", hello.Name)
+	case hello.Voter == 0 && hello.Name != "" && !s.Listed(hello.Name):
+		return refuse("%.64q is not listed", hello.Name)
 	}
 	return nil
 }
 
-// Lease is what a router holds: while Until lies ahead it alone acts under its name, by this incarnation, which is its fencing number too.
+// Lease is a router's exclusive right to act under its name: until the time Until, only the process of this
+// incarnation may. The incarnation also serves as fencing token.
 type Lease struct {
 	Incarnation uint64
 	Until       time.Duration
 }
 
-// Holds is the look at the lease, at the moment of an act.
+// IsHeld reports whether the lease is valid at the time now. It has to be checked at the moment of each action.
 func (l Lease) Holds(now time.Duration) bool {
 	if mutant == "no-look" {
 		return l.Incarnation != 0
@@ -112,46 +123,50 @@
 	return l.Incarnation != 0 && now < l.Until
 }
 
-// Kind of a Note.
+// Kind is the event that a Note reports.
 type Kind uint8
 
-// What there is to tell.
+// Kinds of notes about this router, the other routers, facts and this keeper.
 const (
-	Granted  Kind = iota + 1 // this router has begun an incarnation
-	RanOut                   // its lease has run out: it is cut off, or its keepers are gone
-	Regained                 // the same incarnation holds again
-	Ended                    // its incarnation is over by the log
-	Waits                    // its name is still held by another process
-	Began                    // another router's incarnation has begun
-	Lost                     // another's lease has run out, by the log
-	Left                     // another has ended by its own word
+	Granted  Kind = iota + 1 // this router has started a new incarnation
+	RanOut                   // this router's lease has expired: it is cut off, or its keepers are unavailable
+	Regained                 // this router's incarnation has a valid lease again
+	Ended                    // this router's incarnation has ended, by the log
+	Waits                    // this router's name is still leased to another process
+	Began                    // another router's incarnation has started
+	Lost                     // another router's lease has expired, by the log
+	Left                     // another router has ended its incarnation itself
 	Written                  // a fact has changed
-	Leads                    // this keeper leads
-	Follows                  // it leads no more
-	Halted                   // it has stopped for good: its disk failed
-	Passed                   // what a router's lost incarnation had in hand goes to another successor
+	Leads                    // this keeper has become the leader
+	Follows                  // this keeper is no longer the leader
+	Halted                   // this keeper has stopped for good: its disk failed
+	Passed                   // the calls of a router's ended incarnation go to another successor
 )
 
-var kinds = [...]string{"", "granted", "ran-out", "regained", "ended", "waits", "began", "lost", "left", "written", "leads", "follows", "halted", "passed"}
+var kindNames = [...]string{
+	"", "granted", "ran-out", "regained", "ended", "waits", "began", "lost", "left", "written", "leads", "follows",
+	"halted", "passed",
+}
 
-func (k Kind) String() string { return kinds[k] }
+// String returns the kind's name, which is also part of log events.
+func (k Kind) String() string { return kindNames[k] }
 
-// Note is one thing to tell observers of the fleet.
+// Note is a notification to observers of the fleet.
 type Note struct {
 	Kind        Kind
 	Name        string // of a member, keeper or fact
 	Incarnation uint64
-	Number      uint64 // term, or version of a fact
+	Number      uint64 // raft term, or version of a fact
 	Value       []byte // of a fact
-	Text        string // why; of Lost, Left and Passed: the successor
+	Text        string // reason; of MemberLost, MemberLeft and SuccessorChanged: the successor
 }
 
-// Link numbers a connection between this process and another, as its carrier does. 0 is none.
+// Link identifies a connection between this process and another. The transport assigns it; 0 means no link.
 type Link uint64
 
-// Send is a message to go out on a link or, for a keeper's word to another, by the other's number.
+// Outbound is a frame to send: on a link or, for raft messages, to another keeper by its raft ID.
 type Send struct {
-	Link  Link
-	Voter uint64
+	Link  Link   // 0 if Voter is set
+	Voter uint64 // raft ID of the receiving keeper; 0 if Link is set
 	Frame *fleetpb.Frame
 }
--- a/fleet/keeper.go
+++ b/fleet/keeper.go
@@ -19,26 +19,32 @@
 	"threadglade.example/threadglade/fleet/fleetpb"
 )
 
-// Keepers agree on the log: this file owns one keeper's part of it, which is raft's, and, while it leads, the leases. Raft's ticks are absolute
-// times here; when to stand for election is drawn by the keeper itself, so that a seed decides it.
+// This file implements one keeper: its raft node and, while it is the leader, the leases. Raft ticks are derived from
+// absolute times. The keeper draws its election timeouts itself, from the seeded source it is given, so that a seed
+// reproduces a run.
 
 const (
-	// TickEvery is the time between two looks at the clock, and of raft's tick.
+	// TickInterval is the interval of calls of Tick, and the length of a raft tick.
 	TickEvery = 50 * time.Millisecond
-	// heartbeat and election are in ticks: a leader that is not heard of for election to twice as long is replaced.
-	heartbeat = 2
-	election  = 12
-	// catchUp ticks at most are made up for after a pause: time went by, but nobody's messages were heard in it.
-	catchUp = 2
-	// asksMost asks wait for one round, and entriesMost bytes of proposals for the log.
-	asksMost    = 8192
-	entriesMost = 8 << 20
-	// compactAt entries are kept before the older ones are dropped, keepBack of them for keepers that were away.
-	compactAt, keepBack = 4096, 1024
-	messageMost         = 512 << 10
+	// heartbeatTicks and electionTicks are raft's intervals. A keeper stands for election when it has received nothing
+	// from a leader for a random time between electionTicks and twice as many.
+	heartbeatTicks = 2
+	electionTicks  = 12
+	// maxCatchUpTicks limits the ticks that are made up for after a pause: time has passed, but no message of the
+	// others was processed in it.
+	maxCatchUpTicks = 2
+	// maxWaitingAsks limits the asks that wait for one confirmation round, and the puts that wait for their entries.
+	maxWaitingAsks = 8192
+	// maxUncommittedBytes limits proposals that are not yet committed.
+	maxUncommittedBytes = 8 << 20
+	// compactThreshold is the number of entries at which the log is compacted; the last retainedEntries applied ones
+	// stay for keepers that were disconnected.
+	compactThreshold, retainedEntries = 4096, 1024
+	// maxRaftMessageBytes limits the entries of one raft message, and the committed entries applied at a time.
+	maxRaftMessageBytes = 512 << 10
 )
 
-// Stored is what a keeper's folder holds.
+// Stored is the content of a keeper's folder.
 type Stored struct {
 	Identity *fleetpb.Identity
 	Snapshot *raftpb.Snapshot
@@ -46,33 +52,36 @@
 	Entries  []*raftpb.Entry // after the snapshot
 }
 
-// Write adds to what a folder holds what a keeper wants stored. The error names the entry that cannot follow.
-func (s *Stored) Write(o *Store) error {
-	if o.Snapshot != nil {
-		s.Snapshot, s.Entries = o.Snapshot, nil
+// Apply adds an update to the content as the storage would. It fails if an entry precedes the first snapshot or would
+// leave a gap; the error names that entry.
+func (s *Stored) Write(update *Store) error {
+	if update.Snapshot != nil {
+		s.Snapshot, s.Entries = update.Snapshot, nil
 	}
-	for _, e := range o.Entries {
+	for _, e := range update.Entries {
 		if s.Snapshot == nil {
-			return errors.New("an entry stands before any snapshot")
+			return errors.New("an entry precedes the first snapshot")
 		}
 		base := s.Snapshot.Metadata.GetIndex()
-		at := e.GetIndex() - base - 1
-		if e.GetIndex() <= base || at > uint64(len(s.Entries)) {
-			return fmt.Errorf("entry %d stands where %d is the most", e.GetIndex(), base+uint64(len(s.Entries))+1)
+		position := e.GetIndex() - base - 1
+		if e.GetIndex() <= base || position > uint64(len(s.Entries)) {
+			return fmt.Errorf("entry %d leaves a gap: the next index is at most %d",
+				e.GetIndex(), base+uint64(len(s.Entries))+1)
 		}
-		s.Entries = append(s.Entries[:at:at], e)
+		s.Entries = append(s.Entries[:position:position], e)
 	}
-	if !raft.IsEmptyHardState(o.Hard) {
-		s.Hard = o.Hard
+	if !raft.IsEmptyHardState(update.Hard) {
+		s.Hard = update.Hard
 	}
 	return nil
 }
 
-// Found draws numbers for the keepers of a new fleet and returns what each one's folder begins with, in the order of the terms.
-func Found(t Terms, random *rand.Rand) ([]Stored, error) {
-	state := &fleetpb.State{Fleet: t.Fleet, Index: 1}
+// Bootstrap draws raft IDs for the keepers of a new fleet and returns the initial content of each one's folder, in the
+// order of the settings. It is called once per fleet: a second call makes a different fleet.
+func Found(settings Terms, random *rand.Rand) ([]Stored, error) {
+	state := &fleetpb.State{Fleet: settings.Fleet, Index: 1}
 	conf := &raftpb.ConfState{}
-	for _, name := range t.Keepers {
+	for _, name := range settings.Keepers {
 		number := random.Uint64()>>1 + 1
 		state.Voters = append(state.Voters, &fleetpb.Voter{Name: name, Number: number})
 		conf.Voters = append(conf.Voters, number)
@@ -83,260 +92,303 @@
 	}
 	var list []Stored
 	for _, v := range state.Voters {
-		list = append(list, Stored{Identity: &fleetpb.Identity{Fleet: t.Fleet, Name: v.Name, Number: v.Number},
-			Snapshot: &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: new(uint64(1)), Term: new(uint64(1))}},
-			Hard:     &raftpb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}})
+		list = append(list, Stored{
+			Identity: &fleetpb.Identity{Fleet: settings.Fleet, Name: v.Name, Number: v.Number},
+			Snapshot: &raftpb.Snapshot{
+				Data:     data,
+				Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: new(uint64(1)), Term: new(uint64(1))},
+			},
+			Hard: &raftpb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))},
+		})
 	}
 	return list, nil
 }
 
-// grant is a live incarnation as the leading keeper counts its lease.
-type grant struct {
-	over   time.Duration // when it has run out on any clock
-	ending bool          // its end, or what follows it, is proposed: it is not renewed any more
+// leaseGrant is the leader's record of a live incarnation's lease.
+type leaseGrant struct {
+	expiresAt time.Duration // when the lease has expired on any clock
+	ending    bool          // its end or its successor is proposed: it is no longer renewed
 }
 
-// ask is a member's, waiting for a round.
-type ask struct {
+// waitingAsk is a member's ask that waits for a confirmation round.
+type waitingAsk struct {
 	link Link
 	name string
 	*fleetpb.Ask
 }
 
-// round is asks that one confirmation of the term answers.
-type round struct {
-	number uint64
-	asks   []ask
-	index  uint64 // to be applied first; 0: not confirmed yet
+// confirmRound is a batch of asks that are answered once raft's read index has confirmed that this keeper still leads.
+type confirmRound struct {
+	number    uint64
+	asks      []waitingAsk
+	readIndex uint64 // has to be applied before the asks are answered; 0: not confirmed yet
 }
 
-// feed is a link that hears words.
-type feed struct {
-	name  string
-	sent  uint64
-	wants bool
+// subscription is a link to a member that receives changes of the state machine.
+type subscription struct {
+	name      string
+	sentIndex uint64
+	wants     bool
 }
 
-// proposal of a member that waits for its entry.
-type proposal struct {
+// pendingPut is a member's proposed fact that waits for its entry to be applied.
+type pendingPut struct {
 	link Link
 	seq  uint64
 }
 
-// Rider is what rides on leases: it answers a member's words in the same moment as its lease is renewed, and only while the term is confirmed.
+// LeaseExtension is a protocol whose payloads are carried in the messages that renew leases. It answers a member's
+// payload at the moment the member's lease is renewed, hence only while the leader's term is confirmed. Its methods
+// are called on the keeper's goroutine.
 type Rider interface {
-	Office(now time.Duration) // this keeper leads from now on
+	// StartTerm is called when this keeper has become the leader.
+	Office(now time.Duration)
+	// EndTerm is called when this keeper is no longer the leader.
 	Resign()
-	Renewed(now time.Duration, name string, incarnation, process, seq uint64, ride []byte) []byte
-	Over(now time.Duration, name string, incarnation uint64) // its lease is certainly over
-	Applied(now time.Duration, e *fleetpb.Entry)             // an entry has changed the machine
-	Puts() []*fleetpb.Put                                    // facts that the leading keeper has to write
+	// HandleRenewal takes the payload of an ask whose lease has just been renewed and returns the answer's payload.
+	Renewed(now time.Duration, name string, incarnation, process, seq uint64, payload []byte) []byte
+	// EndIncarnation is called on the leader when an incarnation has ended and its lease is certainly over.
+	Over(now time.Duration, name string, incarnation uint64)
+	// HandleEntry is called after an entry has changed the state machine.
+	Applied(now time.Duration, e *fleetpb.Entry)
+	// TakePuts returns the facts that the leader has to write, and forgets them.
+	Puts() []*fleetpb.Put
+	// Report returns the extension's part of a report to operators.
 	Report() []byte
 }
 
-// OwnPrefix begins the keys of facts that leading keepers write for their riders, and nobody else may.
+// LeaderKeyPrefix is the prefix of the keys of facts that only leaders may write, for their lease extensions.
 const OwnPrefix = "keeper/"
 
-// Keeper is one keeper. Its methods are for one goroutine.
+// Keeper is one voter of the fleet's raft log. It is not safe for concurrent use.
 type Keeper struct {
 	Terms   Terms
 	Machine *Machine
 	Rider   Rider // nil: none
-	self    *fleetpb.Identity
-	voters  map[string]uint64
-	names   map[uint64]string
-	random  *rand.Rand
-	rn      *raft.RawNode
-	store   *raft.MemoryStorage
-	conf    *raftpb.ConfState
-	ready   *raft.Ready
-	halted  bool
-
-	ticked  time.Duration
-	stand   time.Duration // when it stands for election, unless it hears from a leader
-	leads   bool          // raft says so
-	office  uint64        // the term that it holds office in: its own first entry is applied; 0: none
-	grants  map[string]*grant
-	waiting []ask
-	rounds  []*round
-	rounded uint64
-	feeds   map[Link]*feed
-	props   map[uint64]proposal
-	sends   []Send
-	notes   []Note
-}
-
-// quiet is raft's logger: what matters is told by notes.
-var quiet = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
-
-// NewKeeper goes on from what its folder holds.
-func NewKeeper(t Terms, s Stored, random *rand.Rand, now time.Duration) (*Keeper, error) {
-	if s.Identity == nil || s.Snapshot == nil || s.Hard == nil {
-		return nil, errors.New("the folder is not one of a founded keeper")
-	}
-	if s.Identity.Fleet != t.Fleet {
-		return nil, fmt.Errorf("the folder is one of fleet %q, the settings say %q", s.Identity.Fleet, t.Fleet)
+
+	self       *fleetpb.Identity
+	voters     map[string]uint64
+	voterNames map[uint64]string
+	random     *rand.Rand
+	node       *raft.RawNode
+	storage    *raft.MemoryStorage
+	confState  *raftpb.ConfState
+	ready      *raft.Ready
+	halted     bool
+
+	lastTick      time.Duration // the time up to which ticks are counted
+	electionAt    time.Duration // when it stands for election, unless a leader's message arrives before
+	isLeader      bool          // raft's state
+	leaderTerm    uint64        // the term in which it acts as leader, since its first own entry is applied; 0: none
+	grants        map[string]*leaseGrant
+	waitingAsks   []waitingAsk
+	rounds        []*confirmRound
+	lastRound     uint64 // number of the last round; starts at random to tell it from an earlier process's
+	subscriptions map[Link]*subscription
+	pendingPuts   map[uint64]pendingPut
+	outbound      []Send
+	notes         []Note
+}
+
+// discardLogger discards raft's log lines; notes report the events that matter.
+var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
+
+// NewKeeper returns a keeper that resumes from the content of its folder. It fails if the content is incomplete,
+// damaged or of another fleet, or if the keeper is not one of the bootstrap and the settings.
+func NewKeeper(settings Terms, stored Stored, random *rand.Rand, now time.Duration) (*Keeper, error) {
+	if stored.Identity == nil || stored.Snapshot == nil || stored.Hard == nil {
+		return nil, errors.New("the folder is not that of a bootstrapped keeper")
+	}
+	if stored.Identity.Fleet != settings.Fleet {
+		return nil, fmt.Errorf("the folder belongs to fleet %q, the settings name %q",
+			stored.Identity.Fleet, settings.Fleet)
 	}
 	state := &fleetpb.State{}
-	if err := proto.Unmarshal(s.Snapshot.Data, state); err != nil {
+	if err := proto.Unmarshal(stored.Snapshot.Data, state); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	k := &Keeper{Terms: t, Machine: NewMachine(state), self: s.Identity, random: random, store: raft.NewMemoryStorage(), conf: s.Snapshot.Metadata.ConfState,
-		voters: map[string]uint64{}, names: map[uint64]string{}, ticked: now, feeds: map[Link]*feed{}, props: map[uint64]proposal{}, rounded: random.Uint64() >> 1}
+	k := &Keeper{
+		Terms: settings, Machine: NewMachine(state), self: stored.Identity, random: random,
+		storage: raft.NewMemoryStorage(), confState: stored.Snapshot.Metadata.ConfState,
+		voters: map[string]uint64{}, voterNames: map[uint64]string{}, lastTick: now,
+		subscriptions: map[Link]*subscription{}, pendingPuts: map[uint64]pendingPut{}, lastRound: random.Uint64() >> 1,
+	}
 	for _, v := range state.Voters {
-		k.voters[v.Name], k.names[v.Number] = v.Number, v.Name
+		k.voters[v.Name], k.voterNames[v.Number] = v.Number, v.Name
 	}
-	if k.names[s.Identity.Number] != s.Identity.Name {
-		return nil, fmt.Errorf("keeper %q is not of this fleet's founding", s.Identity.Name)
+	if k.voterNames[stored.Identity.Number] != stored.Identity.Name {
+		return nil, fmt.Errorf("keeper %q was not part of this fleet's bootstrap", stored.Identity.Name)
 	}
-	if !slices.Contains(t.Keepers, s.Identity.Name) {
-		return nil, fmt.Errorf("keeper %q is not in the settings", s.Identity.Name)
+	if !slices.Contains(settings.Keepers, stored.Identity.Name) {
+		return nil, fmt.Errorf("keeper %q is not in the settings", stored.Identity.Name)
 	}
-	if err := errors.Join(k.store.ApplySnapshot(s.Snapshot), k.store.SetHardState(s.Hard), k.store.Append(s.Entries)); err != nil {
+	if err := errors.Join(
+		k.storage.ApplySnapshot(stored.Snapshot),
+		k.storage.SetHardState(stored.Hard),
+		k.storage.Append(stored.Entries),
+	); err != nil {
 		return nil, err
 	}
 	var err error
-	k.rn, err = raft.NewRawNode(&raft.Config{ID: s.Identity.Number, ElectionTick: election, HeartbeatTick: heartbeat, Storage: k.store, Applied: state.Index,
-		MaxSizePerMsg: messageMost, MaxCommittedSizePerReady: messageMost, MaxUncommittedEntriesSize: entriesMost, MaxInflightMsgs: 64,
-		CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, Logger: quiet})
-	k.patience(now)
+	k.node, err = raft.NewRawNode(&raft.Config{
+		ID: stored.Identity.Number, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks,
+		Storage: k.storage, Applied: state.Index,
+		MaxSizePerMsg: maxRaftMessageBytes, MaxCommittedSizePerReady: maxRaftMessageBytes,
+		MaxUncommittedEntriesSize: maxUncommittedBytes, MaxInflightMsgs: 64,
+		CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, Logger: discardLogger,
+	})
+	k.resetElectionTimer(now)
 	return k, err
 }
 
-// patience draws anew when it stands for election.
-func (k *Keeper) patience(now time.Duration) {
-	k.stand = now + election*TickEvery + time.Duration(k.random.Int64N(int64(election*TickEvery)))
+// resetElectionTimer draws a new time at which the keeper stands for election.
+func (k *Keeper) resetElectionTimer(now time.Duration) {
+	k.electionAt = now + electionTicks*TickEvery + time.Duration(k.random.Int64N(int64(electionTicks*TickEvery)))
 }
 
-// Voters are the keepers' numbers by the founding.
+// Voters returns the raft IDs of the fleet's keepers by name, as drawn at the bootstrap. The caller must not
+// change the map.
 func (k *Keeper) Voters() map[string]uint64 { return k.voters }
 
-// Name is the keeper's.
+// Name returns the keeper's name.
 func (k *Keeper) Name() string { return k.self.Name }
 
-// Leads says whether it is in office, and in which term.
-func (k *Keeper) Leads() (uint64, bool) { return k.office, k.office != 0 }
+// LeaderTerm returns the raft term in which this keeper acts as leader, and whether it does.
+func (k *Keeper) Leads() (uint64, bool) { return k.leaderTerm, k.leaderTerm != 0 }
 
-// Report tells an operator how it stands.
+// Report returns the keeper's state for operators, as the answer to the inquiry seq. The record of past proposals is
+// left out.
 func (k *Keeper) Report(seq uint64) *fleetpb.Report {
-	st := k.rn.BasicStatus()
+	st := k.node.BasicStatus()
 	s := k.Machine.State()
 	s.Done = nil
-	var ride []byte
+	var payload []byte
 	if k.Rider != nil {
-		ride = k.Rider.Report()
+		payload = k.Rider.Report()
+	}
+	return &fleetpb.Report{
+		Ride: payload, Seq: seq, Name: k.self.Name, Leader: k.voterNames[st.Lead], Term: st.GetTerm(),
+		Commit: st.GetCommit(), Applied: k.Machine.Index, Halted: k.halted, State: s,
 	}
-	return &fleetpb.Report{Ride: ride, Seq: seq, Name: k.self.Name, Leader: k.names[st.Lead], Term: st.GetTerm(), Commit: st.GetCommit(), Applied: k.Machine.Index, Halted: k.halted, State: s}
 }
 
-// Tick is due every TickEvery.
+// Tick advances raft's clock to now. It has to be called every TickInterval.
 func (k *Keeper) Tick(now time.Duration) {
 	if k.halted {
 		return
 	}
-	n := int((now - k.ticked) / TickEvery)
-	if n > 0 {
-		k.ticked += time.Duration(n) * TickEvery
+	ticks := int((now - k.lastTick) / TickEvery)
+	if ticks > 0 {
+		k.lastTick += time.Duration(ticks) * TickEvery
 	}
-	for range min(n, catchUp) {
-		if k.leads {
-			k.rn.Tick()
+	for range min(ticks, maxCatchUpTicks) {
+		if k.isLeader {
+			k.node.Tick()
 		} else {
-			k.rn.TickQuiesced()
+			k.node.TickQuiesced()
 		}
 	}
-	if n > catchUp+election { // it was stopped: what it would have heard meanwhile is unknown
-		k.patience(now)
+	if ticks > maxCatchUpTicks+electionTicks { // the process was stopped: a leader may have sent messages meanwhile
+		k.resetElectionTimer(now)
 	}
-	if !k.leads && now >= k.stand {
-		k.rn.Campaign()
-		k.patience(now)
+	if !k.isLeader && now >= k.electionAt {
+		k.node.Campaign()
+		k.resetElectionTimer(now)
 	}
-	if k.office != 0 {
-		k.lapse(now)
-		k.round(now)
+	if k.leaderTerm != 0 {
+		k.endExpiredIncarnations(now)
+		k.startConfirmRound(now)
 	}
 }
 
-// lapse ends incarnations whose leases have run out.
-func (k *Keeper) lapse(now time.Duration) {
-	var over []string
+// endExpiredIncarnations proposes the end of incarnations whose leases have expired.
+func (k *Keeper) endExpiredIncarnations(now time.Duration) {
+	var expired []string
 	for name, g := range k.grants {
-		if !g.ending && now >= g.over && k.Machine.Member(name).GetLive() {
-			over = append(over, name)
+		if !g.ending && now >= g.expiresAt && k.Machine.Member(name).GetLive() {
+			expired = append(expired, name)
 		}
 	}
-	slices.Sort(over)
-	for _, name := range over {
+	slices.Sort(expired)
+	for _, name := range expired {
 		end := &fleetpb.End{Name: name, Incarnation: k.Machine.Member(name).Incarnation}
-		k.grants[name].ending = k.propose(&fleetpb.Entry{Id: k.random.Uint64(), What: &fleetpb.Entry_End{End: end}}) == nil
+		k.grants[name].ending = k.propose(&fleetpb.Entry{
+			Id: k.random.Uint64(), What: &fleetpb.Entry_End{End: end},
+		}) == nil
 	}
 }
 
+// propose submits an entry to raft. It returns an error if this keeper doesn't lead or has too much uncommitted.
 func (k *Keeper) propose(e *fleetpb.Entry) error {
 	b, err := proto.Marshal(e)
 	if err != nil {
 		return err
 	}
-	return k.rn.Propose(b)
+	return k.node.Propose(b)
 }
 
-// round has the asks that wait confirmed by a majority: that this keeper leads now.
-func (k *Keeper) round(now time.Duration) {
-	if len(k.waiting) == 0 || len(k.rounds) > 64 {
+// startConfirmRound requests a read index for the waiting asks: a majority confirms that this keeper still leads.
+// Without it, a deposed leader could renew leases.
+func (k *Keeper) startConfirmRound(now time.Duration) {
+	if len(k.waitingAsks) == 0 || len(k.rounds) > 64 {
 		return
 	}
-	k.rounded++
-	r := &round{number: k.rounded, asks: k.waiting}
-	k.waiting = nil
+	k.lastRound++
+	r := &confirmRound{number: k.lastRound, asks: k.waitingAsks}
+	k.waitingAsks = nil
 	if mutant == "no-quorum" {
-		r.index = 1
+		r.readIndex = 1
 		k.rounds = append(k.rounds, r)
-		k.answer(now)
+		k.answerConfirmedRounds(now)
 		return
 	}
 	k.rounds = append(k.rounds, r)
-	k.rn.ReadIndex(binary.BigEndian.AppendUint64(nil, r.number))
+	k.node.ReadIndex(binary.BigEndian.AppendUint64(nil, r.number))
 }
 
-// Hear takes a keeper's message to another. Who sent it has been checked as the link opened.
+// Receive handles a raft message from the keeper named from, whose identity was checked when the link was opened. It
+// returns an error for a malformed message, and for one that this keeper may not send.
 func (k *Keeper) Hear(now time.Duration, from string, b []byte) error {
 	m := &raftpb.Message{}
 	if err := proto.Unmarshal(b, m); err != nil {
 		return fmt.Errorf("a message of keeper %s: %w", from, err)
 	}
-	if m.GetFrom() != k.voters[from] || m.GetTo() != k.self.Number || raft.IsLocalMsg(m.GetType()) || m.GetType() == raftpb.MessageType_MsgProp {
+	if m.GetFrom() != k.voters[from] || m.GetTo() != k.self.Number || raft.IsLocalMsg(m.GetType()) ||
+		m.GetType() == raftpb.MessageType_MsgProp {
 		return fmt.Errorf("a message of keeper %s that is not its own to send", from)
 	}
 	if k.halted {
 		return nil
 	}
-	if term := k.rn.BasicStatus().GetTerm(); m.GetTerm() >= term {
+	if term := k.node.BasicStatus().GetTerm(); m.GetTerm() >= term {
 		switch m.GetType() {
 		case raftpb.MessageType_MsgApp, raftpb.MessageType_MsgHeartbeat, raftpb.MessageType_MsgSnap:
-			k.patience(now)
+			k.resetElectionTimer(now)
 		}
 	}
-	return k.rn.Step(m)
+	return k.node.Step(m)
 }
 
-// Ask takes a member's ask that came on a link.
+// HandleAsk processes an ask of the member name that arrived on link. The answer comes by Output, at once or after a
+// confirmation round; an ask that exceeds a limit gets none, and the member repeats it.
 func (k *Keeper) Ask(now time.Duration, link Link, name string, a *fleetpb.Ask) {
 	if k.halted {
 		return
 	}
-	if k.office == 0 {
-		k.reply(link, &fleetpb.Answer{Seq: a.Seq, Leader: k.names[k.rn.BasicStatus().Lead], Why: "this keeper does not lead"})
+	if k.leaderTerm == 0 {
+		k.reply(link, &fleetpb.Answer{
+			Seq: a.Seq, Leader: k.voterNames[k.node.BasicStatus().Lead], Why: "this keeper does not lead",
+		})
 		return
 	}
 	if a.Known != ^uint64(0) {
-		f := k.feeds[link]
+		f := k.subscriptions[link]
 		if f == nil {
-			f = &feed{name: name, wants: true}
-			k.feeds[link] = f
+			f = &subscription{name: name, wants: true}
+			k.subscriptions[link] = f
 		}
-		f.sent = a.Known // what was lost on the way goes out again
-		k.feed(link, f)
+		f.sentIndex = a.Known // changes that were lost in transit are sent again
+		k.sendChanges(link, f)
 	}
 	if p := a.Put; p != nil {
 		p.Name, p.Incarnation = name, a.Incarnation
@@ -344,81 +396,90 @@
 			k.reply(link, &fleetpb.Answer{Seq: a.Seq, Why: "put"})
 			return
 		}
-		k.put(link, a.Seq, a.Process, p)
+		k.proposePut(link, a.Seq, a.Process, p)
 		return
 	}
-	if len(k.waiting) < asksMost {
-		k.waiting = append(k.waiting, ask{link, name, a})
+	if len(k.waitingAsks) < maxWaitingAsks {
+		k.waitingAsks = append(k.waitingAsks, waitingAsk{link, name, a})
 	}
 }
 
-// put proposes a member's fact; process and seq make its number, so that one asked twice counts once.
-func (k *Keeper) put(link Link, seq, process uint64, p *fleetpb.Put) {
+// proposePut proposes a member's fact. The proposal's ID derives from process and seq, so that a repeated ask is
+// applied only once.
+func (k *Keeper) proposePut(link Link, seq, process uint64, p *fleetpb.Put) {
 	id := process ^ seq*0x9e3779b97f4a7c15
 	if result, known := k.Machine.Result(id); known {
 		k.reply(link, &fleetpb.Answer{Seq: seq, Result: result, Why: "put"})
 		return
 	}
-	if len(k.props) >= asksMost || k.propose(&fleetpb.Entry{Id: id, What: &fleetpb.Entry_Put{Put: p}}) != nil {
-		return // the member asks again
+	if len(k.pendingPuts) >= maxWaitingAsks ||
+		k.propose(&fleetpb.Entry{Id: id, What: &fleetpb.Entry_Put{Put: p}}) != nil {
+		return // the member retries
 	}
-	k.props[id] = proposal{link, seq}
+	k.pendingPuts[id] = pendingPut{link, seq}
 }
 
 func (k *Keeper) reply(link Link, a *fleetpb.Answer) {
-	k.sends = append(k.sends, Send{Link: link, Frame: &fleetpb.Frame{What: &fleetpb.Frame_Answer{Answer: a}}})
+	k.outbound = append(k.outbound, Send{
+		Link: link, Frame: &fleetpb.Frame{What: &fleetpb.Frame_Answer{Answer: a}},
+	})
 }
 
-// feed sends a link what it has not heard.
-func (k *Keeper) feed(link Link, f *feed) {
-	if w := k.Machine.Since(f.sent); w != nil {
-		f.sent = w.Index
-		k.sends = append(k.sends, Send{Link: link, Frame: &fleetpb.Frame{What: &fleetpb.Frame_Word{Word: w}}})
+// sendChanges sends a link the changes that were not yet sent on it.
+func (k *Keeper) sendChanges(link Link, f *subscription) {
+	if w := k.Machine.Since(f.sentIndex); w != nil {
+		f.sentIndex = w.Index
+		k.outbound = append(k.outbound, Send{
+			Link: link, Frame: &fleetpb.Frame{What: &fleetpb.Frame_Word{Word: w}},
+		})
 	}
 }
 
-// Gone is told that a link has ended.
-func (k *Keeper) Gone(link Link) { delete(k.feeds, link) }
+// RemoveLink has to be called when a link is closed.
+func (k *Keeper) Gone(link Link) { delete(k.subscriptions, link) }
 
-// Unreachable is told that messages to another keeper do not go out.
+// ReportUnreachable has to be called when messages to another keeper can't be sent.
 func (k *Keeper) Unreachable(name string) {
 	if !k.halted {
-		k.rn.ReportUnreachable(k.voters[name])
-		k.rn.ReportSnapshot(k.voters[name], raft.SnapshotFailure)
+		k.node.ReportUnreachable(k.voters[name])
+		k.node.ReportSnapshot(k.voters[name], raft.SnapshotFailure)
 	}
 }
 
-// Halt stops it for good: its disk has failed. It says nothing any more, neither vote nor answer.
+// Halt stops the keeper for good because its disk has failed. From then on it neither votes nor answers.
 func (k *Keeper) Halt(why error) {
 	if mutant == "deaf-to-disk" {
 		return
 	}
-	k.halted, k.office, k.leads = true, 0, false
-	k.sends = nil
+	k.halted, k.leaderTerm, k.isLeader = true, 0, false
+	k.outbound = nil
 	k.notes = append(k.notes, Note{Kind: Halted, Name: k.self.Name, Text: why.Error()})
 }
 
-// Output is what a keeper wants done, in this order: written down and synced, sent, told. Then Done is called; or Halt, if it could not be written.
+// Output is the work that a keeper wants done, in this order: store the update and sync it, send the frames, deliver
+// the notes. Then Advance has to be called; or Halt, if the update could not be stored.
 type Output struct {
-	Store *Store // nil: nothing
+	Store *Store // nil: nothing to store
 	Send  []Send
 	Notes []Note
 }
 
-// Store is what has to last before anything is sent.
+// StoreUpdate is the data that has to be stored before any frame of the same Output is sent.
 type Store struct {
 	Snapshot *raftpb.Snapshot // nil: none
-	Entries  []*raftpb.Entry  // replace those of their indexes and all after
+	Entries  []*raftpb.Entry  // replace the stored ones from the first one's index on
 	Hard     *raftpb.HardState
-	Sync     bool // it has to outlast a crash of the machine before anything is sent; else only commits have moved on
+	Sync     bool // the update has to be synced to disk first; false: only the commit index has advanced
 }
 
-// Output returns what is to be done; ok is false if there is nothing.
+// Output returns the work to be done; ok is false if there is none.
 func (k *Keeper) Output() (o Output, ok bool) {
-	if !k.halted && k.rn.HasReady() {
-		rd := k.rn.Ready()
+	if !k.halted && k.node.HasReady() {
+		rd := k.node.Ready()
 		k.ready = &rd
-		s := &Store{Entries: rd.Entries, Hard: rd.HardState, Sync: rd.MustSync || !raft.IsEmptySnap(rd.Snapshot)}
+		s := &Store{
+			Entries: rd.Entries, Hard: rd.HardState, Sync: rd.MustSync || !raft.IsEmptySnap(rd.Snapshot),
+		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
 			s.Snapshot = rd.Snapshot
 		}
@@ -430,79 +491,82 @@
 			if err != nil {
 				continue
 			}
-			o.Send = append(o.Send, Send{Voter: m.GetTo(), Frame: &fleetpb.Frame{What: &fleetpb.Frame_Raft{Raft: b}}})
+			o.Send = append(o.Send, Send{
+				Voter: m.GetTo(), Frame: &fleetpb.Frame{What: &fleetpb.Frame_Raft{Raft: b}},
+			})
 		}
 	}
-	o.Send = append(o.Send, k.sends...)
-	o.Notes, k.sends, k.notes = k.notes, nil, nil
+	o.Send = append(o.Send, k.outbound...)
+	o.Notes, k.outbound, k.notes = k.notes, nil, nil
 	return o, k.ready != nil || len(o.Send) > 0 || len(o.Notes) > 0
 }
 
-// Done follows each Output whose Store lasts now: entries that were agreed on are applied.
+// Advance applies the committed entries. It has to be called after each Output, once the Output's update is stored.
 func (k *Keeper) Done(now time.Duration) {
-	rd := k.ready
-	if rd == nil || k.halted {
+	ready := k.ready
+	if ready == nil || k.halted {
 		k.ready = nil
 		return
 	}
 	k.ready = nil
-	if !raft.IsEmptySnap(rd.Snapshot) {
-		k.store.ApplySnapshot(rd.Snapshot)
+	if !raft.IsEmptySnap(ready.Snapshot) {
+		k.storage.ApplySnapshot(ready.Snapshot)
 		state := &fleetpb.State{}
-		if err := proto.Unmarshal(rd.Snapshot.Data, state); err != nil {
+		if err := proto.Unmarshal(ready.Snapshot.Data, state); err != nil {
 			k.Halt(fmt.Errorf("snapshot of the leading keeper: %w", err))
 			return
 		}
-		k.Machine, k.conf = NewMachine(state), rd.Snapshot.Metadata.ConfState
+		k.Machine, k.confState = NewMachine(state), ready.Snapshot.Metadata.ConfState
 	}
-	k.store.Append(rd.Entries)
-	if !raft.IsEmptyHardState(rd.HardState) {
-		k.store.SetHardState(rd.HardState)
+	k.storage.Append(ready.Entries)
+	if !raft.IsEmptyHardState(ready.HardState) {
+		k.storage.SetHardState(ready.HardState)
 	}
-	if rd.SoftState != nil {
-		was := k.leads
-		k.leads = rd.RaftState == raft.StateLeader
-		if was && !k.leads {
-			k.resign(now)
+	if ready.SoftState != nil {
+		wasLeader := k.isLeader
+		k.isLeader = ready.RaftState == raft.StateLeader
+		if wasLeader && !k.isLeader {
+			k.stopLeading(now)
 		}
 	}
-	term := k.rn.BasicStatus().GetTerm()
-	if k.office != 0 && k.office != term {
-		k.resign(now)
+	term := k.node.BasicStatus().GetTerm()
+	if k.leaderTerm != 0 && k.leaderTerm != term {
+		k.stopLeading(now)
 	}
-	for _, e := range rd.CommittedEntries {
-		k.apply(now, e)
-		if k.leads && k.office == 0 && e.GetTerm() == term {
-			k.takeOffice(now, term)
+	for _, entry := range ready.CommittedEntries {
+		k.apply(now, entry)
+		if k.isLeader && k.leaderTerm == 0 && entry.GetTerm() == term {
+			k.startLeading(now, term)
 		}
 	}
-	if len(rd.CommittedEntries) > 0 || !raft.IsEmptySnap(rd.Snapshot) {
-		for _, link := range slices.Sorted(maps.Keys(k.feeds)) { // all that was agreed on together goes out in one word
-			k.feed(link, k.feeds[link])
+	if len(ready.CommittedEntries) > 0 || !raft.IsEmptySnap(ready.Snapshot) {
+		for _, link := range slices.Sorted(maps.Keys(k.subscriptions)) { // one message for all entries of a batch
+			k.sendChanges(link, k.subscriptions[link])
 		}
 	}
-	for _, rs := range rd.ReadStates {
-		if len(rs.RequestCtx) == 8 {
+	for _, readState := range ready.ReadStates {
+		if len(readState.RequestCtx) == 8 {
 			for _, r := range k.rounds {
-				if r.number <= binary.BigEndian.Uint64(rs.RequestCtx) && r.index == 0 {
-					r.index = max(rs.Index, 1)
+				if r.number <= binary.BigEndian.Uint64(readState.RequestCtx) && r.readIndex == 0 {
+					r.readIndex = max(readState.Index, 1)
 				}
 			}
 		}
 	}
-	k.answer(now)
-	k.rn.Advance(*rd)
+	k.answerConfirmedRounds(now)
+	k.node.Advance(*ready)
 	k.compact()
 }
 
-// takeOffice counts all leases anew: who granted them, and when, is not known to this keeper, but it was before now.
-func (k *Keeper) takeOffice(now time.Duration, term uint64) {
-	k.office, k.grants = term, map[string]*grant{}
+// startLeading makes this keeper act as leader. It doesn't know when the leases of live incarnations were granted,
+// only that it was before now: so it counts each of them from now.
+func (k *Keeper) startLeading(now time.Duration, term uint64) {
+	k.leaderTerm, k.grants = term, map[string]*leaseGrant{}
 	for _, m := range k.Machine.Members() {
 		if m.Live {
-			k.grants[m.Name] = &grant{over: now + k.Terms.Wait()}
+			k.grants[m.Name] = &leaseGrant{expiresAt: now + k.Terms.Wait()}
 			if mutant == "forget-leases" {
-				k.grants[m.Name].over = now
+				k.grants[m.Name].expiresAt = now
 			}
 		}
 	}
@@ -512,19 +576,20 @@
 	k.notes = append(k.notes, Note{Kind: Leads, Name: k.self.Name, Number: term})
 }
 
-func (k *Keeper) resign(now time.Duration) {
-	if k.office != 0 {
-		k.notes = append(k.notes, Note{Kind: Follows, Name: k.self.Name, Number: k.office})
+// stopLeading drops the leader's state. Waiting asks get no answer; members repeat them.
+func (k *Keeper) stopLeading(now time.Duration) {
+	if k.leaderTerm != 0 {
+		k.notes = append(k.notes, Note{Kind: Follows, Name: k.self.Name, Number: k.leaderTerm})
 	}
-	if k.office != 0 && k.Rider != nil {
+	if k.leaderTerm != 0 && k.Rider != nil {
 		k.Rider.Resign()
 	}
-	k.office, k.grants, k.waiting, k.rounds = 0, nil, nil, nil
-	clear(k.props)
-	k.patience(now)
+	k.leaderTerm, k.grants, k.waitingAsks, k.rounds = 0, nil, nil, nil
+	clear(k.pendingPuts)
+	k.resetElectionTimer(now)
 }
 
-// apply takes an agreed entry.
+// apply applies a committed entry to the state machine, and to the leases if this keeper leads.
 func (k *Keeper) apply(now time.Duration, e *raftpb.Entry) {
 	if e.GetType() != raftpb.EntryType_EntryNormal || len(e.Data) == 0 {
 		k.Machine.Apply(e.GetIndex(), nil)
@@ -532,33 +597,33 @@
 	}
 	entry := &fleetpb.Entry{}
 	if proto.Unmarshal(e.Data, entry) != nil {
-		k.Machine.Apply(e.GetIndex(), nil) // the same on every keeper: it changes nothing
+		k.Machine.Apply(e.GetIndex(), nil) // a malformed entry changes nothing, on every keeper alike
 		return
 	}
-	was := uint64(0)
+	previous := uint64(0)
 	if b := entry.GetBegin(); b != nil {
 		if m := k.Machine.Member(b.Name); m.GetLive() {
-			was = m.Incarnation
+			previous = m.Incarnation
 		}
 	}
 	result := k.Machine.Apply(e.GetIndex(), entry)
 	if k.Rider != nil && result != 0 {
-		if k.office != 0 && was != 0 && was != result {
-			k.Rider.Over(now, entry.GetBegin().Name, was)
+		if k.leaderTerm != 0 && previous != 0 && previous != result {
+			k.Rider.Over(now, entry.GetBegin().Name, previous)
 		}
-		if end := entry.GetEnd(); k.office != 0 && end != nil {
+		if end := entry.GetEnd(); k.leaderTerm != 0 && end != nil {
 			k.Rider.Over(now, end.Name, end.Incarnation)
 		}
 		k.Rider.Applied(now, entry)
 	}
-	if p, mine := k.props[entry.Id]; mine {
-		delete(k.props, entry.Id)
+	if p, mine := k.pendingPuts[entry.Id]; mine {
+		delete(k.pendingPuts, entry.Id)
 		k.reply(p.link, &fleetpb.Answer{Seq: p.seq, Result: result, Why: "put"})
 	}
-	if k.office != 0 {
+	if k.leaderTerm != 0 {
 		switch {
 		case entry.GetBegin() != nil && result != 0:
-			k.grants[entry.GetBegin().Name] = &grant{over: now + k.Terms.Wait()}
+			k.grants[entry.GetBegin().Name] = &leaseGrant{expiresAt: now + k.Terms.Wait()}
 		case entry.GetBegin() != nil:
 			if g := k.grants[entry.GetBegin().Name]; g != nil {
 				g.ending = false
@@ -569,91 +634,104 @@
 	}
 }
 
-// writeFacts proposes what the rider wants in the log.
-func (k *Keeper) writeFacts() {
+// proposeExtensionPuts proposes the facts that the lease extension wants written.
+func (k *Keeper) proposeExtensionPuts() {
 	for _, p := range k.Rider.Puts() {
 		k.propose(&fleetpb.Entry{Id: k.random.Uint64(), What: &fleetpb.Entry_Put{Put: p}})
 	}
 }
 
-// answer grants what rounds have confirmed and the log has caught up with.
-func (k *Keeper) answer(now time.Duration) {
-	for len(k.rounds) > 0 && k.rounds[0].index != 0 && k.Machine.Index >= k.rounds[0].index {
+// answerConfirmedRounds answers the asks of rounds that are confirmed and whose read index is applied.
+func (k *Keeper) answerConfirmedRounds(now time.Duration) {
+	for len(k.rounds) > 0 && k.rounds[0].readIndex != 0 && k.Machine.Index >= k.rounds[0].readIndex {
 		asks := k.rounds[0].asks
 		k.rounds = k.rounds[1:]
 		for _, a := range asks {
-			k.decide(now, a)
+			k.answerAsk(now, a)
 		}
 	}
 }
 
-// decide answers one ask: the term is confirmed, and was after the ask came.
-func (k *Keeper) decide(now time.Duration, a ask) {
-	m, g := k.Machine.Member(a.name), k.grants[a.name]
-	mine := m.GetLive() && m.Process == a.Process && g != nil && !g.ending
+// answerAsk answers one ask. That this keeper leads was confirmed after the ask arrived.
+func (k *Keeper) answerAsk(now time.Duration, a waitingAsk) {
+	member, grant := k.Machine.Member(a.name), k.grants[a.name]
+	holds := member.GetLive() && member.Process == a.Process && grant != nil && !grant.ending
 	switch {
 	case a.Leave:
-		if mine && m.Incarnation == a.Ask.Incarnation {
-			g.ending = k.propose(&fleetpb.Entry{Id: k.random.Uint64(), What: &fleetpb.Entry_End{End: &fleetpb.End{Name: a.name, Incarnation: m.Incarnation, Left: true}}}) == nil
+		if holds && member.Incarnation == a.Ask.Incarnation {
+			grant.ending = k.propose(&fleetpb.Entry{Id: k.random.Uint64(), What: &fleetpb.Entry_End{
+				End: &fleetpb.End{Name: a.name, Incarnation: member.Incarnation, Left: true},
+			}}) == nil
 		}
-	case mine && (a.Ask.Incarnation == 0 || a.Ask.Incarnation == m.Incarnation):
-		g.over = max(g.over, now+k.Terms.Wait())
-		answer := &fleetpb.Answer{Seq: a.Seq, Incarnation: m.Incarnation, Leader: k.self.Name}
+	case holds && (a.Ask.Incarnation == 0 || a.Ask.Incarnation == member.Incarnation):
+		grant.expiresAt = max(grant.expiresAt, now+k.Terms.Wait())
+		answer := &fleetpb.Answer{Seq: a.Seq, Incarnation: member.Incarnation, Leader: k.self.Name}
 		if k.Rider != nil {
-			answer.Ride = k.Rider.Renewed(now, a.name, m.Incarnation, a.Process, a.Seq, a.Ride)
-			k.writeFacts()
+			answer.Ride = k.Rider.Renewed(now, a.name, member.Incarnation, a.Process, a.Seq, a.Ride)
+			k.proposeExtensionPuts()
 		}
 		k.reply(a.link, answer)
 	case a.Ask.Incarnation != 0:
 		k.reply(a.link, &fleetpb.Answer{Seq: a.Seq, Leader: k.self.Name, Why: "over"})
-	case m.GetLive() && g != nil && now < g.over && mutant != "eager-begin":
-		k.reply(a.link, &fleetpb.Answer{Seq: a.Seq, Leader: k.self.Name, Why: fmt.Sprintf("incarnation %d of %s has its lease for %v yet", m.Incarnation, a.name, (g.over - now).Round(time.Millisecond))})
-	case g == nil || !g.ending || mutant == "eager-begin":
-		if k.propose(&fleetpb.Entry{Id: k.random.Uint64(), What: &fleetpb.Entry_Begin{Begin: &fleetpb.Begin{Name: a.name, Process: a.Process, After: m.GetIncarnation(), Address: a.Address, Zone: a.Zone}}}) == nil {
-			if g == nil {
-				g = &grant{}
-				k.grants[a.name] = g
+	case member.GetLive() && grant != nil && now < grant.expiresAt && mutant != "eager-begin":
+		k.reply(a.link, &fleetpb.Answer{
+			Seq: a.Seq, Leader: k.self.Name,
+			Why: fmt.Sprintf("incarnation %d of %s has its lease for %v yet",
+				member.Incarnation, a.name, (grant.expiresAt - now).Round(time.Millisecond)),
+		})
+	case grant == nil || !grant.ending || mutant == "eager-begin":
+		if k.propose(&fleetpb.Entry{Id: k.random.Uint64(), What: &fleetpb.Entry_Begin{Begin: &fleetpb.Begin{
+			Name: a.name, Process: a.Process, After: member.GetIncarnation(), Address: a.Address, Zone: a.Zone,
+		}}}) == nil {
+			if grant == nil {
+				grant = &leaseGrant{}
+				k.grants[a.name] = grant
 			}
-			g.ending = true
+			grant.ending = true
 		}
 	}
 }
 
-// compact drops entries that everybody can do without.
+// compact replaces old entries of the log by a snapshot once there are compactThreshold of them.
 func (k *Keeper) compact() {
-	first, _ := k.store.FirstIndex()
-	if k.Machine.Index < first+compactAt {
+	first, _ := k.storage.FirstIndex()
+	if k.Machine.Index < first+compactThreshold {
 		return
 	}
 	if snap, err := k.snapshot(); err == nil {
-		k.store.CreateSnapshot(snap.Metadata.GetIndex(), k.conf, snap.Data)
-		k.store.Compact(k.Machine.Index - keepBack)
+		k.storage.CreateSnapshot(snap.Metadata.GetIndex(), k.confState, snap.Data)
+		k.storage.Compact(k.Machine.Index - retainedEntries)
 	}
 }
 
+// snapshot returns the state machine as a raft snapshot at the last applied index.
 func (k *Keeper) snapshot() (*raftpb.Snapshot, error) {
 	data, err := proto.Marshal(k.Machine.State())
 	if err != nil {
 		return nil, err
 	}
-	term, err := k.store.Term(k.Machine.Index)
-	return &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{ConfState: k.conf, Index: new(k.Machine.Index), Term: new(term)}}, err
+	term, err := k.storage.Term(k.Machine.Index)
+	return &raftpb.Snapshot{
+		Data:     data,
+		Metadata: &raftpb.SnapshotMetadata{ConfState: k.confState, Index: new(k.Machine.Index), Term: new(term)},
+	}, err
 }
 
-// Checkpoint is everything that its folder has to hold from here on, for a new file of the log.
+// Checkpoint returns everything that the keeper's folder has to hold from now on, to start a new log file: a snapshot,
+// the hard state and the entries that are not yet applied.
 func (k *Keeper) Checkpoint() (Stored, error) {
 	snap, err := k.snapshot()
 	if err != nil {
 		return Stored{}, err
 	}
 	s := Stored{Identity: k.self, Snapshot: snap}
-	s.Hard, _, err = k.store.InitialState()
+	s.Hard, _, err = k.storage.InitialState()
 	if err != nil {
 		return s, err
 	}
-	last, err := k.store.LastIndex()
+	last, err := k.storage.LastIndex()
 	if err == nil && last > k.Machine.Index {
-		s.Entries, err = k.store.Entries(k.Machine.Index+1, last+1, 1<<62)
+		s.Entries, err = k.storage.Entries(k.Machine.Index+1, last+1, 1<<62)
 	}
 	return s, err
 }
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -11,37 +11,45 @@
 	"threadglade.example/threadglade/fleet/fleetpb"
 )
 
-// Bounds of the agreed state. Whatever comes, a snapshot stays below 3 MB.
+// Limits of the replicated state. They keep a snapshot below 3 MiB in any case, so that it fits one message.
 const (
-	nameMost    = 64
-	membersMost = 4096 // names, live or not; the longest ended is forgotten for a new one
-	factsMost   = 1024
-	KeyMost     = 128  // bytes of a fact's key
-	ValueMost   = 1024 // and of its value
-	doneMost    = 4096 // proposals remembered
-	pastMost    = 4    // incarnations of a name before the present one
-	changesMost = 4096 // changes kept for members that were away for a moment
+	maxNameLength       = 64   // bytes, of a name, an address and a zone
+	maxMembers          = 4096 // names; a new one replaces the ended one with the lowest incarnation
+	maxFacts            = 1024
+	maxResults          = 4096 // results of proposals that are kept to recognize repeated ones
+	maxPastIncarnations = 4    // earlier incarnations that are kept for each name
+	maxChanges          = 4096 // changes that are kept for members that were briefly disconnected
+
+	// MaxKeyLength is the maximum length of a fact's key in bytes.
+	KeyMost = 128
+	// MaxValueLength is the maximum length of a fact's value in bytes.
+	ValueMost = 1024
 )
 
-// Machine is the state that the agreed log comes to. Applying the same entries gives the same state everywhere.
+// Machine is the state machine of the replicated log: members, facts and the results of recent proposals. Applying the
+// same entries gives the same state on every process. It is not safe for concurrent use.
 type Machine struct {
 	Fleet        string
-	Index        uint64
-	Incarnations uint64 // the last given
-	Versions     uint64 // the last given to a fact
+	Index        uint64 // of the last applied entry
+	Incarnations uint64 // the last incarnation number that was assigned
+	Versions     uint64 // the last version that was assigned to a fact
 	voters       []*fleetpb.Voter
 	members      map[string]*fleetpb.Member
 	facts        map[string]*fleetpb.Fact
-	done         map[uint64]uint64
-	order        []uint64          // of done, oldest first
+	results      map[uint64]uint64
+	resultOrder  []uint64          // keys of results, oldest first
 	changes      []*fleetpb.Change // the latest
-	base         uint64            // all changes after it are in changes
+	changesBase  uint64            // changes holds all changes after this index
 }
 
-// NewMachine makes the state of a founded fleet or, from a snapshot, a later one.
+// NewMachine returns a machine with the state of a bootstrapped fleet or of a later snapshot. It takes over the lists
+// of s and their elements.
 func NewMachine(s *fleetpb.State) *Machine {
-	m := &Machine{Fleet: s.Fleet, Index: s.Index, Incarnations: s.Incarnations, Versions: s.Versions, voters: s.Voters, base: s.Index,
-		members: map[string]*fleetpb.Member{}, facts: map[string]*fleetpb.Fact{}, done: map[uint64]uint64{}}
+	m := &Machine{
+		Fleet: s.Fleet, Index: s.Index, Incarnations: s.Incarnations, Versions: s.Versions, voters: s.Voters,
+		changesBase: s.Index,
+		members:     map[string]*fleetpb.Member{}, facts: map[string]*fleetpb.Fact{}, results: map[uint64]uint64{},
+	}
 	for _, one := range s.Members {
 		m.members[one.Name] = one
 	}
@@ -49,25 +57,29 @@
 		m.facts[one.Key] = one
 	}
 	for _, one := range s.Done {
-		m.done[one.Id] = one.Result
-		m.order = append(m.order, one.Id)
+		m.results[one.Id] = one.Result
+		m.resultOrder = append(m.resultOrder, one.Id)
 	}
 	return m
 }
 
-// State writes the machine down; equal machines give equal states.
+// State returns the state as a message for snapshots. Equal machines give equal states; the message shares its members
+// and facts with the machine.
 func (m *Machine) State() *fleetpb.State {
-	s := &fleetpb.State{Fleet: m.Fleet, Index: m.Index, Incarnations: m.Incarnations, Versions: m.Versions, Voters: m.voters, Members: m.Members(), Facts: m.Facts()}
-	for _, id := range m.order {
-		s.Done = append(s.Done, &fleetpb.Done{Id: id, Result: m.done[id]})
+	s := &fleetpb.State{
+		Fleet: m.Fleet, Index: m.Index, Incarnations: m.Incarnations, Versions: m.Versions, Voters: m.voters,
+		Members: m.Members(), Facts: m.Facts(),
+	}
+	for _, id := range m.resultOrder {
+		s.Done = append(s.Done, &fleetpb.Done{Id: id, Result: m.results[id]})
 	}
 	return s
 }
 
-// Member returns what the log says of a name; nil: nothing.
+// Member returns the latest incarnation of a name, live or not; nil if there is none.
 func (m *Machine) Member(name string) *fleetpb.Member { return m.members[name] }
 
-// Members lists all names' members, sorted.
+// Members returns the latest incarnation of each name, sorted by name.
 func (m *Machine) Members() (list []*fleetpb.Member) {
 	for _, name := range slices.Sorted(maps.Keys(m.members)) {
 		list = append(list, m.members[name])
@@ -75,7 +87,7 @@
 	return list
 }
 
-// Facts lists all facts, sorted.
+// Facts returns all facts, sorted by key.
 func (m *Machine) Facts() (list []*fleetpb.Fact) {
 	for _, key := range slices.Sorted(maps.Keys(m.facts)) {
 		list = append(list, m.facts[key])
@@ -83,16 +95,19 @@
 	return list
 }
 
-// Fact returns a fact; nil: there is none.
+// Fact returns the fact of a key; nil if there is none.
 func (m *Machine) Fact(key string) *fleetpb.Fact { return m.facts[key] }
 
-// Result is what became of a proposal: incarnation or version, 0 where it was refused.
+// Result returns the result of a proposal: the incarnation or version, or 0 if it was refused. known is false if it
+// was not applied, or so long ago that its result has been dropped.
 func (m *Machine) Result(id uint64) (result uint64, known bool) {
-	result, known = m.done[id]
+	result, known = m.results[id]
 	return result, known
 }
 
-// Apply takes the entry at an index and returns its result; 0: refused, nothing has changed.
+// Apply applies the entry at an index and returns its result, as Result does; 0 if it was refused and has changed no
+// member or fact. An entry whose ID was applied before changes nothing and returns the earlier result. A nil entry
+// only advances the index.
 func (m *Machine) Apply(index uint64, e *fleetpb.Entry) uint64 {
 	if index <= m.Index {
 		return 0
@@ -101,49 +116,58 @@
 	if e == nil {
 		return 0
 	}
-	if result, again := m.done[e.Id]; again {
+	if result, again := m.results[e.Id]; again {
 		return result
 	}
 	var result uint64
 	switch {
 	case e.GetBegin() != nil:
-		result = m.begin(e.GetBegin())
+		result = m.applyBegin(e.GetBegin())
 	case e.GetEnd() != nil:
-		result = m.end(e.GetEnd())
+		result = m.applyEnd(e.GetEnd())
 	case e.GetPut() != nil:
-		result = m.put(e.GetPut())
+		result = m.applyPut(e.GetPut())
 	}
-	if len(m.order) >= doneMost {
-		delete(m.done, m.order[0])
-		m.order = m.order[1:]
+	if len(m.resultOrder) >= maxResults {
+		delete(m.results, m.resultOrder[0])
+		m.resultOrder = m.resultOrder[1:]
 	}
-	m.done[e.Id] = result
-	m.order = append(m.order, e.Id)
+	m.results[e.Id] = result
+	m.resultOrder = append(m.resultOrder, e.Id)
 	return result
 }
 
-func (m *Machine) begin(b *fleetpb.Begin) uint64 {
-	was := m.members[b.Name]
+// applyBegin starts the next incarnation of a name, if the entry names the last one. A live incarnation of the same
+// process goes on.
+func (m *Machine) applyBegin(b *fleetpb.Begin) uint64 {
+	previous := m.members[b.Name]
 	switch {
-	case b.Name == "" || len(b.Name) > nameMost || len(b.Address) > nameMost || len(b.Zone) > nameMost || was.GetIncarnation() != b.After:
+	case b.Name == "" || len(b.Name) > maxNameLength || len(b.Address) > maxNameLength ||
+		len(b.Zone) > maxNameLength || previous.GetIncarnation() != b.After:
 		return 0
-	case was.GetLive() && was.Process == b.Process:
-		return was.Incarnation
-	case was == nil && len(m.members) >= membersMost && !m.forget():
+	case previous.GetLive() && previous.Process == b.Process:
+		return previous.Incarnation
+	case previous == nil && len(m.members) >= maxMembers && !m.forgetOldestEnded():
 		return 0
 	}
 	m.Incarnations++
 	var past []*fleetpb.Past
-	if was != nil {
-		past = append(slices.Clone(was.Past), &fleetpb.Past{Incarnation: was.Incarnation, Successor: was.Successor, SuccessorIncarnation: was.SuccessorIncarnation})
-		past = past[max(0, len(past)-pastMost):]
+	if previous != nil {
+		past = append(slices.Clone(previous.Past), &fleetpb.Past{
+			Incarnation: previous.Incarnation, Successor: previous.Successor,
+			SuccessorIncarnation: previous.SuccessorIncarnation,
+		})
+		past = past[max(0, len(past)-maxPastIncarnations):]
 	}
-	m.change(&fleetpb.Member{Name: b.Name, Incarnation: m.Incarnations, Process: b.Process, Live: true, Address: b.Address, Zone: b.Zone, Past: past}, nil)
+	m.recordChange(&fleetpb.Member{
+		Name: b.Name, Incarnation: m.Incarnations, Process: b.Process, Live: true,
+		Address: b.Address, Zone: b.Zone, Past: past,
+	}, nil)
 	return m.Incarnations
 }
 
-// forget drops the name whose last incarnation ended with the lowest number; false if all live.
-func (m *Machine) forget() bool {
+// forgetOldestEnded removes the name whose ended incarnation has the lowest number; it returns false if all are live.
+func (m *Machine) forgetOldestEnded() bool {
 	var oldest *fleetpb.Member
 	for _, one := range m.members {
 		if !one.Live && (oldest == nil || one.Incarnation < oldest.Incarnation) {
@@ -156,44 +180,46 @@
 	return oldest != nil
 }
 
-func (m *Machine) end(e *fleetpb.End) uint64 {
-	was := m.members[e.Name]
-	if !was.GetLive() || was.Incarnation != e.Incarnation {
+// applyEnd ends a live incarnation and assigns its successor.
+func (m *Machine) applyEnd(e *fleetpb.End) uint64 {
+	previous := m.members[e.Name]
+	if !previous.GetLive() || previous.Incarnation != e.Incarnation {
 		return 0
 	}
-	over := proto.CloneOf(was)
-	over.Live, over.Left = false, e.Left
-	if list := Successors(was.Name, was.Zone, m.Members(), 1); len(list) > 0 {
-		over.Successor, over.SuccessorIncarnation = list[0].Name, list[0].Incarnation
+	ended := proto.CloneOf(previous)
+	ended.Live, ended.Left = false, e.Left
+	if list := Successors(previous.Name, previous.Zone, m.Members(), 1); len(list) > 0 {
+		ended.Successor, ended.SuccessorIncarnation = list[0].Name, list[0].Incarnation
 	}
-	m.change(over, nil)
+	m.recordChange(ended, nil)
 	if mutant != "successor-alone" {
-		m.pass(over)
+		m.reassignSuccessor(ended)
 	}
-	return was.Incarnation
+	return previous.Incarnation
 }
 
-// pass gives all that an incarnation which is over was successor of to its own successor.
-func (m *Machine) pass(over *fleetpb.Member) {
+// reassignSuccessor replaces an ended incarnation by its own successor wherever it was the successor of others.
+func (m *Machine) reassignSuccessor(ended *fleetpb.Member) {
 	for _, one := range m.Members() {
-		next := proto.CloneOf(one)
-		mine := !one.Live && one.Successor == over.Name && one.SuccessorIncarnation == over.Incarnation
-		if mine {
-			next.Successor, next.SuccessorIncarnation = over.Successor, over.SuccessorIncarnation
+		updated := proto.CloneOf(one)
+		changed := !one.Live && one.Successor == ended.Name && one.SuccessorIncarnation == ended.Incarnation
+		if changed {
+			updated.Successor, updated.SuccessorIncarnation = ended.Successor, ended.SuccessorIncarnation
 		}
-		for _, p := range next.Past {
-			if p.Successor == over.Name && p.SuccessorIncarnation == over.Incarnation {
-				p.Successor, p.SuccessorIncarnation, mine = over.Successor, over.SuccessorIncarnation, true
+		for _, p := range updated.Past {
+			if p.Successor == ended.Name && p.SuccessorIncarnation == ended.Incarnation {
+				p.Successor, p.SuccessorIncarnation, changed = ended.Successor, ended.SuccessorIncarnation, true
 			}
 		}
-		if mine {
-			m.change(next, nil)
+		if changed {
+			m.recordChange(updated, nil)
 		}
 	}
 }
 
-// Successors are who takes a router's place, the first of so many: of the others that live and can be reached, those in other zones first where there are zones, by rendezvous of names, so that
-// few change as members come and go.
+// Successors returns the first n of the routers that take over a router's calls, in order of preference. Candidates
+// are the other live members that have an address; members of other zones come first if the router has a zone. The
+// order is by rendezvous hashing of the names, so that few successors change as members come and go.
 func Successors(name, zone string, members []*fleetpb.Member, n int) []*fleetpb.Member {
 	type candidate struct {
 		*fleetpb.Member
@@ -203,7 +229,9 @@
 	var list []candidate
 	for _, one := range members {
 		if one.Live && one.Address != "" && one.Name != name {
-			list = append(list, candidate{one, zone == "" || one.Zone != zone, xxh3.HashString(one.Name + "\x00" + name)})
+			list = append(list, candidate{
+				one, zone == "" || one.Zone != zone, xxh3.HashString(one.Name + "\x00" + name),
+			})
 		}
 	}
 	slices.SortFunc(list, func(a, b candidate) int {
@@ -222,13 +250,16 @@
 	return out
 }
 
-// SuccessorOf is who has taken the place of an incarnation that is over; over is false while it lives, or where the log has forgotten it.
-func (m *Machine) SuccessorOf(name string, incarnation uint64) (successor string, number uint64, over bool) {
-	one := m.members[name]
-	if one.GetIncarnation() == incarnation && one != nil {
-		return one.Successor, one.SuccessorIncarnation, !one.Live
+// SuccessorOf returns the successor of an ended incarnation and the successor's incarnation; an empty name means that
+// there was no candidate. over is false while the incarnation is live, and for one that the machine doesn't know.
+func (m *Machine) SuccessorOf(name string, incarnation uint64) (
+	successor string, successorIncarnation uint64, over bool,
+) {
+	member := m.members[name]
+	if member.GetIncarnation() == incarnation && member != nil {
+		return member.Successor, member.SuccessorIncarnation, !member.Live
 	}
-	for _, p := range one.GetPast() {
+	for _, p := range member.GetPast() {
 		if p.Incarnation == incarnation {
 			return p.Successor, p.SuccessorIncarnation, true
 		}
@@ -236,45 +267,51 @@
 	return "", 0, false
 }
 
-// Over says whether an incarnation is over, as far as the machine has heard.
+// IsOver reports whether an incarnation has ended, as far as the machine has applied the log.
 func (m *Machine) Over(name string, incarnation uint64) bool {
-	one := m.members[name]
-	return one != nil && (one.Incarnation > incarnation || one.Incarnation == incarnation && !one.Live)
+	member := m.members[name]
+	return member != nil && (member.Incarnation > incarnation || member.Incarnation == incarnation && !member.Live)
 }
 
-// put refuses whoever is fenced off: an incarnation that is over writes nothing any more.
-func (m *Machine) put(p *fleetpb.Put) uint64 {
-	was := m.facts[p.Key]
+// applyPut writes a fact if its version is the expected one. It refuses a writer whose incarnation has ended: that one
+// is fenced.
+func (m *Machine) applyPut(p *fleetpb.Put) uint64 {
+	previous := m.facts[p.Key]
 	writer := m.members[p.Name]
 	switch {
-	case p.Key == "" || len(p.Key) > KeyMost || len(p.Value) > ValueMost, was.GetVersion() != p.Expect, was == nil && len(m.facts) >= factsMost,
+	case p.Key == "" || len(p.Key) > KeyMost || len(p.Value) > ValueMost,
+		previous.GetVersion() != p.Expect,
+		previous == nil && len(m.facts) >= maxFacts,
 		p.Incarnation != 0 && (!writer.GetLive() || writer.Incarnation != p.Incarnation):
 		return 0
 	}
 	m.Versions++
-	m.change(nil, &fleetpb.Fact{Key: p.Key, Value: p.Value, Version: m.Versions, Incarnation: p.Incarnation})
+	m.recordChange(nil, &fleetpb.Fact{Key: p.Key, Value: p.Value, Version: m.Versions, Incarnation: p.Incarnation})
 	return m.Versions
 }
 
-func (m *Machine) change(member *fleetpb.Member, fact *fleetpb.Fact) {
+// recordChange stores a member or a fact and keeps the change for members that are behind. When the list is full, its
+// oldest quarter is dropped.
+func (m *Machine) recordChange(member *fleetpb.Member, fact *fleetpb.Fact) {
 	if member != nil {
 		m.members[member.Name] = member
 	}
 	if fact != nil {
 		m.facts[fact.Key] = fact
 	}
-	if len(m.changes) >= changesMost {
-		m.base = m.changes[changesMost/4-1].Index
-		m.changes = slices.Clone(m.changes[changesMost/4:])
+	if len(m.changes) >= maxChanges {
+		m.changesBase = m.changes[maxChanges/4-1].Index
+		m.changes = slices.Clone(m.changes[maxChanges/4:])
 	}
 	m.changes = append(m.changes, &fleetpb.Change{Index: m.Index, Member: member, Fact: fact})
 }
 
-// Since is what members that have heard up to an index still have to hear; nil: nothing.
+// ChangesSince returns the message for members that know the state up to an index: the changes after it, or the whole
+// state if not all of these are kept. nil means that there are none.
 func (m *Machine) Since(known uint64) *fleetpb.Word {
-	if known < m.base {
+	if known < m.changesBase {
 		s := m.State()
-		s.Done = nil // of no use to members
+		s.Done = nil // members don't need the results of proposals
 		return &fleetpb.Word{Index: m.Index, State: s}
 	}
 	at, _ := slices.BinarySearchFunc(m.changes, known+1, func(c *fleetpb.Change, index uint64) int {
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -9,85 +9,93 @@
 	"threadglade.example/threadglade/fleet/fleetpb"
 )
 
-// A router's own part: it asks the leading keeper for its lease, renews it, and hears what the log has come to. This file owns when and whom
-// it asks, and from when it counts.
+// This file implements a router's side of the lease protocol: it asks the leading keeper for a lease, renews it and
+// follows the replicated state. It decides when and which keeper to ask, and from when the lease counts.
 
 const (
-	// askAgain is when an ask without an answer goes to another keeper, and how often a router without a lease asks.
-	askAgain = 300 * time.Millisecond
-	// askedMost asks are remembered; an answer to an older one counts for nothing.
-	askedMost = 16
-	// putsMost facts wait for their answers.
-	putsMost = 64
+	// retryInterval is how long the member waits for an answer before it asks another keeper, and the interval at
+	// which it asks while it has no lease.
+	retryInterval = 300 * time.Millisecond
+	// maxTrackedAsks limits the asks whose answers are accepted; an answer to an older one is ignored.
+	maxTrackedAsks = 16
+	// maxPendingPuts limits the facts that wait for their answers.
+	maxPendingPuts = 64
 )
 
-// Put is a fact that a router has asked to be written.
+// Put is a router's request to write a fact.
 type Put struct {
-	Key    string
-	Value  []byte
-	Expect uint64
-	seq    uint64
-	asked  time.Duration
-	done   func(version uint64)
+	Key     string
+	Value   []byte
+	Expect  uint64
+	seq     uint64
+	askedAt time.Duration
+	done    func(version uint64)
 }
 
-// Member is a router's part. Its methods are for one goroutine.
+// Member is a router's side of the lease protocol. It is not safe for concurrent use.
 type Member struct {
 	Terms   Terms
 	Name    string
-	Process uint64 // drawn at its start
-	Address string // where other routers reach it; empty: nowhere
+	Process uint64 // random ID of this process
+	Address string // at which other routers reach this one; empty: they can't
 	Zone    string
 	Machine *Machine
-	Ride    func() []byte                                      // what rides on an ask; nil: nothing
-	Rode    func(seq uint64, until time.Duration, ride []byte) // hears what rode on an answer, with the end of the lease
+	// ExtensionPayload returns the lease extension's payload for the next ask; nil: there is no extension.
+	Ride func() []byte
+	// OnExtensionPayload receives the payload of an answer with the ask's number and the end of the lease. Answers to
+	// asks from before the member changed to this keeper are left out. nil: there is no extension.
+	Rode func(seq uint64, until time.Duration, payload []byte)
 
-	lease  Lease
-	holds  bool
-	links  map[string]Link // keepers that are linked
-	target string          // whom it asks
-	asked  map[uint64]time.Duration
-	seq    uint64
-	lastTo string // whom it asked last, and
-	run    uint64 // since which ask it has asked nobody else: what rode on answers to earlier ones is void
-	last   time.Duration
-	next   time.Duration // when it asks again
-	due    time.Duration // by when an answer has to be here; 0: none is out
-	puts   []*Put
-	told   string // why it waits, as told last
-	left   bool
-	gone   uint64 // the incarnation that it has given up and that the log has still to end; 0: none
-	sends  []Send
-	notes  []Note
+	lease          Lease
+	holdsLease     bool
+	links          map[string]Link // links to keepers, by name
+	target         string          // the keeper that it asks
+	askedAt        map[uint64]time.Duration
+	seq            uint64
+	lastTarget     string // the keeper that it asked last
+	runStart       uint64 // first of the asks since lastTarget changed; payloads that answer earlier ones are dropped
+	lastAskAt      time.Duration
+	nextAskAt      time.Duration // when the next ask is due
+	answerDeadline time.Duration // by when an answer has to arrive; 0: no ask is pending
+	pendingPuts    []*Put
+	reportedWait   string // the reason for having no lease that was last reported
+	hasLeft        bool
+	renounced      uint64 // the incarnation that it has given up and that the log has not ended yet; 0: none
+	outbound       []Send
+	notes          []Note
 }
 
-// NewMember makes the part of a router that has just started.
-func NewMember(t Terms, name string, process uint64) *Member {
-	return &Member{Terms: t, Name: name, Process: process, Machine: NewMachine(&fleetpb.State{Fleet: t.Fleet}), links: map[string]Link{}, asked: map[uint64]time.Duration{}}
+// NewMember returns the member of a router that has just started; process is the random ID of its process.
+func NewMember(settings Terms, name string, process uint64) *Member {
+	return &Member{
+		Terms: settings, Name: name, Process: process, Machine: NewMachine(&fleetpb.State{Fleet: settings.Fleet}),
+		links: map[string]Link{}, askedAt: map[uint64]time.Duration{},
+	}
 }
 
-// Lease is what it holds, if it still does: whoever acts looks at it in the same moment.
+// Lease returns the lease that was last granted, which may have expired: callers check Lease.IsHeld at the moment of
+// each action.
 func (m *Member) Lease() Lease { return m.lease }
 
-// Linked is told that a link to a keeper has opened or, with 0, ended.
+// SetLink sets the link to a keeper. It has to be called when a link has opened or, with 0, when it has closed.
 func (m *Member) Linked(now time.Duration, keeper string, link Link) {
 	if link == 0 {
 		delete(m.links, keeper)
 		if m.target == keeper {
-			m.turn("")
-			m.next = min(m.next, now)
+			m.switchTarget("")
+			m.nextAskAt = min(m.nextAskAt, now)
 		}
 		return
 	}
 	m.links[keeper] = link
 	if m.target == "" {
-		m.turn(keeper)
-		m.next = now
+		m.switchTarget(keeper)
+		m.nextAskAt = now
 	}
 }
 
-// turn has it ask another keeper: the one named, if it is linked, or the next.
-func (m *Member) turn(to string) {
+// switchTarget selects the keeper to ask: the one named to if it is linked, else the next linked one by name.
+func (m *Member) switchTarget(to string) {
 	if m.links[to] != 0 {
 		m.target = to
 		return
@@ -101,174 +109,187 @@
 	m.target = names[at%len(names)]
 }
 
-// Put asks for a fact to be written; done hears its version, or 0 if it was refused. False: too many wait.
+// Put requests that a fact is written. done receives its version, or 0 if the write was refused; it is called by
+// Receive. Put returns false if too many requests are pending.
 func (m *Member) Put(now time.Duration, p *Put, done func(version uint64)) bool {
-	if len(m.puts) >= putsMost {
+	if len(m.pendingPuts) >= maxPendingPuts {
 		return false
 	}
 	m.seq++
-	p.seq, p.done, p.asked = m.seq, done, now
-	m.puts = append(m.puts, p)
+	p.seq, p.done, p.askedAt = m.seq, done, now
+	m.pendingPuts = append(m.pendingPuts, p)
 	m.sendPut(p)
 	return true
 }
 
 func (m *Member) sendPut(p *Put) {
-	m.send(&fleetpb.Ask{Seq: p.seq, Process: m.Process, Incarnation: m.lease.Incarnation, Known: ^uint64(0), Put: &fleetpb.Put{Key: p.Key, Value: p.Value, Expect: p.Expect}})
+	m.sendAsk(&fleetpb.Ask{
+		Seq: p.seq, Process: m.Process, Incarnation: m.lease.Incarnation, Known: ^uint64(0),
+		Put: &fleetpb.Put{Key: p.Key, Value: p.Value, Expect: p.Expect},
+	})
 }
 
-func (m *Member) send(a *fleetpb.Ask) {
+func (m *Member) sendAsk(a *fleetpb.Ask) {
 	if link := m.links[m.target]; link != 0 {
-		m.sends = append(m.sends, Send{Link: link, Frame: &fleetpb.Frame{What: &fleetpb.Frame_Ask{Ask: a}}})
+		m.outbound = append(m.outbound, Send{Link: link, Frame: &fleetpb.Frame{What: &fleetpb.Frame_Ask{Ask: a}}})
 	}
 }
 
-// Leave ends its incarnation by its own word. It must have stopped acting before.
+// Leave ends the router's incarnation for good. The router must have stopped acting before. The request is sent once;
+// if it is lost, the lease expires.
 func (m *Member) Leave(now time.Duration) {
-	m.left = true
+	m.hasLeft = true
 	incarnation := m.lease.Incarnation
-	m.lease.Until, m.holds = 0, false
+	m.lease.Until, m.holdsLease = 0, false
 	m.seq++
-	m.send(&fleetpb.Ask{Seq: m.seq, Process: m.Process, Incarnation: incarnation, Leave: true, Known: ^uint64(0)})
+	m.sendAsk(&fleetpb.Ask{
+		Seq: m.seq, Process: m.Process, Incarnation: incarnation, Leave: true, Known: ^uint64(0),
+	})
 }
 
-// Renounce ends its incarnation by its own word, and asks for the next one once the log has ended it. It must have stopped acting by it before; false: it has none.
+// Renounce gives up the router's incarnation and asks for a new one as soon as the log has ended it. The router must
+// have stopped acting by it before. Renounce returns false if there is no incarnation to give up.
 func (m *Member) Renounce(now time.Duration) bool {
-	if m.lease.Incarnation == 0 || m.left {
+	if m.lease.Incarnation == 0 || m.hasLeft {
 		return false
 	}
-	m.gone = m.lease.Incarnation
-	m.lease, m.holds = Lease{}, false
-	clear(m.asked) // an answer to what was asked before is not for the next
-	m.due, m.next = 0, now
+	m.renounced = m.lease.Incarnation
+	m.lease, m.holdsLease = Lease{}, false
+	clear(m.askedAt) // answers to earlier asks don't apply to the next incarnation
+	m.answerDeadline, m.nextAskAt = 0, now
 	return true
 }
 
-// giveUp says again and again that the incarnation is over, until the log does: an ask for a lease would be answered with the old one.
-func (m *Member) giveUp(now time.Duration) {
+// sendRenounce requests the end of the renounced incarnation. It is repeated until the log has ended it, since an ask
+// for a lease before would be answered with the old incarnation.
+func (m *Member) sendRenounce(now time.Duration) {
 	m.seq++
-	m.send(&fleetpb.Ask{Seq: m.seq, Process: m.Process, Incarnation: m.gone, Leave: true, Known: m.Machine.Index})
-	m.last, m.next = now, now+askAgain
-	if m.due == 0 {
-		m.due = now + askAgain
+	m.sendAsk(&fleetpb.Ask{
+		Seq: m.seq, Process: m.Process, Incarnation: m.renounced, Leave: true, Known: m.Machine.Index,
+	})
+	m.lastAskAt, m.nextAskAt = now, now+retryInterval
+	if m.answerDeadline == 0 {
+		m.answerDeadline = now + retryInterval
 	}
 }
 
-// Tick is due every TickEvery.
+// Tick reports an expired lease and sends the asks that are due. It has to be called every TickInterval, or at the
+// times that NextTick returns.
 func (m *Member) Tick(now time.Duration) {
-	if m.holds && now >= m.lease.Until {
-		m.holds = false
+	if m.holdsLease && now >= m.lease.Until {
+		m.holdsLease = false
 		m.notes = append(m.notes, Note{Kind: RanOut, Name: m.Name, Incarnation: m.lease.Incarnation})
 	}
-	if m.left {
+	if m.hasLeft {
 		return
 	}
-	if m.due != 0 && now >= m.due {
-		m.turn("")
-		m.due, m.next = 0, now
+	if m.answerDeadline != 0 && now >= m.answerDeadline {
+		m.switchTarget("")
+		m.answerDeadline, m.nextAskAt = 0, now
 	}
-	for _, p := range m.puts {
-		if now >= p.asked+askAgain {
-			p.asked = now
+	for _, p := range m.pendingPuts {
+		if now >= p.askedAt+retryInterval {
+			p.askedAt = now
 			m.sendPut(p)
 		}
 	}
-	if now < m.next || m.links[m.target] == 0 {
+	if now < m.nextAskAt || m.links[m.target] == 0 {
 		return
 	}
-	if m.gone != 0 {
-		m.giveUp(now)
+	if m.renounced != 0 {
+		m.sendRenounce(now)
 		return
 	}
 	m.seq++
-	m.asked[m.seq] = now // before it is sent: the lease is counted from here
-	delete(m.asked, m.seq-askedMost)
-	if m.lastTo != m.target {
-		m.lastTo, m.run = m.target, m.seq
+	m.askedAt[m.seq] = now // the lease counts from before the ask is sent
+	delete(m.askedAt, m.seq-maxTrackedAsks)
+	if m.lastTarget != m.target {
+		m.lastTarget, m.runStart = m.target, m.seq
 	}
-	m.last = now
+	m.lastAskAt = now
 	ask := &fleetpb.Ask{Seq: m.seq, Process: m.Process, Incarnation: m.lease.Incarnation, Known: m.Machine.Index}
-	if !m.holds { // a new incarnation begins with them
+	if !m.holdsLease { // only a new incarnation takes them
 		ask.Address, ask.Zone = m.Address, m.Zone
 	}
 	if m.Ride != nil {
 		ask.Ride = m.Ride()
 	}
-	m.send(ask)
-	if m.due == 0 {
-		m.due = now + askAgain
+	m.sendAsk(ask)
+	if m.answerDeadline == 0 {
+		m.answerDeadline = now + retryInterval
 	}
-	m.next = now + m.Terms.Renew
-	if !m.holds {
-		m.next = now + askAgain
+	m.nextAskAt = now + m.Terms.Renew
+	if !m.holdsLease {
+		m.nextAskAt = now + retryInterval
 	}
 }
 
-// Hurry has it ask sooner than its lease wants, but not within a while of the last ask.
-func (m *Member) Hurry(while time.Duration) { m.next = min(m.next, m.last+while) }
+// AskWithin moves the next ask forward so that it is due no later than interval after the last one.
+func (m *Member) Hurry(interval time.Duration) { m.nextAskAt = min(m.nextAskAt, m.lastAskAt+interval) }
 
-// Due is when the next Tick has something to do, should nothing come before.
+// NextTick returns the time at which the next Tick has something to do, unless a frame or a call comes before.
 func (m *Member) Due() time.Duration {
 	at := time.Duration(math.MaxInt64)
-	if m.holds {
+	if m.holdsLease {
 		at = m.lease.Until
 	}
-	if m.left {
+	if m.hasLeft {
 		return at
 	}
 	if m.links[m.target] != 0 {
-		at = min(at, m.next)
+		at = min(at, m.nextAskAt)
 	}
-	if m.due != 0 {
-		at = min(at, m.due)
+	if m.answerDeadline != 0 {
+		at = min(at, m.answerDeadline)
 	}
-	for _, p := range m.puts {
-		at = min(at, p.asked+askAgain)
+	for _, p := range m.pendingPuts {
+		at = min(at, p.askedAt+retryInterval)
 	}
 	return at
 }
 
-// Hear takes what a keeper says.
+// Receive handles a frame from a keeper.
 func (m *Member) Hear(now time.Duration, keeper string, f *fleetpb.Frame) {
 	switch {
 	case f.GetAnswer() != nil:
-		m.answer(now, keeper, f.GetAnswer())
+		m.receiveAnswer(now, keeper, f.GetAnswer())
 	case f.GetWord() != nil:
-		m.word(f.GetWord())
+		m.receiveWord(f.GetWord())
 	}
 }
 
-func (m *Member) answer(now time.Duration, keeper string, a *fleetpb.Answer) {
+// receiveAnswer handles the answer to a put, a refusal, or the grant of a lease.
+func (m *Member) receiveAnswer(now time.Duration, keeper string, a *fleetpb.Answer) {
 	if a.Why == "put" {
-		for i, p := range m.puts {
+		for i, p := range m.pendingPuts {
 			if p.seq == a.Seq {
-				m.puts = slices.Delete(m.puts, i, i+1)
+				m.pendingPuts = slices.Delete(m.pendingPuts, i, i+1)
 				p.done(a.Result)
 				break
 			}
 		}
 		return
 	}
-	asked, mine := m.asked[a.Seq]
-	if !mine || m.left {
+	asked, known := m.askedAt[a.Seq]
+	if !known || m.hasLeft {
 		return
 	}
-	delete(m.asked, a.Seq)
+	delete(m.askedAt, a.Seq)
 	if a.Incarnation == 0 {
 		if a.Leader != "" && a.Leader != keeper && m.links[a.Leader] != 0 {
-			m.turn(a.Leader)
-			m.due, m.next = 0, now
+			m.switchTarget(a.Leader)
+			m.answerDeadline, m.nextAskAt = 0, now
 		} else if a.Leader == keeper {
-			m.due = 0
+			m.answerDeadline = 0
 		}
 		if a.Leader == keeper && a.Why == "over" && m.lease.Incarnation != 0 {
 			m.notes = append(m.notes, Note{Kind: Ended, Name: m.Name, Incarnation: m.lease.Incarnation})
-			m.lease, m.holds = Lease{}, false
-			clear(m.asked) // an answer to what the earlier asked is not for the next
-			m.next = now
+			m.lease, m.holdsLease = Lease{}, false
+			clear(m.askedAt) // answers to earlier asks don't apply to the next incarnation
+			m.nextAskAt = now
 		}
-		if a.Leader == keeper && a.Why != "over" && m.told == "" {
-			m.told = a.Why
+		if a.Leader == keeper && a.Why != "over" && m.reportedWait == "" {
+			m.reportedWait = a.Why
 			m.notes = append(m.notes, Note{Kind: Waits, Name: m.Name, Text: a.Why})
 		}
 		return
@@ -276,45 +297,47 @@
 	if m.lease.Incarnation != 0 && a.Incarnation != m.lease.Incarnation {
 		return
 	}
-	m.due, m.target, m.told = 0, keeper, ""
+	m.answerDeadline, m.target, m.reportedWait = 0, keeper, ""
 	until := asked + m.Terms.Lease
 	if mutant == "lease-from-answer" {
 		until = now + m.Terms.Lease
 	}
-	was := m.lease
-	m.lease = Lease{a.Incarnation, max(until, was.Until)}
-	if m.Rode != nil && keeper == m.lastTo && a.Seq >= m.run {
+	previous := m.lease
+	m.lease = Lease{a.Incarnation, max(until, previous.Until)}
+	if m.Rode != nil && keeper == m.lastTarget && a.Seq >= m.runStart {
 		m.Rode(a.Seq, m.lease.Until, a.Ride)
 	}
-	if m.holds || now >= m.lease.Until {
+	if m.holdsLease || now >= m.lease.Until {
 		return
 	}
-	m.holds = true
-	m.next = min(m.next, asked+m.Terms.Renew)
+	m.holdsLease = true
+	m.nextAskAt = min(m.nextAskAt, asked+m.Terms.Renew)
 	kind := Granted
-	if was.Incarnation == a.Incarnation {
+	if previous.Incarnation == a.Incarnation {
 		kind = Regained
 	}
 	m.notes = append(m.notes, Note{Kind: kind, Name: m.Name, Incarnation: a.Incarnation})
 }
 
-// word takes what the log has come to. A gap, or news from before what is known, changes nothing: the next ask says what is known.
-func (m *Member) word(w *fleetpb.Word) {
+// receiveWord applies a state or changes of the log. Changes that leave a gap, and those that are already known, have
+// no effect: the next ask states the index up to which the state is known.
+func (m *Member) receiveWord(w *fleetpb.Word) {
 	defer func() {
-		if own := m.Machine.Member(m.Name); m.gone != 0 && (own.GetIncarnation() > m.gone || own.GetIncarnation() == m.gone && !own.Live) {
-			m.gone, m.due, m.next = 0, 0, 0
+		if own := m.Machine.Member(m.Name); m.renounced != 0 &&
+			(own.GetIncarnation() > m.renounced || own.GetIncarnation() == m.renounced && !own.Live) {
+			m.renounced, m.answerDeadline, m.nextAskAt = 0, 0, 0
 		}
 	}()
 	switch {
 	case w.State != nil && w.Index > m.Machine.Index:
-		was := m.Machine
+		previous := m.Machine
 		m.Machine = NewMachine(w.State)
 		for _, one := range m.Machine.Members() {
-			m.tell(was.Member(one.Name), one)
+			m.noteMemberChange(previous.Member(one.Name), one)
 		}
 		for _, f := range w.State.Facts {
-			if was.Fact(f.Key).GetVersion() != f.Version {
-				m.notes = append(m.notes, written(f))
+			if previous.Fact(f.Key).GetVersion() != f.Version {
+				m.notes = append(m.notes, factNote(f))
 			}
 		}
 	case w.State == nil && w.Base <= m.Machine.Index:
@@ -328,50 +351,56 @@
 				before = m.Machine.Member(c.Member.Name)
 			}
 			m.Machine.Index = c.Index
-			m.Machine.change(c.Member, c.Fact)
+			m.Machine.recordChange(c.Member, c.Fact)
 			if c.Member != nil {
-				m.tell(before, c.Member)
+				m.noteMemberChange(before, c.Member)
 			}
 			if c.Fact != nil {
-				m.notes = append(m.notes, written(c.Fact))
+				m.notes = append(m.notes, factNote(c.Fact))
 			}
 		}
 		m.Machine.Index = max(m.Machine.Index, w.Index)
 	}
 }
 
-func written(f *fleetpb.Fact) Note {
+// factNote returns the note of a changed fact.
+func factNote(f *fleetpb.Fact) Note {
 	return Note{Kind: Written, Name: f.Key, Number: f.Version, Value: f.Value, Incarnation: f.Incarnation}
 }
 
-func (m *Member) tell(before, one *fleetpb.Member) {
-	if before.GetIncarnation() == one.Incarnation && before.GetLive() == one.Live {
-		if before.GetSuccessor() != one.Successor || before.GetSuccessorIncarnation() != one.SuccessorIncarnation {
-			m.notes = append(m.notes, Note{Kind: Passed, Name: one.Name, Incarnation: one.Incarnation, Text: one.Successor})
+// noteMemberChange notes the difference between two states of a member; before may be nil. The end of this router's
+// own incarnation also ends its lease.
+func (m *Member) noteMemberChange(before, after *fleetpb.Member) {
+	if before.GetIncarnation() == after.Incarnation && before.GetLive() == after.Live {
+		if before.GetSuccessor() != after.Successor ||
+			before.GetSuccessorIncarnation() != after.SuccessorIncarnation {
+			m.notes = append(m.notes, Note{
+				Kind: Passed, Name: after.Name, Incarnation: after.Incarnation, Text: after.Successor,
+			})
 		}
 		return
 	}
-	if one.Name == m.Name && one.Process == m.Process {
-		if !one.Live && one.Incarnation == m.lease.Incarnation && !m.left {
-			m.notes = append(m.notes, Note{Kind: Ended, Name: m.Name, Incarnation: one.Incarnation})
-			m.lease, m.holds = Lease{}, false
-			clear(m.asked)
-			m.next = 0
+	if after.Name == m.Name && after.Process == m.Process {
+		if !after.Live && after.Incarnation == m.lease.Incarnation && !m.hasLeft {
+			m.notes = append(m.notes, Note{Kind: Ended, Name: m.Name, Incarnation: after.Incarnation})
+			m.lease, m.holdsLease = Lease{}, false
+			clear(m.askedAt)
+			m.nextAskAt = 0
 		}
 		return
 	}
-	n := Note{Kind: Began, Name: one.Name, Incarnation: one.Incarnation}
-	if !one.Live {
-		n.Text = one.Successor
-		if n.Kind = Lost; one.Left {
+	n := Note{Kind: Began, Name: after.Name, Incarnation: after.Incarnation}
+	if !after.Live {
+		n.Text = after.Successor
+		if n.Kind = Lost; after.Left {
 			n.Kind = Left
 		}
 	}
 	m.notes = append(m.notes, n)
 }
 
-// Output is what it wants sent and told.
+// Output returns the frames to send and the notes to deliver, and forgets them.
 func (m *Member) Output() (sends []Send, notes []Note) {
-	sends, notes, m.sends, m.notes = m.sends, m.notes, nil, nil
+	sends, notes, m.outbound, m.notes = m.outbound, m.notes, nil, nil
 	return sends, notes
 }
--- a/fleet/mutant_off.go
+++ b/fleet/mutant_off.go
@@ -2,8 +2,8 @@
 
 package fleet
 
-// mutant is the fault that is built in: none but in builds for tests.
+// mutant is the name of the injected fault. It is empty: faults exist only in builds with the tag mutant.
 const mutant = ""
 
-// Mutated is the fault that is built in.
+// Mutated returns the name of the injected fault, empty if there is none.
 func Mutated() string { return mutant }
--- a/fleet/mutant_on.go
+++ b/fleet/mutant_on.go
@@ -2,24 +2,24 @@
 
 package fleet
 
-// mutant is the fault that is built in.
+// mutant is the name of the injected fault; empty: none.
 var mutant string
 
-// Mutants are the faults that a build for tests can have, by name.
+// Mutants describes the faults that can be injected in builds with the tag mutant, by name.
 var Mutants = map[string]string{
-	"lease-from-answer": "a holder counts its lease from the answer, not from before it asked",
-	"no-look":           "the loop acts by the incarnation it last held without a look at the lease",
-	"eager-begin":       "a keeper lets a name begin anew while the lease of its last incarnation still runs",
-	"no-quorum":         "a leading keeper renews leases without asking the others whether it still leads",
-	"forget-leases":     "a new leading keeper takes the leases that it did not grant for run out",
-	"wall-lease":        "leases are counted on the wall clock",
-	"unwritten":         "a keeper does not write down what it answers for",
-	"deaf-to-disk":      "a keeper goes on after a write that failed",
-	"files-forgotten":   "a keeper whose folder is empty founds its files again",
+	"lease-from-answer": "a router counts its lease from the answer instead of from before the ask",
+	"no-look":           "the event loop acts by its last incarnation without a check of the lease",
+	"eager-begin":       "a keeper starts a new incarnation of a name while the lease of its last one is valid",
+	"no-quorum":         "a leader renews leases without confirmation by a majority that it still leads",
+	"forget-leases":     "a new leader treats the leases that it did not grant as expired",
+	"wall-lease":        "leases are measured by the wall clock",
+	"unwritten":         "a keeper answers without storing its log first",
+	"deaf-to-disk":      "a keeper continues after a failed write",
+	"files-forgotten":   "a keeper whose folder is empty bootstraps its files again",
 }
 
-// Mutate builds a fault in.
+// Mutate injects the fault of that name; an empty name removes it. It must not be called while the package is in use.
 func Mutate(name string) { mutant = name }
 
-// Mutated is the fault that is built in.
+// Mutated returns the name of the injected fault, empty if there is none.
 func Mutated() string { return mutant }
