--- a/cmd/threadglade/fleet.go
+++ b/cmd/threadglade/fleet.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	list, err := fleet.Found(o.Terms, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	list, err := fleet.Bootstrap(o.Terms, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	for _, s := range list {
 		if err == nil {
 			err = fleetio.Found(fileSystem, filepath.Join(out, s.Identity.Name), s)
@@ -275,7 +275,7 @@
 	}
 	if !asJSON {
 		fmt.Fprintf(w, "keeper %s of fleet %s: snapshot at %d, %d entries after it, agreed on up to %d at least, term %d; %d files, %d frames, %d bytes\n", c.Identity.Name, c.Identity.Fleet,
-			base, len(c.Entries), c.Hard.GetCommit(), c.Hard.GetTerm(), c.Segments, c.Frames, c.Bytes)
+			base, len(c.Entries), c.HardState.GetCommit(), c.HardState.GetTerm(), c.Segments, c.Frames, c.Bytes)
 		for _, torn := range c.Torn {
 			fmt.Fprintln(w, "cut off by a crash, counts for nothing:", torn)
 		}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -19,42 +19,42 @@
 	// LinkVersion is the newest version of the link protocol that this program speaks.
 	LinkVersion = 1
 	// MinLinkVersion is the oldest version of the link protocol that this program still accepts.
-	LinkLeast = 1
+	MinLinkVersion = 1
 )
 
 // Settings are the parameters that all processes of a fleet have to share. All durations are measured on clocks that
 // keep running while a process is stopped.
-type Terms struct {
-	Fleet   string        // name of the fleet
-	Lease   time.Duration // L: how long a lease is valid, counted from before the request was sent
-	Renew   time.Duration // R: interval between renewal requests
-	Drift   float64       // r: bound on the relative deviation of any clock's rate from true time
-	Keepers []string      // names, in the order of the settings
-	Members []string      // names of routers; a trailing * matches any suffix
+type Settings struct {
+	Fleet         string        // name of the fleet
+	LeaseDuration time.Duration // L: how long a lease is valid, counted from before the request was sent
+	RenewInterval time.Duration // R: interval between renewal requests
+	ClockDrift    float64       // r: bound on the relative deviation of any clock's rate from true time
+	Keepers       []string      // names, in the order of the settings
+	Members       []string      // names of routers; a trailing * matches any suffix
 }
 
 // DefaultSettings returns the values that apply where the configuration sets none.
-func DefaultTerms() Terms {
-	return Terms{Lease: 3 * time.Second, Renew: time.Second, Drift: 0.01}
+func DefaultSettings() Settings {
+	return Settings{LeaseDuration: 3 * time.Second, RenewInterval: time.Second, ClockDrift: 0.01}
 }
 
 // RegrantDelay returns K = L (1+r) / (1-r): how long keepers wait after a grant until the lease has expired on any
 // clock that keeps the drift bound.
-func (s Terms) Wait() time.Duration {
-	return time.Duration(float64(s.Lease)*(1+s.Drift)/(1-s.Drift)) + time.Nanosecond
+func (s Settings) RegrantDelay() time.Duration {
+	return time.Duration(float64(s.LeaseDuration)*(1+s.ClockDrift)/(1-s.ClockDrift)) + time.Nanosecond
 }
 
 // LossDetectionTime returns L + 1 s, the bound within which every linked process learns that a router is lost.
-func (s Terms) Known() time.Duration { return s.Lease + time.Second }
+func (s Settings) LossDetectionTime() time.Duration { return s.LeaseDuration + time.Second }
 
 // Validate returns an error that names the first invalid setting.
-func (s Terms) Validate() error {
+func (s Settings) Validate() error {
 	switch {
 	case s.Fleet == "" || len(s.Fleet) > maxNameLength:
 		return fmt.Errorf("the name of a fleet has to have 1 to %d bytes", maxNameLength)
-	case s.Drift < 0 || s.Drift > 0.1:
+	case s.ClockDrift < 0 || s.ClockDrift > 0.1:
 		return errors.New("the clock drift has to be between 0 and 0.1")
-	case s.Renew <= 0 || s.Renew*2 > s.Lease:
+	case s.RenewInterval <= 0 || s.RenewInterval*2 > s.LeaseDuration:
 		return errors.New("a lease is renewed at least twice in its time")
 	case len(s.Keepers) != 1 && len(s.Keepers) != 3 && len(s.Keepers) != 5:
 		return fmt.Errorf("a fleet has 1, 3 or 5 keepers, not %d", len(s.Keepers))
@@ -72,7 +72,7 @@
 }
 
 // IsListed reports whether a router of that name belongs to the fleet.
-func (s Terms) Listed(name string) bool {
+func (s Settings) IsListed(name string) bool {
 	for _, member := range s.Members {
 		if member == name || strings.HasSuffix(member, "*") && strings.HasPrefix(name, member[:len(member)-1]) {
 			return name != "" && len(name) <= maxNameLength
@@ -82,27 +82,27 @@
 }
 
 // RefusedError reports why a link was not accepted.
-type RefusedError struct{ Why string }
+type RefusedError struct{ Reason string }
 
 // Error implements error.
-func (e *RefusedError) Error() string { return "link refused: " + e.Why }
+func (e *RefusedError) Error() string { return "link refused: " + e.Reason }
 
 // CheckHello validates the hello of the other side of a link and returns a *RefusedError if the link must not be
 // accepted. voters are the keepers' raft IDs from the bootstrap; nil on a member, which doesn't know them. A hello
 // without a name is an operator's; an operator doesn't act as a member.
-func (s Terms) Welcome(hello *fleetpb.Hello, voters map[string]uint64) error {
+func (s Settings) CheckHello(hello *fleetpb.Hello, voters map[string]uint64) error {
 	refuse := func(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 	switch {
 	case hello == nil:
 		return refuse("it does not begin with a hello")
 	case hello.Fleet != s.Fleet:
 		return refuse("fleet %.64q, this is %q", hello.Fleet, s.Fleet)
-	case hello.Version < LinkLeast || hello.Least > LinkVersion:
+	case hello.Version < MinLinkVersion || hello.Least > LinkVersion:
 		return refuse("link versions %d to %d, this program speaks %d to %d",
-			hello.Least, hello.Version, LinkLeast, LinkVersion)
+			hello.Least, hello.Version, MinLinkVersion, LinkVersion)
 	case hello.Voter != 0 && voters != nil && voters[hello.Name] != hello.Voter:
 		return refuse("%.64q is no keeper by that number: its files are not those of the founding", hello.Name)
-	case hello.Voter == 0 && hello.Name != "" && !s.Listed(hello.Name):
+	case hello.Voter == 0 && hello.Name != "" && !s.IsListed(hello.Name):
 		return refuse("%.64q is not listed", hello.Name)
 	}
 	return nil
@@ -116,7 +116,7 @@
 }
 
 // IsHeld reports whether the lease is valid at the time now. It has to be checked at the moment of each action.
-func (l Lease) Holds(now time.Duration) bool {
+func (l Lease) IsHeld(now time.Duration) bool {
 	if mutant == "no-look" {
 		return l.Incarnation != 0
 	}
@@ -128,19 +128,19 @@
 
 // Kinds of notes about this router, the other routers, facts and this keeper.
 const (
-	Granted  Kind = iota + 1 // this router has started a new incarnation
-	RanOut                   // this router's lease has expired: it is cut off, or its keepers are unavailable
-	Regained                 // this router's incarnation has a valid lease again
-	Ended                    // this router's incarnation has ended, by the log
-	Waits                    // this router's name is still leased to another process
-	Began                    // another router's incarnation has started
-	Lost                     // another router's lease has expired, by the log
-	Left                     // another router has ended its incarnation itself
-	Written                  // a fact has changed
-	Leads                    // this keeper has become the leader
-	Follows                  // this keeper is no longer the leader
-	Halted                   // this keeper has stopped for good: its disk failed
-	Passed                   // the calls of a router's ended incarnation go to another successor
+	LeaseGranted     Kind = iota + 1 // this router has started a new incarnation
+	LeaseExpired                     // this router's lease has expired: it is cut off, or its keepers are unavailable
+	LeaseRegained                    // this router's incarnation has a valid lease again
+	IncarnationEnded                 // this router's incarnation has ended, by the log
+	NameInUse                        // this router's name is still leased to another process
+	MemberBegan                      // another router's incarnation has started
+	MemberLost                       // another router's lease has expired, by the log
+	MemberLeft                       // another router has ended its incarnation itself
+	FactWritten                      // a fact has changed
+	LeadershipGained                 // this keeper has become the leader
+	LeadershipLost                   // this keeper is no longer the leader
+	KeeperHalted                     // this keeper has stopped for good: its disk failed
+	SuccessorChanged                 // the calls of a router's ended incarnation go to another successor
 )
 
 var kindNames = [...]string{
@@ -165,7 +165,7 @@
 type Link uint64
 
 // Outbound is a frame to send: on a link or, for raft messages, to another keeper by its raft ID.
-type Send struct {
+type Outbound struct {
 	Link  Link   // 0 if Voter is set
 	Voter uint64 // raft ID of the receiving keeper; 0 if Link is set
 	Frame *fleetpb.Frame
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -13,8 +13,8 @@
 	"threadglade.example/threadglade/fleet/fleetpb"
 )
 
-func testSettings() Terms {
-	t := DefaultTerms()
+func testSettings() Settings {
+	t := DefaultSettings()
 	t.Fleet, t.Keepers, t.Members = "f", []string{"k1"}, []string{"r*", "desk"}
 	return t
 }
@@ -32,7 +32,7 @@
 		var entries []*fleetpb.Entry
 		for index := uint64(1); index <= uint64(rapid.IntRange(1, 60).Draw(t, "n")); index++ {
 			name := names.Draw(t, "name")
-			number := uint64(rapid.IntRange(0, int(m.Incarnations)+1).Draw(t, "number"))
+			number := uint64(rapid.IntRange(0, int(m.LastIncarnation)+1).Draw(t, "number"))
 			e := &fleetpb.Entry{Id: uint64(rapid.IntRange(1, 1000).Draw(t, "id"))}
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
@@ -83,7 +83,7 @@
 					SuccessorIncarnation: one.SuccessorIncarnation,
 				}) {
 					if p.Successor != "" {
-						require.False(t, m.Over(p.Successor, p.SuccessorIncarnation),
+						require.False(t, m.IsOver(p.Successor, p.SuccessorIncarnation),
 							"the successor of %s.%d has ended", one.Name, p.Incarnation)
 						successor, number, over := m.SuccessorOf(one.Name, p.Incarnation)
 						require.True(t, over && successor == p.Successor && number == p.SuccessorIncarnation)
@@ -98,7 +98,7 @@
 				require.NoError(t, proto.Unmarshal(b, s))
 				restored = NewMachine(s)
 			}
-			if word := m.Since(known.Index); word != nil && rapid.Bool().Draw(t, "heard") {
+			if word := m.ChangesSince(known.Index); word != nil && rapid.Bool().Draw(t, "heard") {
 				member := &Member{Machine: known, links: map[string]Link{}}
 				member.receiveWord(word)
 				known = member.Machine
@@ -107,7 +107,7 @@
 		if restored != nil {
 			require.True(t, proto.Equal(m.State(), restored.State()))
 		}
-		if word := m.Since(known.Index); word != nil {
+		if word := m.ChangesSince(known.Index); word != nil {
 			member := &Member{Machine: known, links: map[string]Link{}}
 			member.receiveWord(word)
 			known = member.Machine
@@ -146,10 +146,10 @@
 	require.Nil(t, m.Member(fmt.Sprintf("r%060d", 7)))
 	require.Zero(t, begin(fmt.Sprintf("r%064d", 1)), "the name is too long")
 	for i := range maxFacts {
-		require.NotZero(t, put(fmt.Sprintf("%0128d", i), ValueMost))
+		require.NotZero(t, put(fmt.Sprintf("%0128d", i), MaxValueLength))
 	}
 	require.Zero(t, put("another", 1))
-	require.Zero(t, put("large", ValueMost+1))
+	require.Zero(t, put("large", MaxValueLength+1))
 	for range 2 * maxResults {
 		index++
 		m.Apply(index, &fleetpb.Entry{Id: index})
@@ -168,12 +168,12 @@
 		if !ok {
 			return answers
 		}
-		for _, s := range o.Send {
+		for _, s := range o.Outbound {
 			if a := s.Frame.GetAnswer(); a != nil {
 				answers = append(answers, a)
 			}
 		}
-		k.Done(now)
+		k.Advance(now)
 	}
 }
 
@@ -182,18 +182,18 @@
 func TestRegrantDelay(t *testing.T) {
 	settings := testSettings()
 	for ask := 2 * time.Second; ask < 5*time.Second; ask += 90 * time.Millisecond {
-		founded, err := Found(settings, rand.New(rand.NewPCG(1, 2)))
+		founded, err := Bootstrap(settings, rand.New(rand.NewPCG(1, 2)))
 		require.NoError(t, err)
 		k, err := NewKeeper(settings, founded[0], rand.New(rand.NewPCG(3, 4)), 0)
 		require.NoError(t, err)
 		var granted, first, second time.Duration
-		for now := time.Duration(0); now < 12*time.Second && second == 0; now += TickEvery {
+		for now := time.Duration(0); now < 12*time.Second && second == 0; now += TickInterval {
 			k.Tick(now)
 			if now < 2*time.Second || first == 0 {
-				k.Ask(now, 1, "r1", &fleetpb.Ask{Seq: 1, Process: 1, Known: ^uint64(0)})
+				k.HandleAsk(now, 1, "r1", &fleetpb.Ask{Seq: 1, Process: 1, Known: ^uint64(0)})
 			}
 			if now >= ask {
-				k.Ask(now, 2, "r1", &fleetpb.Ask{Seq: 2, Process: 2, Known: ^uint64(0)})
+				k.HandleAsk(now, 2, "r1", &fleetpb.Ask{Seq: 2, Process: 2, Known: ^uint64(0)})
 			}
 			for _, a := range runAlone(k, now) {
 				switch {
@@ -206,8 +206,8 @@
 		}
 		require.NotZero(t, first)
 		require.NotZero(t, second)
-		require.GreaterOrEqual(t, second-granted, settings.Wait(), "asked at %v", ask)
-		require.LessOrEqual(t, second, max(granted+settings.Wait(), ask)+5*TickEvery, "asked at %v", ask)
+		require.GreaterOrEqual(t, second-granted, settings.RegrantDelay(), "asked at %v", ask)
+		require.LessOrEqual(t, second, max(granted+settings.RegrantDelay(), ask)+5*TickInterval, "asked at %v", ask)
 	}
 }
 
@@ -215,14 +215,14 @@
 func TestSettings(t *testing.T) {
 	settings := testSettings()
 	require.NoError(t, settings.Validate())
-	require.Equal(t, 3060606061*time.Nanosecond, settings.Wait().Round(time.Nanosecond))
-	for _, change := range []func(*Terms){
-		func(t *Terms) { t.Fleet = "" },
-		func(t *Terms) { t.Keepers = []string{"a", "b"} },
-		func(t *Terms) { t.Keepers = []string{"a", "a", "b"} },
-		func(t *Terms) { t.Members = nil },
-		func(t *Terms) { t.Renew = 2 * time.Second },
-		func(t *Terms) { t.Drift = 0.5 },
+	require.Equal(t, 3060606061*time.Nanosecond, settings.RegrantDelay().Round(time.Nanosecond))
+	for _, change := range []func(*Settings){
+		func(t *Settings) { t.Fleet = "" },
+		func(t *Settings) { t.Keepers = []string{"a", "b"} },
+		func(t *Settings) { t.Keepers = []string{"a", "a", "b"} },
+		func(t *Settings) { t.Members = nil },
+		func(t *Settings) { t.RenewInterval = 2 * time.Second },
+		func(t *Settings) { t.ClockDrift = 0.5 },
 	} {
 		changed := testSettings()
 		change(&changed)
@@ -231,7 +231,7 @@
 	for name, listed := range map[string]bool{
 		"r1": true, "r": true, "desk": true, "desk1": false, "x": false, "": false,
 	} {
-		require.Equal(t, listed, settings.Listed(name), name)
+		require.Equal(t, listed, settings.IsListed(name), name)
 	}
 }
 
@@ -241,7 +241,7 @@
 func TestRenounce(t *testing.T) {
 	m, now := NewMember(testSettings(), "r1", 9), time.Second
 	require.False(t, m.Renounce(now), "there is no incarnation to give up")
-	m.Linked(now, "k1", 1)
+	m.SetLink(now, "k1", 1)
 	asks := func() (list []*fleetpb.Ask) {
 		m.Tick(now)
 		sends, _ := m.Output()
@@ -251,10 +251,10 @@
 		return list
 	}
 	first := asks()[0]
-	m.Hear(now, "k1", &fleetpb.Frame{What: &fleetpb.Frame_Answer{
+	m.Receive(now, "k1", &fleetpb.Frame{What: &fleetpb.Frame_Answer{
 		Answer: &fleetpb.Answer{Seq: first.Seq, Incarnation: 5, Leader: "k1"},
 	}})
-	require.True(t, m.Lease().Holds(now))
+	require.True(t, m.Lease().IsHeld(now))
 	now += 2 * time.Second
 	renewal := asks()[0]
 	require.True(t, m.Renounce(now))
@@ -263,13 +263,13 @@
 		leave := asks()
 		require.Len(t, leave, 1)
 		require.True(t, leave[0].Leave && leave[0].Incarnation == 5)
-		m.Hear(now, "k1", &fleetpb.Frame{What: &fleetpb.Frame_Answer{
+		m.Receive(now, "k1", &fleetpb.Frame{What: &fleetpb.Frame_Answer{
 			Answer: &fleetpb.Answer{Seq: renewal.Seq, Incarnation: 5, Leader: "k1"},
 		}})
 		require.Equal(t, Lease{}, m.Lease(), "the answer to an earlier ask does not restore it")
 		now += retryInterval
 	}
-	m.Hear(now, "k1", &fleetpb.Frame{What: &fleetpb.Frame_Word{Word: &fleetpb.Word{
+	m.Receive(now, "k1", &fleetpb.Frame{What: &fleetpb.Frame_Word{Word: &fleetpb.Word{
 		Index: 9,
 		State: &fleetpb.State{
 			Index: 9, Fleet: "f", Incarnations: 5,
@@ -279,7 +279,7 @@
 	next := asks()
 	require.Len(t, next, 1)
 	require.True(t, !next[0].Leave && next[0].Incarnation == 0)
-	m.Hear(now, "k1", &fleetpb.Frame{What: &fleetpb.Frame_Answer{
+	m.Receive(now, "k1", &fleetpb.Frame{What: &fleetpb.Frame_Answer{
 		Answer: &fleetpb.Answer{Seq: next[0].Seq, Incarnation: 6, Leader: "k1"},
 	}})
 	require.EqualValues(t, 6, m.Lease().Incarnation)
--- a/fleet/keeper.go
+++ b/fleet/keeper.go
@@ -25,7 +25,7 @@
 
 const (
 	// TickInterval is the interval of calls of Tick, and the length of a raft tick.
-	TickEvery = 50 * time.Millisecond
+	TickInterval = 50 * time.Millisecond
 	// heartbeatTicks and electionTicks are raft's intervals. A keeper stands for election when it has received nothing
 	// from a leader for a random time between electionTicks and twice as many.
 	heartbeatTicks = 2
@@ -46,15 +46,15 @@
 
 // Stored is the content of a keeper's folder.
 type Stored struct {
-	Identity *fleetpb.Identity
-	Snapshot *raftpb.Snapshot
-	Hard     *raftpb.HardState
-	Entries  []*raftpb.Entry // after the snapshot
+	Identity  *fleetpb.Identity
+	Snapshot  *raftpb.Snapshot
+	HardState *raftpb.HardState
+	Entries   []*raftpb.Entry // after the snapshot
 }
 
 // Apply adds an update to the content as the storage would. It fails if an entry precedes the first snapshot or would
 // leave a gap; the error names that entry.
-func (s *Stored) Write(update *Store) error {
+func (s *Stored) Apply(update *StoreUpdate) error {
 	if update.Snapshot != nil {
 		s.Snapshot, s.Entries = update.Snapshot, nil
 	}
@@ -70,15 +70,15 @@
 		}
 		s.Entries = append(s.Entries[:position:position], e)
 	}
-	if !raft.IsEmptyHardState(update.Hard) {
-		s.Hard = update.Hard
+	if !raft.IsEmptyHardState(update.HardState) {
+		s.HardState = update.HardState
 	}
 	return nil
 }
 
 // Bootstrap draws raft IDs for the keepers of a new fleet and returns the initial content of each one's folder, in the
 // order of the settings. It is called once per fleet: a second call makes a different fleet.
-func Found(settings Terms, random *rand.Rand) ([]Stored, error) {
+func Bootstrap(settings Settings, random *rand.Rand) ([]Stored, error) {
 	state := &fleetpb.State{Fleet: settings.Fleet, Index: 1}
 	conf := &raftpb.ConfState{}
 	for _, name := range settings.Keepers {
@@ -98,7 +98,7 @@
 				Data:     data,
 				Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: new(uint64(1)), Term: new(uint64(1))},
 			},
-			Hard: &raftpb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))},
+			HardState: &raftpb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))},
 		})
 	}
 	return list, nil
@@ -140,31 +140,31 @@
 // LeaseExtension is a protocol whose payloads are carried in the messages that renew leases. It answers a member's
 // payload at the moment the member's lease is renewed, hence only while the leader's term is confirmed. Its methods
 // are called on the keeper's goroutine.
-type Rider interface {
+type LeaseExtension interface {
 	// StartTerm is called when this keeper has become the leader.
-	Office(now time.Duration)
+	StartTerm(now time.Duration)
 	// EndTerm is called when this keeper is no longer the leader.
-	Resign()
+	EndTerm()
 	// HandleRenewal takes the payload of an ask whose lease has just been renewed and returns the answer's payload.
-	Renewed(now time.Duration, name string, incarnation, process, seq uint64, payload []byte) []byte
+	HandleRenewal(now time.Duration, name string, incarnation, process, seq uint64, payload []byte) []byte
 	// EndIncarnation is called on the leader when an incarnation has ended and its lease is certainly over.
-	Over(now time.Duration, name string, incarnation uint64)
+	EndIncarnation(now time.Duration, name string, incarnation uint64)
 	// HandleEntry is called after an entry has changed the state machine.
-	Applied(now time.Duration, e *fleetpb.Entry)
+	HandleEntry(now time.Duration, e *fleetpb.Entry)
 	// TakePuts returns the facts that the leader has to write, and forgets them.
-	Puts() []*fleetpb.Put
+	TakePuts() []*fleetpb.Put
 	// Report returns the extension's part of a report to operators.
 	Report() []byte
 }
 
 // LeaderKeyPrefix is the prefix of the keys of facts that only leaders may write, for their lease extensions.
-const OwnPrefix = "keeper/"
+const LeaderKeyPrefix = "keeper/"
 
 // Keeper is one voter of the fleet's raft log. It is not safe for concurrent use.
 type Keeper struct {
-	Terms   Terms
-	Machine *Machine
-	Rider   Rider // nil: none
+	Settings  Settings
+	Machine   *Machine
+	Extension LeaseExtension // nil: none
 
 	self       *fleetpb.Identity
 	voters     map[string]uint64
@@ -186,7 +186,7 @@
 	lastRound     uint64 // number of the last round; starts at random to tell it from an earlier process's
 	subscriptions map[Link]*subscription
 	pendingPuts   map[uint64]pendingPut
-	outbound      []Send
+	outbound      []Outbound
 	notes         []Note
 }
 
@@ -195,8 +195,8 @@
 
 // NewKeeper returns a keeper that resumes from the content of its folder. It fails if the content is incomplete,
 // damaged or of another fleet, or if the keeper is not one of the bootstrap and the settings.
-func NewKeeper(settings Terms, stored Stored, random *rand.Rand, now time.Duration) (*Keeper, error) {
-	if stored.Identity == nil || stored.Snapshot == nil || stored.Hard == nil {
+func NewKeeper(settings Settings, stored Stored, random *rand.Rand, now time.Duration) (*Keeper, error) {
+	if stored.Identity == nil || stored.Snapshot == nil || stored.HardState == nil {
 		return nil, errors.New("the folder is not that of a bootstrapped keeper")
 	}
 	if stored.Identity.Fleet != settings.Fleet {
@@ -208,7 +208,7 @@
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	k := &Keeper{
-		Terms: settings, Machine: NewMachine(state), self: stored.Identity, random: random,
+		Settings: settings, Machine: NewMachine(state), self: stored.Identity, random: random,
 		storage: raft.NewMemoryStorage(), confState: stored.Snapshot.Metadata.ConfState,
 		voters: map[string]uint64{}, voterNames: map[uint64]string{}, lastTick: now,
 		subscriptions: map[Link]*subscription{}, pendingPuts: map[uint64]pendingPut{}, lastRound: random.Uint64() >> 1,
@@ -224,7 +224,7 @@
 	}
 	if err := errors.Join(
 		k.storage.ApplySnapshot(stored.Snapshot),
-		k.storage.SetHardState(stored.Hard),
+		k.storage.SetHardState(stored.HardState),
 		k.storage.Append(stored.Entries),
 	); err != nil {
 		return nil, err
@@ -243,7 +243,7 @@
 
 // resetElectionTimer draws a new time at which the keeper stands for election.
 func (k *Keeper) resetElectionTimer(now time.Duration) {
-	k.electionAt = now + electionTicks*TickEvery + time.Duration(k.random.Int64N(int64(electionTicks*TickEvery)))
+	k.electionAt = now + electionTicks*TickInterval + time.Duration(k.random.Int64N(int64(electionTicks*TickInterval)))
 }
 
 // Voters returns the raft IDs of the fleet's keepers by name, as drawn at the bootstrap. The caller must not
@@ -254,7 +254,7 @@
 func (k *Keeper) Name() string { return k.self.Name }
 
 // LeaderTerm returns the raft term in which this keeper acts as leader, and whether it does.
-func (k *Keeper) Leads() (uint64, bool) { return k.leaderTerm, k.leaderTerm != 0 }
+func (k *Keeper) LeaderTerm() (uint64, bool) { return k.leaderTerm, k.leaderTerm != 0 }
 
 // Report returns the keeper's state for operators, as the answer to the inquiry seq. The record of past proposals is
 // left out.
@@ -263,8 +263,8 @@
 	s := k.Machine.State()
 	s.Done = nil
 	var payload []byte
-	if k.Rider != nil {
-		payload = k.Rider.Report()
+	if k.Extension != nil {
+		payload = k.Extension.Report()
 	}
 	return &fleetpb.Report{
 		Ride: payload, Seq: seq, Name: k.self.Name, Leader: k.voterNames[st.Lead], Term: st.GetTerm(),
@@ -277,9 +277,9 @@
 	if k.halted {
 		return
 	}
-	ticks := int((now - k.lastTick) / TickEvery)
+	ticks := int((now - k.lastTick) / TickInterval)
 	if ticks > 0 {
-		k.lastTick += time.Duration(ticks) * TickEvery
+		k.lastTick += time.Duration(ticks) * TickInterval
 	}
 	for range min(ticks, maxCatchUpTicks) {
 		if k.isLeader {
@@ -348,7 +348,7 @@
 
 // Receive handles a raft message from the keeper named from, whose identity was checked when the link was opened. It
 // returns an error for a malformed message, and for one that this keeper may not send.
-func (k *Keeper) Hear(now time.Duration, from string, b []byte) error {
+func (k *Keeper) Receive(now time.Duration, from string, b []byte) error {
 	m := &raftpb.Message{}
 	if err := proto.Unmarshal(b, m); err != nil {
 		return fmt.Errorf("a message of keeper %s: %w", from, err)
@@ -371,7 +371,7 @@
 
 // HandleAsk processes an ask of the member name that arrived on link. The answer comes by Output, at once or after a
 // confirmation round; an ask that exceeds a limit gets none, and the member repeats it.
-func (k *Keeper) Ask(now time.Duration, link Link, name string, a *fleetpb.Ask) {
+func (k *Keeper) HandleAsk(now time.Duration, link Link, name string, a *fleetpb.Ask) {
 	if k.halted {
 		return
 	}
@@ -392,7 +392,7 @@
 	}
 	if p := a.Put; p != nil {
 		p.Name, p.Incarnation = name, a.Incarnation
-		if strings.HasPrefix(p.Key, OwnPrefix) {
+		if strings.HasPrefix(p.Key, LeaderKeyPrefix) {
 			k.reply(link, &fleetpb.Answer{Seq: a.Seq, Why: "put"})
 			return
 		}
@@ -420,26 +420,26 @@
 }
 
 func (k *Keeper) reply(link Link, a *fleetpb.Answer) {
-	k.outbound = append(k.outbound, Send{
+	k.outbound = append(k.outbound, Outbound{
 		Link: link, Frame: &fleetpb.Frame{What: &fleetpb.Frame_Answer{Answer: a}},
 	})
 }
 
 // sendChanges sends a link the changes that were not yet sent on it.
 func (k *Keeper) sendChanges(link Link, f *subscription) {
-	if w := k.Machine.Since(f.sentIndex); w != nil {
+	if w := k.Machine.ChangesSince(f.sentIndex); w != nil {
 		f.sentIndex = w.Index
-		k.outbound = append(k.outbound, Send{
+		k.outbound = append(k.outbound, Outbound{
 			Link: link, Frame: &fleetpb.Frame{What: &fleetpb.Frame_Word{Word: w}},
 		})
 	}
 }
 
 // RemoveLink has to be called when a link is closed.
-func (k *Keeper) Gone(link Link) { delete(k.subscriptions, link) }
+func (k *Keeper) RemoveLink(link Link) { delete(k.subscriptions, link) }
 
 // ReportUnreachable has to be called when messages to another keeper can't be sent.
-func (k *Keeper) Unreachable(name string) {
+func (k *Keeper) ReportUnreachable(name string) {
 	if !k.halted {
 		k.node.ReportUnreachable(k.voters[name])
 		k.node.ReportSnapshot(k.voters[name], raft.SnapshotFailure)
@@ -453,23 +453,23 @@
 	}
 	k.halted, k.leaderTerm, k.isLeader = true, 0, false
 	k.outbound = nil
-	k.notes = append(k.notes, Note{Kind: Halted, Name: k.self.Name, Text: why.Error()})
+	k.notes = append(k.notes, Note{Kind: KeeperHalted, Name: k.self.Name, Text: why.Error()})
 }
 
 // Output is the work that a keeper wants done, in this order: store the update and sync it, send the frames, deliver
 // the notes. Then Advance has to be called; or Halt, if the update could not be stored.
 type Output struct {
-	Store *Store // nil: nothing to store
-	Send  []Send
-	Notes []Note
+	Store    *StoreUpdate // nil: nothing to store
+	Outbound []Outbound
+	Notes    []Note
 }
 
 // StoreUpdate is the data that has to be stored before any frame of the same Output is sent.
-type Store struct {
-	Snapshot *raftpb.Snapshot // nil: none
-	Entries  []*raftpb.Entry  // replace the stored ones from the first one's index on
-	Hard     *raftpb.HardState
-	Sync     bool // the update has to be synced to disk first; false: only the commit index has advanced
+type StoreUpdate struct {
+	Snapshot  *raftpb.Snapshot // nil: none
+	Entries   []*raftpb.Entry  // replace the stored ones from the first one's index on
+	HardState *raftpb.HardState
+	MustSync  bool // the update has to be synced to disk first; false: only the commit index has advanced
 }
 
 // Output returns the work to be done; ok is false if there is none.
@@ -477,13 +477,13 @@
 	if !k.halted && k.node.HasReady() {
 		rd := k.node.Ready()
 		k.ready = &rd
-		s := &Store{
-			Entries: rd.Entries, Hard: rd.HardState, Sync: rd.MustSync || !raft.IsEmptySnap(rd.Snapshot),
+		s := &StoreUpdate{
+			Entries: rd.Entries, HardState: rd.HardState, MustSync: rd.MustSync || !raft.IsEmptySnap(rd.Snapshot),
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
 			s.Snapshot = rd.Snapshot
 		}
-		if s.Snapshot != nil || len(s.Entries) > 0 || !raft.IsEmptyHardState(s.Hard) {
+		if s.Snapshot != nil || len(s.Entries) > 0 || !raft.IsEmptyHardState(s.HardState) {
 			o.Store = s
 		}
 		for _, m := range rd.Messages {
@@ -491,18 +491,18 @@
 			if err != nil {
 				continue
 			}
-			o.Send = append(o.Send, Send{
+			o.Outbound = append(o.Outbound, Outbound{
 				Voter: m.GetTo(), Frame: &fleetpb.Frame{What: &fleetpb.Frame_Raft{Raft: b}},
 			})
 		}
 	}
-	o.Send = append(o.Send, k.outbound...)
+	o.Outbound = append(o.Outbound, k.outbound...)
 	o.Notes, k.outbound, k.notes = k.notes, nil, nil
-	return o, k.ready != nil || len(o.Send) > 0 || len(o.Notes) > 0
+	return o, k.ready != nil || len(o.Outbound) > 0 || len(o.Notes) > 0
 }
 
 // Advance applies the committed entries. It has to be called after each Output, once the Output's update is stored.
-func (k *Keeper) Done(now time.Duration) {
+func (k *Keeper) Advance(now time.Duration) {
 	ready := k.ready
 	if ready == nil || k.halted {
 		k.ready = nil
@@ -564,25 +564,25 @@
 	k.leaderTerm, k.grants = term, map[string]*leaseGrant{}
 	for _, m := range k.Machine.Members() {
 		if m.Live {
-			k.grants[m.Name] = &leaseGrant{expiresAt: now + k.Terms.Wait()}
+			k.grants[m.Name] = &leaseGrant{expiresAt: now + k.Settings.RegrantDelay()}
 			if mutant == "forget-leases" {
 				k.grants[m.Name].expiresAt = now
 			}
 		}
 	}
-	if k.Rider != nil {
-		k.Rider.Office(now)
+	if k.Extension != nil {
+		k.Extension.StartTerm(now)
 	}
-	k.notes = append(k.notes, Note{Kind: Leads, Name: k.self.Name, Number: term})
+	k.notes = append(k.notes, Note{Kind: LeadershipGained, Name: k.self.Name, Number: term})
 }
 
 // stopLeading drops the leader's state. Waiting asks get no answer; members repeat them.
 func (k *Keeper) stopLeading(now time.Duration) {
 	if k.leaderTerm != 0 {
-		k.notes = append(k.notes, Note{Kind: Follows, Name: k.self.Name, Number: k.leaderTerm})
+		k.notes = append(k.notes, Note{Kind: LeadershipLost, Name: k.self.Name, Number: k.leaderTerm})
 	}
-	if k.leaderTerm != 0 && k.Rider != nil {
-		k.Rider.Resign()
+	if k.leaderTerm != 0 && k.Extension != nil {
+		k.Extension.EndTerm()
 	}
 	k.leaderTerm, k.grants, k.waitingAsks, k.rounds = 0, nil, nil, nil
 	clear(k.pendingPuts)
@@ -607,14 +607,14 @@
 		}
 	}
 	result := k.Machine.Apply(e.GetIndex(), entry)
-	if k.Rider != nil && result != 0 {
+	if k.Extension != nil && result != 0 {
 		if k.leaderTerm != 0 && previous != 0 && previous != result {
-			k.Rider.Over(now, entry.GetBegin().Name, previous)
+			k.Extension.EndIncarnation(now, entry.GetBegin().Name, previous)
 		}
 		if end := entry.GetEnd(); k.leaderTerm != 0 && end != nil {
-			k.Rider.Over(now, end.Name, end.Incarnation)
+			k.Extension.EndIncarnation(now, end.Name, end.Incarnation)
 		}
-		k.Rider.Applied(now, entry)
+		k.Extension.HandleEntry(now, entry)
 	}
 	if p, mine := k.pendingPuts[entry.Id]; mine {
 		delete(k.pendingPuts, entry.Id)
@@ -623,7 +623,7 @@
 	if k.leaderTerm != 0 {
 		switch {
 		case entry.GetBegin() != nil && result != 0:
-			k.grants[entry.GetBegin().Name] = &leaseGrant{expiresAt: now + k.Terms.Wait()}
+			k.grants[entry.GetBegin().Name] = &leaseGrant{expiresAt: now + k.Settings.RegrantDelay()}
 		case entry.GetBegin() != nil:
 			if g := k.grants[entry.GetBegin().Name]; g != nil {
 				g.ending = false
@@ -636,7 +636,7 @@
 
 // proposeExtensionPuts proposes the facts that the lease extension wants written.
 func (k *Keeper) proposeExtensionPuts() {
-	for _, p := range k.Rider.Puts() {
+	for _, p := range k.Extension.TakePuts() {
 		k.propose(&fleetpb.Entry{Id: k.random.Uint64(), What: &fleetpb.Entry_Put{Put: p}})
 	}
 }
@@ -664,10 +664,10 @@
 			}}) == nil
 		}
 	case holds && (a.Ask.Incarnation == 0 || a.Ask.Incarnation == member.Incarnation):
-		grant.expiresAt = max(grant.expiresAt, now+k.Terms.Wait())
+		grant.expiresAt = max(grant.expiresAt, now+k.Settings.RegrantDelay())
 		answer := &fleetpb.Answer{Seq: a.Seq, Incarnation: member.Incarnation, Leader: k.self.Name}
-		if k.Rider != nil {
-			answer.Ride = k.Rider.Renewed(now, a.name, member.Incarnation, a.Process, a.Seq, a.Ride)
+		if k.Extension != nil {
+			answer.Ride = k.Extension.HandleRenewal(now, a.name, member.Incarnation, a.Process, a.Seq, a.Ride)
 			k.proposeExtensionPuts()
 		}
 		k.reply(a.link, answer)
@@ -725,7 +725,7 @@
 		return Stored{}, err
 	}
 	s := Stored{Identity: k.self, Snapshot: snap}
-	s.Hard, _, err = k.storage.InitialState()
+	s.HardState, _, err = k.storage.InitialState()
 	if err != nil {
 		return s, err
 	}
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -21,32 +21,32 @@
 	maxChanges          = 4096 // changes that are kept for members that were briefly disconnected
 
 	// MaxKeyLength is the maximum length of a fact's key in bytes.
-	KeyMost = 128
+	MaxKeyLength = 128
 	// MaxValueLength is the maximum length of a fact's value in bytes.
-	ValueMost = 1024
+	MaxValueLength = 1024
 )
 
 // Machine is the state machine of the replicated log: members, facts and the results of recent proposals. Applying the
 // same entries gives the same state on every process. It is not safe for concurrent use.
 type Machine struct {
-	Fleet        string
-	Index        uint64 // of the last applied entry
-	Incarnations uint64 // the last incarnation number that was assigned
-	Versions     uint64 // the last version that was assigned to a fact
-	voters       []*fleetpb.Voter
-	members      map[string]*fleetpb.Member
-	facts        map[string]*fleetpb.Fact
-	results      map[uint64]uint64
-	resultOrder  []uint64          // keys of results, oldest first
-	changes      []*fleetpb.Change // the latest
-	changesBase  uint64            // changes holds all changes after this index
+	Fleet           string
+	Index           uint64 // of the last applied entry
+	LastIncarnation uint64 // the last incarnation number that was assigned
+	LastVersion     uint64 // the last version that was assigned to a fact
+	voters          []*fleetpb.Voter
+	members         map[string]*fleetpb.Member
+	facts           map[string]*fleetpb.Fact
+	results         map[uint64]uint64
+	resultOrder     []uint64          // keys of results, oldest first
+	changes         []*fleetpb.Change // the latest
+	changesBase     uint64            // changes holds all changes after this index
 }
 
 // NewMachine returns a machine with the state of a bootstrapped fleet or of a later snapshot. It takes over the lists
 // of s and their elements.
 func NewMachine(s *fleetpb.State) *Machine {
 	m := &Machine{
-		Fleet: s.Fleet, Index: s.Index, Incarnations: s.Incarnations, Versions: s.Versions, voters: s.Voters,
+		Fleet: s.Fleet, Index: s.Index, LastIncarnation: s.Incarnations, LastVersion: s.Versions, voters: s.Voters,
 		changesBase: s.Index,
 		members:     map[string]*fleetpb.Member{}, facts: map[string]*fleetpb.Fact{}, results: map[uint64]uint64{},
 	}
@@ -67,7 +67,7 @@
 // and facts with the machine.
 func (m *Machine) State() *fleetpb.State {
 	s := &fleetpb.State{
-		Fleet: m.Fleet, Index: m.Index, Incarnations: m.Incarnations, Versions: m.Versions, Voters: m.voters,
+		Fleet: m.Fleet, Index: m.Index, Incarnations: m.LastIncarnation, Versions: m.LastVersion, Voters: m.voters,
 		Members: m.Members(), Facts: m.Facts(),
 	}
 	for _, id := range m.resultOrder {
@@ -150,7 +150,7 @@
 	case previous == nil && len(m.members) >= maxMembers && !m.forgetOldestEnded():
 		return 0
 	}
-	m.Incarnations++
+	m.LastIncarnation++
 	var past []*fleetpb.Past
 	if previous != nil {
 		past = append(slices.Clone(previous.Past), &fleetpb.Past{
@@ -160,10 +160,10 @@
 		past = past[max(0, len(past)-maxPastIncarnations):]
 	}
 	m.recordChange(&fleetpb.Member{
-		Name: b.Name, Incarnation: m.Incarnations, Process: b.Process, Live: true,
+		Name: b.Name, Incarnation: m.LastIncarnation, Process: b.Process, Live: true,
 		Address: b.Address, Zone: b.Zone, Past: past,
 	}, nil)
-	return m.Incarnations
+	return m.LastIncarnation
 }
 
 // forgetOldestEnded removes the name whose ended incarnation has the lowest number; it returns false if all are live.
@@ -268,7 +268,7 @@
 }
 
 // IsOver reports whether an incarnation has ended, as far as the machine has applied the log.
-func (m *Machine) Over(name string, incarnation uint64) bool {
+func (m *Machine) IsOver(name string, incarnation uint64) bool {
 	member := m.members[name]
 	return member != nil && (member.Incarnation > incarnation || member.Incarnation == incarnation && !member.Live)
 }
@@ -279,15 +279,15 @@
 	previous := m.facts[p.Key]
 	writer := m.members[p.Name]
 	switch {
-	case p.Key == "" || len(p.Key) > KeyMost || len(p.Value) > ValueMost,
+	case p.Key == "" || len(p.Key) > MaxKeyLength || len(p.Value) > MaxValueLength,
 		previous.GetVersion() != p.Expect,
 		previous == nil && len(m.facts) >= maxFacts,
 		p.Incarnation != 0 && (!writer.GetLive() || writer.Incarnation != p.Incarnation):
 		return 0
 	}
-	m.Versions++
-	m.recordChange(nil, &fleetpb.Fact{Key: p.Key, Value: p.Value, Version: m.Versions, Incarnation: p.Incarnation})
-	return m.Versions
+	m.LastVersion++
+	m.recordChange(nil, &fleetpb.Fact{Key: p.Key, Value: p.Value, Version: m.LastVersion, Incarnation: p.Incarnation})
+	return m.LastVersion
 }
 
 // recordChange stores a member or a fact and keeps the change for members that are behind. When the list is full, its
@@ -308,7 +308,7 @@
 
 // ChangesSince returns the message for members that know the state up to an index: the changes after it, or the whole
 // state if not all of these are kept. nil means that there are none.
-func (m *Machine) Since(known uint64) *fleetpb.Word {
+func (m *Machine) ChangesSince(known uint64) *fleetpb.Word {
 	if known < m.changesBase {
 		s := m.State()
 		s.Done = nil // members don't need the results of proposals
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -24,27 +24,27 @@
 
 // Put is a router's request to write a fact.
 type Put struct {
-	Key     string
-	Value   []byte
-	Expect  uint64
-	seq     uint64
-	askedAt time.Duration
-	done    func(version uint64)
+	Key             string
+	Value           []byte
+	ExpectedVersion uint64
+	seq             uint64
+	askedAt         time.Duration
+	done            func(version uint64)
 }
 
 // Member is a router's side of the lease protocol. It is not safe for concurrent use.
 type Member struct {
-	Terms   Terms
-	Name    string
-	Process uint64 // random ID of this process
-	Address string // at which other routers reach this one; empty: they can't
-	Zone    string
-	Machine *Machine
+	Settings Settings
+	Name     string
+	Process  uint64 // random ID of this process
+	Address  string // at which other routers reach this one; empty: they can't
+	Zone     string
+	Machine  *Machine
 	// ExtensionPayload returns the lease extension's payload for the next ask; nil: there is no extension.
-	Ride func() []byte
+	ExtensionPayload func() []byte
 	// OnExtensionPayload receives the payload of an answer with the ask's number and the end of the lease. Answers to
 	// asks from before the member changed to this keeper are left out. nil: there is no extension.
-	Rode func(seq uint64, until time.Duration, payload []byte)
+	OnExtensionPayload func(seq uint64, until time.Duration, payload []byte)
 
 	lease          Lease
 	holdsLease     bool
@@ -61,14 +61,14 @@
 	reportedWait   string // the reason for having no lease that was last reported
 	hasLeft        bool
 	renounced      uint64 // the incarnation that it has given up and that the log has not ended yet; 0: none
-	outbound       []Send
+	outbound       []Outbound
 	notes          []Note
 }
 
 // NewMember returns the member of a router that has just started; process is the random ID of its process.
-func NewMember(settings Terms, name string, process uint64) *Member {
+func NewMember(settings Settings, name string, process uint64) *Member {
 	return &Member{
-		Terms: settings, Name: name, Process: process, Machine: NewMachine(&fleetpb.State{Fleet: settings.Fleet}),
+		Settings: settings, Name: name, Process: process, Machine: NewMachine(&fleetpb.State{Fleet: settings.Fleet}),
 		links: map[string]Link{}, askedAt: map[uint64]time.Duration{},
 	}
 }
@@ -78,7 +78,7 @@
 func (m *Member) Lease() Lease { return m.lease }
 
 // SetLink sets the link to a keeper. It has to be called when a link has opened or, with 0, when it has closed.
-func (m *Member) Linked(now time.Duration, keeper string, link Link) {
+func (m *Member) SetLink(now time.Duration, keeper string, link Link) {
 	if link == 0 {
 		delete(m.links, keeper)
 		if m.target == keeper {
@@ -125,13 +125,13 @@
 func (m *Member) sendPut(p *Put) {
 	m.sendAsk(&fleetpb.Ask{
 		Seq: p.seq, Process: m.Process, Incarnation: m.lease.Incarnation, Known: ^uint64(0),
-		Put: &fleetpb.Put{Key: p.Key, Value: p.Value, Expect: p.Expect},
+		Put: &fleetpb.Put{Key: p.Key, Value: p.Value, Expect: p.ExpectedVersion},
 	})
 }
 
 func (m *Member) sendAsk(a *fleetpb.Ask) {
 	if link := m.links[m.target]; link != 0 {
-		m.outbound = append(m.outbound, Send{Link: link, Frame: &fleetpb.Frame{What: &fleetpb.Frame_Ask{Ask: a}}})
+		m.outbound = append(m.outbound, Outbound{Link: link, Frame: &fleetpb.Frame{What: &fleetpb.Frame_Ask{Ask: a}}})
 	}
 }
 
@@ -178,7 +178,7 @@
 func (m *Member) Tick(now time.Duration) {
 	if m.holdsLease && now >= m.lease.Until {
 		m.holdsLease = false
-		m.notes = append(m.notes, Note{Kind: RanOut, Name: m.Name, Incarnation: m.lease.Incarnation})
+		m.notes = append(m.notes, Note{Kind: LeaseExpired, Name: m.Name, Incarnation: m.lease.Incarnation})
 	}
 	if m.hasLeft {
 		return
@@ -211,24 +211,26 @@
 	if !m.holdsLease { // only a new incarnation takes them
 		ask.Address, ask.Zone = m.Address, m.Zone
 	}
-	if m.Ride != nil {
-		ask.Ride = m.Ride()
+	if m.ExtensionPayload != nil {
+		ask.Ride = m.ExtensionPayload()
 	}
 	m.sendAsk(ask)
 	if m.answerDeadline == 0 {
 		m.answerDeadline = now + retryInterval
 	}
-	m.nextAskAt = now + m.Terms.Renew
+	m.nextAskAt = now + m.Settings.RenewInterval
 	if !m.holdsLease {
 		m.nextAskAt = now + retryInterval
 	}
 }
 
 // AskWithin moves the next ask forward so that it is due no later than interval after the last one.
-func (m *Member) Hurry(interval time.Duration) { m.nextAskAt = min(m.nextAskAt, m.lastAskAt+interval) }
+func (m *Member) AskWithin(interval time.Duration) {
+	m.nextAskAt = min(m.nextAskAt, m.lastAskAt+interval)
+}
 
 // NextTick returns the time at which the next Tick has something to do, unless a frame or a call comes before.
-func (m *Member) Due() time.Duration {
+func (m *Member) NextTick() time.Duration {
 	at := time.Duration(math.MaxInt64)
 	if m.holdsLease {
 		at = m.lease.Until
@@ -249,7 +251,7 @@
 }
 
 // Receive handles a frame from a keeper.
-func (m *Member) Hear(now time.Duration, keeper string, f *fleetpb.Frame) {
+func (m *Member) Receive(now time.Duration, keeper string, f *fleetpb.Frame) {
 	switch {
 	case f.GetAnswer() != nil:
 		m.receiveAnswer(now, keeper, f.GetAnswer())
@@ -283,14 +285,14 @@
 			m.answerDeadline = 0
 		}
 		if a.Leader == keeper && a.Why == "over" && m.lease.Incarnation != 0 {
-			m.notes = append(m.notes, Note{Kind: Ended, Name: m.Name, Incarnation: m.lease.Incarnation})
+			m.notes = append(m.notes, Note{Kind: IncarnationEnded, Name: m.Name, Incarnation: m.lease.Incarnation})
 			m.lease, m.holdsLease = Lease{}, false
 			clear(m.askedAt) // answers to earlier asks don't apply to the next incarnation
 			m.nextAskAt = now
 		}
 		if a.Leader == keeper && a.Why != "over" && m.reportedWait == "" {
 			m.reportedWait = a.Why
-			m.notes = append(m.notes, Note{Kind: Waits, Name: m.Name, Text: a.Why})
+			m.notes = append(m.notes, Note{Kind: NameInUse, Name: m.Name, Text: a.Why})
 		}
 		return
 	}
@@ -298,23 +300,23 @@
 		return
 	}
 	m.answerDeadline, m.target, m.reportedWait = 0, keeper, ""
-	until := asked + m.Terms.Lease
+	until := asked + m.Settings.LeaseDuration
 	if mutant == "lease-from-answer" {
-		until = now + m.Terms.Lease
+		until = now + m.Settings.LeaseDuration
 	}
 	previous := m.lease
 	m.lease = Lease{a.Incarnation, max(until, previous.Until)}
-	if m.Rode != nil && keeper == m.lastTarget && a.Seq >= m.runStart {
-		m.Rode(a.Seq, m.lease.Until, a.Ride)
+	if m.OnExtensionPayload != nil && keeper == m.lastTarget && a.Seq >= m.runStart {
+		m.OnExtensionPayload(a.Seq, m.lease.Until, a.Ride)
 	}
 	if m.holdsLease || now >= m.lease.Until {
 		return
 	}
 	m.holdsLease = true
-	m.nextAskAt = min(m.nextAskAt, asked+m.Terms.Renew)
-	kind := Granted
+	m.nextAskAt = min(m.nextAskAt, asked+m.Settings.RenewInterval)
+	kind := LeaseGranted
 	if previous.Incarnation == a.Incarnation {
-		kind = Regained
+		kind = LeaseRegained
 	}
 	m.notes = append(m.notes, Note{Kind: kind, Name: m.Name, Incarnation: a.Incarnation})
 }
@@ -365,7 +367,7 @@
 
 // factNote returns the note of a changed fact.
 func factNote(f *fleetpb.Fact) Note {
-	return Note{Kind: Written, Name: f.Key, Number: f.Version, Value: f.Value, Incarnation: f.Incarnation}
+	return Note{Kind: FactWritten, Name: f.Key, Number: f.Version, Value: f.Value, Incarnation: f.Incarnation}
 }
 
 // noteMemberChange notes the difference between two states of a member; before may be nil. The end of this router's
@@ -375,32 +377,32 @@
 		if before.GetSuccessor() != after.Successor ||
 			before.GetSuccessorIncarnation() != after.SuccessorIncarnation {
 			m.notes = append(m.notes, Note{
-				Kind: Passed, Name: after.Name, Incarnation: after.Incarnation, Text: after.Successor,
+				Kind: SuccessorChanged, Name: after.Name, Incarnation: after.Incarnation, Text: after.Successor,
 			})
 		}
 		return
 	}
 	if after.Name == m.Name && after.Process == m.Process {
 		if !after.Live && after.Incarnation == m.lease.Incarnation && !m.hasLeft {
-			m.notes = append(m.notes, Note{Kind: Ended, Name: m.Name, Incarnation: after.Incarnation})
+			m.notes = append(m.notes, Note{Kind: IncarnationEnded, Name: m.Name, Incarnation: after.Incarnation})
 			m.lease, m.holdsLease = Lease{}, false
 			clear(m.askedAt)
 			m.nextAskAt = 0
 		}
 		return
 	}
-	n := Note{Kind: Began, Name: after.Name, Incarnation: after.Incarnation}
+	n := Note{Kind: MemberBegan, Name: after.Name, Incarnation: after.Incarnation}
 	if !after.Live {
 		n.Text = after.Successor
-		if n.Kind = Lost; after.Left {
-			n.Kind = Left
+		if n.Kind = MemberLost; after.Left {
+			n.Kind = MemberLeft
 		}
 	}
 	m.notes = append(m.notes, n)
 }
 
 // Output returns the frames to send and the notes to deliver, and forgets them.
-func (m *Member) Output() (sends []Send, notes []Note) {
+func (m *Member) Output() (sends []Outbound, notes []Note) {
 	sends, notes, m.outbound, m.notes = m.outbound, m.notes, nil, nil
 	return sends, notes
 }
--- a/internal/drill/intrude.go
+++ b/internal/drill/intrude.go
@@ -144,7 +144,7 @@
 		in.Saw = err.Error()
 		return in
 	}
-	h := &fleetpb.Hello{Fleet: fleetName, Name: "r99", Version: fleet.LinkVersion, Least: fleet.LinkLeast, Process: 1}
+	h := &fleetpb.Hello{Fleet: fleetName, Name: "r99", Version: fleet.LinkVersion, Least: fleet.MinLinkVersion, Process: 1}
 	change(h)
 	s.SendMsg(&fleetpb.Frame{What: &fleetpb.Frame_Hello{Hello: h}})
 	if kind != "mute" {
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -282,7 +282,7 @@
 		}
 		s.servers = append(s.servers, one)
 	}
-	terms := fleet.Terms{Fleet: fleetName}
+	terms := fleet.Settings{Fleet: fleetName}
 	for i := range s.plan.Keepers {
 		id := fmt.Sprintf("k%d", i+1)
 		terms.Keepers = append(terms.Keepers, id)
@@ -297,7 +297,7 @@
 			s.procs[id].talks = standin.Port()
 		}
 	}
-	founded, err := fleet.Found(terms, rand.New(rand.NewPCG(1, 1)))
+	founded, err := fleet.Bootstrap(terms, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
 		return err
 	}
--- a/internal/fleetio/fleet.go
+++ b/internal/fleetio/fleet.go
@@ -121,7 +121,7 @@
 		}
 	}
 	if cfg.Member {
-		if !cfg.Terms.Listed(cfg.Name) {
+		if !cfg.Terms.IsListed(cfg.Name) {
 			return nil, fmt.Errorf("fleet: %q is not among the members that the settings list", cfg.Name)
 		}
 		f.member = fleet.NewMember(cfg.Terms, cfg.Name, f.process)
@@ -129,14 +129,14 @@
 	if cfg.Limits != nil {
 		if f.keeper != nil {
 			machine := func() *fleet.Machine { return f.keeper.Machine }
-			f.keeper.Rider = quota.NewRider(cfg.Terms, machine, func() []quota.Limit { return inForce(cfg.Limits, machine().Facts()) })
+			f.keeper.Extension = quota.NewRider(cfg.Terms, machine, func() []quota.Limit { return inForce(cfg.Limits, machine().Facts()) })
 		}
 		if f.member != nil {
 			f.shares = xsync.NewSPSCQueue[shares](sharesMost)
 			f.gate = &gate{Limiter: quota.NewLimiter(now, cfg.Limits)}
 			f.gate.said.Store(&[]byte{})
-			f.member.Ride = func() []byte { return *f.gate.said.Load() }
-			f.member.Rode = f.rode
+			f.member.ExtensionPayload = func() []byte { return *f.gate.said.Load() }
+			f.member.OnExtensionPayload = f.rode
 		}
 	}
 	if cfg.Verdicts != nil && f.member != nil {
@@ -217,7 +217,7 @@
 
 // refound is the fault of a keeper that forgets that its files are lost.
 func (f *Fleet) refound() error {
-	list, err := fleet.Found(f.cfg.Terms, rand.New(rand.NewPCG(1, 1))) // as drills found their fleets
+	list, err := fleet.Bootstrap(f.cfg.Terms, rand.New(rand.NewPCG(1, 1))) // as drills found their fleets
 	for _, s := range list {
 		if err == nil && s.Identity.Name == f.cfg.Name {
 			err = Found(f.cfg.FS, f.cfg.Dir, s)
@@ -229,16 +229,16 @@
 // run is the core: the one goroutine that drives the pure parts.
 func (f *Fleet) run() {
 	defer close(f.core)
-	tick := time.NewTimer(fleet.TickEvery)
+	tick := time.NewTimer(fleet.TickInterval)
 	defer tick.Stop()
 	var poke chan struct{}
 	if f.work != nil {
 		poke = f.work.poke
 	}
 	for {
-		wait := fleet.TickEvery
+		wait := fleet.TickInterval
 		if f.keeper == nil { // a router alone wakes only for what is due
-			wait = min(max(f.member.Due()-Clock(), time.Millisecond), time.Second)
+			wait = min(max(f.member.NextTick()-Clock(), time.Millisecond), time.Second)
 		}
 		if f.talk != nil {
 			wait = min(wait, max(f.talk.table.NextTick()-Clock(), time.Millisecond))
@@ -293,7 +293,7 @@
 		if number := f.voters[l.name]; e.gone {
 			if f.peers[number] == l {
 				delete(f.peers, number)
-				f.keeper.Unreachable(l.name)
+				f.keeper.ReportUnreachable(l.name)
 			}
 		} else {
 			f.peers[number] = l
@@ -303,9 +303,9 @@
 		if e.gone {
 			id = 0
 		}
-		f.member.Linked(now, l.name, id)
+		f.member.SetLink(now, l.name, id)
 	case e.out && !l.peer:
-		f.member.Hear(now, l.name, e.frame)
+		f.member.Receive(now, l.name, e.frame)
 	case e.out: // another keeper says nothing on a link that it did not dial
 	case f.keeper == nil && (e.gone || e.frame == nil):
 	case f.keeper == nil && e.frame.GetInquiry() != nil:
@@ -314,18 +314,18 @@
 		f.refused(fmt.Sprintf("%s: this process keeps nothing", l.name))
 		l.cut()
 	case e.gone:
-		f.keeper.Gone(l.id)
+		f.keeper.RemoveLink(l.id)
 	case e.frame == nil:
 	case l.peer && e.frame.GetRaft() != nil:
 		f.count.Raft.Add(1)
-		if err := f.keeper.Hear(now, l.name, e.frame.GetRaft()); err != nil {
+		if err := f.keeper.Receive(now, l.name, e.frame.GetRaft()); err != nil {
 			f.refused(err.Error())
 			l.cut()
 		}
 	case !l.peer && l.name == "" && e.frame.GetAsk().GetPut() != nil: // an operator's word
-		f.keeper.Ask(now, l.id, "", &fleetpb.Ask{Seq: e.frame.GetAsk().Seq, Process: uint64(l.id), Known: ^uint64(0), Put: e.frame.GetAsk().Put})
+		f.keeper.HandleAsk(now, l.id, "", &fleetpb.Ask{Seq: e.frame.GetAsk().Seq, Process: uint64(l.id), Known: ^uint64(0), Put: e.frame.GetAsk().Put})
 	case !l.peer && l.name != "" && e.frame.GetAsk() != nil:
-		f.keeper.Ask(now, l.id, l.name, e.frame.GetAsk())
+		f.keeper.HandleAsk(now, l.id, l.name, e.frame.GetAsk())
 	case e.frame.GetInquiry() != nil:
 		f.send(l, &fleetpb.Frame{What: &fleetpb.Frame_Report{Report: f.report(now, l, e.frame.GetInquiry(), f.keeper.Report(e.frame.GetInquiry().Seq))}})
 	default:
@@ -361,12 +361,12 @@
 			if err := f.store.write(o.Store); err != nil {
 				if fleet.Mutated() != "deaf-to-disk" {
 					f.failed.Store(true)
-					o.Send = nil
+					o.Outbound = nil
 				}
 				f.keeper.Halt(err)
 			}
 		}
-		for _, s := range o.Send {
+		for _, s := range o.Outbound {
 			l, _ := f.links.Load(s.Link)
 			if s.Voter != 0 {
 				l = f.peers[s.Voter]
@@ -375,11 +375,11 @@
 				f.send(l, s.Frame)
 			}
 		}
-		f.keeper.Done(Clock())
+		f.keeper.Advance(Clock())
 		f.tell(o.Notes)
 	}
 	if f.keeper != nil && f.lead != nil {
-		if term, leads := f.keeper.Leads(); leads {
+		if term, leads := f.keeper.LeaderTerm(); leads {
 			if now := Clock(); now >= f.leadAt {
 				f.leadAt = now + f.cfg.Every
 				fmt.Fprintf(f.lead, "lead %s %d", f.cfg.Name, term)
@@ -404,7 +404,7 @@
 func (f *Fleet) tell(notes []fleet.Note) {
 	for _, n := range notes {
 		f.log(n)
-		if f.gate != nil && n.Kind == fleet.Written && strings.HasPrefix(n.Name, quota.OperatorKeyPrefix) {
+		if f.gate != nil && n.Kind == fleet.FactWritten && strings.HasPrefix(n.Name, quota.OperatorKeyPrefix) {
 			list := inForce(f.cfg.Limits, f.member.Machine.Facts())
 			f.gate.limits.Store(&list)
 			f.gate.changed.Store(true)
@@ -427,25 +427,25 @@
 func (f *Fleet) log(n fleet.Note) {
 	l := f.cfg.Log
 	switch n.Kind {
-	case fleet.Granted:
+	case fleet.LeaseGranted:
 		l.Info().Str("event", "fleet_granted").Uint64("incarnation", n.Incarnation).Msgf("fleet: acts as %s by incarnation %d", n.Name, n.Incarnation)
-	case fleet.Regained:
+	case fleet.LeaseRegained:
 		l.Info().Str("event", "fleet_regained").Uint64("incarnation", n.Incarnation).Msgf("fleet: holds its lease again, incarnation %d", n.Incarnation)
-	case fleet.RanOut:
+	case fleet.LeaseExpired:
 		l.Warn().Str("event", "fleet_cut_off").Uint64("incarnation", n.Incarnation).Msgf("fleet: no keeper has renewed the lease of incarnation %d in time: calls go on, nothing is done for the fleet", n.Incarnation)
-	case fleet.Ended:
+	case fleet.IncarnationEnded:
 		l.Warn().Str("event", "fleet_ended").Uint64("incarnation", n.Incarnation).Msgf("fleet: incarnation %d is over, a new one is asked for", n.Incarnation)
-	case fleet.Waits:
+	case fleet.NameInUse:
 		l.Warn().Str("event", "fleet_waits").Msgf("fleet: no lease yet: %s", n.Text)
-	case fleet.Lost:
+	case fleet.MemberLost:
 		l.Warn().Str("event", "fleet_lost").Str("member", n.Name).Uint64("incarnation", n.Incarnation).Msgf("fleet: %s is lost, incarnation %d", n.Name, n.Incarnation)
-	case fleet.Leads:
+	case fleet.LeadershipGained:
 		l.Info().Str("event", "fleet_leads").Uint64("term", n.Number).Msgf("fleet: %s leads, term %d", n.Name, n.Number)
-	case fleet.Follows:
+	case fleet.LeadershipLost:
 		l.Info().Str("event", "fleet_follows").Uint64("term", n.Number).Msgf("fleet: %s leads no more, term %d", n.Name, n.Number)
-	case fleet.Halted:
+	case fleet.KeeperHalted:
 		l.Error().Str("event", "fleet_halted").Str("why", n.Text).Msgf("fleet: keeper %s has stopped for good, its disk failed: %s", n.Name, n.Text)
-	case fleet.Began, fleet.Left, fleet.Passed, fleet.Written:
+	case fleet.MemberBegan, fleet.MemberLeft, fleet.SuccessorChanged, fleet.FactWritten:
 		l.Debug().Str("event", "fleet_"+n.Kind.String()).Str("name", n.Name).Uint64("incarnation", n.Incarnation).Uint64("number", n.Number).Msgf("fleet: %s %s", n.Name, n.Kind)
 	}
 }
@@ -453,7 +453,7 @@
 // Holds is the look at the lease for whoever acts: the incarnation it may act by, now.
 func (f *Fleet) Holds(now time.Duration) (incarnation uint64, ok bool) {
 	l := f.lease.Load()
-	return l.Incarnation, l.Holds(now)
+	return l.Incarnation, l.IsHeld(now)
 }
 
 // Turn is the loop's: first thing in each turn it takes what the fleet has come to, acts if the lease allows it, and says how long nothing more will be due.
@@ -463,7 +463,7 @@
 		if !ok {
 			break
 		}
-		if f.beacon != nil && n.Kind == fleet.Lost {
+		if f.beacon != nil && n.Kind == fleet.MemberLost {
 			fmt.Fprintf(f.beacon, "lost %s %s %d", f.cfg.Name, n.Name, n.Incarnation)
 		}
 		if f.cfg.Facts != nil {
--- a/internal/fleetio/limits.go
+++ b/internal/fleetio/limits.go
@@ -206,7 +206,7 @@
 	}
 	if less || g.HasUnmetDemand(now) {
 		select {
-		case f.tasks <- func(time.Duration) { f.member.Hurry(while) }:
+		case f.tasks <- func(time.Duration) { f.member.AskWithin(while) }:
 		default:
 		}
 	}
--- a/internal/fleetio/links.go
+++ b/internal/fleetio/links.go
@@ -176,7 +176,7 @@
 		return status.Error(codes.Unavailable, "ending")
 	}
 	hello := frame.GetHello()
-	if err := f.cfg.Terms.Welcome(hello, f.voters); err != nil {
+	if err := f.cfg.Terms.CheckHello(hello, f.voters); err != nil {
 		f.refused(err.Error())
 		return status.Error(codes.PermissionDenied, err.Error())
 	}
@@ -210,7 +210,7 @@
 func (f *Fleet) number() fleet.Link { return fleet.Link(f.numbers.Add(1)) }
 
 func (f *Fleet) hello() *fleetpb.Frame {
-	h := &fleetpb.Hello{Fleet: f.cfg.Terms.Fleet, Name: f.cfg.Name, Version: fleet.LinkVersion, Least: fleet.LinkLeast, Process: f.process}
+	h := &fleetpb.Hello{Fleet: f.cfg.Terms.Fleet, Name: f.cfg.Name, Version: fleet.LinkVersion, Least: fleet.MinLinkVersion, Process: f.process}
 	if f.keeper != nil {
 		h.Voter = f.voters[f.cfg.Name]
 	}
@@ -275,7 +275,7 @@
 			if other.Name != name {
 				err = fmt.Errorf("%s answers at the address of %s", other.Name, name)
 			} else {
-				err = f.cfg.Terms.Welcome(other, f.voters)
+				err = f.cfg.Terms.CheckHello(other, f.voters)
 			}
 		}
 		if err == nil && in {
@@ -303,7 +303,7 @@
 	defer conn.Close()
 	ctx, cut := context.WithCancel(ctx)
 	defer cut()
-	s, _, err := open(ctx, conn, &fleetpb.Frame{What: &fleetpb.Frame_Hello{Hello: &fleetpb.Hello{Fleet: fleetName, Version: fleet.LinkVersion, Least: fleet.LinkLeast}}})
+	s, _, err := open(ctx, conn, &fleetpb.Frame{What: &fleetpb.Frame_Hello{Hello: &fleetpb.Hello{Fleet: fleetName, Version: fleet.LinkVersion, Least: fleet.MinLinkVersion}}})
 	if err == nil {
 		err = s.SendMsg(say)
 	}
--- a/internal/fleetio/settings.go
+++ b/internal/fleetio/settings.go
@@ -14,7 +14,7 @@
 
 // Options are what the settings say of the fleet.
 type Options struct {
-	Terms     fleet.Terms
+	Terms     fleet.Settings
 	Dir       string             // a keeper's folder
 	Addresses map[string]string  // of keepers
 	Listen    string             // where this process listens: a keeper, if not at its own address; a router, for its neighbours
@@ -33,7 +33,7 @@
 
 // Read reads a (fleet ...) section; docs/operators/fleet-floor.md has every field. What is wrong is noted with the section and reported by its Finish.
 func Read(s *settings.Section) Options {
-	o := Options{Terms: fleet.DefaultTerms(), Addresses: map[string]string{}, Reach: map[string]string{}, Every: time.Second, Roll: 4 << 20}
+	o := Options{Terms: fleet.DefaultSettings(), Addresses: map[string]string{}, Reach: map[string]string{}, Every: time.Second, Roll: 4 << 20}
 	t := &o.Terms
 	s.String("name", &t.Fleet)
 	s.String("directory", &o.Dir)
@@ -43,11 +43,11 @@
 	if len(o.Zone) > 64 {
 		s.Errorf("zone", "a zone has up to 64 bytes")
 	}
-	s.Span("lease", &t.Lease, 200*time.Millisecond, time.Minute)
-	s.Span("renew", &t.Renew, 50*time.Millisecond, 30*time.Second)
-	percent := int(t.Drift*100 + 0.5)
+	s.Span("lease", &t.LeaseDuration, 200*time.Millisecond, time.Minute)
+	s.Span("renew", &t.RenewInterval, 50*time.Millisecond, 30*time.Second)
+	percent := int(t.ClockDrift*100 + 0.5)
 	s.Int("drift-percent", &percent, 0, 10)
-	t.Drift = float64(percent) / 100
+	t.ClockDrift = float64(percent) / 100
 	kb := int(o.Roll >> 10)
 	s.Int("file-kb", &kb, 64, 1<<20)
 	o.Roll = int64(kb) << 10
@@ -117,7 +117,7 @@
 // Describe prints the section as it is in force.
 func (o *Options) Describe(w io.Writer) {
 	t := o.Terms
-	fmt.Fprintf(w, "\n  (fleet (name %q) (lease %q) (renew %q) (drift-percent %.0f) (file-kb %d)", t.Fleet, t.Lease, t.Renew, t.Drift*100, o.Roll>>10)
+	fmt.Fprintf(w, "\n  (fleet (name %q) (lease %q) (renew %q) (drift-percent %.0f) (file-kb %d)", t.Fleet, t.LeaseDuration, t.RenewInterval, t.ClockDrift*100, o.Roll>>10)
 	if o.Dir != "" {
 		fmt.Fprintf(w, " (directory %q)", o.Dir)
 	}
@@ -140,6 +140,6 @@
 	for _, m := range t.Members {
 		fmt.Fprintf(w, " %q", m)
 	}
-	fmt.Fprintf(w, ")) ; a lost router is known within %v, keepers wait %v", t.Known(), t.Wait().Round(time.Millisecond))
+	fmt.Fprintf(w, ")) ; a lost router is known within %v, keepers wait %v", t.LossDetectionTime(), t.RegrantDelay().Round(time.Millisecond))
 	fmt.Fprintln(w)
 }
--- a/internal/fleetio/store.go
+++ b/internal/fleetio/store.go
@@ -45,7 +45,7 @@
 		}
 		return nil
 	})
-	if err == nil && (c.Identity == nil || c.Snapshot == nil || c.Hard == nil) {
+	if err == nil && (c.Identity == nil || c.Snapshot == nil || c.HardState == nil) {
 		err = fmt.Errorf("%s: %w", dir, ErrNoFiles)
 	}
 	return c, err
@@ -64,16 +64,16 @@
 		c.Identity = one
 	case frameSnapshot:
 		one := &raftpb.Snapshot{}
-		return errors.Join(proto.Unmarshal(b, one), c.Write(&fleet.Store{Snapshot: one}))
+		return errors.Join(proto.Unmarshal(b, one), c.Apply(&fleet.StoreUpdate{Snapshot: one}))
 	case frameEntry:
 		one := &raftpb.Entry{}
 		if err := proto.Unmarshal(b, one); err != nil {
 			return err
 		}
-		return c.Write(&fleet.Store{Entries: []*raftpb.Entry{one}})
+		return c.Apply(&fleet.StoreUpdate{Entries: []*raftpb.Entry{one}})
 	case frameHard:
 		one := &raftpb.HardState{}
-		return errors.Join(proto.Unmarshal(b, one), c.Write(&fleet.Store{Hard: one}))
+		return errors.Join(proto.Unmarshal(b, one), c.Apply(&fleet.StoreUpdate{HardState: one}))
 	default:
 		return fmt.Errorf("a frame of kind %d", kind)
 	}
@@ -95,8 +95,8 @@
 	for _, e := range s.Entries {
 		add(frameEntry, e)
 	}
-	if s.Hard != nil {
-		add(frameHard, s.Hard)
+	if s.HardState != nil {
+		add(frameHard, s.HardState)
 	}
 	return list, err
 }
@@ -167,18 +167,18 @@
 }
 
 // write makes what a keeper wants stored last. After an error the keeper has to halt.
-func (s *store) write(o *fleet.Store) error {
+func (s *store) write(o *fleet.StoreUpdate) error {
 	if fleet.Mutated() == "unwritten" {
 		return nil
 	}
-	list, err := frames(fleet.Stored{Snapshot: o.Snapshot, Entries: o.Entries, Hard: o.Hard})
+	list, err := frames(fleet.Stored{Snapshot: o.Snapshot, Entries: o.Entries, HardState: o.HardState})
 	if err != nil {
 		return err
 	}
 	if err := errors.Join(s.log.Append(list...), s.bad); err != nil {
 		return err
 	}
-	if o.Sync {
+	if o.MustSync {
 		if err := s.log.Sync(); err != nil {
 			return err
 		}
--- a/internal/fleetio/store_test.go
+++ b/internal/fleetio/store_test.go
@@ -19,8 +19,8 @@
 	"threadglade.example/threadglade/internal/settings"
 )
 
-func terms() fleet.Terms {
-	t := fleet.DefaultTerms()
+func terms() fleet.Settings {
+	t := fleet.DefaultSettings()
 	t.Fleet, t.Keepers, t.Members = "f", []string{"k1"}, []string{"r*"}
 	return t
 }
@@ -42,11 +42,11 @@
 	if err := s.begin(k, c.Scan, 2048); err != nil {
 		return err
 	}
-	for now := time.Duration(0); now < 3*time.Second; now += fleet.TickEvery {
+	for now := time.Duration(0); now < 3*time.Second; now += fleet.TickInterval {
 		k.Tick(now)
-		name := fmt.Sprintf("r%d-%d", seed, now/fleet.TickEvery)
-		k.Ask(now, 1, name, &fleetpb.Ask{Seq: 1, Process: 7, Known: ^uint64(0)})
-		k.Ask(now, 1, name, &fleetpb.Ask{Seq: uint64(now), Process: 7, Known: ^uint64(0), Put: &fleetpb.Put{Key: name, Value: make([]byte, 100)}})
+		name := fmt.Sprintf("r%d-%d", seed, now/fleet.TickInterval)
+		k.HandleAsk(now, 1, name, &fleetpb.Ask{Seq: 1, Process: 7, Known: ^uint64(0)})
+		k.HandleAsk(now, 1, name, &fleetpb.Ask{Seq: uint64(now), Process: 7, Known: ^uint64(0), Put: &fleetpb.Put{Key: name, Value: make([]byte, 100)}})
 		for {
 			o, ok := k.Output()
 			if !ok {
@@ -57,20 +57,20 @@
 					k.Halt(err)
 					for _, more := range []int{1, 2} { // it never says a word again
 						k.Tick(now + time.Duration(more)*10*time.Second)
-						k.Ask(now, 1, name, &fleetpb.Ask{Seq: 3, Process: 7})
-						if o, _ := k.Output(); len(o.Send) > 0 || o.Store != nil {
+						k.HandleAsk(now, 1, name, &fleetpb.Ask{Seq: 3, Process: 7})
+						if o, _ := k.Output(); len(o.Outbound) > 0 || o.Store != nil {
 							return errors.New("a halted keeper speaks")
 						}
 					}
 					return err
 				}
 			}
-			for _, one := range o.Send {
+			for _, one := range o.Outbound {
 				if a := one.Frame.GetAnswer(); a.GetResult() != 0 {
 					told[name] = a.Result
 				}
 			}
-			k.Done(now)
+			k.Advance(now)
 		}
 	}
 	return nil
@@ -78,7 +78,7 @@
 
 // TestEveryStep fails, tears or ends the process or the machine at each step of the disk in turn: what was answered for is there afterwards.
 func TestEveryStep(t *testing.T) {
-	founded, err := fleet.Found(terms(), rand.New(rand.NewPCG(1, 1)))
+	founded, err := fleet.Bootstrap(terms(), rand.New(rand.NewPCG(1, 1)))
 	require.NoError(t, err)
 	fresh := func(seed uint64) *durabletest.FS {
 		fs := durabletest.New(seed)
@@ -117,10 +117,10 @@
 	require.NoError(t, err, "%v at step %d", fault, n)
 	k, err := fleet.NewKeeper(terms(), c.Stored, rand.New(rand.NewPCG(9, 9)), 0)
 	require.NoError(t, err)
-	for now := time.Duration(0); now < 2*time.Second; now += fleet.TickEvery { // alone, it agrees on all that it has written
+	for now := time.Duration(0); now < 2*time.Second; now += fleet.TickInterval { // alone, it agrees on all that it has written
 		k.Tick(now)
 		for _, ok := k.Output(); ok; _, ok = k.Output() {
-			k.Done(now)
+			k.Advance(now)
 		}
 	}
 	for name, version := range told {
@@ -130,7 +130,7 @@
 
 // TestFolders tells apart a folder without files, a damaged one, another keeper's and another fleet's, and leaves them as they are.
 func TestFolders(t *testing.T) {
-	founded, err := fleet.Found(terms(), rand.New(rand.NewPCG(1, 1)))
+	founded, err := fleet.Bootstrap(terms(), rand.New(rand.NewPCG(1, 1)))
 	require.NoError(t, err)
 	fs := durabletest.New(1)
 	_, err = Load(fs, "none")
--- a/internal/fleetio/verdicts.go
+++ b/internal/fleetio/verdicts.go
@@ -71,12 +71,12 @@
 func (f *Fleet) noted(n fleet.Note) {
 	t := f.talk
 	switch n.Kind {
-	case fleet.Granted:
+	case fleet.LeaseGranted:
 		t.table.SetIncarnation(n.Incarnation)
 		f.neighbours()
-	case fleet.Began, fleet.Lost, fleet.Left:
+	case fleet.MemberBegan, fleet.MemberLost, fleet.MemberLeft:
 		f.neighbours()
-	case fleet.Written:
+	case fleet.FactWritten:
 		if server, ok := strings.CutPrefix(n.Name, VerdictKey); ok {
 			f.word(server, n)
 		}
@@ -139,7 +139,7 @@
 func (f *Fleet) talked(now time.Duration, e event) {
 	t, l := f.talk, e.link
 	switch {
-	case t == nil && f.work == nil || !f.cfg.Terms.Listed(l.name):
+	case t == nil && f.work == nil || !f.cfg.Terms.IsListed(l.name):
 		l.cut()
 	case e.gone:
 		if f.work != nil {
--- a/internal/fleetio/work.go
+++ b/internal/fleetio/work.go
@@ -34,7 +34,7 @@
 // ReadTakeover reads a (takeover ...) section; docs/operators/takeover.md has every field.
 func ReadTakeover(s *settings.Section, o *Options) *takeover.Settings {
 	t := takeover.DefaultSettings()
-	t.ClockDrift, t.GuaranteeTTL = o.Terms.Drift, o.Terms.Lease
+	t.ClockDrift, t.GuaranteeTTL = o.Terms.ClockDrift, o.Terms.LeaseDuration
 	s.Int("holders", &t.Replicas, 1, 4)
 	s.Span("vouch", &t.GuaranteeTTL, 200*time.Millisecond, time.Minute)
 	s.Span("patience", &t.ConfirmTimeout, time.Millisecond, time.Second)
@@ -126,7 +126,7 @@
 type logOf struct{ f *Fleet }
 
 func (l logOf) IsOver(name string, incarnation uint64) bool {
-	return l.f.member.Machine.Over(name, incarnation)
+	return l.f.member.Machine.IsOver(name, incarnation)
 }
 
 func (l logOf) IsLive(name string) bool { return l.f.member.Machine.Member(name).GetLive() }
@@ -152,12 +152,12 @@
 func (f *Fleet) worked(now time.Duration, n fleet.Note) {
 	w := f.work
 	switch n.Kind {
-	case fleet.Granted, fleet.Regained:
+	case fleet.LeaseGranted, fleet.LeaseRegained:
 		w.owner.SetIncarnation(n.Incarnation)
 		w.began, w.woken = now, false
 	}
 	switch n.Kind {
-	case fleet.Granted, fleet.Began, fleet.Lost, fleet.Left, fleet.Passed:
+	case fleet.LeaseGranted, fleet.MemberBegan, fleet.MemberLost, fleet.MemberLeft, fleet.SuccessorChanged:
 		f.successors()
 		f.neighbours()
 	}
@@ -170,7 +170,7 @@
 	for _, one := range fleet.Successors(f.cfg.Name, f.cfg.Zone, m.Members(), f.work.terms.Replicas) {
 		want[one.Name] = one.Incarnation
 	}
-	f.work.owner.SetHolders(want, m.Over)
+	f.work.owner.SetHolders(want, m.IsOver)
 }
 
 // worksWith are routers that links are wanted to.
@@ -221,7 +221,7 @@
 		if b.cease {
 			f.sendWork(w.owner.RelinquishAll(now))
 			w.safe = nil
-			if l := f.member.Lease(); l.Holds(now) {
+			if l := f.member.Lease(); l.IsHeld(now) {
 				w.owner.SetIncarnation(l.Incarnation)
 			}
 		}
@@ -256,7 +256,7 @@
 		}
 	}
 	incarnation := f.member.Lease().Incarnation
-	if !f.member.Lease().Holds(now) {
+	if !f.member.Lease().IsHeld(now) {
 		incarnation = 0
 	}
 	w.holder.Tick(now, incarnation)
@@ -361,7 +361,7 @@
 	w := f.work
 	wait = time.Hour
 	f.LookAtWork(now)
-	if lease := f.lease.Load(); lease.Holds(now) {
+	if lease := f.lease.Load(); lease.IsHeld(now) {
 		wait = lease.Until - now
 	} else if !w.actor.Relinquished() {
 		wait = max(time.Duration(w.vouched.Load())-now, 0)
@@ -580,7 +580,7 @@
 	switch w := f.work; {
 	case w == nil:
 		return "nobody else has what this router has in hand: no (takeover ...) section"
-	case !f.member.Lease().Holds(now):
+	case !f.member.Lease().IsHeld(now):
 		return "it has no lease: what stands could not be passed on"
 	case w.owner.Unreplicated():
 		return "no other router holds its work"
--- a/internal/fleetsim/calls.go
+++ b/internal/fleetsim/calls.go
@@ -510,7 +510,7 @@
 
 // wrong sums the time for which a fit server is left alone. A second and a half after a trouble began or ended are for word to come.
 func (w *world) wrong(d *desk, s *site) {
-	w.res.Called.Watched += fleet.TickEvery
+	w.res.Called.Watched += fleet.TickInterval
 	unfit := false
 	for _, b := range w.cfg.Calls.Bad {
 		if b.Server == s.number && s.started <= b.At && w.now >= b.At && w.now < b.At+b.For+w.cfg.Calls.Terms.RecoverySpread+7*time.Second && (b.Zone == "" || b.Zone == d.zone) && (b.Router == 0 || b.Router-1 == d.index) {
@@ -524,8 +524,8 @@
 	if d.wrongAt[s.id] == 0 {
 		d.wrongAt[s.id] = w.now
 	}
-	w.res.Called.Wrong += fleet.TickEvery
-	w.res.Called.WrongMost = max(w.res.Called.WrongMost, w.now-d.wrongAt[s.id]+fleet.TickEvery)
+	w.res.Called.Wrong += fleet.TickInterval
+	w.res.Called.WrongMost = max(w.res.Called.WrongMost, w.now-d.wrongAt[s.id]+fleet.TickInterval)
 }
 
 // talk sends what the table wants sent.
@@ -573,7 +573,7 @@
 func (d *desk) talkSoon() {
 	now := d.p.clock(d.w.now)
 	wait := d.table.NextTick() - now
-	if wait > fleet.TickEvery || d.talkAt > d.w.now {
+	if wait > fleet.TickInterval || d.talkAt > d.w.now {
 		return
 	}
 	wait = max(wait, time.Millisecond)
@@ -598,7 +598,7 @@
 	truly, taken := w.now-one.at+one.age, now-r.LastSeen()
 	if over := truly - taken; over > called.Over {
 		called.Over = over
-		if bound := time.Duration(float64(truly)*3*w.cfg.Terms.Drift) + time.Millisecond; over > bound {
+		if bound := time.Duration(float64(truly)*3*w.cfg.Terms.ClockDrift) + time.Millisecond; over > bound {
 			w.broken("evidence of %s, %v old, is taken to be %v old", r.Observer, truly, taken)
 		}
 	}
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -25,8 +25,8 @@
 	Seed    uint64
 	Keepers int
 	Members int
-	For     time.Duration // true time
-	Terms   fleet.Terms   // names are filled in
+	For     time.Duration  // true time
+	Terms   fleet.Settings // names are filled in
 	// Troubles a second, of each kind, and how the network is between them.
 	Loss, Twice float64       // shares of messages
 	Delay       time.Duration // a message takes this at least
@@ -52,7 +52,7 @@
 
 // Default is a rough world.
 func Default(seed uint64) Config {
-	return Config{Seed: seed, Keepers: 3, Members: 20, For: 60 * time.Second, Terms: fleet.DefaultTerms(), Loss: 0.01, Twice: 0.01, Delay: 500 * time.Microsecond, Spread: 5 * time.Millisecond, PauseMost: 10 * time.Second,
+	return Config{Seed: seed, Keepers: 3, Members: 20, For: 60 * time.Second, Terms: fleet.DefaultSettings(), Loss: 0.01, Twice: 0.01, Delay: 500 * time.Microsecond, Spread: 5 * time.Millisecond, PauseMost: 10 * time.Second,
 		Cuts: 0.5, Pauses: 0.5, Kills: 0.5, Twins: 0.3, Islands: 0.05, Drift: 0.01, Puts: 2, Quiet: 15 * time.Second}
 }
 
@@ -206,7 +206,7 @@
 	for i := range cfg.Keepers {
 		t.Keepers = append(t.Keepers, fmt.Sprintf("k%d", i))
 	}
-	founded, err := fleet.Found(*t, w.random)
+	founded, err := fleet.Bootstrap(*t, w.random)
 	if err != nil {
 		w.broken("founding: %v", err)
 		return &w.res
@@ -286,17 +286,17 @@
 		}
 		p.keeper = k
 		if len(w.cfg.Limits) > 0 {
-			k.Rider = quota.NewRider(w.cfg.Terms, func() *fleet.Machine { return k.Machine }, func() []quota.Limit { return w.cfg.Limits })
+			k.Extension = quota.NewRider(w.cfg.Terms, func() *fleet.Machine { return k.Machine }, func() []quota.Limit { return w.cfg.Limits })
 		}
 		w.applied[p] = k.Machine.Index
 	} else {
 		p.member = fleet.NewMember(w.cfg.Terms, p.name, w.random.Uint64()>>1+1)
 		if len(w.cfg.Limits) > 0 {
 			p.gate, p.further = quota.NewLimiter(p.clock(w.now), w.cfg.Limits), 0
-			p.member.Ride = func() []byte { return p.gate.MarshalClaims(p.clock(w.now)) }
-			p.member.Rode = func(seq uint64, until time.Duration, ride []byte) {
+			p.member.ExtensionPayload = func() []byte { return p.gate.MarshalClaims(p.clock(w.now)) }
+			p.member.OnExtensionPayload = func(seq uint64, until time.Duration, ride []byte) {
 				if grants, ok := quota.UnmarshalGrants(ride); ok && p.gate.ApplyGrants(p.clock(w.now), seq, until, grants) {
-					p.member.Hurry(0)
+					p.member.AskWithin(0)
 				}
 				if p.desk != nil {
 					p.desk.parts()
@@ -318,16 +318,16 @@
 			if p.desk != nil {
 				p.desk.look()
 				if p.gate != nil && p.gate.HasUnmetDemand(now) {
-					p.member.Hurry(250 * time.Millisecond)
+					p.member.AskWithin(250 * time.Millisecond)
 				}
 			} else {
 				w.call(p)
 			}
 		}
 		w.drive(p)
-		w.after(fleet.TickEvery, p, tick)
+		w.after(fleet.TickInterval, p, tick)
 	}
-	w.after(time.Duration(w.random.Int64N(int64(fleet.TickEvery))), p, tick)
+	w.after(time.Duration(w.random.Int64N(int64(fleet.TickInterval))), p, tick)
 }
 
 // link opens a link from a member's process to a keeper, as soon as both are up.
@@ -337,7 +337,7 @@
 	}
 	w.linked++
 	w.links[w.linked] = &link{p, k}
-	p.member.Linked(p.clock(w.now), k.name, w.linked)
+	p.member.SetLink(p.clock(w.now), k.name, w.linked)
 }
 
 // unlink ends the links of a process that has died; the other sides notice.
@@ -347,11 +347,11 @@
 		switch dead {
 		case l.member:
 			if l.keeper.up {
-				l.keeper.keeper.Gone(id)
+				l.keeper.keeper.RemoveLink(id)
 			}
 		case l.keeper:
 			if l.member.up {
-				l.member.member.Linked(l.member.clock(w.now), dead.name, 0)
+				l.member.member.SetLink(l.member.clock(w.now), dead.name, 0)
 			}
 		default:
 			continue
@@ -371,7 +371,7 @@
 // act is what a lease is for: whoever holds one acts, and the checks look at true time.
 func (w *world) act(p *process) {
 	l := p.member.Lease()
-	if !l.Holds(p.clock(w.now)) {
+	if !l.IsHeld(p.clock(w.now)) {
 		return
 	}
 	w.res.Acts++
@@ -403,14 +403,14 @@
 	}
 	now := p.clock(w.now)
 	if p.gate.HasUnmetDemand(now) {
-		p.member.Hurry(250 * time.Millisecond)
+		p.member.AskWithin(250 * time.Millisecond)
 	}
 	for _, l := range w.cfg.Limits {
 		if l.Kind == quota.Retries {
 			w.retry(p, l)
 			continue
 		}
-		for n := p.demand * fleet.TickEvery.Seconds(); w.random.Float64() < n; n-- {
+		for n := p.demand * fleet.TickInterval.Seconds(); w.random.Float64() < n; n-- {
 			p.slot++
 			slot := p.slot % 100_000
 			have := w.res.Limited[l.Name]
@@ -427,7 +427,7 @@
 				have.By[p.name]++
 			}
 			if l.Kind == quota.Rate {
-				have.Level = max(0, have.Level-l.Max*(1+w.cfg.Terms.Drift)*(w.now-have.last).Seconds()) + 1
+				have.Level = max(0, have.Level-l.Max*(1+w.cfg.Terms.ClockDrift)*(w.now-have.last).Seconds()) + 1
 				have.last = w.now
 			} else {
 				have.Level++
@@ -449,7 +449,7 @@
 // retry has callers try at a router, of whom many try again, and its decisions make further attempts for many calls: neither are more than first tries have earned.
 func (w *world) retry(p *process, l quota.Limit) {
 	have, now := w.res.Limited[l.Name], p.clock(w.now)
-	for n := p.demand * fleet.TickEvery.Seconds(); w.random.Float64() < n; n-- {
+	for n := p.demand * fleet.TickInterval.Seconds(); w.random.Float64() < n; n-- {
 		p.slot++
 		marked := w.random.IntN(2) == 0
 		ok, _, _ := p.gate.Admit(now, p.slot%100_000, l.Name, "", "", marked)
@@ -524,20 +524,20 @@
 			break
 		}
 		if o.Store != nil {
-			p.stored.Write(o.Store)
+			p.stored.Apply(o.Store)
 		}
-		for _, s := range o.Send {
+		for _, s := range o.Outbound {
 			if s.Voter != 0 {
 				to := w.byVoter[s.Voter]
-				w.send(p, to, s.Frame, func(f *fleetpb.Frame) { to.keeper.Hear(to.clock(w.now), p.name, f.GetRaft()) })
+				w.send(p, to, s.Frame, func(f *fleetpb.Frame) { to.keeper.Receive(to.clock(w.now), p.name, f.GetRaft()) })
 				continue
 			}
 			if l := w.links[s.Link]; l != nil && l.keeper == p {
 				to := l.member
-				w.send(p, to, s.Frame, func(f *fleetpb.Frame) { to.member.Hear(to.clock(w.now), p.name, f); w.act(to) })
+				w.send(p, to, s.Frame, func(f *fleetpb.Frame) { to.member.Receive(to.clock(w.now), p.name, f); w.act(to) })
 			}
 		}
-		k.Done(p.clock(w.now))
+		k.Advance(p.clock(w.now))
 		w.agree(p)
 		for _, n := range o.Notes {
 			w.note("%s %s %d %d\n", p.name, n.Kind, n.Number, w.now)
@@ -552,17 +552,17 @@
 			k, id := l.keeper, s.Link
 			w.send(p, k, s.Frame, func(f *fleetpb.Frame) {
 				if w.links[id] == l {
-					k.keeper.Ask(k.clock(w.now), id, p.name, f.GetAsk())
+					k.keeper.HandleAsk(k.clock(w.now), id, p.name, f.GetAsk())
 				}
 			})
 		}
 	}
 	for _, n := range notes {
 		w.note("%s %s %s %d %d\n", p.name, n.Kind, n.Name, n.Incarnation, w.now)
-		if at, acted := w.lastActs[n.Incarnation]; n.Kind == fleet.Lost && acted && p.from < at { // it was there to hear
+		if at, acted := w.lastActs[n.Incarnation]; n.Kind == fleet.MemberLost && acted && p.from < at { // it was there to hear
 			w.res.Lost = append(w.res.Lost, w.now-at)
 		}
-		if n.Kind == fleet.Written && strings.HasPrefix(n.Name, "fact") {
+		if n.Kind == fleet.FactWritten && strings.HasPrefix(n.Name, "fact") {
 			if was, ok := w.res.Heard[string(n.Value)]; ok && was != n.Number {
 				w.broken("put %s was taken twice, as versions %d and %d", n.Value, was, n.Number)
 			}
@@ -607,7 +607,7 @@
 	expect := p.member.Machine.Fact(key).GetVersion()
 	at := len(w.res.Ops)
 	w.res.Ops = append(w.res.Ops, Op{Client: at, Key: key, Expect: expect, Value: value, Call: w.now})
-	p.member.Put(p.clock(w.now), &fleet.Put{Key: key, Value: fmt.Appendf(nil, "%d", value), Expect: expect}, func(version uint64) {
+	p.member.Put(p.clock(w.now), &fleet.Put{Key: key, Value: fmt.Appendf(nil, "%d", value), ExpectedVersion: expect}, func(version uint64) {
 		w.res.Ops[at].Result, w.res.Ops[at].Return = version, w.now
 	})
 	w.drive(p)
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -159,8 +159,8 @@
 	cfg.MemberKills = 0.5
 	r := check(t, cfg)
 	require.NotEmpty(t, r.Lost)
-	require.LessOrEqual(t, slices.Max(r.Lost), cfg.Terms.Known()+time.Duration(float64(cfg.Terms.Lease)*0.01))
-	t.Logf("%d times known, at most %v after the last act; bound %v", len(r.Lost), slices.Max(r.Lost), cfg.Terms.Known())
+	require.LessOrEqual(t, slices.Max(r.Lost), cfg.Terms.LossDetectionTime()+time.Duration(float64(cfg.Terms.LeaseDuration)*0.01))
+	t.Logf("%d times known, at most %v after the last act; bound %v", len(r.Lost), slices.Max(r.Lost), cfg.Terms.LossDetectionTime())
 }
 
 // limits of each kind that bind: demand is several times what they allow.
--- a/internal/fleetsim/mutant_test.go
+++ b/internal/fleetsim/mutant_test.go
@@ -26,7 +26,7 @@
 				case "lease-from-answer":
 					cfg.Far = 1200e6
 				case "no-quorum":
-					cfg.Terms.Lease, cfg.Terms.Renew, cfg.Islands = 1e9, 300e6, 0.1
+					cfg.Terms.LeaseDuration, cfg.Terms.RenewInterval, cfg.Islands = 1e9, 300e6, 0.1
 				}
 				fleet.Mutate(mutant)
 				r := Run(cfg)
--- a/internal/fleetsim/troubles.go
+++ b/internal/fleetsim/troubles.go
@@ -55,7 +55,7 @@
 	})
 	every(w.cfg.Pauses, func() { w.pause(any(), upTo(w.cfg.PauseMost)) })
 	every(w.cfg.Islands, func() {
-		at := slices.IndexFunc(w.keepers, func(k *process) bool { _, leads := k.keeper.Leads(); return k.up && leads })
+		at := slices.IndexFunc(w.keepers, func(k *process) bool { _, leads := k.keeper.LeaderTerm(); return k.up && leads })
 		m := w.members[w.random.IntN(len(w.members))]
 		if at < 0 || !m.up || m.paused {
 			return
--- a/internal/node/product.go
+++ b/internal/node/product.go
@@ -81,7 +81,7 @@
 		if o.Keeper(router) && o.Dir == "" {
 			sub.Errorf("directory", "is missing: %s is a keeper", router)
 		}
-		if router != "" && !o.Terms.Listed(router) && len(o.Terms.Members) > 0 {
+		if router != "" && !o.Terms.IsListed(router) && len(o.Terms.Members) > 0 {
 			sub.Errorf("members", "%q is not among them", router)
 		}
 		p.Fleet = &o
@@ -103,7 +103,7 @@
 		if p.Fleet == nil {
 			sub.Errorf("", "verdicts of a fleet want a (fleet ...) section")
 		} else {
-			p.Fleet.Verdicts = fleetio.ReadVerdicts(sub, p.Fleet.Terms.Drift)
+			p.Fleet.Verdicts = fleetio.ReadVerdicts(sub, p.Fleet.Terms.ClockDrift)
 		}
 	}
 	return p, s.Finish()
--- a/quota/rider.go
+++ b/quota/rider.go
@@ -21,7 +21,7 @@
 	// OperatorKeyPrefix begins the keys of limits set by operators.
 	OperatorKeyPrefix = "limit/"
 	// ceilingKeyPrefix begins the keys of routers' ceilings, which leading keepers write.
-	ceilingKeyPrefix = fleet.OwnPrefix + "quota/"
+	ceilingKeyPrefix = fleet.LeaderKeyPrefix + "quota/"
 )
 
 // Rider connects the Allocator of a keeper to lease renewals and to the log. It implements fleet.Rider and is not
@@ -36,15 +36,15 @@
 
 // NewRider returns the rider of a keeper. limits returns the limits in force; it is called when the keeper begins to
 // lead and when the log changes them.
-func NewRider(t fleet.Terms, machine func() *fleet.Machine, limits func() []Limit) *Rider {
+func NewRider(t fleet.Settings, machine func() *fleet.Machine, limits func() []Limit) *Rider {
 	return &Rider{
-		Allocator: NewAllocator(nil, t.Wait(), t.Drift),
+		Allocator: NewAllocator(nil, t.RegrantDelay(), t.ClockDrift),
 		machine:   machine, limits: limits, proposedVersions: map[string]uint64{},
 	}
 }
 
 // Office implements fleet.Rider. The allocator starts a term with the ceilings and the live routers of the log.
-func (r *Rider) Office(now time.Duration) {
+func (r *Rider) StartTerm(now time.Duration) {
 	live, ceilings := map[string]uint64{}, map[string][]Ceiling{}
 	for _, m := range r.machine().Members() {
 		if m.Live {
@@ -62,15 +62,15 @@
 }
 
 // Resign implements fleet.Rider. The allocator ends its term.
-func (r *Rider) Resign() { r.Allocator.EndTerm() }
+func (r *Rider) EndTerm() { r.Allocator.EndTerm() }
 
 // Over implements fleet.Rider. The lease of an incarnation has expired on every clock.
-func (r *Rider) Over(now time.Duration, name string, incarnation uint64) {
+func (r *Rider) EndIncarnation(now time.Duration, name string, incarnation uint64) {
 	r.Allocator.EndIncarnation(now, name, incarnation)
 }
 
 // Applied implements fleet.Rider. It updates the limits when an operator's limit is committed.
-func (r *Rider) Applied(_ time.Duration, e *fleetpb.Entry) {
+func (r *Rider) HandleEntry(_ time.Duration, e *fleetpb.Entry) {
 	if strings.HasPrefix(e.GetPut().GetKey(), OperatorKeyPrefix) {
 		r.Allocator.SetLimits(r.limits())
 	}
@@ -78,7 +78,7 @@
 
 // Renewed implements fleet.Rider. It decodes the claims of a lease request and returns the encoded grants for the
 // answer, nil if there are no valid claims. Changed ceilings are queued for Puts.
-func (r *Rider) Renewed(now time.Duration, name string, incarnation, process, seq uint64, payload []byte) []byte {
+func (r *Rider) HandleRenewal(now time.Duration, name string, incarnation, process, seq uint64, payload []byte) []byte {
 	var request quotapb.Claims
 	if payload == nil || proto.Unmarshal(payload, &request) != nil {
 		return nil
@@ -108,7 +108,7 @@
 }
 
 // Puts implements fleet.Rider. It returns the queued writes of ceilings and empties the queue.
-func (r *Rider) Puts() []*fleetpb.Put {
+func (r *Rider) TakePuts() []*fleetpb.Put {
 	puts := r.pendingPuts
 	r.pendingPuts = nil
 	return puts
@@ -170,7 +170,7 @@
 		out.Ceilings = append(out.Ceilings, &quotapb.Ceiling{
 			Limit: c.Limit, Incarnation: c.Incarnation, Process: c.Process, Most: c.Max,
 		})
-		if proto.Size(&out) > fleet.ValueMost {
+		if proto.Size(&out) > fleet.MaxValueLength {
 			out.Ceilings = out.Ceilings[:len(out.Ceilings)-1]
 		}
 	}
--- a/takeover/takeover_test.go
+++ b/takeover/takeover_test.go
@@ -186,7 +186,9 @@
 }
 func (n *node) ReclaimRemaining() {}
 
-func (n *node) IsOver(name string, incarnation uint64) bool { return n.machine.Over(name, incarnation) }
+func (n *node) IsOver(name string, incarnation uint64) bool {
+	return n.machine.IsOver(name, incarnation)
+}
 func (n *node) SuccessorOf(name string, incarnation uint64) (string, uint64, bool) {
 	return n.machine.SuccessorOf(name, incarnation)
 }
@@ -222,9 +224,9 @@
 // step advances the simulation by 10 ms.
 func (w *world) step() {
 	w.now += 10 * ms
-	fleetSettings := fleet.DefaultTerms()
+	fleetSettings := fleet.DefaultSettings()
 	for _, m := range w.log.Members() { // keepers end expired leases
-		if m.Live && w.now-w.grantedAt[m.Name] > fleetSettings.Wait() {
+		if m.Live && w.now-w.grantedAt[m.Name] > fleetSettings.RegrantDelay() {
 			w.apply(&fleetpb.Entry{What: &fleetpb.Entry_End{
 				End: &fleetpb.End{Name: m.Name, Incarnation: m.Incarnation},
 			}})
@@ -263,7 +265,7 @@
 	}
 }
 
-func (n *node) runIteration(fleetSettings fleet.Terms) {
+func (n *node) runIteration(fleetSettings fleet.Settings) {
 	w, now := n.w, n.clock()
 	// Ownership is checked first, as after each wait.
 	n.checkOwnership(now)
@@ -276,7 +278,7 @@
 			n.lease.Incarnation == member.Incarnation {
 			n.lease = fleet.Lease{}
 		}
-		if n.renewedAt == 0 || now-n.renewedAt > fleetSettings.Renew {
+		if n.renewedAt == 0 || now-n.renewedAt > fleetSettings.RenewInterval {
 			n.renewedAt = now
 			member := w.log.Member(n.name)
 			if !member.GetLive() && n.lease.Incarnation == 0 {
@@ -293,7 +295,7 @@
 				(n.lease.Incarnation == 0 || n.lease.Incarnation == member.Incarnation) {
 				w.grantedAt[n.name] = w.now
 				previous := n.lease
-				n.lease = fleet.Lease{Incarnation: member.Incarnation, Until: now + fleetSettings.Lease}
+				n.lease = fleet.Lease{Incarnation: member.Incarnation, Until: now + fleetSettings.LeaseDuration}
 				if previous.Incarnation != member.Incarnation || n.owner.incarnation == 0 {
 					n.owner.SetIncarnation(member.Incarnation)
 					n.reclaimed, n.incarnationBegan = false, now
@@ -305,7 +307,7 @@
 			for _, one := range fleet.Successors(n.name, n.zone, n.machine.Members(), 2) {
 				want[one.Name] = one.Incarnation
 			}
-			n.owner.SetHolders(want, n.machine.Over)
+			n.owner.SetHolders(want, n.machine.IsOver)
 		}
 	}
 	for _, other := range w.nodes { // receive frames
@@ -351,7 +353,7 @@
 			c.confirmed = true
 		}
 	}
-	if !n.reclaimed && n.lease.Holds(now) && n.allReported(now) {
+	if !n.reclaimed && n.lease.IsHeld(now) && n.allReported(now) {
 		n.reclaimed = true
 		n.ownership.ReclaimRemaining()
 	}
@@ -385,7 +387,7 @@
 }
 
 func (n *node) heldIncarnation(now time.Duration) uint64 {
-	if !n.lease.Holds(now) {
+	if !n.lease.IsHeld(now) {
 		return 0
 	}
 	return n.lease.Incarnation
@@ -718,7 +720,7 @@
 	}
 	t.Logf("%d routers, %d lost with %d calls: the first taken over after %v, the last after %v; "+
 		"%d routers took calls, %d at most", routers, len(lost), taken, first, last, takers, maxTaken)
-	require.Less(t, last, fleet.DefaultTerms().Lease+2*time.Second)
+	require.Less(t, last, fleet.DefaultSettings().LeaseDuration+2*time.Second)
 	require.GreaterOrEqual(t, takers, len(lost)/3, "calls are spread over routers")
 	// Each end is forwarded to every router by every other, so only some calls end.
 	ended := w.order[:min(len(w.order), 40_000/routers/routers)]
