--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -18,34 +18,35 @@
 	"threadglade.example/threadglade/internal/wire"
 )
 
-// This file owns the reading of the platform's configuration, at start, at SIGHUP and for `threadglade check`: the same text gets the same
-// verdict from each. It must never change what is in force.
+// This file parses and checks the platform's configuration. Start, SIGHUP and `threadglade check` share it, so the
+// same text is accepted or rejected alike by each. Nothing here changes the settings in force.
 
-// Config is what the platform tells a call router.
+// Config is the configuration that the platform gives a call router.
 type Config struct {
 	Name     string
-	Listen   netip.AddrPort
-	Mgmt     netip.AddrPort // the operators' door; the zero value: none
-	Resolver netip.AddrPort
-	Seed     uint64
-	MemoryMB int
-	Sockets  int
-	Cursor   uint32
+	Listen   netip.AddrPort // address for callers
+	Mgmt     netip.AddrPort // address of the management server; the zero value disables it
+	Resolver netip.AddrPort // name service
+	Seed     uint64         // of the random numbers
+	MemoryMB int            // memory limit of the process, in MiB
+	Sockets  int            // most descriptors that the process may hold
+	Cursor   uint32         // serial of the server list in Servers
 	Servers  []sip.Server
 	Settings threadglade.Settings
 
 	ConnectTimeout time.Duration
-	Free, Total    string // names of the figures in a server's state
+	Free, Total    string // names of the fields for free and total capacity in a server's state
 
-	tree any // the file, but for the list, to see which keys a later one has lost
+	keyTree any // the decoded file without the server list, to detect keys that a later file lacks
 
-	Handover string // the folder that it shares with the process that takes its place; empty: none does
+	Handover string // folder shared with the process that replaces this one; empty disables hot restart
 
-	Product Product    // the product's own settings; everything in it is off unless it says so
-	FS      durable.FS // nil: the operating system's
+	Product Product    // the product's own settings; subsystems that they don't mention are off
+	FS      durable.FS // nil means the operating system's file system
 }
 
-// ReadConfig reads the platform's configuration; listen and mgmt, if not empty, override the addresses in it.
+// ReadConfig parses and validates the platform's configuration. The arguments listen and mgmt, if not empty, override
+// the addresses in it.
 func ReadConfig(text []byte, listen, mgmt string) (Config, error) {
 	var raw struct {
 		Name   string `json:"name"`
@@ -67,7 +68,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	var more struct {
+	var ownSettings struct {
 		Report struct {
 			Fields []string `json:"fields"`
 		} `json:"report"`
@@ -75,56 +76,58 @@
 			Connect float64 `json:"connectTimeoutMs"`
 		} `json:"limits"`
 	}
-	if err := json.Unmarshal(raw.Settings, &more); err != nil {
+	if err := json.Unmarshal(raw.Settings, &ownSettings); err != nil {
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
-	c := Config{Name: raw.Name, MemoryMB: int(raw.Limits.MemoryMB), Sockets: raw.Limits.Sockets,
-		ConnectTimeout: wire.Span(more.Limits.Connect), tree: tree}
-	if c.MemoryMB <= 0 || c.Sockets <= 0 {
-		return c, fmt.Errorf("limits: memory_mb %v and sockets %d must be above 0", raw.Limits.MemoryMB, raw.Limits.Sockets)
+	cfg := Config{Name: raw.Name, MemoryMB: int(raw.Limits.MemoryMB), Sockets: raw.Limits.Sockets,
+		ConnectTimeout: wire.Span(ownSettings.Limits.Connect), keyTree: tree}
+	if cfg.MemoryMB <= 0 || cfg.Sockets <= 0 {
+		return cfg, fmt.Errorf("limits: memory_mb %v and sockets %d must be above 0",
+			raw.Limits.MemoryMB, raw.Limits.Sockets)
 	}
-	if c.ConnectTimeout <= 0 {
-		c.ConnectTimeout = 500 * time.Millisecond
+	if cfg.ConnectTimeout <= 0 {
+		cfg.ConnectTimeout = 500 * time.Millisecond
 	}
-	if len(more.Report.Fields) >= 2 {
-		c.Free, c.Total = more.Report.Fields[0], more.Report.Fields[1]
+	if len(ownSettings.Report.Fields) >= 2 {
+		cfg.Free, cfg.Total = ownSettings.Report.Fields[0], ownSettings.Report.Fields[1]
 	}
 	if listen == "" {
 		listen = raw.Listen
 	}
-	if c.Listen, err = netip.ParseAddrPort(listen); err != nil {
-		return c, fmt.Errorf("listen: %w", err)
+	if cfg.Listen, err = netip.ParseAddrPort(listen); err != nil {
+		return cfg, fmt.Errorf("listen: %w", err)
 	}
 	if mgmt == "" {
 		mgmt = raw.Mgmt
 	}
 	if mgmt != "" {
-		if c.Mgmt, err = netip.ParseAddrPort(mgmt); err != nil {
-			return c, fmt.Errorf("mgmt: %w", err)
+		if cfg.Mgmt, err = netip.ParseAddrPort(mgmt); err != nil {
+			return cfg, fmt.Errorf("mgmt: %w", err)
 		}
-		if c.Mgmt == c.Listen && c.Mgmt.Port() != 0 {
-			return c, fmt.Errorf("mgmt: %s is where callers connect", c.Mgmt)
+		if cfg.Mgmt == cfg.Listen && cfg.Mgmt.Port() != 0 {
+			return cfg, fmt.Errorf("mgmt: %s is where callers connect", cfg.Mgmt)
 		}
 	}
-	if c.Resolver, err = netip.ParseAddrPort(raw.Resolver); err != nil {
-		return c, fmt.Errorf("resolver: %w", err)
+	if cfg.Resolver, err = netip.ParseAddrPort(raw.Resolver); err != nil {
+		return cfg, fmt.Errorf("resolver: %w", err)
 	}
-	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
-		return c, fmt.Errorf("seed: %w", err)
+	if cfg.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
+		return cfg, fmt.Errorf("seed: %w", err)
 	}
-	if c.Settings, err = wire.Settings(raw.Settings); err != nil {
-		return c, fmt.Errorf("settings: %w", err)
+	if cfg.Settings, err = wire.Settings(raw.Settings); err != nil {
+		return cfg, fmt.Errorf("settings: %w", err)
 	}
-	if c.Cursor, c.Servers, err = registry.ReadKnown(raw.Known); err != nil {
-		return c, fmt.Errorf("known: %w", err)
+	if cfg.Cursor, cfg.Servers, err = registry.ReadKnown(raw.Known); err != nil {
+		return cfg, fmt.Errorf("known: %w", err)
 	}
-	if _, err = threadglade.New(c.Settings, c.Seed); err != nil {
-		return c, fmt.Errorf("settings: %w", err)
+	if _, err = threadglade.New(cfg.Settings, cfg.Seed); err != nil {
+		return cfg, fmt.Errorf("settings: %w", err)
 	}
-	return c, nil
+	return cfg, nil
 }
 
-// LoadConfig reads the configuration that the environment names.
+// LoadConfig reads the configuration file named by NODE_CONFIG; NODE_LISTEN and NODE_MGMT override its addresses.
+// Errors name the file.
 func LoadConfig() (Config, error) {
 	path := os.Getenv("NODE_CONFIG")
 	if path == "" {
@@ -134,35 +137,36 @@
 	if err != nil {
 		return Config{}, err
 	}
-	c, err := ReadConfig(text, os.Getenv("NODE_LISTEN"), os.Getenv("NODE_MGMT"))
+	cfg, err := ReadConfig(text, os.Getenv("NODE_LISTEN"), os.Getenv("NODE_MGMT"))
 	if err != nil {
-		return c, fmt.Errorf("%s: %w", path, err)
+		return cfg, fmt.Errorf("%s: %w", path, err)
 	}
-	if c.Mgmt.IsValid() { // only where operators run it by the door is one version put in another's place
-		c.Handover = os.Getenv("TMPDIR")
+	if cfg.Mgmt.IsValid() { // hot restart is used only where operators have a management server
+		cfg.Handover = os.Getenv("TMPDIR")
 	}
-	return c, nil
+	return cfg, nil
 }
 
-// needed are the keys that the router uses and that have no sound default: a file without one was cut or half written. An empty list
-// needs no keys of its entries.
-var needed = strings.Fields(`name listen seed resolver limits.memory_mb limits.sockets known.cursor known.cmds
+// requiredKeys are the keys that the router uses and that have no sound default: a file without one was truncated or
+// half written. An empty list needs no keys of its entries.
+var requiredKeys = strings.Fields(`name listen seed resolver limits.memory_mb limits.sockets known.cursor known.cmds
 	settings.replicasOfMe settings.classes settings.classes[].name settings.classes[].aimMs settings.classes[].deadlineMs
-	settings.classes[].gain settings.classes[].repeat settings.domain.allowedPools settings.domain.clearWaitMs settings.domain.holdingMs
-	settings.domain.networkForm settings.limits.maxAttempts settings.rules.drainGraceMs settings.rules.coldFrom
-	settings.rules.warmWithinMs settings.rules.fallMultiple settings.rules.overloadForMs`)
+	settings.classes[].gain settings.classes[].repeat settings.domain.allowedPools settings.domain.clearWaitMs
+	settings.domain.holdingMs settings.domain.networkForm settings.limits.maxAttempts settings.rules.drainGraceMs
+	settings.rules.coldFrom settings.rules.warmWithinMs settings.rules.fallMultiple settings.rules.overloadForMs`)
 
-// mayGo are keys that a file in force may have and a later one need not.
-var mayGo = []string{"aimStretch"}
+// removableKeys are optional keys: a later file may lack them although the file in force has them.
+var removableKeys = []string{"aimStretch"}
 
-// readTree reads the file as it stands and checks that the needed keys are there. The list of servers is left out: it differs each time.
+// readTree decodes the file without a schema and checks that the required keys are present. The list of servers is
+// left out, because it differs from file to file.
 func readTree(text []byte) (any, error) {
 	var tree map[string]any
 	if err := json.Unmarshal(text, &tree); err != nil {
 		return nil, err
 	}
-	for _, path := range needed {
-		if err := has(tree, strings.Split(path, "."), ""); err != nil {
+	for _, path := range requiredKeys {
+		if err := requireKey(tree, strings.Split(path, "."), ""); err != nil {
 			return nil, err
 		}
 	}
@@ -170,66 +174,68 @@
 	return tree, nil
 }
 
-// has says which key of a path is missing.
-func has(tree any, path []string, at string) error {
+// requireKey returns an error that names the first missing key of a path. The entries of a list (key[]) are all
+// checked.
+func requireKey(tree any, path []string, parent string) error {
 	if len(path) == 0 {
 		return nil
 	}
 	key, list := strings.CutSuffix(path[0], "[]")
-	object, ok := tree.(map[string]any)
-	if !ok {
-		return fmt.Errorf("%s is no object", strings.TrimPrefix(at, "."))
+	object, isType := tree.(map[string]any)
+	if !isType {
+		return fmt.Errorf("%s is not an object", strings.TrimPrefix(parent, "."))
 	}
-	value, there := object[key]
-	if at += "." + key; !there || value == nil {
-		return fmt.Errorf("%s is missing", at[1:])
+	value, found := object[key]
+	if parent += "." + key; !found || value == nil {
+		return fmt.Errorf("%s is missing", parent[1:])
 	}
 	if !list {
-		return has(value, path[1:], at)
+		return requireKey(value, path[1:], parent)
 	}
-	entries, ok := value.([]any)
-	if !ok {
-		return fmt.Errorf("%s is no list", at[1:])
+	entries, isType := value.([]any)
+	if !isType {
+		return fmt.Errorf("%s is not a list", parent[1:])
 	}
 	for i, entry := range entries {
-		if err := has(entry, path[1:], fmt.Sprintf("%s[%d]", at, i)); err != nil {
+		if err := requireKey(entry, path[1:], fmt.Sprintf("%s[%d]", parent, i)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Follows says whether the configuration may take the place of another: it must have every key that the other has, or it was cut.
-// Of the entries of a list each must have the keys that all of the other's have.
-func (c Config) Follows(old Config) error { return lost(old.tree, c.tree, "") }
+// CheckCanReplace returns an error unless the configuration has every key of the one in force: a file that lacks one
+// was truncated. Each entry of a list must have the keys that all entries of the old list have.
+func (c Config) Follows(old Config) error { return checkKeysKept(old.keyTree, c.keyTree, "") }
 
-func lost(old, now any, at string) error {
+// checkKeysKept returns an error that names a key of old that updated lacks; parent is the path of both.
+func checkKeysKept(old, updated any, parent string) error {
 	switch old := old.(type) {
 	case map[string]any:
-		object, ok := now.(map[string]any)
+		object, ok := updated.(map[string]any)
 		if !ok {
-			return fmt.Errorf("%s is no object any more", strings.TrimPrefix(at, "."))
+			return fmt.Errorf("%s is no longer an object", strings.TrimPrefix(parent, "."))
 		}
 		for key, value := range old {
-			if slices.Contains(mayGo, key) {
+			if slices.Contains(removableKeys, key) {
 				continue
 			}
-			path := at + "." + key
-			if _, there := object[key]; !there {
-				return fmt.Errorf("%s is missing, which the configuration in force has", path[1:])
+			path := parent + "." + key
+			if _, found := object[key]; !found {
+				return fmt.Errorf("%s is missing, but the configuration in force has it", path[1:])
 			}
-			if err := lost(value, object[key], path); err != nil {
+			if err := checkKeysKept(value, object[key], path); err != nil {
 				return err
 			}
 		}
 	case []any:
-		list, ok := now.([]any)
+		list, ok := updated.([]any)
 		if !ok {
-			return fmt.Errorf("%s is no list any more", at[1:])
+			return fmt.Errorf("%s is no longer a list", parent[1:])
 		}
-		common := shared(old)
+		common := commonKeys(old)
 		for i, entry := range list {
-			if err := lost(common, entry, fmt.Sprintf("%s[%d]", at, i)); common != nil && err != nil {
+			if err := checkKeysKept(common, entry, fmt.Sprintf("%s[%d]", parent, i)); common != nil && err != nil {
 				return err
 			}
 		}
@@ -237,10 +243,11 @@
 	return nil
 }
 
-// shared is an object of the keys that all entries of a list have; nil if they are no objects.
-func shared(list []any) any {
+// commonKeys returns an object with the keys that all entries of a list have, or nil if an entry is not an object or
+// the list is empty.
+func commonKeys(entries []any) any {
 	var common map[string]any
-	for i, entry := range list {
+	for i, entry := range entries {
 		object, ok := entry.(map[string]any)
 		if !ok {
 			return nil
@@ -252,7 +259,7 @@
 			}
 		}
 		for key := range common {
-			if _, there := object[key]; !there {
+			if _, found := object[key]; !found {
 				delete(common, key)
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node puts one call router together: it reads what the platform tells a call router, joins the loop, the
-// router, the SIP front and trunk and the server list, and ends them in order. It owns the process's limits and
-// its signals. It must never decide about a call or touch a message.
+// Package node assembles one call router: it reads the platform's configuration, connects the event loop, the router,
+// the SIP front and trunk, the server list and the optional subsystems, and shuts them down in order. It sets the
+// limits of the process and handles its signals. It makes no decisions about calls and doesn't read messages.
 package node
 
 import (
@@ -35,233 +35,278 @@
 )
 
 const (
-	// stayFor is how long a router that was told to end still takes what callers send it.
-	stayFor = 750 * time.Millisecond
-	// partFor is how long idle callers have to hear that their connections end: a set-up that crosses a close within 50 ms is sent again.
-	partFor = 60 * time.Millisecond
-	// lookEvery is how often an ending process looks whether it may go.
-	lookEvery = 20 * time.Millisecond
-	// flushFor is how long answers that were given may still wait for callers who read slowly, at the end.
-	flushFor = 500 * time.Millisecond
-	// memoryPart of the limit is the most that the collector lets the heap come to.
-	memoryPart = 0.7
+	// minShutdownDelay is how long a router goes on accepting requests after Shutdown, so that callers can switch to
+	// another one.
+	minShutdownDelay = 750 * time.Millisecond
+	// closeGracePeriod is how long the process lives on after it has closed idle connections: a caller sends a set-up
+	// again that crosses the close within 50 ms.
+	closeGracePeriod = 60 * time.Millisecond
+	// shutdownPollInterval is how often a process in shutdown checks whether it may exit.
+	shutdownPollInterval = 20 * time.Millisecond
+	// flushTimeout bounds the wait at shutdown for slow callers to read their answers.
+	flushTimeout = 500 * time.Millisecond
+	// heapLimitFraction is the fraction of the memory limit that is set as the soft limit of the Go runtime.
+	heapLimitFraction = 0.7
 )
 
-// Node is one running call router.
+// Node is one running call router. While Run serves, its other methods are to be called on the event loop's
+// goroutine.
 type Node struct {
 	Loop   *loop.Loop
 	Router *router.Router
-	// Reload, if set, reads the settings of what was added to the node anew. It runs beside the loop, for it may take long;
-	// what it returns puts them in force and runs on the loop.
-	Reload func() (apply func(), err error)
-	config Config
-	clock  router.Clock
-	log    zerolog.Logger
-	front  *sip.Front
-	second *callcontrol.Front // nil where it is off
-	trunk  *sip.Trunk
-	names  *registry.Client
-	listen *loop.Listener
-	other  *loop.Listener // of the second front; nil where it is off
-	turn   turnover
-	life   *lifecycle.Process
-	door   *mgmt.Server      // nil where it is off
-	ledger *ledgerio.Carrier // nil where it is off
-	trace  *traceio.Recorder // nil where it is off
-	fleet  *fleetio.Fleet    // nil where it is off
+	// Reload, if set, reads the product's settings again at SIGHUP. It runs off the loop, because it may take long;
+	// the function that it returns applies them and runs on the loop.
+	Reload              func() (apply func(), err error)
+	config              Config
+	clock               router.Clock
+	log                 zerolog.Logger
+	front               *sip.Front
+	callControl         *callcontrol.Front // nil if disabled
+	trunk               *sip.Trunk
+	nameService         *registry.Client
+	listener            *loop.Listener
+	callControlListener *loop.Listener // nil if disabled
+	handover            handoverState
+	process             *lifecycle.Process
+	management          *mgmt.Server      // nil if disabled
+	ledger              *ledgerio.Carrier // nil if disabled
+	trace               *traceio.Recorder // nil if disabled
+	fleet               *fleetio.Fleet    // nil if disabled
 }
 
-// Logger writes one event a line with the time, the level and the router's name: as text for people or, with asJSON, as
-// one JSON object.
+// NewLogger returns a logger that writes one event a line with the time, the level and the router's name: as plain
+// text or, with asJSON, as one JSON object.
 func Logger(w io.Writer, name string, level zerolog.Level, asJSON bool) zerolog.Logger {
 	if !asJSON {
-		w = zerolog.ConsoleWriter{Out: w, NoColor: true, TimeFormat: "15:04:05.000", TimeLocation: time.UTC,
+		w = zerolog.ConsoleWriter{
+			Out:           w,
+			NoColor:       true,
+			TimeFormat:    "15:04:05.000",
+			TimeLocation:  time.UTC,
 			PartsOrder:    []string{zerolog.TimestampFieldName, "router", zerolog.LevelFieldName, zerolog.MessageFieldName},
-			FieldsExclude: []string{"router"}, FormatPartValueByName: func(v any, _ string) string { return fmt.Sprint(v) }}
+			FieldsExclude: []string{"router"},
+
+			FormatPartValueByName: func(v any, _ string) string { return fmt.Sprint(v) },
+		}
 	}
-	return zerolog.New(w).Level(level).With().Str("router", name).Logger().Hook(stamp{})
+	return zerolog.New(w).Level(level).With().Str("router", name).Logger().Hook(timestampHook{})
 }
 
-// stamp puts the time on an event, to the millisecond and in UTC.
-type stamp struct{}
+// timestampHook adds the time in UTC to an event, to the millisecond.
+type timestampHook struct{}
 
-func (stamp) Run(e *zerolog.Event, _ zerolog.Level, _ string) {
+// Run implements zerolog.Hook.
+func (timestampHook) Run(e *zerolog.Event, _ zerolog.Level, _ string) {
 	e.Str(zerolog.TimestampFieldName, time.Now().UTC().Format("2006-01-02T15:04:05.000Z07:00"))
 }
 
-// New opens the sockets of a call router. Nothing is served before Run.
-func New(c Config, clock router.Clock, log zerolog.Logger) (*Node, error) {
-	l, err := loop.New()
+// New assembles a call router and opens its sockets, its files and, if another process of the router serves, the link
+// to it. Nothing is served before Run.
+func New(cfg Config, clock router.Clock, log zerolog.Logger) (*Node, error) {
+	eventLoop, err := loop.New()
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{Loop: l, clock: clock, log: log, config: c, life: &lifecycle.Process{}}
-	inherited, err := n.ask()
+	n := &Node{Loop: eventLoop, clock: clock, log: log, config: cfg, process: &lifecycle.Process{}}
+	inherited, err := n.requestStandby()
 	if err != nil {
 		return nil, err
 	}
-	n.trunk = sip.NewTrunk(sip.TrunkConfig{Loop: l, Clock: clock, ConnectTimeout: c.ConnectTimeout, FreeField: c.Free,
-		TotalField: c.Total, Log: log, ReportLoads: c.Product.Trace != nil})
-	rc := router.Config{Settings: c.Settings, Seed: c.Seed, Clock: clock, Trunk: n.trunk, Log: log,
-		OnUnknownServerRelease: n.orphan, OnUnknownCallerRelease: n.stray}
-	if c.Product.Ledger != nil {
-		if err := n.openLedger(&rc); err != nil {
+	n.trunk = sip.NewTrunk(sip.TrunkConfig{
+		Loop:           eventLoop,
+		Clock:          clock,
+		ConnectTimeout: cfg.ConnectTimeout,
+		FreeField:      cfg.Free,
+		TotalField:     cfg.Total,
+		Log:            log,
+		ReportLoads:    cfg.Product.Trace != nil,
+	})
+	routerConfig := router.Config{Settings: cfg.Settings, Seed: cfg.Seed, Clock: clock, Trunk: n.trunk, Log: log,
+		OnUnknownServerRelease: n.onUnknownServerRelease, OnUnknownCallerRelease: n.onUnknownCallerRelease}
+	if cfg.Product.Ledger != nil {
+		if err := n.openLedger(&routerConfig); err != nil {
 			return nil, err
 		}
 	}
-	if c.Product.Trace != nil {
-		if err := n.openTrace(&rc); err != nil {
+	if cfg.Product.Trace != nil {
+		if err := n.openTrace(&routerConfig); err != nil {
 			return nil, err
 		}
 	}
-	if c.Product.Limits != nil {
-		n.openLimits(&rc)
+	if cfg.Product.Limits != nil {
+		n.openLimits(&routerConfig)
 	}
-	if c.Product.Fleet != nil && c.Product.Fleet.Verdicts != nil {
-		rc.Observer = observe(rc.Observer, watcher{n})
+	if cfg.Product.Fleet != nil && cfg.Product.Fleet.Verdicts != nil {
+		routerConfig.Observer = joinObservers(routerConfig.Observer, verdictObserver{n})
 	}
-	if c.Product.Fleet != nil && c.Product.Fleet.Work != nil {
-		rc.Observer = observe(rc.Observer, giver{n})
+	if cfg.Product.Fleet != nil && cfg.Product.Fleet.Work != nil {
+		routerConfig.Observer = joinObservers(routerConfig.Observer, takeoverObserver{n})
 	}
-	if n.Router, err = router.New(rc); err != nil {
+	if n.Router, err = router.New(routerConfig); err != nil {
 		return nil, err
 	}
 	if n.ledger != nil {
 		n.tickLedger()
 	}
-	n.front = sip.NewFront(sip.FrontConfig{Router: n.Router, Clock: clock, MaxDescriptors: c.Sockets, Settings: c.Settings, Process: n.life})
+	n.front = sip.NewFront(sip.FrontConfig{
+		Router:         n.Router,
+		Clock:          clock,
+		MaxDescriptors: cfg.Sockets,
+		Settings:       cfg.Settings,
+		Process:        n.process,
+	})
 	n.front.Start()
 	n.trunk.Start(n.Router)
 	if n.trace != nil {
-		n.trace.List(c.Cursor, len(c.Servers))
+		n.trace.List(cfg.Cursor, len(cfg.Servers))
 	}
-	n.list(c.Servers, true)
-	if n.names, err = registry.Follow(l, c.Resolver, c.Cursor, clock, n.Router.Schedule, rand.New(rand.NewPCG(c.Seed, 1)).Float64, log,
+	n.updateServers(cfg.Servers, true)
+	if n.nameService, err = registry.Follow(eventLoop, cfg.Resolver, cfg.Cursor, clock, n.Router.Schedule,
+		rand.New(rand.NewPCG(cfg.Seed, 1)).Float64, log,
 		func(serial uint32, servers []sip.Server) {
 			if n.trace != nil {
 				n.trace.List(serial, len(servers))
 			}
-			n.list(servers, false)
+			n.updateServers(servers, false)
 		}); err != nil {
 		return nil, err
 	}
-	n.life.ServersListed()
-	if err = n.open(inherited); err != nil {
+	n.process.ServersListed()
+	if err = n.openListener(inherited); err != nil {
 		return nil, err
 	}
-	n.life.Listening()
-	if c.Mgmt.IsValid() {
-		if n.door, err = mgmt.Open(mgmt.Config{Loop: l, Addr: c.Mgmt, Clock: clock, Schedule: n.Router.Schedule, Process: operated{n}, Log: log}); err != nil {
+	n.process.Listening()
+	if cfg.Mgmt.IsValid() {
+		if n.management, err = mgmt.Open(mgmt.Config{
+			Loop:     eventLoop,
+			Addr:     cfg.Mgmt,
+			Clock:    clock,
+			Schedule: n.Router.Schedule,
+			Process:  managedProcess{n},
+			Log:      log,
+		}); err != nil {
 			return nil, err
 		}
-		log.Info().Str("event", "mgmt_serving").Stringer("address", n.door.Addr()).Msgf("operators' door on %s", n.door.Addr())
+		log.Info().Str("event", "mgmt_serving").Stringer("address", n.management.Addr()).
+			Msgf("operators' door on %s", n.management.Addr())
 	}
-	if c.Product.Fleet != nil {
+	if cfg.Product.Fleet != nil {
 		if err = n.openFleet(); err != nil {
 			return nil, err
 		}
 	}
-	log.Info().Str("event", "serving").Stringer("address", n.listen.Addr()).Int("me", c.Settings.Index).Msgf("serving on %s: %d servers known, list %d, name service %s", n.listen.Addr(), len(c.Servers), c.Cursor, c.Resolver)
+	log.Info().Str("event", "serving").Stringer("address", n.listener.Addr()).Int("me", cfg.Settings.Index).
+		Msgf("serving on %s: %d servers known, list %d, name service %s",
+			n.listener.Addr(), len(cfg.Servers), cfg.Cursor, cfg.Resolver)
 	return n, nil
 }
 
-// operated is the node as its operators' door knows it.
-type operated struct{ n *Node }
+// managedProcess implements mgmt.Process, the view that the management server has of the node.
+type managedProcess struct{ n *Node }
 
-func (o operated) Ready() (bool, string) {
-	// Who stands by will have all callers at once: it first hears from the case servers what they have free.
-	if n := o.n; n.turn.successor.InStandby() && n.life.Ready() && n.clock() < n.turn.began+reachWithin && !n.trunk.AllReached() {
+// Ready implements mgmt.Process.
+func (p managedProcess) Ready() (bool, string) {
+	// A process in standby takes over all callers at once, so it first has to learn the free capacity of the case
+	// servers.
+	if n := p.n; n.handover.asNewProcess.InStandby() && n.process.Ready() &&
+		n.clock() < n.handover.standbySince+standbyReachTimeout && !n.trunk.AllReached() {
 		return false, "standing by, case servers are not reached yet"
 	}
-	return o.n.life.Ready(), o.n.life.State().String()
+	return p.n.process.Ready(), p.n.process.State().String()
 }
 
-func (o operated) Drain() error {
-	changed, err := o.n.life.Drain(o.n.clock())
+// Drain implements mgmt.Process.
+func (p managedProcess) Drain() error {
+	changed, err := p.n.process.Drain(p.n.clock())
 	if changed {
-		o.n.log.Info().Str("event", "draining").Int("open", o.n.Router.OpenRequests()).
-			Msgf("told to drain: %d requests open, %d connections", o.n.Router.OpenRequests(), o.n.front.Counters().Open)
+		p.n.log.Info().Str("event", "draining").Int("open", p.n.Router.OpenRequests()).
+			Msgf("told to drain: %d requests open, %d connections",
+				p.n.Router.OpenRequests(), p.n.front.Counters().Open)
 	}
 	return err
 }
 
-func (o operated) Resume() error {
-	changed, err := o.n.life.Resume()
+// Resume implements mgmt.Process.
+func (p managedProcess) Resume() error {
+	changed, err := p.n.process.Resume()
 	if changed {
-		o.n.log.Info().Str("event", "resumed").Msg("told to resume: ready again")
+		p.n.log.Info().Str("event", "resumed").Msg("told to resume: ready again")
 	}
 	return err
 }
 
-// Leaving says whether callers are told to go elsewhere. It is for the loop's own goroutine.
-func (n *Node) Leaving() bool { return n.life.Leaving() }
+// Leaving reports whether callers are told to use another router.
+func (n *Node) Leaving() bool { return n.process.Leaving() }
 
-// Door is where operators call; the zero value where they cannot.
+// ManagementAddr returns the address of the management server, or the zero value if there is none.
 func (n *Node) Door() netip.AddrPort {
-	if n.door == nil {
+	if n.management == nil {
 		return netip.AddrPort{}
 	}
-	return n.door.Addr()
+	return n.management.Addr()
 }
 
-// Addr is where callers connect.
-func (n *Node) Addr() netip.AddrPort { return n.listen.Addr() }
+// Addr returns the address that callers connect to.
+func (n *Node) Addr() netip.AddrPort { return n.listener.Addr() }
 
-// CallControl opens the second front and returns where it listens.
-func (n *Node) CallControl(c callcontrol.Config, classes []threadglade.Class, verify callcontrol.Verify) (netip.AddrPort, error) {
-	if err := n.front.ReserveForFront(c.Sockets); err != nil {
+// OpenCallControl opens the call control front and returns the address that it listens on.
+func (n *Node) CallControl(
+	cfg callcontrol.Config, classes []threadglade.Class, verify callcontrol.Verify,
+) (netip.AddrPort, error) {
+	if err := n.front.ReserveForFront(cfg.Sockets); err != nil {
 		return netip.AddrPort{}, fmt.Errorf("call control: sockets: %w", err)
 	}
-	n.second = callcontrol.New(c, classes, n.Router, n.clock, verify, n.log)
-	open := n.Loop.Listen
+	n.callControl = callcontrol.New(cfg, classes, n.Router, n.clock, verify, n.log)
+	listen := n.Loop.Listen
 	if n.config.Handover != "" {
-		open = n.Loop.ListenShared
+		listen = n.Loop.ListenShared
 	}
-	listen, err := open(c.Addr, n.second.Accept)
+	listener, err := listen(cfg.Addr, n.callControl.Accept)
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	listen.SetPaused(n.turn.successor.InStandby())
-	n.other = listen
-	n.log.Info().Str("event", "callcontrol_serving").Msgf("call control on %s", listen.Addr())
-	return listen.Addr(), nil
+	listener.SetPaused(n.handover.asNewProcess.InStandby())
+	n.callControlListener = listener
+	n.log.Info().Str("event", "callcontrol_serving").Msgf("call control on %s", listener.Addr())
+	return listener.Addr(), nil
 }
 
-// list hands on the whole list. The router hears first: what is cut at a server that is gone is not sent there
-// again.
-func (n *Node) list(servers []sip.Server, stored bool) {
-	ev := threadglade.ServerList{Stored: stored}
+// updateServers distributes the whole list of case servers. The router is notified first, so that calls cut off at a
+// removed server are not sent there again. isStored marks the list of the configuration.
+func (n *Node) updateServers(servers []sip.Server, isStored bool) {
+	event := threadglade.ServerList{Stored: isStored}
 	for _, s := range servers {
-		ev.Servers = append(ev.Servers, s.Server)
-		if !stored {
-			n.log.Info().Str("event", "server_listed").Str("server", s.ID).Int("state", int(s.State)).Msgf("list: server %s number %d state %d started %d", s.ID, s.Number, s.State, s.Started.Milliseconds())
+		event.Servers = append(event.Servers, s.Server)
+		if !isStored {
+			n.log.Info().Str("event", "server_listed").Str("server", s.ID).Int("state", int(s.State)).
+				Msgf("list: server %s number %d state %d started %d", s.ID, s.Number, s.State, s.Started.Milliseconds())
 		}
 	}
-	n.Router.UpdateServers(ev)
+	n.Router.UpdateServers(event)
 	if n.fleet != nil && n.fleet.Limited() {
-		n.cold(servers)
+		n.reportColdServers(servers)
 	}
 	if n.fleet != nil && n.fleet.Watches() {
-		n.watched(servers)
+		n.reportMonitoredServers(servers)
 	}
 	n.front.ReserveForServers(len(servers))
 	n.trunk.UpdateServers(servers)
 }
 
-// Run serves until Shutdown has been called and nothing is owed any more.
+// Run serves until Shutdown has been called and no answers are pending any more, then closes the subsystems.
 func (n *Node) Run() error {
-	due := n.Router.Tick
-	if n.fleet != nil { // the look at the lease comes first in each turn
-		due = func() time.Duration { return min(n.fleet.Turn(), n.Router.Tick()) }
+	tick := n.Router.Tick
+	if n.fleet != nil { // each loop iteration checks the lease first
+		tick = func() time.Duration { return min(n.fleet.Turn(), n.Router.Tick()) }
 	}
 	n.Loop.SetClock(n.clock)
 	n.Loop.SetBeforeWait(n.trunk.Flush)
-	err := n.Loop.Run(due)
+	err := n.Loop.Run(tick)
 	n.log.Info().Str("event", "counters").Msgf("counters %s", n.Counters())
 	n.Loop.Close()
 	if n.fleet != nil {
 		if n.fleet.Works() {
-			n.owe()
+			n.reportPendingEnds()
 		}
 		err = errors.Join(err, n.fleet.Close())
 	}
@@ -274,122 +319,136 @@
 	return err
 }
 
-// Shutdown ends Run once nothing is owed, and not before callers have had time to turn elsewhere. Where another process stands by, it is asked to
-// take the callers.
+// Shutdown ends Run once no answers are pending, but not before callers have had time to switch to another router. If
+// another process is in standby, it is asked to take over the callers.
 func (n *Node) Shutdown() {
 	n.log.Info().Str("event", "ending").Msgf("told to end: %d requests open", n.Router.OpenRequests())
-	n.life.End(n.clock())
-	earliest := n.clock() + stayFor
-	latest := earliest + flushFor
-	n.handOver()
-	closing, resting, parting := false, false, false
-	var look func()
-	look = func() {
+	n.process.End(n.clock())
+	earliest := n.clock() + minShutdownDelay
+	latest := earliest + flushTimeout
+	n.requestTakeover()
+	listenerClosed, awaitingReleases, idleClosed := false, false, false
+	var poll func()
+	poll = func() {
 		if n.Router.OpenRequests() > 0 {
-			latest = max(latest, n.clock()+flushFor)
+			latest = max(latest, n.clock()+flushTimeout)
 		}
-		over := n.Router.OpenRequests() == 0 && n.clock() >= earliest && (!n.front.HasUnsent() && !n.front.HasUnread() || n.clock() >= latest)
+		done := n.Router.OpenRequests() == 0 && n.clock() >= earliest &&
+			(!n.front.HasUnsent() && !n.front.HasUnread() || n.clock() >= latest)
 		switch {
-		case n.turn.elder.HandedOver():
-			over = n.handed()
-		case over && !closing: // what has been accepted for this process is taken, and what it has sent already is read in the turn after this,
-			closing, over = true, false
-			n.listen.DrainBacklog()
-			n.listen.Close()
-			earliest = n.clock() + lookEvery
-		case over && !resting && n.turn.path != "": // where another process serves beside this one, releases that are on their way to this one are heard,
-			resting, over = true, false
+		case n.handover.asOldProcess.HandedOver():
+			done = n.mayExitAfterHandover()
+		case done && !listenerClosed:
+			// Accepts the connections that the kernel has queued for this process; what they have sent is read in the
+			// next loop iteration.
+			listenerClosed, done = true, false
+			n.listener.DrainBacklog()
+			n.listener.Close()
+			earliest = n.clock() + shutdownPollInterval
+		case done && !awaitingReleases && n.handover.socketPath != "":
+			// Where another process may serve as well, waits for the releases that are on their way to this one.
+			awaitingReleases, done = true, false
 			n.trunk.HalfCloseAll()
-		case over && resting && !parting && n.trunk.HalfClosing():
-			over = false
-		case over && !parting: // and idle callers hear the end before it comes
-			parting, over = true, false
-			n.life.BeginClosing()
+		case done && awaitingReleases && !idleClosed && n.trunk.HalfClosing():
+			done = false
+		case done && !idleClosed:
+			// Closes idle connections, and gives callers time to notice it before the process exits.
+			idleClosed, done = true, false
+			n.process.BeginClosing()
 			n.front.CloseIdle()
-			earliest = n.clock() + partFor
+			earliest = n.clock() + closeGracePeriod
 		}
-		if over {
-			if n.second != nil {
-				n.second.Close()
+		if done {
+			if n.callControl != nil {
+				n.callControl.Close()
 			}
 			n.Loop.Stop()
 			return
 		}
-		n.Router.Schedule(n.clock()+lookEvery, look)
+		n.Router.Schedule(n.clock()+shutdownPollInterval, poll)
 	}
-	look()
+	poll()
 }
 
-// Apply takes a configuration that was read anew, whole or, with an error, not at all. The name service is followed to its new address
-// at once and the list goes on by its number; limits hold from now on, and settings for the requests that come from now on. Calls,
-// servers and connections stay as they are, and what a running router cannot change is named in the log and waits for the next start.
-func (n *Node) Apply(c Config) error {
+// Apply puts a configuration that was read again in force, completely or, with an error, not at all. The new address
+// of the name service is used at once, and the list continues by its serial. Limits apply from now on, settings to
+// requests that arrive from now on. Calls, servers and connections stay as they are. Changes that take a restart are
+// logged.
+func (n *Node) Apply(cfg Config) error {
 	old := n.config
-	if err := c.Follows(old); err != nil {
+	if err := cfg.Follows(old); err != nil {
 		return err
 	}
-	if err := c.Settings.Validate(); err != nil {
+	if err := cfg.Settings.Validate(); err != nil {
 		return err
 	}
-	if err := n.names.Move(c.Resolver); err != nil {
+	if err := n.nameService.Move(cfg.Resolver); err != nil {
 		return err
 	}
-	n.names.Known(c.Cursor, c.Servers)
-	n.front.SetMaxDescriptors(c.Sockets)
-	if !reflect.DeepEqual(c.Settings, old.Settings) {
-		n.change(c.Settings)
-	}
-	for name, same := range map[string]bool{"name": c.Name == old.Name, "listen": c.Listen == old.Listen, "mgmt": c.Mgmt == old.Mgmt,
-		"seed": c.Seed == old.Seed, "settings.limits.connectTimeoutMs": c.ConnectTimeout == old.ConnectTimeout,
-		"settings.report.fields": c.Free == old.Free && c.Total == old.Total} {
-		if !same {
-			n.log.Warn().Str("event", "config_waits").Str("field", name).Msgf("configuration: %s has changed, which takes a restart", name)
+	n.nameService.Known(cfg.Cursor, cfg.Servers)
+	n.front.SetMaxDescriptors(cfg.Sockets)
+	if !reflect.DeepEqual(cfg.Settings, old.Settings) {
+		n.applySettings(cfg.Settings)
+	}
+	for name, unchanged := range map[string]bool{
+		"name":                             cfg.Name == old.Name,
+		"listen":                           cfg.Listen == old.Listen,
+		"mgmt":                             cfg.Mgmt == old.Mgmt,
+		"seed":                             cfg.Seed == old.Seed,
+		"settings.limits.connectTimeoutMs": cfg.ConnectTimeout == old.ConnectTimeout,
+		"settings.report.fields":           cfg.Free == old.Free && cfg.Total == old.Total,
+	} {
+		if !unchanged {
+			n.log.Warn().Str("event", "config_waits").Str("field", name).
+				Msgf("configuration: %s has changed, which takes a restart", name)
 		}
 	}
 	if n.trace != nil {
 		n.trace.Reload()
 	}
-	// What cannot change now is compared with what is in force the next time, too.
-	n.config.Resolver, n.config.MemoryMB, n.config.Sockets, n.config.Settings, n.config.tree = c.Resolver, c.MemoryMB, c.Sockets, c.Settings, c.tree
-	n.log.Info().Str("event", "config_taken").Msgf("configuration read anew: name service %s, %d MB, %d sockets", c.Resolver, c.MemoryMB, c.Sockets)
+	// Fields that take a restart keep their values in force, so that the next reload is compared with those.
+	n.config.Resolver, n.config.MemoryMB, n.config.Sockets, n.config.Settings, n.config.keyTree =
+		cfg.Resolver, cfg.MemoryMB, cfg.Sockets, cfg.Settings, cfg.keyTree
+	n.log.Info().Str("event", "config_taken").
+		Msgf("configuration read anew: name service %s, %d MB, %d sockets", cfg.Resolver, cfg.MemoryMB, cfg.Sockets)
 	return nil
 }
 
-// change puts settings in force that were found good, everywhere in one step of the loop.
-func (n *Node) change(set threadglade.Settings) {
-	if err := n.Router.Change(set); err != nil {
+// applySettings puts validated settings in force in all subsystems, within one loop iteration.
+func (n *Node) applySettings(settings threadglade.Settings) {
+	if err := n.Router.Change(settings); err != nil {
 		return
 	}
-	n.front.UpdateSettings(set)
-	if n.second != nil {
-		n.second.Change(set.Classes)
+	n.front.UpdateSettings(settings)
+	if n.callControl != nil {
+		n.callControl.Change(settings.Classes)
 	}
 	if n.ledger != nil {
-		n.ledger.SetClasses(ledger.Classes(set.Classes))
+		n.ledger.SetClasses(ledger.Classes(settings.Classes))
 	}
 	if n.trace != nil {
-		n.trace.SetClasses(trace.Classes(set.Classes))
+		n.trace.SetClasses(trace.Classes(settings.Classes))
 	}
 	var names []string
-	for _, class := range set.Classes {
+	for _, class := range settings.Classes {
 		names = append(names, class.Name)
 	}
-	n.log.Info().Str("event", "settings_taken").Strs("classes", names).Int("attempts", set.Limits.MaxAttempts).
-		Msgf("settings in force: %d classes, at most %d attempts", len(names), set.Limits.MaxAttempts)
+	n.log.Info().Str("event", "settings_taken").Strs("classes", names).Int("attempts", settings.Limits.MaxAttempts).
+		Msgf("settings in force: %d classes, at most %d attempts", len(names), settings.Limits.MaxAttempts)
 }
 
-// reload reads the configuration that the environment names, and the settings; a bad one is logged, and the old one stays.
-// It runs beside the loop.
-func (n *Node) reload() {
-	c, err := LoadConfig()
+// reloadConfig reads the configuration and the product's settings again and applies them on the loop. An error is
+// logged, and the old configuration stays. It runs off the loop's goroutine.
+func (n *Node) reloadConfig() {
+	cfg, err := LoadConfig()
 	var apply func()
 	if err == nil && n.Reload != nil {
 		apply, err = n.Reload()
 	}
 	n.Loop.Post(func() {
 		if err == nil {
-			if err = n.Apply(c); err == nil {
-				Limit(c)
+			if err = n.Apply(cfg); err == nil {
+				Limit(cfg)
 			}
 		}
 		if err != nil {
@@ -402,18 +461,18 @@
 	})
 }
 
-// Counters prints all counters on one line.
+// Counters formats all counters on one line.
 func (n *Node) Counters() string {
-	f, t, d := n.front.Counters(), n.trunk.Counters(), n.names.Counters()
-	text := fmt.Sprintf("%v front=%+v trunk=%+v names=%+v", n.Router.Counters(), f, t, d)
-	if n.door != nil {
-		text += fmt.Sprintf(" mgmt=%+v", n.door.Counters())
+	front, trunk, nameService := n.front.Counters(), n.trunk.Counters(), n.nameService.Counters()
+	text := fmt.Sprintf("%v front=%+v trunk=%+v names=%+v", n.Router.Counters(), front, trunk, nameService)
+	if n.management != nil {
+		text += fmt.Sprintf(" mgmt=%+v", n.management.Counters())
 	}
-	if n.turn.path != "" {
-		text += fmt.Sprintf(" handover=%+v", n.turn.counters())
+	if n.handover.socketPath != "" {
+		text += fmt.Sprintf(" handover=%+v", n.handover.counters())
 	}
-	if n.second != nil {
-		text += fmt.Sprintf(" callcontrol=%+v", n.second.Counters())
+	if n.callControl != nil {
+		text += fmt.Sprintf(" callcontrol=%+v", n.callControl.Counters())
 	}
 	if n.ledger != nil {
 		text += fmt.Sprintf(" ledger=%+v", n.ledger.Counters())
@@ -427,21 +486,22 @@
 	return text
 }
 
-// Outside counts what went to case servers and to the name service. It is for the loop's own goroutine.
+// UpstreamCounters returns the counters of the trunk to the case servers and of the name service client.
 func (n *Node) Outside() (sip.TrunkCounters, registry.Counters) {
-	return n.trunk.Counters(), n.names.Counters()
+	return n.trunk.Counters(), n.nameService.Counters()
 }
 
-// Limit keeps the process within one core and its memory.
+// ApplyProcessLimits restricts the process to one core and sets the soft memory limit of the Go runtime.
 func Limit(c Config) {
 	runtime.GOMAXPROCS(1)
 	if c.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(c.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(heapLimitFraction * float64(c.MemoryMB) * (1 << 20)))
 	}
 }
 
-// Signals has SIGTERM and SIGINT end the node, SIGHUP read the configuration anew, SIGUSR1 print the counters and,
-// where there is a trace, SIGUSR2 write out what its memory holds.
+// HandleSignals starts a goroutine that handles signals: SIGTERM and SIGINT shut the node down, SIGHUP reloads the
+// configuration, SIGUSR1 logs the counters and, if tracing is on, SIGUSR2 writes the trace records in memory to a
+// file.
 func (n *Node) Signals() {
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
@@ -457,7 +517,7 @@
 			case s == syscall.SIGUSR2:
 				n.Loop.Post(func() { n.trace.Dump("SIGUSR2") })
 			case s == syscall.SIGHUP:
-				n.reload()
+				n.reloadConfig()
 			case !ending:
 				ending = true
 				n.Loop.Post(n.Shutdown)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -26,7 +26,7 @@
   "domain":{"allowedPools":[[0]],"clearWaitMs":200,"holdingMs":[2000],"networkForm":"skills"},"limits":{"maxAttempts":6,"connectTimeoutMs":250},
   "rules":{"drainGraceMs":1000,"coldFrom":0.37,"warmWithinMs":9000,"fallMultiple":3,"overloadForMs":2000}}}`
 
-// Later events of the known list change earlier ones, and an address may pass to another server.
+// Later events of the known list override earlier ones, and an address may pass to another server.
 func TestConfig(t *testing.T) {
 	c, err := ReadConfig([]byte(config), "127.0.0.1:9", "")
 	require.NoError(t, err)
@@ -44,7 +44,7 @@
 	}
 }
 
-// The file that switches call control on is read strictly: what is wrong is named. The one in deploy/ is right.
+// The call control file is parsed strictly: errors name the file and the field. The file in deploy/ is valid.
 func TestCallControlFile(t *testing.T) {
 	good, err := os.ReadFile("../../deploy/callcontrol.toml")
 	require.NoError(t, err)
@@ -63,9 +63,9 @@
 	}
 }
 
-// After any sequence of good, broken and cut files the settings, the name service and the limits in force are those of the last good
-// one.
-func TestLastGoodFileHolds(t *testing.T) {
+// After any sequence of valid, broken and truncated files, the settings, the name service and the limits in force are
+// those of the last valid one.
+func TestLastValidFileStaysInForce(t *testing.T) {
 	first := strings.Replace(config, "127.0.0.1:5060", "127.0.0.1:0", 1)
 	rapid.Check(t, func(t *rapid.T) {
 		c, err := ReadConfig([]byte(first), "", "")
@@ -74,17 +74,26 @@
 		require.NoError(t, err)
 		defer n.Loop.Close()
 		for range rapid.IntRange(1, 12).Draw(t, "files") {
-			attempts, port := rapid.IntRange(-1, 6).Draw(t, "attempts"), rapid.IntRange(8600, 8603).Draw(t, "name service")
-			sockets, deadline := rapid.IntRange(0, 3).Draw(t, "sockets")*100, rapid.SampledFrom([]int{0, 1000, 5000}).Draw(t, "deadline")
+			attempts := rapid.IntRange(-1, 6).Draw(t, "attempts")
+			port := rapid.IntRange(8600, 8603).Draw(t, "name service")
+			sockets := rapid.IntRange(0, 3).Draw(t, "sockets") * 100
+			deadline := rapid.SampledFrom([]int{0, 1000, 5000}).Draw(t, "deadline")
 			name := rapid.SampledFrom([]string{"voice", "data"}).Draw(t, "class")
-			text := strings.NewReplacer(`"maxAttempts":6`, fmt.Sprintf(`"maxAttempts":%d`, attempts), "8600", strconv.Itoa(port), `"sockets":1024`,
-				fmt.Sprintf(`"sockets":%d`, sockets), `"deadlineMs":5000`, fmt.Sprintf(`"deadlineMs":%d`, deadline), "voice", name).Replace(first)
+			text := strings.NewReplacer(
+				`"maxAttempts":6`, fmt.Sprintf(`"maxAttempts":%d`, attempts),
+				"8600", strconv.Itoa(port),
+				`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets),
+				`"deadlineMs":5000`, fmt.Sprintf(`"deadlineMs":%d`, deadline),
+				"voice", name,
+			).Replace(first)
 			good := attempts > 0 && sockets > 0 && deadline > 0
 			switch rapid.IntRange(0, 5).Draw(t, "damage") {
 			case 0:
 				text, good = text[:rapid.IntRange(0, len(text)-1).Draw(t, "cut")], false
 			case 1:
-				key := rapid.SampledFrom([]string{"resolver", "limits", "maxAttempts", "deadlineMs", "repeat", "cmds", "rules", "domain", "connectTimeoutMs"}).Draw(t, "key")
+				key := rapid.SampledFrom([]string{
+					"resolver", "limits", "maxAttempts", "deadlineMs", "repeat", "cmds", "rules", "domain", "connectTimeoutMs",
+				}).Draw(t, "key")
 				text, good = strings.Replace(text, `"`+key+`"`, `"x`+key+`"`, 1), false
 			}
 			before := n.config
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry follows the list of case servers: it reads the list that the configuration holds and then asks
-// the name service over UDP, with a DNS parser of its own. It owns the order of what it hears. It must never
-// decide anything about a server, wait for an answer, or trust a length or a pointer that it was sent.
+// Package registry tracks the list of case servers: it reads the list in the configuration and then polls the name
+// service with DNS queries over UDP, on the event loop and without blocking. Only lists with a newer serial are
+// passed on. Lengths and compression pointers in answers are untrusted input.
 package registry
 
 import (
@@ -22,49 +22,52 @@
 )
 
 const (
-	// pollEvery is how often the list is asked for on average, and so also when a lost query is sent again. Each wait differs by up to pollSpread of
-	// it: routers that have started together, or lost their name service together, do not ask in step.
-	pollEvery  = 150 * time.Millisecond
-	pollSpread = 0.2
-	// staleAfter is the number of queries without an answer that is worth a line in the log.
-	staleAfter = 20
-	service    = "_data._tcp.farm.lan"
+	// pollInterval is the average interval between queries, and so also the retry delay of a lost one. Each interval
+	// is jittered by up to the fraction pollJitter, so that routers which started together, or lost their name
+	// service together, don't query in step.
+	pollInterval = 150 * time.Millisecond
+	pollJitter   = 0.2
+	// maxUnansweredQueries is the number of consecutive queries without an answer that is logged, and the number of
+	// queries back to which an answer is accepted.
+	maxUnansweredQueries = 20
+	serviceName          = "_data._tcp.farm.lan"
 )
 
-// Known is the list that the configuration holds.
+// KnownList is the list of case servers in the configuration, as events that apply in order.
 type Known struct {
-	Cursor uint32 `json:"cursor"`
+	Cursor uint32 `json:"cursor"` // serial of the list
 	Events []struct {
 		Nodes struct {
-			Complete bool `json:"complete"`
+			Complete bool `json:"complete"` // the members replace all earlier ones
 			Members  []struct {
 				ID      string `json:"id"`
 				Addr    string `json:"host_port"`
 				Cell    int    `json:"cell"`
 				Phase   string `json:"phase"`
-				Started int64  `json:"up_since_ms"`
+				Started int64  `json:"up_since_ms"` // milliseconds; 0 if unknown
 			} `json:"members"`
 		} `json:"nodes"`
 	} `json:"cmds"`
 }
 
-var phases = map[string]threadglade.ServerState{
+// stateByPhase maps the phases of the configuration to server states.
+var stateByPhase = map[string]threadglade.ServerState{
 	"in_service": threadglade.Up, "terminating": threadglade.Draining, "terminated": threadglade.Removed,
 }
 
-// ReadKnown reads the list that the configuration holds.
+// ReadKnownList parses the list of case servers in the configuration and returns its serial and the servers.
 func ReadKnown(raw json.RawMessage) (cursor uint32, servers []sip.Server, err error) {
-	var k Known
-	if err := json.Unmarshal(raw, &k); err != nil {
+	var list Known
+	if err := json.Unmarshal(raw, &list); err != nil {
 		return 0, nil, err
 	}
-	at := map[string]int{}
-	for _, e := range k.Events {
+	indexByID := map[string]int{}
+	for _, e := range list.Events {
 		if e.Nodes.Complete {
-			servers, at = nil, map[string]int{}
+			servers, indexByID = nil, map[string]int{}
 		}
 		for _, m := range e.Nodes.Members {
-			state, ok := phases[m.Phase]
+			state, ok := stateByPhase[m.Phase]
 			if !ok {
 				return 0, nil, fmt.Errorf("server %s: unknown phase %q", m.ID, m.Phase)
 			}
@@ -74,41 +77,60 @@
 			}
 			s := sip.Server{Addr: addr, Server: threadglade.Server{ID: m.ID, Number: m.Cell, State: state,
 				Started: time.Duration(m.Started) * time.Millisecond}}
-			if i, known := at[m.ID]; known {
+			if i, known := indexByID[m.ID]; known {
 				servers[i] = s
 			} else {
-				at[m.ID] = len(servers)
+				indexByID[m.ID] = len(servers)
 				servers = append(servers, s)
 			}
 		}
 	}
-	return k.Cursor, servers, nil
+	return list.Cursor, servers, nil
 }
 
-// Client asks the name service.
+// Client polls the name service. All its methods and callbacks run on the event loop.
 type Client struct {
-	loop    *loop.Loop
-	peer    netip.AddrPort
-	clock   router.Clock
-	at      func(time.Duration, func())
-	draw    func() float64
-	log     zerolog.Logger
-	changed func(uint32, []sip.Server)
-	socket  *loop.UDPSocket
-	serial  uint32
-	id      uint16
-	waiting int    // queries since the last answer
-	old     uint32 // serial of the latest answer that was older than what is known
-	count   Counters
+	loop            *loop.Loop
+	resolver        netip.AddrPort // the name service
+	clock           router.Clock
+	schedule        func(time.Duration, func()) // calls a function at a time
+	random          func() float64              // from 0 to 1
+	log             zerolog.Logger
+	onChange        func(uint32, []sip.Server)
+	socket          *loop.UDPSocket
+	knownSerial     uint32 // of the newest list
+	queryID         uint16 // of the last query
+	unanswered      int    // queries since the last answer
+	lastStaleSerial uint32 // serial of the last answer that was older than the list in use, to log it once
+	count           Counters
 }
 
 // Counters count queries and answers.
-type Counters struct{ Queries, Answers, Changes, Malformed, Old uint64 }
+type Counters struct {
+	Queries   uint64
+	Answers   uint64 // well-formed ones
+	Changes   uint64 // newer lists
+	Malformed uint64 // malformed or unexpected messages
+	Old       uint64 // answers with a serial older than the list in use
+}
 
-// Follow asks for the list from now on; changed gets the serial and the whole list whenever it has grown past cursor. draw gives random numbers from 0 to 1.
-func Follow(l *loop.Loop, resolver netip.AddrPort, cursor uint32, clock router.Clock,
-	at func(time.Duration, func()), draw func() float64, log zerolog.Logger, changed func(uint32, []sip.Server)) (*Client, error) {
-	c := &Client{loop: l, clock: clock, at: at, draw: draw, log: log, changed: changed, serial: cursor, id: uint16(clock() >> 10)}
+// Watch returns a client that polls the name service from now on. It calls onChange with the serial and the whole
+// list for each list newer than cursor. The function schedule calls its argument at a time of the clock, and random
+// returns numbers from 0 to 1.
+func Follow(eventLoop *loop.Loop, resolver netip.AddrPort, cursor uint32, clock router.Clock,
+	schedule func(time.Duration, func()), random func() float64, log zerolog.Logger,
+	onChange func(uint32, []sip.Server),
+) (*Client, error) {
+	c := &Client{
+		loop:        eventLoop,
+		clock:       clock,
+		schedule:    schedule,
+		random:      random,
+		log:         log,
+		onChange:    onChange,
+		knownSerial: cursor,
+		queryID:     uint16(clock() >> 10),
+	}
 	if err := c.Move(resolver); err != nil {
 		return nil, err
 	}
@@ -116,13 +138,13 @@
 	return c, nil
 }
 
-// Move asks another name service from now on, at once. The serials go on: an older list is still refused, and
-// what the old service may yet answer is not heard any more.
+// SetResolver switches to another name service and queries it at once. Serials continue, so an older list is still
+// rejected, and late answers of the previous service are ignored.
 func (c *Client) Move(resolver netip.AddrPort) error {
-	if c.socket != nil && resolver == c.peer {
+	if c.socket != nil && resolver == c.resolver {
 		return nil
 	}
-	socket, err := c.loop.DialUDP(resolver, c.take)
+	socket, err := c.loop.DialUDP(resolver, c.handleAnswer)
 	if err != nil {
 		return fmt.Errorf("name service: %w", err)
 	}
@@ -130,60 +152,63 @@
 	if moved {
 		c.socket.Close()
 	}
-	c.socket, c.peer = socket, resolver
+	c.socket, c.resolver = socket, resolver
 	if moved {
-		c.ask()
+		c.sendQuery()
 	}
 	return nil
 }
 
-// Known takes a list that came by another way than an answer, if it is newer than what is known.
+// UpdateIfNewer takes a list from another source than the name service if it is newer than the list in use.
 func (c *Client) Known(serial uint32, servers []sip.Server) {
-	if int32(serial-c.serial) > 0 {
-		c.serial = serial
+	if int32(serial-c.knownSerial) > 0 {
+		c.knownSerial = serial
 		c.count.Changes++
-		c.changed(serial, servers)
+		c.onChange(serial, servers)
 	}
 }
 
-// Counters returns a copy.
+// Counters returns a copy of the counters.
 func (c *Client) Counters() Counters { return c.count }
 
+// poll sends a query and schedules the next one.
 func (c *Client) poll() {
-	c.ask()
-	c.at(c.clock()+time.Duration((1+pollSpread*(2*c.draw()-1))*float64(pollEvery)), c.poll)
+	c.sendQuery()
+	c.schedule(c.clock()+time.Duration((1+pollJitter*(2*c.random()-1))*float64(pollInterval)), c.poll)
 }
 
-func (c *Client) ask() {
-	c.id++
+// sendQuery sends a query, and logs once when too many are unanswered.
+func (c *Client) sendQuery() {
+	c.queryID++
 	c.count.Queries++
-	if c.waiting++; c.waiting == staleAfter {
-		c.log.Warn().Str("event", "names_stale").Msgf("name service: no answer to %d queries", staleAfter)
+	if c.unanswered++; c.unanswered == maxUnansweredQueries {
+		c.log.Warn().Str("event", "names_stale").Msgf("name service: no answer to %d queries", maxUnansweredQueries)
 	}
-	c.socket.Send(query(c.id))
+	c.socket.Send(encodeQuery(c.queryID))
 }
 
-func (c *Client) take(b []byte) {
-	if len(b) < 2 || c.id-binary.BigEndian.Uint16(b) > staleAfter {
+// handleAnswer parses a datagram and passes its list on if it is newer than the list in use.
+func (c *Client) handleAnswer(message []byte) {
+	if len(message) < 2 || c.queryID-binary.BigEndian.Uint16(message) > maxUnansweredQueries {
 		c.count.Malformed++
 		return
 	}
-	serial, servers, err := parse(b)
+	serial, servers, err := parseAnswer(message)
 	if err != nil {
 		c.count.Malformed++
 		c.log.Warn().Str("event", "names_malformed").Msgf("name service: %v", err)
 		return
 	}
 	c.count.Answers++
-	c.waiting = 0
-	if int32(serial-c.serial) <= 0 {
-		if serial != c.serial {
+	c.unanswered = 0
+	if int32(serial-c.knownSerial) <= 0 {
+		if serial != c.knownSerial {
 			c.count.Old++
-			if c.old != serial {
-				c.log.Warn().Str("event", "names_old").Uint32("list", serial).Uint32("known", c.serial).
-					Msgf("name service: list %d came after %d, not taken", serial, c.serial)
+			if c.lastStaleSerial != serial {
+				c.log.Warn().Str("event", "names_old").Uint32("list", serial).Uint32("known", c.knownSerial).
+					Msgf("name service: list %d came after %d, not taken", serial, c.knownSerial)
 			}
-			c.old = serial
+			c.lastStaleSerial = serial
 		}
 		return
 	}
@@ -192,6 +217,7 @@
 
 // ---- DNS ----
 
+// DNS record types, RFC 1035 and RFC 2782.
 const (
 	typeA   = 1
 	typeSOA = 6
@@ -199,81 +225,86 @@
 	typeSRV = 33
 )
 
-func query(id uint16) []byte {
+// encodeQuery encodes a query for the SRV records of the service.
+func encodeQuery(id uint16) []byte {
 	b := binary.BigEndian.AppendUint16(nil, id)
 	b = append(b, 1, 0, 0, 1, 0, 0, 0, 0, 0, 0) // recursion desired, one question
-	for label := range strings.SplitSeq(service, ".") {
+	for label := range strings.SplitSeq(serviceName, ".") {
 		b = append(append(b, byte(len(label))), label...)
 	}
 	return append(b, 0, 0, typeSRV, 0, 1)
 }
 
+// errShort is returned for an answer that ends within a field.
 var errShort = errors.New("answer cut short")
 
-// reader walks over an answer.
-type reader struct {
-	b  []byte
-	at int
+// messageReader reads the fields of an answer in order.
+type messageReader struct {
+	message []byte
+	offset  int
 }
 
-func (r *reader) uint16() (uint16, error) {
-	if r.at+2 > len(r.b) {
+// uint16 reads an integer in network byte order.
+func (r *messageReader) uint16() (uint16, error) {
+	if r.offset+2 > len(r.message) {
 		return 0, errShort
 	}
-	r.at += 2
-	return binary.BigEndian.Uint16(r.b[r.at-2:]), nil
+	r.offset += 2
+	return binary.BigEndian.Uint16(r.message[r.offset-2:]), nil
 }
 
-// name reads a name, which may be compressed, in lower case.
-func (r *reader) name() (string, error) {
-	name, after, err := nameAt(r.b, r.at)
-	r.at = after
+// name reads a domain name, which may be compressed, and returns it in lower case.
+func (r *messageReader) name() (string, error) {
+	name, next, err := nameAt(r.message, r.offset)
+	r.offset = next
 	return name, err
 }
 
-func nameAt(b []byte, at int) (name string, after int, err error) {
+// nameAt decodes the domain name at an offset, in lower case, and returns it with the offset after it.
+func nameAt(message []byte, offset int) (name string, next int, err error) {
 	var text strings.Builder
-	after = -1
-	for limit := at; ; {
-		if at >= len(b) {
-			return "", len(b), errShort
+	next = -1
+	for limit := offset; ; {
+		if offset >= len(message) {
+			return "", len(message), errShort
 		}
-		switch n := int(b[at]); {
+		switch n := int(message[offset]); {
 		case n == 0:
-			if after < 0 {
-				after = at + 1
+			if next < 0 {
+				next = offset + 1
 			}
-			return strings.ToLower(text.String()), after, nil
+			return strings.ToLower(text.String()), next, nil
 		case n >= 0xc0:
-			if at+2 > len(b) {
-				return "", len(b), errShort
+			if offset+2 > len(message) {
+				return "", len(message), errShort
 			}
-			to := int(binary.BigEndian.Uint16(b[at:]) & 0x3fff)
-			if to >= limit { // only ever backwards, so that there is an end
-				return "", len(b), errors.New("name points forward")
+			target := int(binary.BigEndian.Uint16(message[offset:]) & 0x3fff)
+			if target >= limit { // pointers must go backwards, so that the loop ends
+				return "", len(message), errors.New("name points forward")
 			}
-			if after < 0 {
-				after = at + 2
+			if next < 0 {
+				next = offset + 2
 			}
-			at, limit = to, to
-		case n > 63 || at+1+n > len(b) || text.Len()+n > 255:
-			return "", len(b), errors.New("malformed name")
+			offset, limit = target, target
+		case n > 63 || offset+1+n > len(message) || text.Len()+n > 255:
+			return "", len(message), errors.New("malformed name")
 		default:
 			if text.Len() > 0 {
 				text.WriteByte('.')
 			}
-			text.Write(b[at+1 : at+1+n])
-			at += 1 + n
+			text.Write(message[offset+1 : offset+1+n])
+			offset += 1 + n
 		}
 	}
 }
 
-// parse reads a whole answer.
-func parse(b []byte) (serial uint32, servers []sip.Server, err error) {
-	if len(b) < 12 {
+// parseAnswer parses a whole answer: the serial of its SOA record, and the servers of its SRV, A and TXT records.
+// Priorities other than 0 mark draining servers.
+func parseAnswer(message []byte) (serial uint32, servers []sip.Server, err error) {
+	if len(message) < 12 {
 		return 0, nil, errShort
 	}
-	flags := binary.BigEndian.Uint16(b[2:])
+	flags := binary.BigEndian.Uint16(message[2:])
 	switch {
 	case flags&0x8000 == 0:
 		return 0, nil, errors.New("not an answer")
@@ -282,23 +313,24 @@
 	case flags&15 != 0:
 		return 0, nil, fmt.Errorf("answer code %d", flags&15)
 	}
-	questions := int(binary.BigEndian.Uint16(b[4:]))
-	records := int(binary.BigEndian.Uint16(b[6:])) + int(binary.BigEndian.Uint16(b[8:])) +
-		int(binary.BigEndian.Uint16(b[10:]))
-	r := &reader{b, 12}
-	asked, err := r.name()
-	if err != nil || questions != 1 || asked != service || r.at+4 > len(b) || binary.BigEndian.Uint32(b[r.at:]) != typeSRV<<16|1 {
+	questions := int(binary.BigEndian.Uint16(message[4:]))
+	records := int(binary.BigEndian.Uint16(message[6:])) + int(binary.BigEndian.Uint16(message[8:])) +
+		int(binary.BigEndian.Uint16(message[10:]))
+	r := &messageReader{message, 12}
+	question, err := r.name()
+	if err != nil || questions != 1 || question != serviceName || r.offset+4 > len(message) ||
+		binary.BigEndian.Uint32(message[r.offset:]) != typeSRV<<16|1 {
 		return 0, nil, errors.New("answer to another question")
 	}
-	r.at += 4
+	r.offset += 4
 	type target struct {
 		name     string
 		port     uint16
 		priority uint16
 	}
 	var targets []target
-	addrs, texts := map[string]netip.Addr{}, map[string]map[string]string{}
-	told := false
+	addresses, textRecords := map[string]netip.Addr{}, map[string]map[string]string{}
+	hasSerial := false
 	for range records {
 		owner, err := r.name()
 		if err != nil {
@@ -308,48 +340,48 @@
 		if err != nil {
 			return 0, nil, err
 		}
-		r.at += 6 // class and time to live
+		r.offset += 6 // class and time to live
 		size, err := r.uint16()
-		if err != nil || r.at+int(size) > len(b) {
+		if err != nil || r.offset+int(size) > len(message) {
 			return 0, nil, errShort
 		}
-		start, data := r.at, b[r.at:r.at+int(size)]
-		r.at += int(size)
+		start, data := r.offset, message[r.offset:r.offset+int(size)]
+		r.offset += int(size)
 		switch kind {
 		case typeSRV:
 			if len(data) < 7 {
 				return 0, nil, errShort
 			}
-			name, _, err := nameAt(b, start+6)
+			name, _, err := nameAt(message, start+6)
 			if err != nil {
 				return 0, nil, err
 			}
-			if owner == service {
+			if owner == serviceName {
 				targets = append(targets, target{name, binary.BigEndian.Uint16(data[4:]), binary.BigEndian.Uint16(data)})
 			}
 		case typeA:
 			if len(data) != 4 {
 				return 0, nil, errors.New("malformed address")
 			}
-			addrs[owner] = netip.AddrFrom4([4]byte(data))
+			addresses[owner] = netip.AddrFrom4([4]byte(data))
 		case typeTXT:
-			texts[owner] = pairs(data)
+			textRecords[owner] = parseTXT(data)
 		case typeSOA:
-			_, at, err := nameAt(b, start)
+			_, offset, err := nameAt(message, start)
 			if err == nil {
-				_, at, err = nameAt(b, at)
+				_, offset, err = nameAt(message, offset)
 			}
-			if err != nil || at+4 > len(b) {
+			if err != nil || offset+4 > len(message) {
 				return 0, nil, errShort
 			}
-			serial, told = binary.BigEndian.Uint32(b[at:]), true
+			serial, hasSerial = binary.BigEndian.Uint32(message[offset:]), true
 		}
 	}
-	if !told {
+	if !hasSerial {
 		return 0, nil, errors.New("answer without a serial")
 	}
 	for _, t := range targets {
-		s, err := server(t.name, t.port, t.priority, addrs, texts)
+		s, err := newServer(t.name, t.port, t.priority, addresses, textRecords)
 		if err != nil {
 			return 0, nil, err
 		}
@@ -358,18 +390,21 @@
 	return serial, servers, nil
 }
 
-func server(name string, port, priority uint16, addrs map[string]netip.Addr, texts map[string]map[string]string) (sip.Server, error) {
-	addr, known := addrs[name]
+// newServer combines the records of a server. The first label of its name is its ID.
+func newServer(
+	name string, port, priority uint16, addresses map[string]netip.Addr, textRecords map[string]map[string]string,
+) (sip.Server, error) {
+	addr, known := addresses[name]
 	if !known {
 		return sip.Server{}, fmt.Errorf("no address of %s", name)
 	}
 	id, _, _ := strings.Cut(name, ".")
-	cell, err := strconv.Atoi(texts[name]["cell"])
+	cell, err := strconv.Atoi(textRecords[name]["cell"])
 	if err != nil {
 		return sip.Server{}, fmt.Errorf("cell of %s: %w", name, err)
 	}
 	s := sip.Server{Addr: netip.AddrPortFrom(addr, port), Server: threadglade.Server{ID: id, Number: cell}}
-	if started := texts[name]["started"]; started != "" {
+	if started := textRecords[name]["started"]; started != "" {
 		ms, err := strconv.ParseInt(started, 10, 64)
 		if err != nil {
 			return sip.Server{}, fmt.Errorf("start of %s: %w", name, err)
@@ -382,13 +417,13 @@
 	return s, nil
 }
 
-// pairs reads the strings of a TXT record as names and values.
-func pairs(data []byte) map[string]string {
+// parseTXT reads the strings of a TXT record that have the form name=value; others are ignored.
+func parseTXT(data []byte) map[string]string {
 	found := map[string]string{}
 	for len(data) > 0 && 1+int(data[0]) <= len(data) {
-		one := data[1 : 1+int(data[0])]
+		entry := data[1 : 1+int(data[0])]
 		data = data[1+int(data[0]):]
-		if name, value, ok := strings.Cut(string(one), "="); ok {
+		if name, value, ok := strings.Cut(string(entry), "="); ok {
 			found[name] = value
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,7 @@
-// Package settings reads the product's own settings: one file of S-expressions, a section for each subsystem, absent
-// sections off. It owns the file's form, where each value stands, and that nothing in it goes unread. It must never know
-// what a section means: each subsystem reads its own into a typed struct.
+// Package settings parses the product's settings file: S-expressions with one section for each subsystem, where a
+// subsystem without a section is off. It records the position of each value for error messages and reports fields
+// that no reader asked for. It doesn't interpret sections: each subsystem reads its own into a typed struct. A
+// Section is not safe for concurrent use.
 //
 //	; comment
 //	(threadglade
@@ -21,95 +22,99 @@
 )
 
 const (
-	// fileMost bytes a settings file may have, and depthMost lists may stand in each other: more is no settings file.
-	fileMost  = 64 << 20
-	depthMost = 32
-	// errorsMost are reported at once.
-	errorsMost = 20
-	root       = "threadglade"
+	// A file beyond these limits is not a settings file.
+	maxFileBytes = 64 << 20
+	maxDepth     = 32 // of nested lists
+
+	maxErrors   = 20 // reported for a file
+	defaultRoot = "threadglade"
 )
 
-// node is one value: a list, a string or a bare word.
+// node is a parsed value: a list, a string or a bare word.
 type node struct {
 	Pos  lexer.Position
-	Open bool // a list
-	List []*node
-	Text *string
+	Open bool    // a list
+	List []*node // nil unless a list
+	Text *string // nil if a list
 }
 
-// tokens is the form of the file; reading it by a grammar, too, took five times as long (100,000 networks: 1.3 s).
+// lexerRules define the tokens. The parser is written by hand, because one generated from a grammar took five times
+// as long (1.3 s for 100,000 networks).
 var (
-	tokens = lexer.MustSimple([]lexer.SimpleRule{
+	lexerRules = lexer.MustSimple([]lexer.SimpleRule{
 		{Name: "Blank", Pattern: `(?:[\s,]+|;[^\n]*)+`},
 		{Name: "String", Pattern: `"(?:\\.|[^"\\])*"`},
 		{Name: "Open", Pattern: `\(`},
 		{Name: "Shut", Pattern: `\)`},
 		{Name: "Word", Pattern: `[^\s,()";]+`},
 	})
-	kinds = tokens.Symbols()
+	tokenTypes = lexerRules.Symbols()
 )
 
-// reader turns tokens into nodes.
-type reader struct {
+// parser is a recursive descent parser that turns tokens into nodes.
+type parser struct {
 	lex   lexer.Lexer
-	depth int
+	depth int // of the current list
 }
 
-func (r *reader) next() (lexer.Token, error) {
+// nextToken returns the next token that is not white space or a comment.
+func (p *parser) nextToken() (lexer.Token, error) {
 	for {
-		t, err := r.lex.Next()
-		if err != nil || t.Type != kinds["Blank"] {
+		t, err := p.lex.Next()
+		if err != nil || t.Type != tokenTypes["Blank"] {
 			return t, err
 		}
 	}
 }
 
-// value reads one value; a nil node without an error is the end of a list, or of the text.
-func (r *reader) value() (*node, lexer.Token, error) {
-	t, err := r.next()
+// readValue parses one value and returns it with its first token. A nil node without an error means the end of a list
+// or of the text.
+func (p *parser) readValue() (*node, lexer.Token, error) {
+	t, err := p.nextToken()
 	if err != nil {
 		return nil, t, err
 	}
 	n := &node{Pos: t.Pos}
 	switch t.Type {
-	case kinds["Word"]:
+	case tokenTypes["Word"]:
 		n.Text = &t.Value
-	case kinds["String"]:
+	case tokenTypes["String"]:
 		text, err := strconv.Unquote(t.Value)
 		if err != nil {
-			return nil, t, fault(t.Pos, "a string that cannot be read: %s", t.Value)
+			return nil, t, errorAt(t.Pos, "malformed string: %s", t.Value)
 		}
 		n.Text = &text
-	case kinds["Open"]:
+	case tokenTypes["Open"]:
 		n.Open = true
-		if r.depth++; r.depth > depthMost {
-			return nil, t, fault(t.Pos, "more than %d lists in each other", depthMost)
+		if p.depth++; p.depth > maxDepth {
+			return nil, t, errorAt(t.Pos, "more than %d lists are nested", maxDepth)
 		}
 		for {
-			one, end, err := r.value()
+			child, end, err := p.readValue()
 			if err != nil {
 				return nil, t, err
 			}
-			if one == nil && end.EOF() {
-				return nil, t, fault(t.Pos, "this list is not closed")
+			if child == nil && end.EOF() {
+				return nil, t, errorAt(t.Pos, "this list is not closed")
 			}
-			if one == nil {
+			if child == nil {
 				break
 			}
-			n.List = append(n.List, one)
+			n.List = append(n.List, child)
 		}
-		r.depth--
+		p.depth--
 	default:
 		return nil, t, nil
 	}
 	return n, t, nil
 }
 
-func fault(at lexer.Position, format string, args ...any) error {
-	return fmt.Errorf("%s:%d: %s", at.Filename, at.Line, fmt.Sprintf(format, args...))
+// errorAt returns an error that names the file and line of a position.
+func errorAt(pos lexer.Position, format string, args ...any) error {
+	return fmt.Errorf("%s:%d: %s", pos.Filename, pos.Line, fmt.Sprintf(format, args...))
 }
 
-// text is the value of a string or word.
+// text returns the value of a string or word; false for a list.
 func (n *node) text() (string, bool) {
 	if n.Text == nil {
 		return "", false
@@ -117,99 +122,108 @@
 	return *n.Text, true
 }
 
-// Section is one list of the file whose first value is its name: (name field...). A nil Section has no fields.
+// Section is a list of the file whose first value is its name: (name field...). A nil *Section behaves as one without
+// fields.
 type Section struct {
-	Name  string
-	nodes []*node // fields, without the name
-	pos   lexer.Position
-	path  string // names of the sections round it
-	used  []bool
-	all   *file
+	Name     string
+	nodes    []*node // fields, without the name
+	pos      lexer.Position
+	path     string // names of the enclosing sections and of this one
+	used     []bool // which of the fields have been read
+	document *document
 }
 
-// file is what the sections of a file share.
-type file struct {
-	errs  []error
-	first []*Section
+// document is the state shared by the sections of a file.
+type document struct {
+	errs        []error
+	subsections []*Section // read by Sub, whose unread fields Finish reports
 }
 
-// Load reads a settings file. The error names file and line.
-func Load(path string) (*Section, error) { return LoadAs(path, root) }
+// Load reads a settings file. Errors name file and line.
+func Load(path string) (*Section, error) { return LoadAs(path, defaultRoot) }
 
-// LoadAs reads another file of this form, whose one list begins with a word of its own.
-func LoadAs(path, word string) (*Section, error) {
+// LoadAs reads a file of this syntax whose top-level list has the given name.
+func LoadAs(path, rootName string) (*Section, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > fileMost {
-		return nil, fmt.Errorf("%s: longer than %d bytes", path, fileMost)
+	if info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%s: longer than %d bytes", path, maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return ParseAs(path, string(text), word)
+	return ParseAs(path, string(text), rootName)
 }
 
-// Parse reads settings from text; name stands for the file in errors.
-func Parse(name, text string) (*Section, error) { return ParseAs(name, text, root) }
+// Parse reads settings from text; name is the file name in errors.
+func Parse(name, text string) (*Section, error) { return ParseAs(name, text, defaultRoot) }
 
-// ParseAs reads text of this form, whose one list begins with a word of its own.
-func ParseAs(name, text, root string) (*Section, error) {
-	lex, err := tokens.LexString(name, text)
+// ParseAs reads text of this syntax whose top-level list has the given name; name is the file name in errors.
+func ParseAs(name, text, rootName string) (*Section, error) {
+	lex, err := lexerRules.LexString(name, text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	r := &reader{lex: lex}
-	n, end, err := r.value()
-	if err == nil && n != nil {
-		var more *node
-		if more, end, err = r.value(); err == nil && (more != nil || !end.EOF()) {
-			err = fault(end.Pos, "nothing may follow the settings")
+	p := &parser{lex: lex}
+	top, end, err := p.readValue()
+	if err == nil && top != nil {
+		var trailing *node
+		if trailing, end, err = p.readValue(); err == nil && (trailing != nil || !end.EOF()) {
+			err = errorAt(end.Pos, "unexpected text after the settings")
 		}
 	}
-	var at participle.Error
+	var parseError participle.Error
 	switch {
-	case errors.As(err, &at):
-		return nil, fault(at.Position(), "%s", at.Message())
+	case errors.As(err, &parseError):
+		return nil, errorAt(parseError.Position(), "%s", parseError.Message())
 	case err != nil:
 		return nil, err
-	case n == nil:
-		return nil, fault(end.Pos, "(%s ...) is wanted", root)
+	case top == nil:
+		return nil, errorAt(end.Pos, "expected (%s ...)", rootName)
 	}
-	all := &file{}
-	s, err := section(n, "", all)
-	if err == nil && s.Name != root {
-		err = fmt.Errorf("%s:%d: (%s ...) stands where (%s ...) is wanted", name, s.pos.Line, s.Name, root)
+	doc := &document{}
+	s, err := newSection(top, "", doc)
+	if err == nil && s.Name != rootName {
+		err = fmt.Errorf("%s:%d: found (%s ...), expected (%s ...)", name, s.pos.Line, s.Name, rootName)
 	}
 	return s, err
 }
 
-func section(n *node, path string, all *file) (*Section, error) {
+// newSection returns the section that a list holds; path names the enclosing sections.
+func newSection(n *node, path string, doc *document) (*Section, error) {
 	if !n.Open || len(n.List) == 0 {
-		return nil, fmt.Errorf("%s:%d: %sa list (name value...) is wanted", n.Pos.Filename, n.Pos.Line, prefix(path))
+		return nil, fmt.Errorf("%s:%d: %sexpected a list (name value...)", n.Pos.Filename, n.Pos.Line, pathPrefix(path))
 	}
 	name, ok := n.List[0].text()
 	if !ok {
-		return nil, fmt.Errorf("%s:%d: %sa list begins with its name", n.Pos.Filename, n.Pos.Line, prefix(path))
+		return nil, fmt.Errorf("%s:%d: %sa list must begin with its name", n.Pos.Filename, n.Pos.Line, pathPrefix(path))
+	}
+	s := &Section{
+		Name:     name,
+		nodes:    n.List[1:],
+		pos:      n.Pos,
+		path:     strings.TrimSpace(path + " " + name),
+		document: doc,
+		used:     make([]bool, len(n.List)-1),
 	}
-	s := &Section{Name: name, nodes: n.List[1:], pos: n.Pos, path: strings.TrimSpace(path + " " + name), all: all,
-		used: make([]bool, len(n.List)-1)}
 	return s, nil
 }
 
-func prefix(path string) string {
+// pathPrefix returns the prefix that names a section's path in an error.
+func pathPrefix(path string) string {
 	if path == "" {
 		return ""
 	}
 	return path + ": "
 }
 
-// Errorf notes what is wrong with a field of the section, or with the section if field is empty; Finish reports it with
-// file, line and field.
+// Errorf records an error about a field of the section, or about the section if field is empty. Finish returns it
+// with file, line and field. Errors beyond maxErrors are dropped.
 func (s *Section) Errorf(field, format string, args ...any) {
-	if s == nil || len(s.all.errs) >= errorsMost {
+	if s == nil || len(s.document.errs) >= maxErrors {
 		return
 	}
 	pos, name := s.pos, s.path
@@ -223,10 +237,11 @@
 			}
 		}
 	}
-	s.all.errs = append(s.all.errs, fmt.Errorf("%s:%d: %s: %s", pos.Filename, pos.Line, name, fmt.Sprintf(format, args...)))
+	s.document.errs = append(s.document.errs,
+		fmt.Errorf("%s:%d: %s: %s", pos.Filename, pos.Line, name, fmt.Sprintf(format, args...)))
 }
 
-// Words calls f with every field of the section, in order: its line, its name, its values.
+// EachField calls f with the line, name and values of every field of the section that is not read yet, in order.
 func (s *Section) Words(f func(line int, name string, values []string)) {
 	if s == nil {
 		return
@@ -240,7 +255,7 @@
 		for _, v := range n.List {
 			t, ok := v.text()
 			if !ok {
-				s.Errorf("", "line %d: a list stands where a value is wanted", v.Pos.Line)
+				s.Errorf("", "line %d: expected a value, found a list", v.Pos.Line)
 				return
 			}
 			words = append(words, t)
@@ -249,10 +264,10 @@
 	}
 }
 
-// Line is where the section stands.
+// Line returns the line at which the section begins.
 func (s *Section) Line() int { return s.pos.Line }
 
-// find returns the field's list; one that stands twice is an error.
+// find returns the list of a field and marks it as read, or nil if there is none. A repeated field is an error.
 func (s *Section) find(name string) *node {
 	if s == nil {
 		return nil
@@ -264,7 +279,7 @@
 		}
 		if t, _ := n.List[0].text(); t == name {
 			if found != nil {
-				s.Errorf(name, "stands twice")
+				s.Errorf(name, "is given more than once")
 			}
 			found, s.used[i] = n, true
 		}
@@ -272,22 +287,22 @@
 	return found
 }
 
-// Sub returns the section of that name within this one; nil if there is none.
+// Sub returns the subsection of that name, or nil if there is none.
 func (s *Section) Sub(name string) *Section {
 	n := s.find(name)
 	if n == nil {
 		return nil
 	}
-	sub, err := section(n, s.path, s.all)
+	sub, err := newSection(n, s.path, s.document)
 	if err != nil {
 		s.Errorf(name, "%v", err)
 		return nil
 	}
-	s.all.first = append(s.all.first, sub)
+	s.document.subsections = append(s.document.subsections, sub)
 	return sub
 }
 
-// Each calls f with every section of that name, in order.
+// EachSection calls f with every subsection of that name, in order.
 func (s *Section) Each(name string, f func(*Section)) {
 	if s == nil {
 		return
@@ -300,16 +315,16 @@
 			continue
 		}
 		s.used[i] = true
-		if sub, err := section(n, s.path, s.all); err != nil {
+		if sub, err := newSection(n, s.path, s.document); err != nil {
 			s.Errorf(name, "%v", err)
 		} else {
 			f(sub)
-			sub.unread()
+			sub.reportUnread()
 		}
 	}
 }
 
-// Strings returns the values of a field, or nil if there is none.
+// Strings returns the values of a field, or nil if the field is absent.
 func (s *Section) Strings(name string) []string {
 	n := s.find(name)
 	if n == nil {
@@ -319,7 +334,7 @@
 	for _, v := range n.List[1:] {
 		t, ok := v.text()
 		if !ok {
-			s.Errorf(name, "a list stands where a value is wanted")
+			s.Errorf(name, "expected a value, found a list")
 			continue
 		}
 		values = append(values, t)
@@ -327,7 +342,7 @@
 	return values
 }
 
-// Label returns the value that stands before the fields, as in (tenant "lda" ...).
+// Label returns the value before the fields, as in (tenant "lda" ...). A section without one is an error.
 func (s *Section) Label() string {
 	if s == nil || len(s.nodes) == 0 {
 		return ""
@@ -341,21 +356,21 @@
 	return t
 }
 
-// String reads a field with one value into v, which keeps its default where the field is absent.
+// String reads a field with one value into v and reports whether it did. An absent field leaves v unchanged.
 func (s *Section) String(name string, v *string) bool {
 	values := s.Strings(name)
 	if values == nil {
 		return false
 	}
 	if len(values) != 1 {
-		s.Errorf(name, "one value is wanted, %d stand there", len(values))
+		s.Errorf(name, "expected one value, found %d", len(values))
 		return false
 	}
 	*v = values[0]
 	return true
 }
 
-// Choice reads a field whose value is one of a few words.
+// Choice reads a field whose value is one of the given words. An absent field leaves v unchanged.
 func (s *Section) Choice(name string, v *string, words ...string) {
 	var t string
 	if !s.String(name, &t) {
@@ -367,10 +382,10 @@
 			return
 		}
 	}
-	s.Errorf(name, "%q is none of %s", t, strings.Join(words, ", "))
+	s.Errorf(name, "%q is not one of %s", t, strings.Join(words, ", "))
 }
 
-// Int reads a whole number within bounds.
+// Int reads an integer from low to high. An absent field leaves v unchanged.
 func (s *Section) Int(name string, v *int, low, high int) {
 	var t string
 	if !s.String(name, &t) {
@@ -378,13 +393,13 @@
 	}
 	n, err := strconv.Atoi(t)
 	if err != nil || n < low || n > high {
-		s.Errorf(name, "%q is no whole number from %d to %d", t, low, high)
+		s.Errorf(name, "%q is not an integer from %d to %d", t, low, high)
 		return
 	}
 	*v = n
 }
 
-// Span reads a duration such as "1h" or "250ms" within bounds.
+// Duration reads a duration from low to high, such as "1h" or "250ms". An absent field leaves v unchanged.
 func (s *Section) Span(name string, v *time.Duration, low, high time.Duration) {
 	var t string
 	if !s.String(name, &t) {
@@ -392,14 +407,14 @@
 	}
 	d, err := time.ParseDuration(t)
 	if err != nil || d < low || d > high {
-		s.Errorf(name, "%q is no duration from %v to %v", t, low, high)
+		s.Errorf(name, "%q is not a duration from %v to %v", t, low, high)
 		return
 	}
 	*v = d
 }
 
-// unread notes fields that nobody has asked for.
-func (s *Section) unread() {
+// reportUnread records an error for each field that no reader asked for.
+func (s *Section) reportUnread() {
 	for i, n := range s.nodes {
 		if s.used[i] {
 			continue
@@ -408,18 +423,20 @@
 		if !ok && len(n.List) > 0 {
 			name, _ = n.List[0].text()
 		}
-		if len(s.all.errs) < errorsMost {
-			s.all.errs = append(s.all.errs, fmt.Errorf("%s:%d: %s: unknown field %q", n.Pos.Filename, n.Pos.Line, s.path, name))
+		if len(s.document.errs) < maxErrors {
+			s.document.errs = append(s.document.errs,
+				fmt.Errorf("%s:%d: %s: unknown field %q", n.Pos.Filename, n.Pos.Line, s.path, name))
 		}
 	}
 }
 
-// Finish ends the reading of a file: the error names everything that is wrong in it and every field that nobody read.
+// Finish is to be called after all sections have been read. It returns the errors recorded for the file and one for
+// each field that no reader asked for, joined, or nil.
 func (s *Section) Finish() error {
-	s.unread()
-	for _, sub := range s.all.first {
-		sub.unread()
+	s.reportUnread()
+	for _, sub := range s.document.subsections {
+		sub.reportUnread()
 	}
-	s.all.first = nil
-	return errors.Join(s.all.errs...)
+	s.document.subsections = nil
+	return errors.Join(s.document.errs...)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,10 +10,10 @@
 )
 
 type read struct {
-	level, name string
-	most        int
-	every       time.Duration
-	tenants     []string
+	level   string
+	most    int
+	every   time.Duration
+	tenants []string
 }
 
 func load(text string) (r read, err error) {
@@ -32,29 +32,37 @@
 	return r, s.Finish()
 }
 
+// All kinds of fields are read, and absent ones keep their defaults.
 func TestRead(t *testing.T) {
-	r, err := load("; all\n(threadglade (log (level warn) (every \"2m\"))\n (tenant \"a b\" (networks \"10.0.0.0/8\" x))\n (tenant c))")
+	r, err := load("; all\n(threadglade (log (level warn) (every \"2m\"))\n" +
+		" (tenant \"a b\" (networks \"10.0.0.0/8\" x))\n (tenant c))")
 	require.NoError(t, err)
-	require.Equal(t, read{level: "warn", most: 3, every: 2 * time.Minute, tenants: []string{"a b[10.0.0.0/8 x]", "c[]"}}, r)
+	require.Equal(t, read{
+		level:   "warn",
+		most:    3,
+		every:   2 * time.Minute,
+		tenants: []string{"a b[10.0.0.0/8 x]", "c[]"},
+	}, r)
 }
 
-// Whatever is wrong is named with file, line and field.
-func TestWrong(t *testing.T) {
+// Errors name the file, the line and the field.
+func TestErrorsNamePosition(t *testing.T) {
 	for text, want := range map[string]string{
-		"(threadglade\n (log (level loud)))":                `f.sexp:2: threadglade log level: "loud" is none of info, warn`,
-		"(threadglade\n\n (log (most 10)))":                 `f.sexp:3: threadglade log most: "10" is no whole number from 1 to 9`,
-		"(threadglade (log (every 2h)))":                    `every: "2h" is no duration from 1ms to 1h`,
-		"(threadglade (log (most 1 2)))":                    "most: one value is wanted, 2 stand there",
-		"(threadglade (log (most 1) (most 2)))":             "most: stands twice",
-		"(threadglade (log\n (colour red)))":                `f.sexp:2: threadglade log: unknown field "colour"`,
-		"(threadglade\n (ledgre (directory x)))":            `f.sexp:2: threadglade: unknown field "ledgre"`,
-		"(threadglade (tenant x\n (nets 1)))":               `f.sexp:2: threadglade tenant: unknown field "nets"`,
-		"(threadglade (tenant (networks 1)))":               "its name is missing",
-		"(other)":                                           "f.sexp:1: (other ...) stands where (threadglade ...) is wanted",
-		"(threadglade\n (log (level info)":                  "f.sexp:2",
-		"(threadglade) more":                                "f.sexp:1",
-		"":                                                  "f.sexp:1",
-		"(threadglade \"open":                               "f.sexp:1",
+		"(threadglade\n (log (level loud)))":     `f.sexp:2: threadglade log level: "loud" is not one of info, warn`,
+		"(threadglade\n\n (log (most 10)))":      `f.sexp:3: threadglade log most: "10" is not an integer from 1 to 9`,
+		"(threadglade (log (every 2h)))":         `every: "2h" is not a duration from 1ms to 1h`,
+		"(threadglade (log (most 1 2)))":         "most: expected one value, found 2",
+		"(threadglade (log (most 1) (most 2)))":  "most: is given more than once",
+		"(threadglade (log\n (colour red)))":     `f.sexp:2: threadglade log: unknown field "colour"`,
+		"(threadglade\n (ledgre (directory x)))": `f.sexp:2: threadglade: unknown field "ledgre"`,
+		"(threadglade (tenant x\n (nets 1)))":    `f.sexp:2: threadglade tenant: unknown field "nets"`,
+		"(threadglade (tenant (networks 1)))":    "its name is missing",
+		"(other)":                                "f.sexp:1: found (other ...), expected (threadglade ...)",
+		"(threadglade\n (log (level info)":       "f.sexp:2",
+		"(threadglade) more":                     "f.sexp:1",
+		"":                                       "f.sexp:1",
+		"(threadglade \"open":                    "f.sexp:1",
+
 		strings.Repeat("(", 100) + strings.Repeat(")", 100): "more than 32 lists",
 	} {
 		_, err := load(text)
