--- a/cmd/threadglade/fleet.go
+++ b/cmd/threadglade/fleet.go
@@ -89,8 +89,8 @@
 }
 
 // fleetSettings reads the (fleet ...) section alone out of a whole settings file.
-func fleetSettings(path, name string) (node.Product, fleetio.Options, error) {
-	p, err := node.LoadProduct(path, "")
+func fleetSettings(path, name string) (node.ProductSettings, fleetio.Options, error) {
+	p, err := node.LoadProductSettings(path, "")
 	if err == nil && p.Fleet == nil {
 		err = fmt.Errorf("%s: no (fleet ...) section", path)
 	}
@@ -112,7 +112,7 @@
 		return usage(fmt.Errorf("%s: fleet directory: is missing", path))
 	}
 	signal.Ignore(syscall.SIGXFSZ) // a limit on files is an error of the write, which stops the vote and not the process
-	log := node.Logger(os.Stderr, name, p.Level, p.JSON)
+	log := node.NewLogger(os.Stderr, name, p.LogLevel, p.LogJSON)
 	f, err := fleetio.Open(fleetio.Config{Options: o, FS: fileSystem, Name: name, Log: log, Limits: p.Limits})
 	if err != nil {
 		return err
--- a/cmd/threadglade/serve.go
+++ b/cmd/threadglade/serve.go
@@ -27,10 +27,10 @@
 }
 
 // load reads them for a router of that name.
-func (f *files) load(name string) (p node.Product, err error) {
-	p = node.DefaultProduct()
+func (f *files) load(name string) (p node.ProductSettings, err error) {
+	p = node.DefaultProductSettings()
 	if f.settings != "" {
-		if p, err = node.LoadProduct(f.settings, name); err != nil {
+		if p, err = node.LoadProductSettings(f.settings, name); err != nil {
 			return p, err
 		}
 	}
@@ -75,7 +75,7 @@
 				if err != nil {
 					return fmt.Errorf("%s: %w", against, err)
 				}
-				if err := c.Follows(old); err != nil {
+				if err := c.CheckCanReplace(old); err != nil {
 					return err
 				}
 			}
@@ -104,8 +104,8 @@
 	if c.Product, err = f.load(c.Name); err != nil {
 		return err
 	}
-	node.Limit(c)
-	log := node.Logger(os.Stderr, c.Name, c.Product.Level, c.Product.JSON)
+	node.ApplyProcessLimits(c)
+	log := node.NewLogger(os.Stderr, c.Name, c.Product.LogLevel, c.Product.LogJSON)
 	if f.callcontrol != "" {
 		log.Warn().Str("event", "deprecated").Msg("--callcontrol is deprecated: move the file into a (callcontrol ...) section of --settings")
 	}
@@ -122,7 +122,7 @@
 		if err = verifier.Watch(ctx, callers.WorkloadAPI); err != nil {
 			return err
 		}
-		if _, err = n.CallControl(*callers, c.Settings.Classes, verifier.Verify); err != nil {
+		if _, err = n.OpenCallControl(*callers, c.Settings.Classes, verifier.Verify); err != nil {
 			return err
 		}
 	}
@@ -140,9 +140,9 @@
 			if verifier != nil && p.CallControl != nil {
 				verifier.Reconfigure(p.CallControl.Identity()) // checked above
 			}
-			n.ApplyProduct(p)
+			n.ApplyProductSettings(p)
 		}, nil
 	}
-	n.Signals()
+	n.HandleSignals()
 	return n.Run()
 }
--- a/internal/drill/plan.go
+++ b/internal/drill/plan.go
@@ -98,7 +98,7 @@
 	p := &Plan{Name: s.Label(), Seed: 1, For: 20 * time.Second, Keepers: 3, Routers: 3, Servers: 2, Load: 40, Lease: 3 * time.Second, Every: 10 * time.Millisecond, Cycles: 1}
 	s.String("about", &p.About)
 	s.Int("seed", &p.Seed, 0, 1<<31)
-	s.Span("for", &p.For, time.Second, 24*time.Hour)
+	s.Duration("for", &p.For, time.Second, 24*time.Hour)
 	s.Int("keepers", &p.Keepers, 1, 5)
 	s.Int("routers", &p.Routers, 0, 64)
 	s.Int("servers", &p.Servers, 1, 16)
@@ -107,12 +107,12 @@
 	s.Int("liars", &p.Liars, 0, 64)
 	s.Int("redials", &p.Redials, 0, 100)
 	s.Int("load", &p.Load, 0, 100_000)
-	s.Span("lease", &p.Lease, 200*time.Millisecond, time.Minute)
+	s.Duration("lease", &p.Lease, 200*time.Millisecond, time.Minute)
 	p.Renew = p.Lease / 3
-	s.Span("renew", &p.Renew, 50*time.Millisecond, 30*time.Second)
-	s.Span("beacon-every", &p.Every, 5*time.Millisecond, time.Second)
+	s.Duration("renew", &p.Renew, 50*time.Millisecond, 30*time.Second)
+	s.Duration("beacon-every", &p.Every, 5*time.Millisecond, time.Second)
 	s.Int("cycles", &p.Cycles, 1, 1000)
-	s.Span("period", &p.Period, 0, time.Hour)
+	s.Duration("period", &p.Period, 0, time.Hour)
 	s.String("settings", &p.More)
 	s.String("router-settings", &p.Own)
 	p.Numbers = s.Strings("numbers")
@@ -136,7 +136,7 @@
 	if p.Cycles > 1 && p.Period == 0 {
 		s.Errorf("period", "cycles come by a period")
 	}
-	s.Words(func(line int, name string, values []string) {
+	s.EachField(func(line int, name string, values []string) {
 		bad := func(format string, args ...any) {
 			s.Errorf("", "line %d: (%s %s): %s", line, name, strings.Join(values, " "), fmt.Sprintf(format, args...))
 		}
--- a/internal/fleetio/limits.go
+++ b/internal/fleetio/limits.go
@@ -25,7 +25,7 @@
 
 // ReadLimits reads a (limits ...) section; docs/operators/quota.md has every field.
 func ReadLimits(s *settings.Section) (list []quota.Limit) {
-	s.Each("limit", func(one *settings.Section) {
+	s.EachSection("limit", func(one *settings.Section) {
 		l := readLimit(one)
 		if slices.ContainsFunc(list, func(o quota.Limit) bool { return o.Name == l.Name }) {
 			one.Errorf("", "limit %q stands twice", l.Name)
@@ -74,8 +74,8 @@
 		}
 		l.Kind, l.Max = quota.Cold, 1
 	}
-	s.Span("burst", &l.Burst, 0, time.Minute)
-	s.Span("longest", &l.MaxCallDuration, time.Second, 24*time.Hour)
+	s.Duration("burst", &l.Burst, 0, time.Minute)
+	s.Duration("longest", &l.MaxCallDuration, time.Second, 24*time.Hour)
 	mode := "closed"
 	s.Choice("cut-off", &mode, "closed", "floor", "open")
 	l.CutOff = map[string]quota.CutOff{"closed": quota.Closed, "floor": quota.Floor, "open": quota.Open}[mode]
--- a/internal/fleetio/settings.go
+++ b/internal/fleetio/settings.go
@@ -43,15 +43,15 @@
 	if len(o.Zone) > 64 {
 		s.Errorf("zone", "a zone has up to 64 bytes")
 	}
-	s.Span("lease", &t.LeaseDuration, 200*time.Millisecond, time.Minute)
-	s.Span("renew", &t.RenewInterval, 50*time.Millisecond, 30*time.Second)
+	s.Duration("lease", &t.LeaseDuration, 200*time.Millisecond, time.Minute)
+	s.Duration("renew", &t.RenewInterval, 50*time.Millisecond, 30*time.Second)
 	percent := int(t.ClockDrift*100 + 0.5)
 	s.Int("drift-percent", &percent, 0, 10)
 	t.ClockDrift = float64(percent) / 100
 	kb := int(o.Roll >> 10)
 	s.Int("file-kb", &kb, 64, 1<<20)
 	o.Roll = int64(kb) << 10
-	s.Span("beacon-every", &o.Every, 5*time.Millisecond, time.Minute)
+	s.Duration("beacon-every", &o.Every, 5*time.Millisecond, time.Minute)
 	address := func(field, text string) (a netip.AddrPort) {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil || !a.Addr().IsLoopback() && !a.Addr().IsPrivate() || a.Port() == 0 && field != "listen" {
@@ -65,7 +65,7 @@
 	if o.Address != "" {
 		address("address", o.Address)
 	}
-	s.Each("reach", func(r *settings.Section) {
+	s.EachSection("reach", func(r *settings.Section) {
 		name, at := r.Label(), ""
 		if !r.String("address", &at) {
 			r.Errorf("address", "is missing")
@@ -79,7 +79,7 @@
 		o.Beacon = address("beacon", beacon)
 	}
 	t.Members = s.Strings("members")
-	s.Each("keeper", func(k *settings.Section) {
+	s.EachSection("keeper", func(k *settings.Section) {
 		name, at := k.Label(), ""
 		if !k.String("address", &at) {
 			k.Errorf("address", "is missing")
@@ -103,11 +103,11 @@
 	percent := int(t.MaxShare*100 + 0.5)
 	s.Int("share-percent", &percent, 1, 100)
 	t.MaxShare = float64(percent) / 100
-	s.Span("silence", &t.MinResponseTimeout, 10*time.Millisecond, 10*time.Second)
-	s.Span("late", &t.LateThreshold, 10*time.Millisecond, time.Minute)
-	s.Span("hold", &t.EvidenceTTL, time.Second, 10*time.Minute)
-	s.Span("trial", &t.ProbeInterval, 10*time.Millisecond, time.Minute)
-	s.Span("return", &t.RecoverySpread, 0, time.Minute)
+	s.Duration("silence", &t.MinResponseTimeout, 10*time.Millisecond, 10*time.Second)
+	s.Duration("late", &t.LateThreshold, 10*time.Millisecond, time.Minute)
+	s.Duration("hold", &t.EvidenceTTL, time.Second, 10*time.Minute)
+	s.Duration("trial", &t.ProbeInterval, 10*time.Millisecond, time.Minute)
+	s.Duration("return", &t.RecoverySpread, 0, time.Minute)
 	if err := t.Validate(); err != nil {
 		s.Errorf("", "%v", err)
 	}
--- a/internal/fleetio/work.go
+++ b/internal/fleetio/work.go
@@ -36,10 +36,10 @@
 	t := takeover.DefaultSettings()
 	t.ClockDrift, t.GuaranteeTTL = o.Terms.ClockDrift, o.Terms.LeaseDuration
 	s.Int("holders", &t.Replicas, 1, 4)
-	s.Span("vouch", &t.GuaranteeTTL, 200*time.Millisecond, time.Minute)
-	s.Span("patience", &t.ConfirmTimeout, time.Millisecond, time.Second)
-	s.Span("remember", &t.EndTTL, time.Second, 10*time.Minute)
-	s.Span("wake", &t.ReclaimTimeout, time.Second, 10*time.Minute)
+	s.Duration("vouch", &t.GuaranteeTTL, 200*time.Millisecond, time.Minute)
+	s.Duration("patience", &t.ConfirmTimeout, time.Millisecond, time.Second)
+	s.Duration("remember", &t.EndTTL, time.Second, 10*time.Minute)
+	s.Duration("wake", &t.ReclaimTimeout, time.Second, 10*time.Minute)
 	mode := "kept"
 	s.Choice("mode", &mode, "kept", "fast")
 	t.NoWaitClasses = map[string]bool{}
--- a/internal/ledgerio/settings.go
+++ b/internal/ledgerio/settings.go
@@ -18,7 +18,7 @@
 	}
 	ms := func(field string, v *int64, low, high time.Duration) {
 		d := time.Duration(*v) * time.Millisecond
-		s.Span(field, &d, low, high)
+		s.Duration(field, &d, low, high)
 		*v = d.Milliseconds()
 	}
 	shortest := ledger.ShortestPeriod
@@ -34,9 +34,9 @@
 	}
 	ms("grace", &o.Terms.Grace, 0, time.Duration(o.Terms.Length)*time.Millisecond)
 	ms("unknown-after", &o.Terms.UnknownAfter, time.Second, 24*time.Hour)
-	s.Span("sync", &o.Sync, 0, time.Minute)
-	s.Span("keep", &o.Keep, 0, 10*366*24*time.Hour)
-	s.Span("patience", &o.Patience, time.Millisecond, time.Second)
+	s.Duration("sync", &o.Sync, 0, time.Minute)
+	s.Duration("keep", &o.Keep, 0, 10*366*24*time.Hour)
+	s.Duration("patience", &o.Patience, time.Millisecond, time.Second)
 	s.String("export", &o.Export)
 	segment := int(o.Roll >> 10)
 	s.Int("segment-kb", &segment, 64, 1<<20)
@@ -59,7 +59,7 @@
 	}
 	var rules []ledger.Rule
 	var sections []*settings.Section
-	s.Each("tenant", func(t *settings.Section) {
+	s.EachSection("tenant", func(t *settings.Section) {
 		rules = append(rules, ledger.Rule{Tenant: t.Label(), Networks: t.Strings("networks"), Identities: t.Strings("identities"),
 			Numbers: t.Strings("numbers")})
 		sections = append(sections, t)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -34,15 +34,15 @@
 	Servers  []sip.Server
 	Settings threadglade.Settings
 
-	ConnectTimeout time.Duration
-	Free, Total    string // names of the fields for free and total capacity in a server's state
+	ConnectTimeout        time.Duration
+	FreeField, TotalField string // names of the fields for free and total capacity in a server's state
 
 	keyTree any // the decoded file without the server list, to detect keys that a later file lacks
 
-	Handover string // folder shared with the process that replaces this one; empty disables hot restart
+	HandoverDir string // folder shared with the process that replaces this one; empty disables hot restart
 
-	Product Product    // the product's own settings; subsystems that they don't mention are off
-	FS      durable.FS // nil means the operating system's file system
+	Product ProductSettings // the product's own settings; subsystems that they don't mention are off
+	FS      durable.FS      // nil means the operating system's file system
 }
 
 // ReadConfig parses and validates the platform's configuration. The arguments listen and mgmt, if not empty, override
@@ -89,7 +89,7 @@
 		cfg.ConnectTimeout = 500 * time.Millisecond
 	}
 	if len(ownSettings.Report.Fields) >= 2 {
-		cfg.Free, cfg.Total = ownSettings.Report.Fields[0], ownSettings.Report.Fields[1]
+		cfg.FreeField, cfg.TotalField = ownSettings.Report.Fields[0], ownSettings.Report.Fields[1]
 	}
 	if listen == "" {
 		listen = raw.Listen
@@ -117,7 +117,7 @@
 	if cfg.Settings, err = wire.Settings(raw.Settings); err != nil {
 		return cfg, fmt.Errorf("settings: %w", err)
 	}
-	if cfg.Cursor, cfg.Servers, err = registry.ReadKnown(raw.Known); err != nil {
+	if cfg.Cursor, cfg.Servers, err = registry.ReadKnownList(raw.Known); err != nil {
 		return cfg, fmt.Errorf("known: %w", err)
 	}
 	if _, err = threadglade.New(cfg.Settings, cfg.Seed); err != nil {
@@ -142,7 +142,7 @@
 		return cfg, fmt.Errorf("%s: %w", path, err)
 	}
 	if cfg.Mgmt.IsValid() { // hot restart is used only where operators have a management server
-		cfg.Handover = os.Getenv("TMPDIR")
+		cfg.HandoverDir = os.Getenv("TMPDIR")
 	}
 	return cfg, nil
 }
@@ -206,7 +206,7 @@
 
 // CheckCanReplace returns an error unless the configuration has every key of the one in force: a file that lacks one
 // was truncated. Each entry of a list must have the keys that all entries of the old list have.
-func (c Config) Follows(old Config) error { return checkKeysKept(old.keyTree, c.keyTree, "") }
+func (c Config) CheckCanReplace(old Config) error { return checkKeysKept(old.keyTree, c.keyTree, "") }
 
 // checkKeysKept returns an error that names a key of old that updated lacks; parent is the path of both.
 func checkKeysKept(old, updated any, parent string) error {
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -63,10 +63,10 @@
 // listening socket of that process, or -1 if there is none.
 func (n *Node) requestStandby() (listenFD int, err error) {
 	cfg := n.config
-	if cfg.Handover == "" {
+	if cfg.HandoverDir == "" {
 		return -1, nil
 	}
-	n.handover.socketPath = handover.Path(cfg.Handover, cfg.Name)
+	n.handover.socketPath = handover.Path(cfg.HandoverDir, cfg.Name)
 	for first := true; ; first = false {
 		link, listenFD, err := handover.Connect(n.handover.socketPath)
 		switch {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -76,7 +76,7 @@
 
 // NewLogger returns a logger that writes one event a line with the time, the level and the router's name: as plain
 // text or, with asJSON, as one JSON object.
-func Logger(w io.Writer, name string, level zerolog.Level, asJSON bool) zerolog.Logger {
+func NewLogger(w io.Writer, name string, level zerolog.Level, asJSON bool) zerolog.Logger {
 	if !asJSON {
 		w = zerolog.ConsoleWriter{
 			Out:           w,
@@ -116,8 +116,8 @@
 		Loop:           eventLoop,
 		Clock:          clock,
 		ConnectTimeout: cfg.ConnectTimeout,
-		FreeField:      cfg.Free,
-		TotalField:     cfg.Total,
+		FreeField:      cfg.FreeField,
+		TotalField:     cfg.TotalField,
 		Log:            log,
 		ReportLoads:    cfg.Product.Trace != nil,
 	})
@@ -161,7 +161,7 @@
 		n.trace.List(cfg.Cursor, len(cfg.Servers))
 	}
 	n.updateServers(cfg.Servers, true)
-	if n.nameService, err = registry.Follow(eventLoop, cfg.Resolver, cfg.Cursor, clock, n.Router.Schedule,
+	if n.nameService, err = registry.Watch(eventLoop, cfg.Resolver, cfg.Cursor, clock, n.Router.Schedule,
 		rand.New(rand.NewPCG(cfg.Seed, 1)).Float64, log,
 		func(serial uint32, servers []sip.Server) {
 			if n.trace != nil {
@@ -239,7 +239,7 @@
 func (n *Node) Leaving() bool { return n.process.Leaving() }
 
 // ManagementAddr returns the address of the management server, or the zero value if there is none.
-func (n *Node) Door() netip.AddrPort {
+func (n *Node) ManagementAddr() netip.AddrPort {
 	if n.management == nil {
 		return netip.AddrPort{}
 	}
@@ -250,7 +250,7 @@
 func (n *Node) Addr() netip.AddrPort { return n.listener.Addr() }
 
 // OpenCallControl opens the call control front and returns the address that it listens on.
-func (n *Node) CallControl(
+func (n *Node) OpenCallControl(
 	cfg callcontrol.Config, classes []threadglade.Class, verify callcontrol.Verify,
 ) (netip.AddrPort, error) {
 	if err := n.front.ReserveForFront(cfg.Sockets); err != nil {
@@ -258,7 +258,7 @@
 	}
 	n.callControl = callcontrol.New(cfg, classes, n.Router, n.clock, verify, n.log)
 	listen := n.Loop.Listen
-	if n.config.Handover != "" {
+	if n.config.HandoverDir != "" {
 		listen = n.Loop.ListenShared
 	}
 	listener, err := listen(cfg.Addr, n.callControl.Accept)
@@ -376,16 +376,16 @@
 // logged.
 func (n *Node) Apply(cfg Config) error {
 	old := n.config
-	if err := cfg.Follows(old); err != nil {
+	if err := cfg.CheckCanReplace(old); err != nil {
 		return err
 	}
 	if err := cfg.Settings.Validate(); err != nil {
 		return err
 	}
-	if err := n.nameService.Move(cfg.Resolver); err != nil {
+	if err := n.nameService.SetResolver(cfg.Resolver); err != nil {
 		return err
 	}
-	n.nameService.Known(cfg.Cursor, cfg.Servers)
+	n.nameService.UpdateIfNewer(cfg.Cursor, cfg.Servers)
 	n.front.SetMaxDescriptors(cfg.Sockets)
 	if !reflect.DeepEqual(cfg.Settings, old.Settings) {
 		n.applySettings(cfg.Settings)
@@ -396,7 +396,7 @@
 		"mgmt":                             cfg.Mgmt == old.Mgmt,
 		"seed":                             cfg.Seed == old.Seed,
 		"settings.limits.connectTimeoutMs": cfg.ConnectTimeout == old.ConnectTimeout,
-		"settings.report.fields":           cfg.Free == old.Free && cfg.Total == old.Total,
+		"settings.report.fields":           cfg.FreeField == old.FreeField && cfg.TotalField == old.TotalField,
 	} {
 		if !unchanged {
 			n.log.Warn().Str("event", "config_waits").Str("field", name).
@@ -448,7 +448,7 @@
 	n.Loop.Post(func() {
 		if err == nil {
 			if err = n.Apply(cfg); err == nil {
-				Limit(cfg)
+				ApplyProcessLimits(cfg)
 			}
 		}
 		if err != nil {
@@ -487,12 +487,12 @@
 }
 
 // UpstreamCounters returns the counters of the trunk to the case servers and of the name service client.
-func (n *Node) Outside() (sip.TrunkCounters, registry.Counters) {
+func (n *Node) UpstreamCounters() (sip.TrunkCounters, registry.Counters) {
 	return n.trunk.Counters(), n.nameService.Counters()
 }
 
 // ApplyProcessLimits restricts the process to one core and sets the soft memory limit of the Go runtime.
-func Limit(c Config) {
+func ApplyProcessLimits(c Config) {
 	runtime.GOMAXPROCS(1)
 	if c.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(heapLimitFraction * float64(c.MemoryMB) * (1 << 20)))
@@ -502,7 +502,7 @@
 // HandleSignals starts a goroutine that handles signals: SIGTERM and SIGINT shut the node down, SIGHUP reloads the
 // configuration, SIGUSR1 logs the counters and, if tracing is on, SIGUSR2 writes the trace records in memory to a
 // file.
-func (n *Node) Signals() {
+func (n *Node) HandleSignals() {
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
 	if n.trace != nil {
--- a/internal/node/subsystems.go
+++ b/internal/node/subsystems.go
@@ -35,9 +35,9 @@
 
 // ProductSettings are the product's own settings, from its settings file. A subsystem that they don't mention is off;
 // the platform starts the process without a settings file.
-type Product struct {
-	Level       zerolog.Level
-	JSON        bool                // write logs as JSON
+type ProductSettings struct {
+	LogLevel    zerolog.Level
+	LogJSON     bool                // write logs as JSON
 	CallControl *callcontrol.Config // nil if disabled
 	Ledger      *ledgerio.Options   // nil if disabled
 	Trace       *traceio.Options    // nil if disabled
@@ -46,25 +46,25 @@
 }
 
 // DefaultProductSettings returns the settings that apply without a settings file.
-func DefaultProduct() Product { return Product{Level: zerolog.InfoLevel} }
+func DefaultProductSettings() ProductSettings { return ProductSettings{LogLevel: zerolog.InfoLevel} }
 
 // LoadProductSettings reads the settings file for the router of the given name. The error names file, line and field.
-func LoadProduct(path, router string) (Product, error) {
+func LoadProductSettings(path, router string) (ProductSettings, error) {
 	s, err := settings.Load(path)
 	if err != nil {
-		return Product{}, err
+		return ProductSettings{}, err
 	}
 	return readProductSettings(s, router)
 }
 
-func readProductSettings(s *settings.Section, router string) (Product, error) {
-	p := DefaultProduct()
+func readProductSettings(s *settings.Section, router string) (ProductSettings, error) {
+	p := DefaultProductSettings()
 	log := s.Sub("log")
-	level, form := p.Level.String(), "text"
+	level, form := p.LogLevel.String(), "text"
 	log.Choice("level", &level, "debug", "info", "warn", "error")
 	log.Choice("form", &form, "text", "json")
-	p.Level, _ = zerolog.ParseLevel(level)
-	p.JSON = form == "json"
+	p.LogLevel, _ = zerolog.ParseLevel(level)
+	p.LogJSON = form == "json"
 	if sub := s.Sub("callcontrol"); sub != nil {
 		c := callcontrol.Read(sub)
 		p.CallControl = &c
@@ -111,12 +111,12 @@
 }
 
 // Describe writes the settings, defaults included, in the syntax of the settings file.
-func (p Product) Describe(w io.Writer) {
+func (p ProductSettings) Describe(w io.Writer) {
 	form := "text"
-	if p.JSON {
+	if p.LogJSON {
 		form = "json"
 	}
-	fmt.Fprintf(w, "(threadglade\n  (log (level %s) (form %s))", p.Level, form)
+	fmt.Fprintf(w, "(threadglade\n  (log (level %s) (form %s))", p.LogLevel, form)
 	quote := func(list []string) (text string) {
 		for _, s := range list {
 			text += fmt.Sprintf(" %q", s)
@@ -594,13 +594,13 @@
 
 // ApplyProductSettings applies settings that were read again, as far as a running router can: those of the call
 // control front and the tenants' tables. Changes that take a restart are logged.
-func (n *Node) ApplyProduct(p Product) {
+func (n *Node) ApplyProductSettings(p ProductSettings) {
 	old := n.config.Product
 	warnRestartNeeded := func(section string) {
 		n.log.Warn().Str("event", "config_waits").Str("field", section).
 			Msgf("configuration: %s has changed, which takes a restart", section)
 	}
-	if p.Level != old.Level || p.JSON != old.JSON {
+	if p.LogLevel != old.LogLevel || p.LogJSON != old.LogJSON {
 		warnRestartNeeded("log")
 	}
 	switch {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -34,7 +34,7 @@
 )
 
 // KnownList is the list of case servers in the configuration, as events that apply in order.
-type Known struct {
+type KnownList struct {
 	Cursor uint32 `json:"cursor"` // serial of the list
 	Events []struct {
 		Nodes struct {
@@ -56,8 +56,8 @@
 }
 
 // ReadKnownList parses the list of case servers in the configuration and returns its serial and the servers.
-func ReadKnown(raw json.RawMessage) (cursor uint32, servers []sip.Server, err error) {
-	var list Known
+func ReadKnownList(raw json.RawMessage) (cursor uint32, servers []sip.Server, err error) {
+	var list KnownList
 	if err := json.Unmarshal(raw, &list); err != nil {
 		return 0, nil, err
 	}
@@ -117,7 +117,7 @@
 // Watch returns a client that polls the name service from now on. It calls onChange with the serial and the whole
 // list for each list newer than cursor. The function schedule calls its argument at a time of the clock, and random
 // returns numbers from 0 to 1.
-func Follow(eventLoop *loop.Loop, resolver netip.AddrPort, cursor uint32, clock router.Clock,
+func Watch(eventLoop *loop.Loop, resolver netip.AddrPort, cursor uint32, clock router.Clock,
 	schedule func(time.Duration, func()), random func() float64, log zerolog.Logger,
 	onChange func(uint32, []sip.Server),
 ) (*Client, error) {
@@ -131,7 +131,7 @@
 		knownSerial: cursor,
 		queryID:     uint16(clock() >> 10),
 	}
-	if err := c.Move(resolver); err != nil {
+	if err := c.SetResolver(resolver); err != nil {
 		return nil, err
 	}
 	c.poll()
@@ -140,7 +140,7 @@
 
 // SetResolver switches to another name service and queries it at once. Serials continue, so an older list is still
 // rejected, and late answers of the previous service are ignored.
-func (c *Client) Move(resolver netip.AddrPort) error {
+func (c *Client) SetResolver(resolver netip.AddrPort) error {
 	if c.socket != nil && resolver == c.resolver {
 		return nil
 	}
@@ -160,7 +160,7 @@
 }
 
 // UpdateIfNewer takes a list from another source than the name service if it is newer than the list in use.
-func (c *Client) Known(serial uint32, servers []sip.Server) {
+func (c *Client) UpdateIfNewer(serial uint32, servers []sip.Server) {
 	if int32(serial-c.knownSerial) > 0 {
 		c.knownSerial = serial
 		c.count.Changes++
@@ -212,7 +212,7 @@
 		}
 		return
 	}
-	c.Known(serial, servers)
+	c.UpdateIfNewer(serial, servers)
 }
 
 // ---- DNS ----
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -80,7 +80,7 @@
 	}
 	updates := make(chan update, 10)
 	var client *Client
-	client, err = Follow(eventLoop, netip.MustParseAddrPort(firstService.LocalAddr().String()), 7, router.SystemClock(),
+	client, err = Watch(eventLoop, netip.MustParseAddrPort(firstService.LocalAddr().String()), 7, router.SystemClock(),
 		func(time.Duration, func()) {},
 		func() float64 { return 0.5 }, zerolog.Nop(), func(serial uint32, servers []sip.Server) {
 			updates <- update{serial, servers}
@@ -113,7 +113,7 @@
 	require.NoError(t, err)
 	defer secondService.Close()
 	moved := make(chan error)
-	eventLoop.Post(func() { moved <- client.Move(netip.MustParseAddrPort(secondService.LocalAddr().String())) })
+	eventLoop.Post(func() { moved <- client.SetResolver(netip.MustParseAddrPort(secondService.LocalAddr().String())) })
 	require.NoError(t, <-moved)
 	_, to, err := secondService.ReadFromUDP(b)
 	require.NoError(t, err)
--- a/internal/scenario/crossings_test.go
+++ b/internal/scenario/crossings_test.go
@@ -216,7 +216,7 @@
 func (w *world) blocked(met func(sip.TrunkCounters) bool) uint64 {
 	for stop := time.Now().Add(patience); ; time.Sleep(100 * time.Microsecond) {
 		now := make(chan sip.TrunkCounters)
-		w.node.Loop.Post(func() { c, _ := w.node.Outside(); now <- c })
+		w.node.Loop.Post(func() { c, _ := w.node.UpstreamCounters(); now <- c })
 		if c := <-now; met(c) {
 			return c.Blocked
 		} else if time.Now().After(stop) {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -346,7 +346,7 @@
 		for stop := time.Now().Add(time.Second); ; time.Sleep(50 * time.Microsecond) {
 			done, met := make(chan bool), false
 			w.node.Loop.Post(func() {
-				trunk, names := w.node.Outside()
+				trunk, names := w.node.UpstreamCounters()
 				asked, told, open := w.names.Counts()
 				met = w.accepted.Load() >= trunk.Opened && (!open || asked+w.missed[0] >= names.Queries &&
 					names.Answers+names.Malformed+w.missed[1] >= told)
@@ -415,11 +415,11 @@
 		}
 		c.Product.Ledger, c.FS = &o, w.disk
 	}
-	if w.node, err = node.New(c, clock, node.Logger(w, "n0", zerolog.InfoLevel, false)); err != nil {
+	if w.node, err = node.New(c, clock, node.NewLogger(w, "n0", zerolog.InfoLevel, false)); err != nil {
 		return err
 	}
 	if strings.Contains(flags, "callcontrol") {
-		w.second, err = w.node.CallControl(callcontrol.Config{Addr: netip.MustParseAddrPort("127.0.0.1:0"), GraceMs: 1000,
+		w.second, err = w.node.OpenCallControl(callcontrol.Config{Addr: netip.MustParseAddrPort("127.0.0.1:0"), GraceMs: 1000,
 			Sockets: 9, Origins: []string{"https://desk.example"}}, c.Settings.Classes, w.check)
 	}
 	w.config = config
@@ -531,7 +531,7 @@
 		to = p.w.second
 	}
 	if p.operator() {
-		to = p.w.node.Door()
+		to = p.w.node.ManagementAddr()
 	}
 	conn, err := net.Dial("tcp4", to.String())
 	if err != nil {
--- a/internal/scenario/sip_test.go
+++ b/internal/scenario/sip_test.go
@@ -619,7 +619,7 @@
 	run := func(line string) { t.Helper(); require.NoError(t, w.do(line), "%s\n%s", line, w.log()) }
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("NODE_CONFIG", path)
-	w.node.Signals()
+	w.node.HandleSignals()
 	hup := func(text string) {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -32,10 +32,10 @@
 
 // node is a parsed value: a list, a string or a bare word.
 type node struct {
-	Pos  lexer.Position
-	Open bool    // a list
-	List []*node // nil unless a list
-	Text *string // nil if a list
+	Pos    lexer.Position
+	IsList bool    // a list
+	List   []*node // nil unless a list
+	Text   *string // nil if a list
 }
 
 // lexerRules define the tokens. The parser is written by hand, because one generated from a grammar took five times
@@ -85,7 +85,7 @@
 		}
 		n.Text = &text
 	case tokenTypes["Open"]:
-		n.Open = true
+		n.IsList = true
 		if p.depth++; p.depth > maxDepth {
 			return nil, t, errorAt(t.Pos, "more than %d lists are nested", maxDepth)
 		}
@@ -194,7 +194,7 @@
 
 // newSection returns the section that a list holds; path names the enclosing sections.
 func newSection(n *node, path string, doc *document) (*Section, error) {
-	if !n.Open || len(n.List) == 0 {
+	if !n.IsList || len(n.List) == 0 {
 		return nil, fmt.Errorf("%s:%d: %sexpected a list (name value...)", n.Pos.Filename, n.Pos.Line, pathPrefix(path))
 	}
 	name, ok := n.List[0].text()
@@ -230,7 +230,7 @@
 	if field != "" {
 		name += " " + field
 		for _, n := range s.nodes {
-			if n.Open && len(n.List) > 0 {
+			if n.IsList && len(n.List) > 0 {
 				if t, _ := n.List[0].text(); t == field {
 					pos = n.Pos
 				}
@@ -242,12 +242,12 @@
 }
 
 // EachField calls f with the line, name and values of every field of the section that is not read yet, in order.
-func (s *Section) Words(f func(line int, name string, values []string)) {
+func (s *Section) EachField(f func(line int, name string, values []string)) {
 	if s == nil {
 		return
 	}
 	for i, n := range s.nodes {
-		if !n.Open || len(n.List) == 0 || s.used[i] {
+		if !n.IsList || len(n.List) == 0 || s.used[i] {
 			continue
 		}
 		s.used[i] = true
@@ -274,7 +274,7 @@
 	}
 	var found *node
 	for i, n := range s.nodes {
-		if !n.Open || len(n.List) == 0 {
+		if !n.IsList || len(n.List) == 0 {
 			continue
 		}
 		if t, _ := n.List[0].text(); t == name {
@@ -303,12 +303,12 @@
 }
 
 // EachSection calls f with every subsection of that name, in order.
-func (s *Section) Each(name string, f func(*Section)) {
+func (s *Section) EachSection(name string, f func(*Section)) {
 	if s == nil {
 		return
 	}
 	for i, n := range s.nodes {
-		if !n.Open || len(n.List) == 0 {
+		if !n.IsList || len(n.List) == 0 {
 			continue
 		}
 		if t, _ := n.List[0].text(); t != name {
@@ -400,7 +400,7 @@
 }
 
 // Duration reads a duration from low to high, such as "1h" or "250ms". An absent field leaves v unchanged.
-func (s *Section) Span(name string, v *time.Duration, low, high time.Duration) {
+func (s *Section) Duration(name string, v *time.Duration, low, high time.Duration) {
 	var t string
 	if !s.String(name, &t) {
 		return
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,8 +25,8 @@
 	log := s.Sub("log")
 	log.Choice("level", &r.level, "info", "warn")
 	log.Int("most", &r.most, 1, 9)
-	log.Span("every", &r.every, time.Millisecond, time.Hour)
-	s.Each("tenant", func(t *Section) {
+	log.Duration("every", &r.every, time.Millisecond, time.Hour)
+	s.EachSection("tenant", func(t *Section) {
 		r.tenants = append(r.tenants, fmt.Sprint(t.Label(), t.Strings("networks")))
 	})
 	return r, s.Finish()
--- a/internal/traceio/recorder.go
+++ b/internal/traceio/recorder.go
@@ -69,9 +69,9 @@
 	}
 	mb("file-mb", &o.FileBytes, 4096)
 	mb("total-mb", &o.Total, 1<<20)
-	s.Span("file-span", &o.FileSpan, time.Second, 24*time.Hour)
-	s.Span("block", &o.Block, 100*time.Millisecond, time.Minute)
-	s.Span("flight", &o.Flight, time.Second, time.Hour)
+	s.Duration("file-span", &o.FileSpan, time.Second, 24*time.Hour)
+	s.Duration("block", &o.Block, 100*time.Millisecond, time.Minute)
+	s.Duration("flight", &o.Flight, time.Second, time.Hour)
 	s.Int("flight-records", &o.Records, 1000, 1_000_000)
 	s.String("flight-directory", &o.FlightDir)
 	s.Int("trigger", &o.Trigger, 1, 1_000_000)
