--- a/internal/fleetio/clock.go
+++ b/internal/fleetio/clock.go
@@ -8,7 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock reads CLOCK_BOOTTIME: it also runs while a process is stopped and while the machine sleeps, and no one steps it.
+// Clock returns CLOCK_BOOTTIME: it advances also while the process is stopped or the machine is suspended, and is
+// never stepped.
 func Clock() time.Duration {
 	var t unix.Timespec
 	unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
--- a/internal/fleetio/clock_mutant.go
+++ b/internal/fleetio/clock_mutant.go
@@ -13,8 +13,8 @@
 	"threadglade.example/threadglade/fleet"
 )
 
-// Clock reads CLOCK_BOOTTIME or, with the fault built in that counts leases on the wall clock, that one, stepped by as many seconds as the file
-// that FLEET_WALL names says.
+// Clock returns CLOCK_BOOTTIME. With the mutant wall-lease, which times leases by the wall clock, it returns the wall
+// clock plus the number of seconds in the file that FLEET_WALL names.
 func Clock() time.Duration {
 	if fleet.Mutated() == "wall-lease" {
 		b, _ := os.ReadFile(os.Getenv("FLEET_WALL"))
--- a/internal/fleetio/fleet.go
+++ b/internal/fleetio/fleet.go
@@ -1,5 +1,7 @@
-// Package fleetio carries the fleet: links between processes, a keeper's folder, and one goroutine beside the loop that drives the pure parts of package
-// fleet by the clock. The loop reads the lease and a bounded queue of notes, and never waits. It must never decide who acts.
+// Package fleetio connects a process to its fleet: it has the links between processes, a keeper's directory, and the
+// core, one goroutine beside the event loop that drives the I/O-free packages fleet, verdict and takeover by the
+// clock. The loop reads the lease and bounded queues, and never blocks on the core. This package must never decide
+// who may act: that follows from the leases of package fleet alone.
 package fleetio
 
 import (
@@ -29,83 +31,99 @@
 	"threadglade.example/threadglade/verdict"
 )
 
-// notesMost notes wait for the loop; what does not fit is counted and told again by nobody, for the state is there to be looked at.
-const notesMost = 4096
+// maxQueuedNotes is how many notes may be queued for the loop. Further ones are counted as missed and not repeated:
+// the state that they report can be read at any time.
+const maxQueuedNotes = 4096
 
-// Config is what a process of a fleet needs.
+// Config is the configuration of Open.
 type Config struct {
 	Options
 	FS     durable.FS
-	Name   string
-	Member bool   // it routes calls: it holds a lease
-	Wake   func() // has the loop take a turn; from any goroutine
+	Name   string // of this process, unique in the fleet
+	Member bool   // routes calls and therefore holds a lease
+	Wake   func() // starts a loop iteration soon; called on any goroutine
 	Log    zerolog.Logger
-	Facts  func(fleet.Note) // hears each note on the loop; nil: nobody
-	// Parts hears, on the loop, of this router's parts of what cold case servers may be sent, for how long from now they hold, and what it has without; nil: nobody.
+	// OnNote is called on the loop with each note; may be nil.
+	Facts func(fleet.Note)
+	// OnColdShares is called on the loop with this router's shares of the calls that cold case servers may be sent,
+	// how long from now they are valid, and the share of a router without a lease; may be nil.
 	Parts func(parts []quota.ColdShare, hold time.Duration, alone float64)
-	// Further has the decisions told, on the loop, of further attempts that they are lent; nil: nobody.
+	// SetRetryLender is called on the loop with the function that lends retry attempts under the fleet's limit; may
+	// be nil.
 	Further func(lend func(left int) (lent int, limited bool))
-	// Care hears, on the loop, of a server that is to be left alone for what all routers know, and for how long from now; 0: no more. Now is the clock that the times of
-	// Sent, Answered and AttemptEnded are on.
+	// OnAvoidance is called on the loop with a server to be avoided because of what all routers know, and for how
+	// long from now; 0 ends the avoidance. May be nil.
 	Care func(c verdict.Avoidance, hold time.Duration)
-	Now  func() time.Duration
-	// Work in hand, all on the loop: what does as it decides, and calls of before a start whose ends are not known.
+	// Now is the clock of the times passed to AttemptSent, AttemptAnswered and AttemptEnded; nil: Clock.
+	Now func() time.Duration
+	// CallHandler, OpenCalls, Tenant and SetupTarget are used by takeover only; the functions are called on the loop.
 	Desk   takeover.CallHandler
-	Open   []string
-	Tenant func(router.Event) string // whose call it is
-	Aim    func(class string) time.Duration
-	Limits []quota.Limit // of the settings; nil: this process divides and holds none
+	Open   []string                         // calls established before the start whose ends are unknown
+	Tenant func(router.Event) string        // tenant of a call
+	Aim    func(class string) time.Duration // set-up time to aim at, by class
+	Limits []quota.Limit                    // from the settings; nil: this process neither divides nor enforces limits
 }
 
-// Fleet is a process's part of its fleet.
+// Fleet is one process's connection to its fleet: a keeper, a member, or both. Unless said otherwise, methods are
+// called by the event loop only.
 type Fleet struct {
 	cfg     Config
-	process uint64
-	keeper  *fleet.Keeper // nil: none
-	member  *fleet.Member // nil: it only keeps
+	process uint64        // random number of this process, not 0
+	keeper  *fleet.Keeper // nil: not a keeper
+	member  *fleet.Member // nil: only a keeper
 	voters  map[string]uint64
 	store   *store
 	server  *grpc.Server
 	address string
 
-	ctx      context.Context
-	cancel   context.CancelFunc
-	stop     chan struct{}
-	done     sync.WaitGroup
-	core     chan struct{} // closed when the core has ended
-	inbox    chan event
-	tasks    chan func(now time.Duration)
-	links    *xsync.Map[fleet.Link, *link]
-	numbers  atomic.Uint64
-	accepted atomic.Int64
-	said     atomic.Int64
-	count    counters
+	ctx            context.Context
+	cancel         context.CancelFunc
+	stop           chan struct{}
+	goroutines     sync.WaitGroup // those of maintainLink
+	coreDone       chan struct{}  // closed when the core has ended
+	inbox          chan linkEvent
+	tasks          chan func(now time.Duration) // run by the core
+	links          *xsync.Map[fleet.Link, *link]
+	lastLinkID     atomic.Uint64
+	acceptedLinks  atomic.Int64 // open at present
+	lastRefusalLog atomic.Int64 // Unix seconds
+	count          counters
 
-	peers map[uint64]*link // of the core: links to other keepers, by number
+	voterLinks map[uint64]*link // of the core: links dialled to other keepers, by voter number
 
-	// Between the core and the loop.
-	lease  atomic.Pointer[fleet.Lease]
-	notes  *xsync.SPSCQueue[fleet.Note]
-	shares *xsync.SPSCQueue[shares]
-	gate   *gate                         // nil: no limits
-	talk   *talk                         // nil: no verdicts
-	work   *work                         // nil: nobody else has what is in hand
-	dials  map[string]context.CancelFunc // of the core: links to other routers, by name and address
-	owed   []takeover.End                // callers that this router could not tell, as it ends
+	// Shared by the core and the loop.
+	lease       atomic.Pointer[fleet.Lease]
+	noteQueue   *xsync.SPSCQueue[fleet.Note]
+	grantQueue  *xsync.SPSCQueue[grantBatch]
+	limiter     *limiterState                 // nil: no limits
+	verdicts    *verdictState                 // nil: no verdicts
+	takeover    *takeoverState                // nil: calls are not replicated
+	routerDials map[string]context.CancelFunc // of the core: links to other routers, by name and address
+	pendingEnds []takeover.End                // ends to forward when this router closes
 
-	// Of the loop.
-	beacon  *net.UDPConn
-	next    time.Duration
-	beacons uint64
-	lead    *net.UDPConn // of the core: the same address
-	leadAt  time.Duration
-	failed  atomic.Bool
+	// Of the loop, except as noted.
+	beacon           *net.UDPConn
+	nextBeacon       time.Duration
+	beaconCount      uint64
+	leaderBeacon     *net.UDPConn  // of the core: connected to the same address
+	nextLeaderBeacon time.Duration // of the core
+	halted           atomic.Bool   // set by the core
 }
 
-// Open starts a process's part. A keeper whose folder is missing or damaged is an error, and nothing has started.
+// Open connects a process to its fleet and starts the core. It returns an error if a keeper's directory is missing or
+// damaged, or another keeper's; then the process must not go on without it.
 func Open(cfg Config) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, stop: make(chan struct{}), core: make(chan struct{}), inbox: make(chan event, inboxMost), tasks: make(chan func(time.Duration), 64),
-		links: xsync.NewMap[fleet.Link, *link](), peers: map[uint64]*link{}, notes: xsync.NewSPSCQueue[fleet.Note](notesMost), dials: map[string]context.CancelFunc{}}
+	f := &Fleet{
+		cfg:         cfg,
+		stop:        make(chan struct{}),
+		coreDone:    make(chan struct{}),
+		inbox:       make(chan linkEvent, maxQueuedEvents),
+		tasks:       make(chan func(time.Duration), 64),
+		links:       xsync.NewMap[fleet.Link, *link](),
+		voterLinks:  map[uint64]*link{},
+		noteQueue:   xsync.NewSPSCQueue[fleet.Note](maxQueuedNotes),
+		routerDials: map[string]context.CancelFunc{},
+	}
 	if f.cfg.Wake == nil {
 		f.cfg.Wake = func() {}
 	}
@@ -116,7 +134,7 @@
 	f.process = binary.BigEndian.Uint64(seed[:])>>1 + 1
 	now := Clock()
 	if cfg.Keeper(cfg.Name) {
-		if err := f.keep(rand.New(rand.NewChaCha8(seed)), now); err != nil {
+		if err := f.openKeeper(rand.New(rand.NewChaCha8(seed)), now); err != nil {
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
 	}
@@ -129,32 +147,34 @@
 	if cfg.Limits != nil {
 		if f.keeper != nil {
 			machine := func() *fleet.Machine { return f.keeper.Machine }
-			f.keeper.Extension = quota.NewRider(cfg.Terms, machine, func() []quota.Limit { return inForce(cfg.Limits, machine().Facts()) })
+			f.keeper.Extension = quota.NewRider(cfg.Terms, machine, func() []quota.Limit {
+				return effectiveLimits(cfg.Limits, machine().Facts())
+			})
 		}
 		if f.member != nil {
-			f.shares = xsync.NewSPSCQueue[shares](sharesMost)
-			f.gate = &gate{Limiter: quota.NewLimiter(now, cfg.Limits)}
-			f.gate.said.Store(&[]byte{})
-			f.member.ExtensionPayload = func() []byte { return *f.gate.said.Load() }
-			f.member.OnExtensionPayload = f.rode
+			f.grantQueue = xsync.NewSPSCQueue[grantBatch](maxQueuedGrants)
+			f.limiter = &limiterState{Limiter: quota.NewLimiter(now, cfg.Limits)}
+			f.limiter.claims.Store(&[]byte{})
+			f.member.ExtensionPayload = func() []byte { return *f.limiter.claims.Load() }
+			f.member.OnExtensionPayload = f.receiveGrants
 		}
 	}
 	if cfg.Verdicts != nil && f.member != nil {
-		f.openTalk(now)
+		f.openVerdicts(now)
 	}
 	if cfg.Work != nil && f.member != nil {
-		f.openWork(now)
+		f.openTakeover(now)
 	}
 	if cfg.Beacon.IsValid() {
 		var err error
 		if f.beacon, err = net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(cfg.Beacon)); err == nil {
-			f.lead, err = net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(cfg.Beacon))
+			f.leaderBeacon, err = net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(cfg.Beacon))
 		}
 		if err != nil {
 			return nil, fmt.Errorf("fleet: beacon: %w", err)
 		}
 	}
-	if f.keeper != nil || (f.talk != nil || f.work != nil) && cfg.Listen != "" {
+	if f.keeper != nil || (f.verdicts != nil || f.takeover != nil) && cfg.Listen != "" {
 		listen := cfg.Listen
 		if listen == "" {
 			listen = cfg.Addresses[cfg.Name]
@@ -170,92 +190,95 @@
 		}
 	}
 	if f.keeper != nil {
-		cfg.Log.Info().Str("event", "fleet_keeping").Str("address", f.address).Msgf("fleet %s: keeper %s on %s, log at %d", cfg.Terms.Fleet, cfg.Name, f.address, f.keeper.Machine.Index)
+		cfg.Log.Info().Str("event", "fleet_keeping").Str("address", f.address).Msgf(
+			"fleet %s: keeper %s on %s, log at %d", cfg.Terms.Fleet, cfg.Name, f.address, f.keeper.Machine.Index)
 	}
 	for _, name := range cfg.Terms.Keepers {
 		if f.keeper != nil && name != cfg.Name {
-			f.done.Add(1)
-			go f.follow(f.ctx, name, cfg.Addresses[name], rafts)
+			f.goroutines.Add(1)
+			go f.maintainLink(f.ctx, name, cfg.Addresses[name], keeperToKeeper)
 		}
 		if f.member != nil {
-			f.done.Add(1)
-			go f.follow(f.ctx, name, cfg.Addresses[name], asks)
+			f.goroutines.Add(1)
+			go f.maintainLink(f.ctx, name, cfg.Addresses[name], routerToKeeper)
 		}
 	}
-	go f.run()
+	go f.runCore()
 	return f, nil
 }
 
-// keep opens a keeper's folder.
-func (f *Fleet) keep(random *rand.Rand, now time.Duration) error {
-	s, c, err := openStore(f.cfg.FS, f.cfg.Dir)
+// openKeeper locks and reads the keeper's directory and creates the keeper from it.
+func (f *Fleet) openKeeper(random *rand.Rand, now time.Duration) error {
+	opened, contents, err := openStore(f.cfg.FS, f.cfg.Dir)
 	if errors.Is(err, ErrNoFiles) && fleet.Mutated() == "files-forgotten" {
-		err = f.refound()
+		err = f.recreateKeeperFiles()
 		if err == nil {
-			s, c, err = openStore(f.cfg.FS, f.cfg.Dir)
+			opened, contents, err = openStore(f.cfg.FS, f.cfg.Dir)
 		}
 	}
 	if err != nil {
 		return err
 	}
-	if f.keeper, err = fleet.NewKeeper(f.cfg.Terms, c.Stored, random, now); err == nil && c.Identity.Name != f.cfg.Name {
-		err = fmt.Errorf("%s: the files of keeper %s, this is %s", f.cfg.Dir, c.Identity.Name, f.cfg.Name)
+	if f.keeper, err = fleet.NewKeeper(f.cfg.Terms, contents.Stored, random, now); err == nil &&
+		contents.Identity.Name != f.cfg.Name {
+		err = fmt.Errorf("%s: the files of keeper %s, this is %s", f.cfg.Dir, contents.Identity.Name, f.cfg.Name)
 	}
 	if err == nil {
-		err = s.begin(f.keeper, c.Scan, f.cfg.Roll)
+		err = opened.openLog(f.keeper, contents.Scan, f.cfg.Roll)
 	}
 	if err != nil {
-		s.close()
+		opened.close()
 		return err
 	}
-	for _, torn := range c.Torn {
+	for _, torn := range contents.Torn {
 		f.cfg.Log.Warn().Str("event", "fleet_torn").Msgf("fleet: cut off by a crash, and never answered for: %s", torn)
 	}
-	f.store, f.voters = s, f.keeper.Voters()
+	f.store, f.voters = opened, f.keeper.Voters()
 	return nil
 }
 
-// refound is the fault of a keeper that forgets that its files are lost.
-func (f *Fleet) refound() error {
-	list, err := fleet.Bootstrap(f.cfg.Terms, rand.New(rand.NewPCG(1, 1))) // as drills found their fleets
-	for _, s := range list {
-		if err == nil && s.Identity.Name == f.cfg.Name {
-			err = Found(f.cfg.FS, f.cfg.Dir, s)
+// recreateKeeperFiles is the mutant files-forgotten: a keeper that has lost its files starts with those of a new
+// fleet.
+func (f *Fleet) recreateKeeperFiles() error {
+	list, err := fleet.Bootstrap(f.cfg.Terms, rand.New(rand.NewPCG(1, 1))) // the seed that drills use
+	for _, state := range list {
+		if err == nil && state.Identity.Name == f.cfg.Name {
+			err = Found(f.cfg.FS, f.cfg.Dir, state)
 		}
 	}
 	return err
 }
 
-// run is the core: the one goroutine that drives the pure parts.
-func (f *Fleet) run() {
-	defer close(f.core)
+// runCore is the core: the one goroutine that drives the keeper, the member, the verdicts and the takeover.
+func (f *Fleet) runCore() {
+	defer close(f.coreDone)
 	tick := time.NewTimer(fleet.TickInterval)
 	defer tick.Stop()
-	var poke chan struct{}
-	if f.work != nil {
-		poke = f.work.poke
+	var wakeCore chan struct{}
+	if f.takeover != nil {
+		wakeCore = f.takeover.wakeCore
 	}
 	for {
 		wait := fleet.TickInterval
-		if f.keeper == nil { // a router alone wakes only for what is due
+		if f.keeper == nil { // a process that is no keeper wakes only when something is due
 			wait = min(max(f.member.NextTick()-Clock(), time.Millisecond), time.Second)
 		}
-		if f.talk != nil {
-			wait = min(wait, max(f.talk.table.NextTick()-Clock(), time.Millisecond))
+		if f.verdicts != nil {
+			wait = min(wait, max(f.verdicts.table.NextTick()-Clock(), time.Millisecond))
 		}
-		if f.work != nil {
-			wait = min(wait, max(f.worksDue(Clock())-Clock(), time.Millisecond))
+		if f.takeover != nil {
+			wait = min(wait, max(f.nextTakeoverTick(Clock())-Clock(), time.Millisecond))
 		}
 		tick.Reset(wait)
 		select {
 		case <-f.stop:
 			return
 		case e := <-f.inbox:
-			f.take(Clock(), e)
-			for range 256 { // what has come meanwhile shares one write
+			f.handleEvent(Clock(), e)
+			for range 256 { // events that have arrived meanwhile share one write to the disk
 				select {
 				case e := <-f.inbox:
-					f.take(Clock(), e)
+					f.handleEvent(Clock(), e)
 					continue
 				default:
 				}
@@ -263,7 +286,7 @@
 			}
 		case task := <-f.tasks:
 			task(Clock())
-		case <-poke:
+		case <-wakeCore:
 		case <-tick.C:
 		}
 		now := Clock()
@@ -273,116 +296,130 @@
 		if f.member != nil {
 			f.member.Tick(now)
 		}
-		if f.talk != nil {
-			f.converse(now)
+		if f.verdicts != nil {
+			f.tickVerdicts(now)
 		}
-		if f.work != nil {
-			f.labour(now)
+		if f.takeover != nil {
+			f.tickTakeover(now)
 		}
-		f.drive()
+		f.applyOutputs()
 	}
 }
 
-// take gives an event to the part that it is for.
-func (f *Fleet) take(now time.Duration, e event) {
+// handleEvent passes an event of a link to the part that handles it.
+func (f *Fleet) handleEvent(now time.Duration, e linkEvent) {
 	l := e.link
 	switch {
-	case l.talks:
-		f.talked(now, e)
-	case e.out && l.peer && e.frame == nil:
-		if number := f.voters[l.name]; e.gone {
-			if f.peers[number] == l {
-				delete(f.peers, number)
+	case l.betweenRouters:
+		f.handleRouterEvent(now, e)
+	case e.dialled && l.betweenKeepers && e.frame == nil:
+		if number := f.voters[l.name]; e.closed {
+			if f.voterLinks[number] == l {
+				delete(f.voterLinks, number)
 				f.keeper.ReportUnreachable(l.name)
 			}
 		} else {
-			f.peers[number] = l
+			f.voterLinks[number] = l
 		}
-	case e.out && !l.peer && e.frame == nil:
+	case e.dialled && !l.betweenKeepers && e.frame == nil:
 		id := l.id
-		if e.gone {
+		if e.closed {
 			id = 0
 		}
 		f.member.SetLink(now, l.name, id)
-	case e.out && !l.peer:
+	case e.dialled && !l.betweenKeepers:
 		f.member.Receive(now, l.name, e.frame)
-	case e.out: // another keeper says nothing on a link that it did not dial
-	case f.keeper == nil && (e.gone || e.frame == nil):
+	case e.dialled: // a keeper sends nothing to another keeper on a link that it hasn't dialled itself
+	case f.keeper == nil && (e.closed || e.frame == nil):
 	case f.keeper == nil && e.frame.GetInquiry() != nil:
-		f.send(l, &fleetpb.Frame{What: &fleetpb.Frame_Report{Report: f.report(now, l, e.frame.GetInquiry(), &fleetpb.Report{Seq: e.frame.GetInquiry().Seq, Name: f.cfg.Name})}})
+		f.send(l, &fleetpb.Frame{What: &fleetpb.Frame_Report{
+			Report: f.report(now, l, e.frame.GetInquiry(), &fleetpb.Report{
+				Seq:  e.frame.GetInquiry().Seq,
+				Name: f.cfg.Name,
+			}),
+		}})
 	case f.keeper == nil:
-		f.refused(fmt.Sprintf("%s: this process keeps nothing", l.name))
-		l.cut()
-	case e.gone:
+		f.countRefusal(fmt.Sprintf("%s: this process keeps nothing", l.name))
+		l.cancel()
+	case e.closed:
 		f.keeper.RemoveLink(l.id)
 	case e.frame == nil:
-	case l.peer && e.frame.GetRaft() != nil:
+	case l.betweenKeepers && e.frame.GetRaft() != nil:
 		f.count.Raft.Add(1)
 		if err := f.keeper.Receive(now, l.name, e.frame.GetRaft()); err != nil {
-			f.refused(err.Error())
-			l.cut()
-		}
-	case !l.peer && l.name == "" && e.frame.GetAsk().GetPut() != nil: // an operator's word
-		f.keeper.HandleAsk(now, l.id, "", &fleetpb.Ask{Seq: e.frame.GetAsk().Seq, Process: uint64(l.id), Known: ^uint64(0), Put: e.frame.GetAsk().Put})
-	case !l.peer && l.name != "" && e.frame.GetAsk() != nil:
+			f.countRefusal(err.Error())
+			l.cancel()
+		}
+	case !l.betweenKeepers && l.name == "" && e.frame.GetAsk().GetPut() != nil: // from an operator
+		f.keeper.HandleAsk(now, l.id, "", &fleetpb.Ask{
+			Seq:     e.frame.GetAsk().Seq,
+			Process: uint64(l.id),
+			Known:   ^uint64(0),
+			Put:     e.frame.GetAsk().Put,
+		})
+	case !l.betweenKeepers && l.name != "" && e.frame.GetAsk() != nil:
 		f.keeper.HandleAsk(now, l.id, l.name, e.frame.GetAsk())
 	case e.frame.GetInquiry() != nil:
-		f.send(l, &fleetpb.Frame{What: &fleetpb.Frame_Report{Report: f.report(now, l, e.frame.GetInquiry(), f.keeper.Report(e.frame.GetInquiry().Seq))}})
+		f.send(l, &fleetpb.Frame{What: &fleetpb.Frame_Report{
+			Report: f.report(now, l, e.frame.GetInquiry(), f.keeper.Report(e.frame.GetInquiry().Seq)),
+		}})
 	default:
-		f.refused(fmt.Sprintf("%s: a frame that is not its to send", l.name))
-		l.cut()
+		f.countRefusal(fmt.Sprintf("%s: a frame that is not its to send", l.name))
+		l.cancel()
 	}
 }
 
-// report completes what an operator is told.
-func (f *Fleet) report(now time.Duration, l *link, q *fleetpb.Inquiry, r *fleetpb.Report) *fleetpb.Report {
+// report adds to a report what this process knows beyond the keeper's state, and carries out a request to evacuate.
+func (f *Fleet) report(now time.Duration, l *link, inquiry *fleetpb.Inquiry, report *fleetpb.Report) *fleetpb.Report {
 	refused := ""
-	if q.Evacuate && l.name == "" && f.member != nil { // an operator's word
-		refused = f.wantEvacuation(now)
+	if inquiry.Evacuate && l.name == "" && f.member != nil { // only operators may request it
+		refused = f.requestEvacuation(now)
 	}
-	r.Sent, r.Received, r.Refused, r.Dropped = f.count.Sent.Load(), f.count.Received.Load(), f.count.Refused.Load(), f.count.Dropped.Load()
-	if f.talk != nil {
-		r.Talk = f.talk.report(now)
+	report.Sent, report.Received, report.Refused, report.Dropped =
+		f.count.Sent.Load(), f.count.Received.Load(), f.count.Refused.Load(), f.count.Dropped.Load()
+	if f.verdicts != nil {
+		report.Talk = f.verdicts.report(now)
 	}
-	if f.work != nil {
-		r.Work = f.reportWork(now, q.Find, refused)
+	if f.takeover != nil {
+		report.Work = f.takeoverReport(now, inquiry.Find, refused)
 	}
-	return r
+	return report
 }
 
-// drive has done what the pure parts want, until they want nothing more.
-func (f *Fleet) drive() {
+// applyOutputs carries out the outputs of the keeper and the member until there are none left: it stores, sends, and
+// publishes notes and the lease.
+func (f *Fleet) applyOutputs() {
 	for f.keeper != nil {
-		o, ok := f.keeper.Output()
+		output, ok := f.keeper.Output()
 		if !ok {
 			break
 		}
-		if o.Store != nil && !f.failed.Load() {
-			if err := f.store.write(o.Store); err != nil {
+		if output.Store != nil && !f.halted.Load() {
+			if err := f.store.write(output.Store); err != nil {
 				if fleet.Mutated() != "deaf-to-disk" {
-					f.failed.Store(true)
-					o.Outbound = nil
+					f.halted.Store(true)
+					output.Outbound = nil
 				}
 				f.keeper.Halt(err)
 			}
 		}
-		for _, s := range o.Outbound {
+		for _, s := range output.Outbound {
 			l, _ := f.links.Load(s.Link)
 			if s.Voter != 0 {
-				l = f.peers[s.Voter]
+				l = f.voterLinks[s.Voter]
 			}
 			if l != nil {
 				f.send(l, s.Frame)
 			}
 		}
 		f.keeper.Advance(Clock())
-		f.tell(o.Notes)
+		f.publishNotes(output.Notes)
 	}
-	if f.keeper != nil && f.lead != nil {
+	if f.keeper != nil && f.leaderBeacon != nil {
 		if term, leads := f.keeper.LeaderTerm(); leads {
-			if now := Clock(); now >= f.leadAt {
-				f.leadAt = now + f.cfg.Every
-				fmt.Fprintf(f.lead, "lead %s %d", f.cfg.Name, term)
+			if now := Clock(); now >= f.nextLeaderBeacon {
+				f.nextLeaderBeacon = now + f.cfg.Every
+				fmt.Fprintf(f.leaderBeacon, "lead %s %d", f.cfg.Name, term)
 			}
 		}
 	}
@@ -396,26 +433,26 @@
 		if lease := f.member.Lease(); lease != *f.lease.Load() {
 			f.lease.Store(&lease)
 		}
-		f.tell(notes)
+		f.publishNotes(notes)
 	}
 }
 
-// tell logs notes and queues them for the loop.
-func (f *Fleet) tell(notes []fleet.Note) {
-	for _, n := range notes {
-		f.log(n)
-		if f.gate != nil && n.Kind == fleet.FactWritten && strings.HasPrefix(n.Name, quota.OperatorKeyPrefix) {
-			list := inForce(f.cfg.Limits, f.member.Machine.Facts())
-			f.gate.limits.Store(&list)
-			f.gate.changed.Store(true)
-		}
-		if f.talk != nil {
-			f.noted(n)
-		}
-		if f.work != nil {
-			f.worked(Clock(), n)
-		}
-		if f.member != nil && !f.notes.TryEnqueue(n) {
+// publishNotes logs notes, passes them to the parts of the core and queues them for the loop.
+func (f *Fleet) publishNotes(notes []fleet.Note) {
+	for _, note := range notes {
+		f.logNote(note)
+		if f.limiter != nil && note.Kind == fleet.FactWritten && strings.HasPrefix(note.Name, quota.OperatorKeyPrefix) {
+			list := effectiveLimits(f.cfg.Limits, f.member.Machine.Facts())
+			f.limiter.newLimits.Store(&list)
+			f.limiter.limitsChanged.Store(true)
+		}
+		if f.verdicts != nil {
+			f.handleVerdictNote(note)
+		}
+		if f.takeover != nil {
+			f.handleTakeoverNote(Clock(), note)
+		}
+		if f.member != nil && !f.noteQueue.TryEnqueue(note) {
 			f.count.Missed.Add(1)
 		}
 	}
@@ -424,80 +461,97 @@
 	}
 }
 
-func (f *Fleet) log(n fleet.Note) {
-	l := f.cfg.Log
-	switch n.Kind {
+// logNote logs a change in the fleet.
+func (f *Fleet) logNote(note fleet.Note) {
+	logger := f.cfg.Log
+	switch note.Kind {
 	case fleet.LeaseGranted:
-		l.Info().Str("event", "fleet_granted").Uint64("incarnation", n.Incarnation).Msgf("fleet: acts as %s by incarnation %d", n.Name, n.Incarnation)
+		logger.Info().Str("event", "fleet_granted").Uint64("incarnation", note.Incarnation).
+			Msgf("fleet: acts as %s by incarnation %d", note.Name, note.Incarnation)
 	case fleet.LeaseRegained:
-		l.Info().Str("event", "fleet_regained").Uint64("incarnation", n.Incarnation).Msgf("fleet: holds its lease again, incarnation %d", n.Incarnation)
+		logger.Info().Str("event", "fleet_regained").Uint64("incarnation", note.Incarnation).
+			Msgf("fleet: holds its lease again, incarnation %d", note.Incarnation)
 	case fleet.LeaseExpired:
-		l.Warn().Str("event", "fleet_cut_off").Uint64("incarnation", n.Incarnation).Msgf("fleet: no keeper has renewed the lease of incarnation %d in time: calls go on, nothing is done for the fleet", n.Incarnation)
+		logger.Warn().Str("event", "fleet_cut_off").Uint64("incarnation", note.Incarnation).
+			Msgf("fleet: no keeper has renewed the lease of incarnation %d in time: calls go on, nothing is done for the fleet",
+				note.Incarnation)
 	case fleet.IncarnationEnded:
-		l.Warn().Str("event", "fleet_ended").Uint64("incarnation", n.Incarnation).Msgf("fleet: incarnation %d is over, a new one is asked for", n.Incarnation)
+		logger.Warn().Str("event", "fleet_ended").Uint64("incarnation", note.Incarnation).
+			Msgf("fleet: incarnation %d is over, a new one is asked for", note.Incarnation)
 	case fleet.NameInUse:
-		l.Warn().Str("event", "fleet_waits").Msgf("fleet: no lease yet: %s", n.Text)
+		logger.Warn().Str("event", "fleet_waits").Msgf("fleet: no lease yet: %s", note.Text)
 	case fleet.MemberLost:
-		l.Warn().Str("event", "fleet_lost").Str("member", n.Name).Uint64("incarnation", n.Incarnation).Msgf("fleet: %s is lost, incarnation %d", n.Name, n.Incarnation)
+		logger.Warn().Str("event", "fleet_lost").Str("member", note.Name).Uint64("incarnation", note.Incarnation).
+			Msgf("fleet: %s is lost, incarnation %d", note.Name, note.Incarnation)
 	case fleet.LeadershipGained:
-		l.Info().Str("event", "fleet_leads").Uint64("term", n.Number).Msgf("fleet: %s leads, term %d", n.Name, n.Number)
+		logger.Info().Str("event", "fleet_leads").Uint64("term", note.Number).
+			Msgf("fleet: %s leads, term %d", note.Name, note.Number)
 	case fleet.LeadershipLost:
-		l.Info().Str("event", "fleet_follows").Uint64("term", n.Number).Msgf("fleet: %s leads no more, term %d", n.Name, n.Number)
+		logger.Info().Str("event", "fleet_follows").Uint64("term", note.Number).
+			Msgf("fleet: %s leads no more, term %d", note.Name, note.Number)
 	case fleet.KeeperHalted:
-		l.Error().Str("event", "fleet_halted").Str("why", n.Text).Msgf("fleet: keeper %s has stopped for good, its disk failed: %s", n.Name, n.Text)
+		logger.Error().Str("event", "fleet_halted").Str("why", note.Text).
+			Msgf("fleet: keeper %s has stopped for good, its disk failed: %s", note.Name, note.Text)
 	case fleet.MemberBegan, fleet.MemberLeft, fleet.SuccessorChanged, fleet.FactWritten:
-		l.Debug().Str("event", "fleet_"+n.Kind.String()).Str("name", n.Name).Uint64("incarnation", n.Incarnation).Uint64("number", n.Number).Msgf("fleet: %s %s", n.Name, n.Kind)
+		logger.Debug().Str("event", "fleet_"+note.Kind.String()).Str("name", note.Name).
+			Uint64("incarnation", note.Incarnation).Uint64("number", note.Number).
+			Msgf("fleet: %s %s", note.Name, note.Kind)
 	}
 }
 
-// Holds is the look at the lease for whoever acts: the incarnation it may act by, now.
+// HoldsLease returns the incarnation by which this router may act at a time of Clock, and whether it may. Safe for
+// concurrent use.
 func (f *Fleet) Holds(now time.Duration) (incarnation uint64, ok bool) {
 	l := f.lease.Load()
 	return l.Incarnation, l.IsHeld(now)
 }
 
-// Turn is the loop's: first thing in each turn it takes what the fleet has come to, acts if the lease allows it, and says how long nothing more will be due.
+// Update is called at the start of each loop iteration: it handles queued notes, updates limits, verdicts and
+// takeover, and sends the beacon if the lease allows it. It returns how long until it is due again.
 func (f *Fleet) Turn() time.Duration {
 	for {
-		n, ok := f.notes.TryDequeue()
+		note, ok := f.noteQueue.TryDequeue()
 		if !ok {
 			break
 		}
-		if f.beacon != nil && n.Kind == fleet.MemberLost {
-			fmt.Fprintf(f.beacon, "lost %s %s %d", f.cfg.Name, n.Name, n.Incarnation)
+		if f.beacon != nil && note.Kind == fleet.MemberLost {
+			fmt.Fprintf(f.beacon, "lost %s %s %d", f.cfg.Name, note.Name, note.Incarnation)
 		}
 		if f.cfg.Facts != nil {
-			f.cfg.Facts(n)
+			f.cfg.Facts(note)
 		}
 	}
-	if f.gate == nil && f.beacon == nil && f.talk == nil && f.work == nil { // nothing that needs a look at the clock
+	if f.limiter == nil && f.beacon == nil && f.verdicts == nil && f.takeover == nil { // nothing depends on the time
 		return time.Hour
 	}
 	wait, now := time.Hour, Clock()
-	if f.work != nil {
-		wait = f.toil(now)
+	if f.takeover != nil {
+		wait = f.updateTakeover(now)
 	}
-	if f.gate != nil {
-		wait = min(wait, f.turn(now))
+	if f.limiter != nil {
+		wait = min(wait, f.updateLimits(now))
 	}
-	if f.talk != nil {
-		wait = min(wait, f.heed(now))
+	if f.verdicts != nil {
+		wait = min(wait, f.updateVerdicts(now))
 	}
 	if f.beacon == nil {
 		return wait
 	}
-	if now >= f.next {
-		f.next = now + f.cfg.Every
-		// The look and the act are next to each other: what a pause between them can still do is its own length, and the number is in the act.
+	if now >= f.nextBeacon {
+		f.nextBeacon = now + f.cfg.Every
+		// The lease is checked right before the act. If the process is stopped between the two, the act is late by at
+		// most the length of the stop, and still carries its incarnation.
 		if incarnation, ok := f.Holds(Clock()); ok {
-			f.beacons++
-			fmt.Fprintf(f.beacon, "act %s %d %d %d", f.cfg.Name, incarnation, f.process, f.beacons)
+			f.beaconCount++
+			fmt.Fprintf(f.beacon, "act %s %d %d %d", f.cfg.Name, incarnation, f.process, f.beaconCount)
 		}
 	}
-	return min(wait, max(f.next-now, 0))
+	return min(wait, max(f.nextBeacon-now, 0))
 }
 
-// Write asks for a fact, from any goroutine; done is called beside the loop with its version, 0 if it was refused.
+// WriteFact requests that a fact be written to the fleet's log; done is called on the core's goroutine with the
+// fact's version, or 0 if it was refused. It returns false, and never calls done, if the core is too busy. Safe for
+// concurrent use.
 func (f *Fleet) Write(p fleet.Put, done func(version uint64)) bool {
 	task := func(now time.Duration) {
 		if f.member == nil || !f.member.Put(now, &p, done) {
@@ -512,61 +566,68 @@
 	}
 }
 
-// Yield leaves the fleet while the process goes on with what it has: another has taken its place, and takes its name as soon as the log has the word.
-// It admits nothing from now on that the fleet divides.
+// Leave gives up the lease while the process goes on with its calls in progress: a new process has taken its place,
+// and takes over its name as soon as the log has the end of this incarnation. From now on fleet-wide limits admit no
+// call here. Safe for concurrent use.
 func (f *Fleet) Yield() {
 	if f.member == nil {
 		return
 	}
 	select {
 	case f.tasks <- f.member.Leave:
-	default: // its lease ends by itself
+	default: // the lease expires by itself
 	}
 }
 
-// Failed says whether this keeper has halted.
-func (f *Fleet) Failed() bool { return f.failed.Load() }
+// Halted reports whether this keeper has stopped because its disk failed. Safe for concurrent use.
+func (f *Fleet) Failed() bool { return f.halted.Load() }
 
-// Address is where a keeper listens.
+// Address returns the address that this process listens on for links, empty if it doesn't.
 func (f *Fleet) Address() string { return f.address }
 
-// Counters are printed with the process's others.
+// Counters returns the fleet's counters as text, to be printed with the process's others.
 func (f *Fleet) Counters() string {
 	c := &f.count
 	l := f.lease.Load()
-	more := ""
-	if f.gate != nil {
-		more = fmt.Sprintf(" Limits:%+v", f.gate.Count)
-	}
-	if f.work != nil {
-		c := &f.work.count
-		more += fmt.Sprintf(" Work:{Records:%d Dropped:%d Hurried:%d Alone:%d Ceased:%d Adopted:%d Again:%d Evacuated:%d Late:%d Missed:%d}", f.work.giver.Count.Records, f.work.giver.Count.Dropped, c.Hurried.Load(), c.Alone.Load(), f.work.actor.Count.Ceased, f.work.actor.Count.Adopted, f.work.actor.Count.Again, f.work.actor.Count.Evacuated, c.Late.Load(), c.Missed.Load())
-	}
-	if f.talk != nil {
-		more += fmt.Sprintf(" Verdicts:%+v", f.talk.watch.Count)
-	}
-	return fmt.Sprintf("{Incarnation:%d Sent:%d Received:%d Raft:%d Refused:%d Dropped:%d Missed:%d Links:%d%s}", l.Incarnation, c.Sent.Load(), c.Received.Load(), c.Raft.Load(),
-		c.Refused.Load(), c.Dropped.Load(), c.Missed.Load(), f.links.Size(), more)
+	extra := ""
+	if f.limiter != nil {
+		extra = fmt.Sprintf(" Limits:%+v", f.limiter.Count)
+	}
+	if f.takeover != nil {
+		c := &f.takeover.count
+		extra += fmt.Sprintf(" Work:{Records:%d Dropped:%d Hurried:%d Alone:%d Ceased:%d Adopted:%d Again:%d Evacuated:%d Late:%d Missed:%d}",
+			f.takeover.recorder.Count.Records, f.takeover.recorder.Count.Dropped, c.Hurried.Load(), c.Alone.Load(),
+			f.takeover.ownership.Count.Ceased, f.takeover.ownership.Count.Adopted, f.takeover.ownership.Count.Again,
+			f.takeover.ownership.Count.Evacuated, c.Late.Load(), c.Missed.Load())
+	}
+	if f.verdicts != nil {
+		extra += fmt.Sprintf(" Verdicts:%+v", f.verdicts.watch.Count)
+	}
+	return fmt.Sprintf("{Incarnation:%d Sent:%d Received:%d Raft:%d Refused:%d Dropped:%d Missed:%d Links:%d%s}",
+		l.Incarnation, c.Sent.Load(), c.Received.Load(), c.Raft.Load(),
+		c.Refused.Load(), c.Dropped.Load(), c.Missed.Load(), f.links.Size(), extra)
 }
 
-// Owe names callers that the router could not tell of their calls' ends, for another to do as it closes.
-func (f *Fleet) Owe(list []takeover.End) { f.owed = list }
+// SetPendingEnds sets the ends of calls of which this router couldn't notify the callers; Close forwards them to a
+// linked router, which notifies them instead.
+func (f *Fleet) Owe(list []takeover.End) { f.pendingEnds = list }
 
-// Close leaves the fleet. The process must have stopped acting.
+// Close leaves the fleet, ends the core and all links, and closes a keeper's directory. The process must have stopped
+// acting, and the loop must not call the Fleet any more.
 func (f *Fleet) Close() error {
 	left := make(chan struct{})
 	if f.member != nil {
 		select {
 		case f.tasks <- func(now time.Duration) {
-			if f.work != nil {
-				f.leaveWork(now)
+			if f.takeover != nil {
+				f.announceLeave(now)
 			}
 			f.member.Leave(now)
 			close(left)
 		}:
 			select {
 			case <-left:
-				time.Sleep(100 * time.Millisecond) // for the word to go out
+				time.Sleep(100 * time.Millisecond) // lets the messages be sent
 			case <-time.After(300 * time.Millisecond):
 			}
 		default:
@@ -574,14 +635,14 @@
 	}
 	close(f.stop)
 	f.cancel()
-	<-f.core
+	<-f.coreDone
 	if f.server != nil {
 		f.server.Stop()
 	}
-	f.done.Wait()
+	f.goroutines.Wait()
 	if f.beacon != nil {
 		f.beacon.Close()
-		f.lead.Close()
+		f.leaderBeacon.Close()
 	}
 	if f.store != nil {
 		return f.store.close()
--- a/internal/fleetio/limits.go
+++ b/internal/fleetio/limits.go
@@ -13,89 +13,93 @@
 	"threadglade.example/threadglade/quota"
 )
 
-// Limits: the carrier of package quota. What divides them rides on leases; which there are stands in the settings and, above them, in the log as operators' words.
+// Fleet-wide limits: transport and timing for package quota. Claims and grants are carried by lease renewals. The
+// limits are defined in the settings; facts that operators write to the fleet's log override them.
 
 const (
-	// claimEvery is how often the loop says anew what it has, and hurryEvery how often a router asks whose share does not do.
-	claimEvery = 100 * time.Millisecond
-	hurryEvery = 250 * time.Millisecond
-	pacedBytes = 32 << 10
-	sharesMost = 256 // answers that wait for the loop
+	// claimInterval is how often the loop updates the claims that the core sends, and unmetDemandInterval the
+	// shortest time between lease renewals while the router's share doesn't meet its demand.
+	claimInterval       = 100 * time.Millisecond
+	unmetDemandInterval = 250 * time.Millisecond
+	claimPacingBytes    = 32 << 10 // each further such amount of claims adds one claimInterval between updates
+	maxQueuedGrants     = 256      // answers queued for the loop
 )
 
-// ReadLimits reads a (limits ...) section; docs/operators/quota.md has every field.
+// ReadLimits reads a (limits ...) section; docs/operators/quota.md describes every field. Errors are recorded with
+// the section.
 func ReadLimits(s *settings.Section) (list []quota.Limit) {
 	s.EachSection("limit", func(one *settings.Section) {
 		l := readLimit(one)
 		if slices.ContainsFunc(list, func(o quota.Limit) bool { return o.Name == l.Name }) {
-			one.Errorf("", "limit %q stands twice", l.Name)
+			one.Errorf("", "limit %q is defined twice", l.Name)
 		}
 		list = append(list, l)
 	})
 	if len(list) > quota.MaxLimits {
-		s.Errorf("", "%d limits, %d at the most", len(list), quota.MaxLimits)
+		s.Errorf("", "%d limits, at most %d are allowed", len(list), quota.MaxLimits)
 	}
 	return list
 }
 
+// readLimit reads one (limit "name" ...) section.
 func readLimit(s *settings.Section) quota.Limit {
-	l := quota.Limit{Name: s.Label(), Burst: 200 * time.Millisecond, MaxCallDuration: 10 * time.Minute}
-	number := func(field string, v *float64) bool {
+	limit := quota.Limit{Name: s.Label(), Burst: 200 * time.Millisecond, MaxCallDuration: 10 * time.Minute}
+	number := func(field string, target *float64) bool {
 		var text string
 		if !s.String(field, &text) {
 			return false
 		}
-		x, err := strconv.ParseFloat(text, 64)
+		value, err := strconv.ParseFloat(text, 64)
 		if err != nil {
 			s.Errorf(field, "%q is no number", text)
 		}
-		*v = x
+		*target = value
 		return true
 	}
-	if number("rate", &l.Max) {
-		l.Kind = quota.Rate
+	if number("rate", &limit.Max) {
+		limit.Kind = quota.Rate
 	}
-	if number("calls", &l.Max) {
-		if l.Kind != 0 {
-			s.Errorf("calls", "one of rate and calls is wanted")
+	if number("calls", &limit.Max) {
+		if limit.Kind != 0 {
+			s.Errorf("calls", "rate and calls exclude each other")
 		}
-		l.Kind = quota.Calls
+		limit.Kind = quota.Calls
 	}
-	if number("retries", &l.Max) {
-		if l.Kind != 0 {
-			s.Errorf("retries", "stands beside another kind")
+	if number("retries", &limit.Max) {
+		if limit.Kind != 0 {
+			s.Errorf("retries", "excludes rate and calls")
 		}
-		l.Kind = quota.Retries
+		limit.Kind = quota.Retries
 	}
 	cold := "no"
 	if s.Choice("cold", &cold, "yes", "no"); cold == "yes" {
-		if l.Kind != 0 {
-			s.Errorf("cold", "stands beside another kind")
+		if limit.Kind != 0 {
+			s.Errorf("cold", "excludes rate, calls and retries")
 		}
-		l.Kind, l.Max = quota.Cold, 1
+		limit.Kind, limit.Max = quota.Cold, 1
 	}
-	s.Duration("burst", &l.Burst, 0, time.Minute)
-	s.Duration("longest", &l.MaxCallDuration, time.Second, 24*time.Hour)
+	s.Duration("burst", &limit.Burst, 0, time.Minute)
+	s.Duration("longest", &limit.MaxCallDuration, time.Second, 24*time.Hour)
 	mode := "closed"
 	s.Choice("cut-off", &mode, "closed", "floor", "open")
-	l.CutOff = map[string]quota.CutOff{"closed": quota.Closed, "floor": quota.Floor, "open": quota.Open}[mode]
-	number("floor", &l.Floor)
-	number("cap", &l.Cap)
-	s.Int("routers", &l.MaxRouters, 1, 100_000)
+	limit.CutOff = map[string]quota.CutOff{"closed": quota.Closed, "floor": quota.Floor, "open": quota.Open}[mode]
+	number("floor", &limit.Floor)
+	number("cap", &limit.Cap)
+	s.Int("routers", &limit.MaxRouters, 1, 100_000)
 	var each string
 	if s.Choice("each", &each, "tenant", "number", "class"); each != "" {
-		l.PerField = quota.ParseField(each)
+		limit.PerField = quota.ParseField(each)
 	}
-	s.String("class", &l.Class)
-	s.String("tenant", &l.Tenant)
-	s.String("number", &l.Number)
-	if err := l.Validate(); err != nil {
+	s.String("class", &limit.Class)
+	s.String("tenant", &limit.Tenant)
+	s.String("number", &limit.Number)
+	if err := limit.Validate(); err != nil {
 		s.Errorf("", "%v", err)
 	}
-	return l
+	return limit
 }
 
-// ParseLimit reads one limit as operators say it: (limit "name" ...).
+// ParseLimit parses the text of one limit, (limit "name" ...); errors refer to the text by the given name.
 func ParseLimit(name, text string) (quota.Limit, error) {
 	s, err := settings.ParseAs(name, text, "limit")
 	if err != nil {
@@ -105,10 +109,11 @@
 	return l, s.Finish()
 }
 
-// Word is what stands in the log for a limit that operators have set: who, why, and the limit as text; an empty one takes it away.
+// EncodeOperatorValue returns the value of a fact that an operator writes: who, why and a text, separated by
+// newlines. An empty text withdraws what the key stands for.
 func Word(who, why, text string) []byte { return []byte(who + "\n" + why + "\n" + text) }
 
-// Words reads one.
+// DecodeOperatorValue splits a value of EncodeOperatorValue; parts that are missing are empty.
 func Words(b []byte) (who, why, text string) {
 	parts := strings.SplitN(string(b), "\n", 3)
 	for len(parts) < 3 {
@@ -117,132 +122,140 @@
 	return parts[0], parts[1], parts[2]
 }
 
-// inForce is the settings' limits with the operators' words above them.
-func inForce(base []quota.Limit, facts []*fleetpb.Fact) []quota.Limit {
-	by := map[string]quota.Limit{}
-	for _, l := range base {
-		by[l.Name] = l
+// effectiveLimits returns the limits of the settings, overridden by operators' facts, sorted by name.
+func effectiveLimits(base []quota.Limit, facts []*fleetpb.Fact) []quota.Limit {
+	byName := map[string]quota.Limit{}
+	for _, limit := range base {
+		byName[limit.Name] = limit
 	}
-	for _, f := range facts {
-		name, ok := strings.CutPrefix(f.Key, quota.OperatorKeyPrefix)
+	for _, fact := range facts {
+		name, ok := strings.CutPrefix(fact.Key, quota.OperatorKeyPrefix)
 		if !ok {
 			continue
 		}
-		_, _, text := Words(f.Value)
-		l, err := ParseLimit(f.Key, text)
+		_, _, text := Words(fact.Value)
+		limit, err := ParseLimit(fact.Key, text)
 		if text == "" {
-			delete(by, name)
-		} else if err == nil && l.Name == name { // what cannot be read was refused before it came here; by another version it changes nothing
-			by[name] = l
+			delete(byName, name)
+		} else if err == nil && limit.Name == name {
+			// A text that can't be parsed was refused before it was written, or is of another version: ignored.
+			byName[name] = limit
 		}
 	}
 	var list []quota.Limit
-	for _, name := range slices.Sorted(maps.Keys(by)) {
+	for _, name := range slices.Sorted(maps.Keys(byName)) {
 		if len(list) < quota.MaxLimits {
-			list = append(list, by[name])
+			list = append(list, byName[name])
 		}
 	}
 	return list
 }
 
-// gate is a router's part, between the loop and the core.
-type gate struct {
-	*quota.Limiter // of the loop
-	next           time.Duration
-	said           atomic.Pointer[[]byte] // claims, as the core sends them
-	limits         atomic.Pointer[[]quota.Limit]
-	changed        atomic.Bool
+// limiterState is a router's limiter and what the loop and the core exchange about it.
+type limiterState struct {
+	*quota.Limiter                               // of the loop
+	nextClaims     time.Duration                 // when the loop updates claims next, by Clock
+	claims         atomic.Pointer[[]byte]        // marshalled by the loop, sent by the core
+	newLimits      atomic.Pointer[[]quota.Limit] // limits in effect, set by the core before limitsChanged
+	limitsChanged  atomic.Bool
 }
 
-// shares are an answer's, on their way to the loop.
-type shares struct {
-	seq    uint64
-	until  time.Duration
+// grantBatch is the grants of one lease answer, queued for the loop.
+type grantBatch struct {
+	seq    uint64        // of the answer
+	until  time.Duration // end of the lease, by Clock
 	grants []quota.Grant
 }
 
-// rode gives an answer's shares to the loop. It is the core's.
-func (f *Fleet) rode(seq uint64, until time.Duration, ride []byte) {
-	grants, ok := quota.UnmarshalGrants(ride)
+// receiveGrants queues the grants of a lease answer for the loop. Called by the core.
+func (f *Fleet) receiveGrants(seq uint64, until time.Duration, payload []byte) {
+	grants, ok := quota.UnmarshalGrants(payload)
 	if !ok {
 		return
 	}
-	if !f.shares.TryEnqueue(shares{seq, until, grants}) {
-		f.count.Missed.Add(1) // as an answer that was lost: it counts as on its way
+	if !f.grantQueue.TryEnqueue(grantBatch{seq, until, grants}) {
+		f.count.Missed.Add(1) // like a lost answer: its grants count as in flight
 		return
 	}
 	f.cfg.Wake()
 }
 
-// turn is the gate's part of a turn of the loop: shares that have come are taken, and what the router has is said anew.
-func (f *Fleet) turn(now time.Duration) time.Duration {
-	g := f.gate
-	if g.changed.Swap(false) {
-		g.SetLimits(now, *g.limits.Load())
-		f.tellParts(now)
+// updateLimits is the limiter's part of a loop iteration: it applies queued limits and grants and updates the claims.
+// It returns how long until it is due again.
+func (f *Fleet) updateLimits(now time.Duration) time.Duration {
+	limiter := f.limiter
+	if limiter.limitsChanged.Swap(false) {
+		limiter.SetLimits(now, *limiter.newLimits.Load())
+		f.reportColdShares(now)
 	}
-	less := false
+	reduced := false
 	for {
-		s, ok := f.shares.TryDequeue()
+		batch, ok := f.grantQueue.TryDequeue()
 		if !ok {
 			break
 		}
-		less = g.ApplyGrants(now, s.seq, s.until, s.grants) || less
-		f.tellParts(now)
+		reduced = limiter.ApplyGrants(now, batch.seq, batch.until, batch.grants) || reduced
+		f.reportColdShares(now)
 	}
-	if f.cfg.Further != nil && g.HasRetryLimit() {
-		f.cfg.Further(g.LendRetries)
+	if f.cfg.Further != nil && limiter.HasRetryLimit() {
+		f.cfg.Further(limiter.LendRetries)
 	}
-	if now < g.next && !less {
-		return g.next - now
+	if now < limiter.nextClaims && !reduced {
+		return limiter.nextClaims - now
 	}
-	said := g.MarshalClaims(now)
-	g.said.Store(&said)
-	pause := claimEvery * time.Duration(1+len(said)/pacedBytes) // thousands of tenants are said less often
-	g.next = now + pause
-	while := hurryEvery
-	if less { // who is given what this router gave back waits for the word of it
-		while = 0
+	claims := limiter.MarshalClaims(now)
+	limiter.claims.Store(&claims)
+	// Claims of thousands of tenants are sent less often.
+	interval := claimInterval * time.Duration(1+len(claims)/claimPacingBytes)
+	limiter.nextClaims = now + interval
+	delay := unmetDemandInterval
+	if reduced { // other routers wait for what this router has given back
+		delay = 0
 	}
-	if less || g.HasUnmetDemand(now) {
+	if reduced || limiter.HasUnmetDemand(now) {
 		select {
-		case f.tasks <- func(time.Duration) { f.member.AskWithin(while) }:
+		case f.tasks <- func(time.Duration) { f.member.AskWithin(delay) }:
 		default:
 		}
 	}
-	return pause
+	return interval
 }
 
-// Cold is the loop's: these case servers have just started, and are warm after some time from now each.
+// SetColdServers sets the case servers that have just started. Warm of each is the time from now until it is warm,
+// and is changed in place to a time of Clock. Called by the loop.
 func (f *Fleet) Cold(servers []quota.Server) {
 	now := Clock()
 	for i := range servers {
 		servers[i].Warm += now
 	}
-	f.gate.SetColdServers(now, servers)
-	f.tellParts(now)
+	f.limiter.SetColdServers(now, servers)
+	f.reportColdShares(now)
 }
 
-// tellParts tells the decisions this router's parts of what cold servers may be sent, and for how long from now they hold.
-func (f *Fleet) tellParts(now time.Duration) {
+// reportColdShares passes on this router's shares of the calls that cold servers may be sent, and for how long from
+// now they are valid.
+func (f *Fleet) reportColdShares(now time.Duration) {
 	if f.cfg.Parts == nil {
 		return
 	}
-	if parts, alone, ok := f.gate.ColdShares(now); ok {
-		f.cfg.Parts(parts, f.gate.LeaseUntil()-now, alone)
+	if parts, alone, ok := f.limiter.ColdShares(now); ok {
+		f.cfg.Parts(parts, f.limiter.LeaseUntil()-now, alone)
 	}
 }
 
-// Limited says whether the process has limits of the fleet.
-func (f *Fleet) Limited() bool { return f.gate != nil }
+// HasLimits reports whether this router enforces fleet-wide limits.
+func (f *Fleet) Limited() bool { return f.limiter != nil }
 
-// Admit is the loop's: whether a call may come in by this router's shares, now. Refused, it says by which limit and when to come back.
-func (f *Fleet) Admit(slot uint32, class, tenant, number string, retry bool) (ok bool, by string, after time.Duration) {
-	return f.gate.Admit(Clock(), slot, class, tenant, number, retry)
+// Admit reports whether this router's shares allow a call now. If not, it names the limit and returns how long to
+// wait before a retry. Called by the loop.
+func (f *Fleet) Admit(slot uint32, class, tenant, number string, retry bool) (
+	ok bool, by string, after time.Duration,
+) {
+	return f.limiter.Admit(Clock(), slot, class, tenant, number, retry)
 }
 
-// Over is the loop's: an admitted call has come to its end.
-func (f *Fleet) Over(slot uint32) { f.gate.Release(slot) }
+// Release frees what an admitted call has used, at its end. Called by the loop.
+func (f *Fleet) Over(slot uint32) { f.limiter.Release(slot) }
 
-// Limits are the loop's to look at.
-func (f *Fleet) Limits() []quota.LimiterStatus { return f.gate.Status(Clock()) }
+// LimitStatus returns the state of each limit. Called by the loop.
+func (f *Fleet) Limits() []quota.LimiterStatus { return f.limiter.Status(Clock()) }
--- a/internal/fleetio/links.go
+++ b/internal/fleetio/links.go
@@ -21,50 +21,51 @@
 	"threadglade.example/threadglade/fleet/fleetpb"
 )
 
-// Links: one gRPC stream from whoever dialled to a keeper, frames both ways, a hello first from each side. Whoever does not read is cut off; whoever sends is
-// never held up by it.
+// A link is one gRPC stream from the process that dialled to a keeper or a router. Frames go both ways; each side
+// sends a hello first. A link whose receiver doesn't keep up is closed, so that senders never block.
 
 const (
-	frameMost   = 4 << 20 // bytes of a message; a larger one ends its link
-	queueMost   = 1024    // frames that wait for one link
-	inboxMost   = 4096    // and for this process
-	linksMost   = 8192    // accepted
-	helloWithin = 2 * time.Second
-	dialAgain   = 100 * time.Millisecond
-	dialLatest  = time.Second
+	maxFrameBytes    = 4 << 20 // per message; a larger one ends its link
+	maxQueuedFrames  = 1024    // frames queued for one link
+	maxQueuedEvents  = 4096    // events queued for the core
+	maxAcceptedLinks = 8192    // accepted links open at a time
+	helloTimeout     = 2 * time.Second
+	minDialDelay     = 100 * time.Millisecond // before a link is dialled again; grows to maxDialDelay
+	maxDialDelay     = time.Second
 )
 
-// link is one open stream.
+// link is one open stream between two processes.
 type link struct {
-	id    fleet.Link
-	name  string
-	peer  bool // a keeper
-	talks bool // between neighbours
-	queue chan *fleetpb.Frame
-	cut   context.CancelFunc
+	id             fleet.Link
+	name           string // of the other process; empty: an operator's
+	betweenKeepers bool
+	betweenRouters bool
+	queue          chan *fleetpb.Frame // to be sent
+	cancel         context.CancelFunc  // ends the link
 }
 
-// event is what a link brings to the core.
-type event struct {
-	link  *link
-	frame *fleetpb.Frame // nil: the link has opened or, with gone, ended
-	gone  bool
-	out   bool // it was dialled by this process
+// linkEvent is a frame of a link, or the opening or end of a link, queued for the core.
+type linkEvent struct {
+	link    *link
+	frame   *fleetpb.Frame // nil: the link has opened or, if closed is set, ended
+	closed  bool
+	dialled bool // by this process
 }
 
-// send gives a frame to a link's own goroutine; a link whose queue is full is cut off.
+// send queues a frame for a link's sending goroutine; a link whose queue is full is closed.
 func (f *Fleet) send(l *link, frame *fleetpb.Frame) {
 	select {
 	case l.queue <- frame:
 		f.count.Sent.Add(1)
 	default:
 		f.count.Dropped.Add(1)
-		l.cut()
+		l.cancel()
 	}
 }
 
-// put hands an event to the core; it waits, and with it the link that it came on, while the core is busy.
-func (f *Fleet) put(ctx context.Context, e event) bool {
+// enqueueEvent queues an event for the core. It blocks while the queue is full, which stops reading from the link. It
+// returns false if the context or the fleet ended first.
+func (f *Fleet) enqueueEvent(ctx context.Context, e linkEvent) bool {
 	select {
 	case f.inbox <- e:
 		return true
@@ -74,33 +75,34 @@
 	return false
 }
 
-// stream is either side of a gRPC stream.
+// stream is the client's or the server's side of a gRPC stream.
 type stream interface {
 	SendMsg(any) error
 	RecvMsg(any) error
 }
 
-// pump reads a link into the inbox and writes its queue until either ends.
-func (f *Fleet) pump(ctx context.Context, s stream, l *link, out bool) error {
-	if !f.put(ctx, event{link: l, out: out}) {
+// serveLink queues the frames it receives for the core and sends the link's queued frames, until either direction or
+// the context ends. It reports the link's opening and end to the core.
+func (f *Fleet) serveLink(ctx context.Context, s stream, l *link, dialled bool) error {
+	if !f.enqueueEvent(ctx, linkEvent{link: l, dialled: dialled}) {
 		return context.Canceled
 	}
 	f.links.Store(l.id, l)
 	defer func() {
 		f.links.Delete(l.id)
-		f.put(context.Background(), event{link: l, gone: true, out: out})
+		f.enqueueEvent(context.Background(), linkEvent{link: l, closed: true, dialled: dialled})
 	}()
-	ends := make(chan error, 1)
+	received := make(chan error, 1)
 	go func() {
 		for {
 			frame := &fleetpb.Frame{}
 			if err := s.RecvMsg(frame); err != nil {
-				ends <- err
+				received <- err
 				return
 			}
 			f.count.Received.Add(1)
-			if !f.put(ctx, event{link: l, frame: frame, out: out}) {
-				ends <- context.Canceled
+			if !f.enqueueEvent(ctx, linkEvent{link: l, frame: frame, dialled: dialled}) {
+				received <- context.Canceled
 				return
 			}
 		}
@@ -122,75 +124,91 @@
 	}()
 	var err error
 	select {
-	case err = <-ends:
+	case err = <-received:
 	case err = <-sent:
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
-	l.cut()
+	l.cancel()
 	return err
 }
 
+// linkStream describes the bidirectional stream of a link.
 var linkStream = grpc.StreamDesc{StreamName: "Link", ServerStreams: true, ClientStreams: true}
 
 const linkMethod = "/threadglade.fleet.v1.Fleet/Link"
 
-// listen serves links of keepers, routers and operators.
+// listen starts to serve links of keepers, routers and operators.
 func (f *Fleet) listen(addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	f.server = grpc.NewServer(grpc.MaxRecvMsgSize(frameMost), grpc.MaxConcurrentStreams(4), grpc.MaxHeaderListSize(8<<10), grpc.ConnectionTimeout(helloWithin),
+	f.server = grpc.NewServer(grpc.MaxRecvMsgSize(maxFrameBytes), grpc.MaxConcurrentStreams(4),
+		grpc.MaxHeaderListSize(8<<10), grpc.ConnectionTimeout(helloTimeout),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 10 * time.Second, Timeout: 3 * time.Second}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 2 * time.Second, PermitWithoutStream: true}))
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
+			MinTime:             2 * time.Second,
+			PermitWithoutStream: true,
+		}))
 	desc := linkStream
-	desc.Handler = func(_ any, s grpc.ServerStream) error { return f.accept(s) }
-	f.server.RegisterService(&grpc.ServiceDesc{ServiceName: "threadglade.fleet.v1.Fleet", HandlerType: (*any)(nil), Streams: []grpc.StreamDesc{desc}}, f)
+	desc.Handler = func(_ any, s grpc.ServerStream) error { return f.acceptLink(s) }
+	f.server.RegisterService(&grpc.ServiceDesc{
+		ServiceName: "threadglade.fleet.v1.Fleet",
+		HandlerType: (*any)(nil),
+		Streams:     []grpc.StreamDesc{desc},
+	}, f)
 	f.address = l.Addr().String()
 	go f.server.Serve(l)
 	return nil
 }
 
-// accept greets who has dialled and serves the link until it ends.
-func (f *Fleet) accept(s grpc.ServerStream) error {
-	if f.accepted.Add(1) > linksMost {
-		f.accepted.Add(-1)
-		f.refused("a link too many")
+// acceptLink exchanges hellos with the process that has dialled and serves the link until it ends.
+func (f *Fleet) acceptLink(s grpc.ServerStream) error {
+	if f.acceptedLinks.Add(1) > maxAcceptedLinks {
+		f.acceptedLinks.Add(-1)
+		f.countRefusal("a link too many")
 		return status.Error(codes.ResourceExhausted, "too many links")
 	}
-	defer f.accepted.Add(-1)
+	defer f.acceptedLinks.Add(-1)
 	first := make(chan error, 1)
 	frame := &fleetpb.Frame{}
 	go func() { first <- s.RecvMsg(frame) }()
 	select {
 	case err := <-first:
 		if err != nil {
-			f.refused(err.Error())
+			f.countRefusal(err.Error())
 			return err
 		}
-	case <-time.After(helloWithin):
-		f.refused("no hello in time")
+	case <-time.After(helloTimeout):
+		f.countRefusal("no hello in time")
 		return status.Error(codes.DeadlineExceeded, "no hello in time")
 	case <-f.stop:
 		return status.Error(codes.Unavailable, "ending")
 	}
 	hello := frame.GetHello()
 	if err := f.cfg.Terms.CheckHello(hello, f.voters); err != nil {
-		f.refused(err.Error())
+		f.countRefusal(err.Error())
 		return status.Error(codes.PermissionDenied, err.Error())
 	}
-	if err := s.SendMsg(f.hello()); err != nil {
+	if err := s.SendMsg(f.helloFrame()); err != nil {
 		return err
 	}
-	ctx, cut := context.WithCancel(s.Context())
-	defer cut()
-	l := &link{id: f.number(), name: hello.Name, peer: hello.Voter != 0 && !hello.Talks, talks: hello.Talks && hello.Name != "", queue: make(chan *fleetpb.Frame, queueMost), cut: cut}
-	err := f.pump(ctx, s, l, false)
+	ctx, cancel := context.WithCancel(s.Context())
+	defer cancel()
+	l := &link{
+		id:             f.nextLinkID(),
+		name:           hello.Name,
+		betweenKeepers: hello.Voter != 0 && !hello.Talks,
+		betweenRouters: hello.Talks && hello.Name != "",
+		queue:          make(chan *fleetpb.Frame, maxQueuedFrames),
+		cancel:         cancel,
+	}
+	err := f.serveLink(ctx, s, l, false)
 	if s, bad := status.FromError(err); bad && s != nil {
 		switch s.Code() {
 		case codes.ResourceExhausted, codes.Internal, codes.InvalidArgument:
-			f.refused(fmt.Sprintf("%s: %s", l.name, s.Message()))
+			f.countRefusal(fmt.Sprintf("%s: %s", l.name, s.Message()))
 		}
 	}
 	if errors.Is(err, io.EOF) {
@@ -199,34 +217,53 @@
 	return err
 }
 
-// refused counts what was not let in, and says so at most once a second.
-func (f *Fleet) refused(why string) {
+// countRefusal counts a refused link or frame, and logs the reason at most once a second.
+func (f *Fleet) countRefusal(reason string) {
 	f.count.Refused.Add(1)
-	if now := time.Now().Unix(); f.said.Swap(now) != now {
-		f.cfg.Log.Warn().Str("event", "fleet_refused").Str("why", why).Msgf("fleet: refused: %s", why)
+	if now := time.Now().Unix(); f.lastRefusalLog.Swap(now) != now {
+		f.cfg.Log.Warn().Str("event", "fleet_refused").Str("why", reason).Msgf("fleet: refused: %s", reason)
 	}
 }
 
-func (f *Fleet) number() fleet.Link { return fleet.Link(f.numbers.Add(1)) }
+func (f *Fleet) nextLinkID() fleet.Link { return fleet.Link(f.lastLinkID.Add(1)) }
 
-func (f *Fleet) hello() *fleetpb.Frame {
-	h := &fleetpb.Hello{Fleet: f.cfg.Terms.Fleet, Name: f.cfg.Name, Version: fleet.LinkVersion, Least: fleet.MinLinkVersion, Process: f.process}
+// helloFrame returns the first frame that this process sends on a link.
+func (f *Fleet) helloFrame() *fleetpb.Frame {
+	h := &fleetpb.Hello{
+		Fleet:   f.cfg.Terms.Fleet,
+		Name:    f.cfg.Name,
+		Version: fleet.LinkVersion,
+		Least:   fleet.MinLinkVersion,
+		Process: f.process,
+	}
 	if f.keeper != nil {
 		h.Voter = f.voters[f.cfg.Name]
 	}
 	return &fleetpb.Frame{What: &fleetpb.Frame_Hello{Hello: h}}
 }
 
-// Dial opens a client connection to a keeper. Links carry no credentials of their own: the network between routers has to be protected.
+// Dial opens a client connection to a keeper or a router. Links are neither authenticated nor encrypted: the network
+// between the processes of a fleet has to be protected.
 func Dial(addr string) (*grpc.ClientConn, error) {
-	return grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy(), grpc.WithDisableServiceConfig(),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(frameMost), grpc.MaxCallSendMsgSize(frameMost)),
-		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: dialAgain, Multiplier: 1.5, Jitter: 0.3, MaxDelay: dialLatest}, MinConnectTimeout: helloWithin}),
+	return grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithNoProxy(), grpc.WithDisableServiceConfig(),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxFrameBytes), grpc.MaxCallSendMsgSize(maxFrameBytes)),
+		grpc.WithConnectParams(grpc.ConnectParams{
+			Backoff: backoff.Config{
+				BaseDelay:  minDialDelay,
+				Multiplier: 1.5,
+				Jitter:     0.3,
+				MaxDelay:   maxDialDelay,
+			},
+			MinConnectTimeout: helloTimeout,
+		}),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 2 * time.Second}))
 }
 
-// open dials a stream and exchanges hellos.
-func open(ctx context.Context, conn *grpc.ClientConn, hello *fleetpb.Frame) (grpc.ClientStream, *fleetpb.Hello, error) {
+// openStream opens a stream, exchanges hellos and returns that of the other side.
+func openStream(
+	ctx context.Context, conn *grpc.ClientConn, hello *fleetpb.Frame,
+) (grpc.ClientStream, *fleetpb.Hello, error) {
 	s, err := conn.NewStream(ctx, &linkStream, linkMethod)
 	if err != nil {
 		return nil, nil, err
@@ -236,107 +273,128 @@
 		err = s.RecvMsg(frame)
 	}
 	if err == nil && frame.GetHello() == nil {
-		err = errors.New("it does not begin with a hello")
+		err = errors.New("the first frame is not a hello")
 	}
 	return s, frame.GetHello(), err
 }
 
-// What a link that this process has dialled carries.
-type carries int
+// linkPurpose is what a link that this process dials is for.
+type linkPurpose int
 
 const (
-	asks  carries = iota // a router's, to a keeper
-	rafts                // a keeper's, to another
-	talks                // a router's, to a neighbour
+	routerToKeeper linkPurpose = iota // lease renewals
+	keeperToKeeper                    // messages of the consensus
+	routerToRouter                    // verdicts and replication of calls
 )
 
-// follow keeps a link open until the context ends.
-func (f *Fleet) follow(until context.Context, name, addr string, what carries) {
-	defer f.done.Done()
+// maintainLink keeps a link to a process open until the context ends: it dials again, with backoff and jitter, when
+// the link has ended.
+func (f *Fleet) maintainLink(parent context.Context, name, addr string, purpose linkPurpose) {
+	defer f.goroutines.Done()
 	conn, err := Dial(addr)
 	if err != nil {
 		f.cfg.Log.Error().Str("event", "fleet_link").Str("keeper", name).Msgf("fleet: %s: %v", name, err)
 		return
 	}
 	defer conn.Close()
-	pause := dialAgain
-	told := ""
-	for until.Err() == nil {
-		ctx, cut := context.WithCancel(until)
-		hurry := time.AfterFunc(helloWithin, cut)
-		hello := f.hello()
-		if what != rafts {
+	delay := minDialDelay
+	lastRefusal := ""
+	for parent.Err() == nil {
+		ctx, cancel := context.WithCancel(parent)
+		deadline := time.AfterFunc(helloTimeout, cancel)
+		hello := f.helloFrame()
+		if purpose != keeperToKeeper {
 			hello.GetHello().Voter = 0
 		}
-		hello.GetHello().Talks = what == talks
-		s, other, err := open(ctx, conn, hello)
-		in := hurry.Stop()
-		if err == nil && in {
+		hello.GetHello().Talks = purpose == routerToRouter
+		opened, other, err := openStream(ctx, conn, hello)
+		inTime := deadline.Stop()
+		if err == nil && inTime {
 			if other.Name != name {
 				err = fmt.Errorf("%s answers at the address of %s", other.Name, name)
 			} else {
 				err = f.cfg.Terms.CheckHello(other, f.voters)
 			}
 		}
-		if err == nil && in {
-			pause, told = dialAgain, ""
-			f.pump(ctx, s, &link{id: f.number(), name: name, peer: what == rafts, talks: what == talks, queue: make(chan *fleetpb.Frame, queueMost), cut: cut}, true)
-		} else if code := status.Code(err); (code == codes.PermissionDenied || code == codes.Unknown) && err != nil && told != err.Error() {
-			told = err.Error()
+		if err == nil && inTime {
+			delay, lastRefusal = minDialDelay, ""
+			f.serveLink(ctx, opened, &link{
+				id:             f.nextLinkID(),
+				name:           name,
+				betweenKeepers: purpose == keeperToKeeper,
+				betweenRouters: purpose == routerToRouter,
+				queue:          make(chan *fleetpb.Frame, maxQueuedFrames),
+				cancel:         cancel,
+			}, true)
+		} else if code := status.Code(err); (code == codes.PermissionDenied || code == codes.Unknown) && err != nil &&
+			lastRefusal != err.Error() {
+			lastRefusal = err.Error()
 			f.cfg.Log.Warn().Str("event", "fleet_refused_by").Str("keeper", name).Msgf("fleet: %s: %v", name, err)
 		}
-		cut()
+		cancel()
 		select {
-		case <-until.Done():
-		case <-time.After(pause/2 + rand.N(pause)):
+		case <-parent.Done():
+		case <-time.After(delay/2 + rand.N(delay)):
 		}
-		pause = min(pause*3/2, dialLatest)
+		delay = min(delay*3/2, maxDialDelay)
 	}
 }
 
-// operate opens a link as an operator, says one thing and waits for what pick takes.
-func operate(ctx context.Context, fleetName, addr string, say *fleetpb.Frame, pick func(*fleetpb.Frame) bool) error {
+// sendOperatorFrame opens a link as an operator, sends one frame and receives until accept returns true for a frame.
+func sendOperatorFrame(
+	ctx context.Context, fleetName, addr string, request *fleetpb.Frame, accept func(*fleetpb.Frame) bool,
+) error {
 	conn, err := Dial(addr)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	ctx, cut := context.WithCancel(ctx)
-	defer cut()
-	s, _, err := open(ctx, conn, &fleetpb.Frame{What: &fleetpb.Frame_Hello{Hello: &fleetpb.Hello{Fleet: fleetName, Version: fleet.LinkVersion, Least: fleet.MinLinkVersion}}})
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	s, _, err := openStream(ctx, conn, &fleetpb.Frame{What: &fleetpb.Frame_Hello{
+		Hello: &fleetpb.Hello{Fleet: fleetName, Version: fleet.LinkVersion, Least: fleet.MinLinkVersion},
+	}})
 	if err == nil {
-		err = s.SendMsg(say)
+		err = s.SendMsg(request)
 	}
 	for err == nil {
 		frame := &fleetpb.Frame{}
-		if err = s.RecvMsg(frame); err == nil && pick(frame) {
+		if err = s.RecvMsg(frame); err == nil && accept(frame) {
 			return nil
 		}
 	}
 	return err
 }
 
-// Inquire asks a keeper how the fleet stands, or a router what it knows, of a call too, as an operator.
+// Inquire requests the report of a keeper or a router, as an operator. If find is not empty, a router's report also
+// has what it knows of that call.
 func Inquire(ctx context.Context, fleetName, addr, find string) (*fleetpb.Report, error) {
 	return inquire(ctx, fleetName, addr, &fleetpb.Inquiry{Seq: 1, Find: find})
 }
 
-// Evacuate has a router pass on the calls that stand, as an operator wants; its report says how far it is.
+// Evacuate requests that a router hands its established calls over to other routers, as an operator; the report has
+// the progress or the reason of a refusal.
 func Evacuate(ctx context.Context, fleetName, addr string) (*fleetpb.Report, error) {
 	return inquire(ctx, fleetName, addr, &fleetpb.Inquiry{Seq: 1, Evacuate: true})
 }
 
+// inquire sends an inquiry and returns the report that answers it.
 func inquire(ctx context.Context, fleetName, addr string, q *fleetpb.Inquiry) (r *fleetpb.Report, err error) {
-	err = operate(ctx, fleetName, addr, &fleetpb.Frame{What: &fleetpb.Frame_Inquiry{Inquiry: q}}, func(f *fleetpb.Frame) bool {
+	err = sendOperatorFrame(ctx, fleetName, addr, &fleetpb.Frame{
+		What: &fleetpb.Frame_Inquiry{Inquiry: q},
+	}, func(f *fleetpb.Frame) bool {
 		r = f.GetReport()
 		return r != nil
 	})
 	return r, err
 }
 
-// Tell writes a fact as an operator's word, by the keeper that leads; version 0: it was refused, since another came first or the keeper does not lead.
+// PutFact writes a fact through the leading keeper, as an operator, and returns its version. Version 0: refused,
+// since the fact has changed meanwhile or the keeper doesn't lead.
 func Tell(ctx context.Context, fleetName, addr string, p *fleetpb.Put) (version uint64, err error) {
-	err = operate(ctx, fleetName, addr, &fleetpb.Frame{What: &fleetpb.Frame_Ask{Ask: &fleetpb.Ask{Seq: 1, Put: p}}}, func(f *fleetpb.Frame) bool {
+	err = sendOperatorFrame(ctx, fleetName, addr, &fleetpb.Frame{
+		What: &fleetpb.Frame_Ask{Ask: &fleetpb.Ask{Seq: 1, Put: p}},
+	}, func(f *fleetpb.Frame) bool {
 		if a := f.GetAnswer(); a != nil {
 			version = a.Result
 			return true
@@ -346,5 +404,5 @@
 	return version, err
 }
 
-// Counters of a fleet's links.
+// counters counts frames and refusals on the links, and notes and grants that the loop missed.
 type counters struct{ Sent, Received, Refused, Dropped, Missed, Raft atomic.Uint64 }
--- a/internal/fleetio/settings.go
+++ b/internal/fleetio/settings.go
@@ -12,58 +12,68 @@
 	"threadglade.example/threadglade/verdict"
 )
 
-// Options are what the settings say of the fleet.
+// Options are the fleet's settings for one process.
 type Options struct {
 	Terms     fleet.Settings
-	Dir       string             // a keeper's folder
-	Addresses map[string]string  // of keepers
-	Listen    string             // where this process listens: a keeper, if not at its own address; a router, for its neighbours
-	Address   string             // where other routers reach this one, if not where it listens
-	Zone      string             // of this process
-	Reach     map[string]string  // routers that this process reaches elsewhere than at their addresses
-	Verdicts  *verdict.Settings  // nil: routers judge alone
-	Work      *takeover.Settings // nil: nobody else has what is in hand
-	Beacon    netip.AddrPort     // who hears what this process acts as; the zero value: nobody
-	Every     time.Duration      // how often
-	Roll      int64              // size in bytes at which a keeper begins a new file
+	Dir       string            // a keeper's directory
+	Addresses map[string]string // keepers' addresses by name
+	// Listen is the address that this process listens on: for a keeper the default is its own address in Addresses,
+	// for a router empty means that other routers can't connect to it.
+	Listen   string
+	Address  string             // address that other routers connect to; empty: the address listened on
+	Zone     string             // zone of this process
+	Reach    map[string]string  // addresses that override those advertised by other routers, by router name
+	Verdicts *verdict.Settings  // nil: each router judges case servers by itself
+	Work     *takeover.Settings // nil: calls are not replicated
+	Beacon   netip.AddrPort     // where to send a UDP datagram for each act under a lease; zero value: none
+	Every    time.Duration      // interval between beacon datagrams
+	Roll     int64              // size in bytes at which a keeper begins a new segment
 }
 
-// Keeper says whether a process of that name is a keeper.
+// IsKeeper reports whether the process of that name is a keeper.
 func (o *Options) Keeper(name string) bool { return o.Addresses[name] != "" }
 
-// Read reads a (fleet ...) section; docs/operators/fleet-floor.md has every field. What is wrong is noted with the section and reported by its Finish.
+// ReadSettings reads a (fleet ...) section; docs/operators/fleet-floor.md describes every field. Errors are recorded
+// with the section and returned by its Finish.
 func Read(s *settings.Section) Options {
-	o := Options{Terms: fleet.DefaultSettings(), Addresses: map[string]string{}, Reach: map[string]string{}, Every: time.Second, Roll: 4 << 20}
-	t := &o.Terms
-	s.String("name", &t.Fleet)
-	s.String("directory", &o.Dir)
-	s.String("listen", &o.Listen)
-	s.String("address", &o.Address)
-	s.String("zone", &o.Zone)
-	if len(o.Zone) > 64 {
-		s.Errorf("zone", "a zone has up to 64 bytes")
+	options := Options{
+		Terms:     fleet.DefaultSettings(),
+		Addresses: map[string]string{},
+		Reach:     map[string]string{},
+		Every:     time.Second,
+		Roll:      4 << 20,
 	}
-	s.Duration("lease", &t.LeaseDuration, 200*time.Millisecond, time.Minute)
-	s.Duration("renew", &t.RenewInterval, 50*time.Millisecond, 30*time.Second)
-	percent := int(t.ClockDrift*100 + 0.5)
+	fleetSettings := &options.Terms
+	s.String("name", &fleetSettings.Fleet)
+	s.String("directory", &options.Dir)
+	s.String("listen", &options.Listen)
+	s.String("address", &options.Address)
+	s.String("zone", &options.Zone)
+	if len(options.Zone) > 64 {
+		s.Errorf("zone", "is longer than 64 bytes")
+	}
+	s.Duration("lease", &fleetSettings.LeaseDuration, 200*time.Millisecond, time.Minute)
+	s.Duration("renew", &fleetSettings.RenewInterval, 50*time.Millisecond, 30*time.Second)
+	percent := int(fleetSettings.ClockDrift*100 + 0.5)
 	s.Int("drift-percent", &percent, 0, 10)
-	t.ClockDrift = float64(percent) / 100
-	kb := int(o.Roll >> 10)
+	fleetSettings.ClockDrift = float64(percent) / 100
+	kb := int(options.Roll >> 10)
 	s.Int("file-kb", &kb, 64, 1<<20)
-	o.Roll = int64(kb) << 10
-	s.Duration("beacon-every", &o.Every, 5*time.Millisecond, time.Minute)
+	options.Roll = int64(kb) << 10
+	s.Duration("beacon-every", &options.Every, 5*time.Millisecond, time.Minute)
 	address := func(field, text string) (a netip.AddrPort) {
 		a, err := netip.ParseAddrPort(text)
-		if err != nil || !a.Addr().IsLoopback() && !a.Addr().IsPrivate() || a.Port() == 0 && field != "listen" {
-			s.Errorf(field, "%q is no address:port of a loopback or private network", text)
+		if err != nil || !a.Addr().IsLoopback() && !a.Addr().IsPrivate() ||
+			a.Port() == 0 && field != "listen" {
+			s.Errorf(field, "%q is not an address:port of a loopback or private network", text)
 		}
 		return a
 	}
-	if o.Listen != "" {
-		address("listen", o.Listen)
+	if options.Listen != "" {
+		address("listen", options.Listen)
 	}
-	if o.Address != "" {
-		address("address", o.Address)
+	if options.Address != "" {
+		address("address", options.Address)
 	}
 	s.EachSection("reach", func(r *settings.Section) {
 		name, at := r.Label(), ""
@@ -72,13 +82,13 @@
 			return
 		}
 		address("reach", at)
-		o.Reach[name] = at
+		options.Reach[name] = at
 	})
 	var beacon string
 	if s.String("beacon", &beacon) {
-		o.Beacon = address("beacon", beacon)
+		options.Beacon = address("beacon", beacon)
 	}
-	t.Members = s.Strings("members")
+	fleetSettings.Members = s.Strings("members")
 	s.EachSection("keeper", func(k *settings.Section) {
 		name, at := k.Label(), ""
 		if !k.String("address", &at) {
@@ -86,38 +96,40 @@
 			return
 		}
 		address("keeper", at)
-		t.Keepers = append(t.Keepers, name)
-		o.Addresses[name] = at
+		fleetSettings.Keepers = append(fleetSettings.Keepers, name)
+		options.Addresses[name] = at
 	})
-	if err := t.Validate(); err != nil {
+	if err := fleetSettings.Validate(); err != nil {
 		s.Errorf("", "%v", err)
 	}
-	return o
+	return options
 }
 
-// ReadVerdicts reads a (verdicts ...) section; docs/operators/verdict.md has every field.
+// ReadVerdicts reads a (verdicts ...) section; docs/operators/verdict.md describes every field. Drift is the largest
+// relative difference between the clocks of two processes. Errors are recorded with the section.
 func ReadVerdicts(s *settings.Section, drift float64) *verdict.Settings {
-	t := verdict.DefaultSettings()
-	t.MaxClockDrift = drift
-	s.Int("quorum", &t.Quorum, 2, 100)
-	percent := int(t.MaxShare*100 + 0.5)
+	result := verdict.DefaultSettings()
+	result.MaxClockDrift = drift
+	s.Int("quorum", &result.Quorum, 2, 100)
+	percent := int(result.MaxShare*100 + 0.5)
 	s.Int("share-percent", &percent, 1, 100)
-	t.MaxShare = float64(percent) / 100
-	s.Duration("silence", &t.MinResponseTimeout, 10*time.Millisecond, 10*time.Second)
-	s.Duration("late", &t.LateThreshold, 10*time.Millisecond, time.Minute)
-	s.Duration("hold", &t.EvidenceTTL, time.Second, 10*time.Minute)
-	s.Duration("trial", &t.ProbeInterval, 10*time.Millisecond, time.Minute)
-	s.Duration("return", &t.RecoverySpread, 0, time.Minute)
-	if err := t.Validate(); err != nil {
+	result.MaxShare = float64(percent) / 100
+	s.Duration("silence", &result.MinResponseTimeout, 10*time.Millisecond, 10*time.Second)
+	s.Duration("late", &result.LateThreshold, 10*time.Millisecond, time.Minute)
+	s.Duration("hold", &result.EvidenceTTL, time.Second, 10*time.Minute)
+	s.Duration("trial", &result.ProbeInterval, 10*time.Millisecond, time.Minute)
+	s.Duration("return", &result.RecoverySpread, 0, time.Minute)
+	if err := result.Validate(); err != nil {
 		s.Errorf("", "%v", err)
 	}
-	return &t
+	return &result
 }
 
-// Describe prints the section as it is in force.
+// Describe writes the effective settings in the syntax of a (fleet ...) section.
 func (o *Options) Describe(w io.Writer) {
-	t := o.Terms
-	fmt.Fprintf(w, "\n  (fleet (name %q) (lease %q) (renew %q) (drift-percent %.0f) (file-kb %d)", t.Fleet, t.LeaseDuration, t.RenewInterval, t.ClockDrift*100, o.Roll>>10)
+	fleetSettings := o.Terms
+	fmt.Fprintf(w, "\n  (fleet (name %q) (lease %q) (renew %q) (drift-percent %.0f) (file-kb %d)",
+		fleetSettings.Fleet, fleetSettings.LeaseDuration, fleetSettings.RenewInterval, fleetSettings.ClockDrift*100, o.Roll>>10)
 	if o.Dir != "" {
 		fmt.Fprintf(w, " (directory %q)", o.Dir)
 	}
@@ -133,13 +145,14 @@
 	if o.Beacon.IsValid() {
 		fmt.Fprintf(w, " (beacon %q) (beacon-every %q)", o.Beacon, o.Every)
 	}
-	for _, name := range t.Keepers {
+	for _, name := range fleetSettings.Keepers {
 		fmt.Fprintf(w, "\n    (keeper %q (address %q))", name, o.Addresses[name])
 	}
 	fmt.Fprint(w, "\n    (members")
-	for _, m := range t.Members {
+	for _, m := range fleetSettings.Members {
 		fmt.Fprintf(w, " %q", m)
 	}
-	fmt.Fprintf(w, ")) ; a lost router is known within %v, keepers wait %v", t.LossDetectionTime(), t.RegrantDelay().Round(time.Millisecond))
+	fmt.Fprintf(w, ")) ; a lost router is known within %v, keepers wait %v",
+		fleetSettings.LossDetectionTime(), fleetSettings.RegrantDelay().Round(time.Millisecond))
 	fmt.Fprintln(w)
 }
--- a/internal/fleetio/store.go
+++ b/internal/fleetio/store.go
@@ -14,33 +14,38 @@
 	"threadglade.example/threadglade/internal/durable"
 )
 
-// A keeper's folder: one durable log whose segments each begin with all that has to be known, docs/formats/fleet.md. What was not synced is never
-// answered for; after a write that failed the folder is not written again by this process.
+// A keeper's directory holds one durable log. Each of its segments begins with a checkpoint of the whole state, see
+// docs/formats/fleet.md. A keeper acknowledges only what has been synced; after a failed write this process doesn't
+// write to the directory again.
 
 const (
-	kindFleet = 6 // of files
+	kindFleet = 6 // file kind in the header of each segment
 	logName   = "fleet"
 	lockName  = "fleet.lock"
 
-	frameIdentity = 1
-	frameSnapshot = 2 // and no entry from before it counts
-	frameEntry    = 3 // in the place of those of its index and after
-	frameHard     = 4
+	frameIdentity  = 1
+	frameSnapshot  = 2 // supersedes all earlier entries
+	frameEntry     = 3 // replaces earlier entries of the same and higher index
+	frameHardState = 4
 )
 
-// ErrNoFiles says that a folder is not a keeper's, or not any more.
-var ErrNoFiles = errors.New("no files of a keeper: found a new fleet with 'threadglade fleet found', or bring this keeper's own files back; a keeper without them must not vote")
+// ErrNoFiles is returned for a directory without a keeper's complete state.
+var ErrNoFiles = errors.New("no files of a keeper: found a new fleet with 'threadglade fleet found', " +
+	"or bring this keeper's own files back; a keeper without them must not vote")
 
-// Contents is what reading a keeper's folder finds.
+// Contents is the state read from a keeper's directory, and where its log ends.
 type Contents struct {
 	fleet.Stored
 	durable.Scan
 }
 
-// Load reads a keeper's folder. The error names file and place where it is damaged, and wraps ErrNoFiles where it holds nothing.
+// Load reads a keeper's directory without locking or changing it. If it is damaged, the error names the segment and
+// the offset; if the state is missing or incomplete, the error wraps ErrNoFiles.
 func Load(fs durable.FS, dir string) (c Contents, err error) {
-	c.Scan, err = durable.Read(fs, dir, logName, kindFleet, 0, func(at durable.Place, _ *durable.Reader, kind uint16, b []byte) error {
-		if err := c.take(kind, b); err != nil {
+	c.Scan, err = durable.Read(fs, dir, logName, kindFleet, 0, func(
+		at durable.Place, _ *durable.Reader, kind uint16, b []byte,
+	) error {
+		if err := c.addFrame(kind, b); err != nil {
 			return fmt.Errorf("%s: segment %d, offset %d: %w", dir, at.Segment, at.Offset, err)
 		}
 		return nil
@@ -51,7 +56,8 @@
 	return c, err
 }
 
-func (c *Contents) take(kind uint16, b []byte) error {
+// addFrame decodes one frame of the log and applies it to the state.
+func (c *Contents) addFrame(kind uint16, b []byte) error {
 	switch kind {
 	case frameIdentity:
 		one := &fleetpb.Identity{}
@@ -59,7 +65,7 @@
 			return err
 		}
 		if c.Identity != nil && !proto.Equal(one, c.Identity) {
-			return errors.New("another keeper's files stand among these")
+			return errors.New("the directory mixes the files of several keepers")
 		}
 		c.Identity = one
 	case frameSnapshot:
@@ -71,19 +77,20 @@
 			return err
 		}
 		return c.Apply(&fleet.StoreUpdate{Entries: []*raftpb.Entry{one}})
-	case frameHard:
+	case frameHardState:
 		one := &raftpb.HardState{}
 		return errors.Join(proto.Unmarshal(b, one), c.Apply(&fleet.StoreUpdate{HardState: one}))
 	default:
-		return fmt.Errorf("a frame of kind %d", kind)
+		return fmt.Errorf("unknown frame kind %d", kind)
 	}
 	return nil
 }
 
-func frames(s fleet.Stored) (list []durable.Frame, err error) {
+// encodeFrames returns the frames that represent a state, in the order in which Load expects them.
+func encodeFrames(s fleet.Stored) (list []durable.Frame, err error) {
 	add := func(kind uint16, m proto.Message) {
-		b, bad := proto.Marshal(m)
-		err = errors.Join(err, bad)
+		b, marshalErr := proto.Marshal(m)
+		err = errors.Join(err, marshalErr)
 		list = append(list, durable.Frame{Kind: kind, Payload: b})
 	}
 	if s.Identity != nil {
@@ -96,24 +103,25 @@
 		add(frameEntry, e)
 	}
 	if s.HardState != nil {
-		add(frameHard, s.HardState)
+		add(frameHardState, s.HardState)
 	}
 	return list, err
 }
 
-// Found writes the folder of a keeper of a new fleet. A folder that holds files already is an error and is not touched.
+// CreateKeeperFiles writes the directory of a keeper of a new fleet. It returns an error if the directory already
+// holds a keeper's files, and then leaves them unchanged.
 func Found(fs durable.FS, dir string, s fleet.Stored) error {
 	if err := fs.MakeDir(dir); err != nil {
 		return err
 	}
 	numbers, err := durable.Segments(fs, dir, logName)
 	if err == nil && len(numbers) > 0 {
-		err = fmt.Errorf("%s: holds a keeper's files already", dir)
+		err = fmt.Errorf("%s: already contains a keeper's files", dir)
 	}
 	if err != nil {
 		return err
 	}
-	list, err := frames(s)
+	list, err := encodeFrames(s)
 	if err != nil {
 		return err
 	}
@@ -125,17 +133,17 @@
 	return errors.Join(l.Append(), l.Close())
 }
 
-// store is a folder that its keeper writes.
+// store is a keeper's directory, locked and open for writing.
 type store struct {
-	log  *durable.Log
-	lock io.Closer
-	fs   durable.FS
-	dir  string
-	have uint64 // segment written last
-	bad  error  // why a new segment could not begin with all that has to be known
+	log           *durable.Log // nil until openLog
+	lock          io.Closer
+	fs            durable.FS
+	dir           string
+	lastSegment   uint64 // segment of the last write; older ones have been deleted
+	checkpointErr error  // why the checkpoint at the start of a new segment failed
 }
 
-// openStore locks a folder and reads it; the keeper made of it gives the checkpoints.
+// openStore locks a directory and reads it. openLog has to be called before the first write.
 func openStore(fs durable.FS, dir string) (*store, Contents, error) {
 	if err := fs.MakeDir(dir); err != nil {
 		return nil, Contents{}, err
@@ -149,33 +157,35 @@
 		lock.Close()
 		return nil, c, err
 	}
-	return &store{lock: lock, fs: fs, dir: dir, have: 0}, c, nil
+	return &store{lock: lock, fs: fs, dir: dir, lastSegment: 0}, c, nil
 }
 
-// begin opens the log for writing; roll is the size in bytes at which a new segment begins.
-func (s *store) begin(k *fleet.Keeper, scan durable.Scan, roll int64) (err error) {
-	s.log, err = durable.Continue(durable.LogConfig{FS: s.fs, Dir: s.dir, Name: logName, Kind: kindFleet, Roll: roll, Checkpoint: func() []durable.Frame {
-		var list []durable.Frame
-		c, err := k.Checkpoint()
-		if err == nil {
-			list, err = frames(c)
-		}
-		s.bad = err
-		return list
-	}}, scan)
+// openLog opens the log for writing, with checkpoints from the keeper; a new segment begins at roll bytes.
+func (s *store) openLog(k *fleet.Keeper, scan durable.Scan, roll int64) (err error) {
+	s.log, err = durable.Continue(durable.LogConfig{FS: s.fs, Dir: s.dir, Name: logName, Kind: kindFleet, Roll: roll,
+		Checkpoint: func() []durable.Frame {
+			var list []durable.Frame
+			c, err := k.Checkpoint()
+			if err == nil {
+				list, err = encodeFrames(c)
+			}
+			s.checkpointErr = err
+			return list
+		}}, scan)
 	return err
 }
 
-// write makes what a keeper wants stored last. After an error the keeper has to halt.
+// write appends what a keeper wants stored, and syncs it if asked to; older segments are deleted once a new one has
+// begun. After an error the keeper has to halt.
 func (s *store) write(o *fleet.StoreUpdate) error {
 	if fleet.Mutated() == "unwritten" {
 		return nil
 	}
-	list, err := frames(fleet.Stored{Snapshot: o.Snapshot, Entries: o.Entries, HardState: o.HardState})
+	list, err := encodeFrames(fleet.Stored{Snapshot: o.Snapshot, Entries: o.Entries, HardState: o.HardState})
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(s.log.Append(list...), s.bad); err != nil {
+	if err := errors.Join(s.log.Append(list...), s.checkpointErr); err != nil {
 		return err
 	}
 	if o.MustSync {
@@ -183,8 +193,8 @@
 			return err
 		}
 	}
-	if now := s.log.Segment(); now != s.have {
-		s.have = now
+	if now := s.log.Segment(); now != s.lastSegment {
+		s.lastSegment = now
 		if _, err := s.log.Drop(now); err != nil {
 			return err
 		}
--- a/internal/fleetio/store_test.go
+++ b/internal/fleetio/store_test.go
@@ -19,47 +19,54 @@
 	"threadglade.example/threadglade/internal/settings"
 )
 
-func terms() fleet.Settings {
+// testTerms returns the settings of a fleet with the keeper k1.
+func testTerms() fleet.Settings {
 	t := fleet.DefaultSettings()
 	t.Fleet, t.Keepers, t.Members = "f", []string{"k1"}, []string{"r*"}
 	return t
 }
 
-// answered is what a keeper has said to anybody.
-type answered map[string]uint64
+// acknowledgements has the versions of the facts that a keeper has acknowledged, by key.
+type acknowledgements map[string]uint64
 
-// life runs a keeper alone on a folder for a while: each router begins once. It ends early where the disk does.
-func life(fs *durabletest.FS, seed uint64, told answered) (err error) {
-	s, c, err := openStore(fs, "k1")
+// runKeeper runs a single keeper on a directory for 3 s; many routers begin and write one fact each. It ends early if
+// the disk fails.
+func runKeeper(fs *durabletest.FS, seed uint64, acknowledged acknowledgements) (err error) {
+	opened, contents, err := openStore(fs, "k1")
 	if err != nil {
 		return err
 	}
-	defer s.close()
-	k, err := fleet.NewKeeper(terms(), c.Stored, rand.New(rand.NewPCG(seed, 1)), 0)
+	defer opened.close()
+	keeper, err := fleet.NewKeeper(testTerms(), contents.Stored, rand.New(rand.NewPCG(seed, 1)), 0)
 	if err != nil {
 		return err
 	}
-	if err := s.begin(k, c.Scan, 2048); err != nil {
+	if err := opened.openLog(keeper, contents.Scan, 2048); err != nil {
 		return err
 	}
 	for now := time.Duration(0); now < 3*time.Second; now += fleet.TickInterval {
-		k.Tick(now)
+		keeper.Tick(now)
 		name := fmt.Sprintf("r%d-%d", seed, now/fleet.TickInterval)
-		k.HandleAsk(now, 1, name, &fleetpb.Ask{Seq: 1, Process: 7, Known: ^uint64(0)})
-		k.HandleAsk(now, 1, name, &fleetpb.Ask{Seq: uint64(now), Process: 7, Known: ^uint64(0), Put: &fleetpb.Put{Key: name, Value: make([]byte, 100)}})
+		keeper.HandleAsk(now, 1, name, &fleetpb.Ask{Seq: 1, Process: 7, Known: ^uint64(0)})
+		keeper.HandleAsk(now, 1, name, &fleetpb.Ask{
+			Seq:     uint64(now),
+			Process: 7,
+			Known:   ^uint64(0),
+			Put:     &fleetpb.Put{Key: name, Value: make([]byte, 100)},
+		})
 		for {
-			o, ok := k.Output()
+			o, ok := keeper.Output()
 			if !ok {
 				break
 			}
 			if o.Store != nil {
-				if err := s.write(o.Store); err != nil {
-					k.Halt(err)
-					for _, more := range []int{1, 2} { // it never says a word again
-						k.Tick(now + time.Duration(more)*10*time.Second)
-						k.HandleAsk(now, 1, name, &fleetpb.Ask{Seq: 3, Process: 7})
-						if o, _ := k.Output(); len(o.Outbound) > 0 || o.Store != nil {
-							return errors.New("a halted keeper speaks")
+				if err := opened.write(o.Store); err != nil {
+					keeper.Halt(err)
+					for _, more := range []int{1, 2} { // a halted keeper sends and stores nothing
+						keeper.Tick(now + time.Duration(more)*10*time.Second)
+						keeper.HandleAsk(now, 1, name, &fleetpb.Ask{Seq: 3, Process: 7})
+						if o, _ := keeper.Output(); len(o.Outbound) > 0 || o.Store != nil {
+							return errors.New("a halted keeper still sends")
 						}
 					}
 					return err
@@ -67,18 +74,19 @@
 			}
 			for _, one := range o.Outbound {
 				if a := one.Frame.GetAnswer(); a.GetResult() != 0 {
-					told[name] = a.Result
+					acknowledged[name] = a.Result
 				}
 			}
-			k.Advance(now)
+			keeper.Advance(now)
 		}
 	}
 	return nil
 }
 
-// TestEveryStep fails, tears or ends the process or the machine at each step of the disk in turn: what was answered for is there afterwards.
-func TestEveryStep(t *testing.T) {
-	founded, err := fleet.Bootstrap(terms(), rand.New(rand.NewPCG(1, 1)))
+// TestDiskFaultAtEveryStep injects each kind of fault at each disk operation in turn: an error, a torn write, a crash
+// of the process or of the machine. What the keeper has acknowledged must be there after the restart.
+func TestDiskFaultAtEveryStep(t *testing.T) {
+	founded, err := fleet.Bootstrap(testTerms(), rand.New(rand.NewPCG(1, 1)))
 	require.NoError(t, err)
 	fresh := func(seed uint64) *durabletest.FS {
 		fs := durabletest.New(seed)
@@ -86,51 +94,53 @@
 		return fs
 	}
 	fs := fresh(1)
-	require.NoError(t, life(fs, 1, answered{}))
+	require.NoError(t, runKeeper(fs, 1, acknowledgements{}))
 	steps := len(fs.Steps())
 	require.Greater(t, steps, 100)
 	for _, fault := range durabletest.Faults {
 		t.Run(fault.String(), func(t *testing.T) {
 			t.Parallel()
 			for n := len(fresh(1).Steps()); n < steps; n++ {
-				died(t, fresh(uint64(n)), fault, n)
+				checkDiskFault(t, fresh(uint64(n)), fault, n)
 			}
 		})
 	}
 }
 
-// died has a keeper's life end by a fault at a step, and looks for what it had answered for.
-func died(t *testing.T, fs *durabletest.FS, fault durabletest.Fault, n int) {
+// checkDiskFault injects a fault at the n-th disk operation and checks that everything acknowledged was stored.
+func checkDiskFault(t *testing.T, fs *durabletest.FS, fault durabletest.Fault, n int) {
 	fs.Plan = func(s durabletest.Step) durabletest.Fault {
 		if s.N == n {
 			return fault
 		}
 		return durabletest.None
 	}
-	told := answered{}
-	if err := life(fs, 1, told); err != nil {
-		require.NotContains(t, err.Error(), "speaks")
+	acknowledged := acknowledgements{}
+	if err := runKeeper(fs, 1, acknowledged); err != nil {
+		require.NotContains(t, err.Error(), "still sends")
 	}
 	fs.Plan = nil
 	fs.Restart()
-	c, err := Load(fs, "k1")
+	contents, err := Load(fs, "k1")
 	require.NoError(t, err, "%v at step %d", fault, n)
-	k, err := fleet.NewKeeper(terms(), c.Stored, rand.New(rand.NewPCG(9, 9)), 0)
+	keeper, err := fleet.NewKeeper(testTerms(), contents.Stored, rand.New(rand.NewPCG(9, 9)), 0)
 	require.NoError(t, err)
-	for now := time.Duration(0); now < 2*time.Second; now += fleet.TickInterval { // alone, it agrees on all that it has written
-		k.Tick(now)
-		for _, ok := k.Output(); ok; _, ok = k.Output() {
-			k.Advance(now)
+	// A single keeper commits all that it has stored.
+	for now := time.Duration(0); now < 2*time.Second; now += fleet.TickInterval {
+		keeper.Tick(now)
+		for _, ok := keeper.Output(); ok; _, ok = keeper.Output() {
+			keeper.Advance(now)
 		}
 	}
-	for name, version := range told {
-		require.Equal(t, version, k.Machine.Fact(name).GetVersion(), "%v at step %d: %s was answered for", fault, n, name)
+	for name, version := range acknowledged {
+		require.Equal(t, version, keeper.Machine.Fact(name).GetVersion(),
+			"%v at step %d: %s was acknowledged", fault, n, name)
 	}
 }
 
-// TestFolders tells apart a folder without files, a damaged one, another keeper's and another fleet's, and leaves them as they are.
-func TestFolders(t *testing.T) {
-	founded, err := fleet.Bootstrap(terms(), rand.New(rand.NewPCG(1, 1)))
+// TestKeeperFolders checks that a directory without files, a damaged one and one of another fleet are refused.
+func TestKeeperFolders(t *testing.T) {
+	founded, err := fleet.Bootstrap(testTerms(), rand.New(rand.NewPCG(1, 1)))
 	require.NoError(t, err)
 	fs := durabletest.New(1)
 	_, err = Load(fs, "none")
@@ -144,13 +154,13 @@
 		require.Error(t, err, "bit %d", bit)
 		fs.Flip(name, bit)
 	}
-	other := terms()
+	other := testTerms()
 	other.Fleet = "g"
 	_, err = fleet.NewKeeper(other, founded[0], rand.New(rand.NewPCG(1, 1)), 0)
 	require.ErrorContains(t, err, `fleet "f"`)
 }
 
-// TestSettings names line and field of what is wrong.
+// TestSettings checks that errors in the settings name the line and the field.
 func TestSettings(t *testing.T) {
 	good := `(threadglade (fleet (name "f") (directory "d") (beacon "127.0.0.1:9") (keeper "k1" (address "127.0.0.1:7101")) (members "r*")))`
 	read := func(text string) (Options, error) {
@@ -176,13 +186,24 @@
 	}
 }
 
-// BenchmarkAct measures the look at a lease and the act after it, a datagram to the beacon's hearer: what a stop has to fall into for an act to be late.
+// BenchmarkAct measures the check of the lease and the beacon datagram after it: a stop of the process has to fall
+// between the two for an act to be late.
 func BenchmarkAct(b *testing.B) {
 	hearer, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(b, err)
 	defer hearer.Close()
-	t := terms()
-	f, err := Open(Config{Options: Options{Terms: t, Addresses: map[string]string{"k1": "127.0.0.1:1"}, Every: time.Nanosecond, Beacon: netip.MustParseAddrPort(hearer.LocalAddr().String())}, Name: "r1", Member: true, Log: zerolog.Nop()})
+	t := testTerms()
+	f, err := Open(Config{
+		Options: Options{
+			Terms:     t,
+			Addresses: map[string]string{"k1": "127.0.0.1:1"},
+			Every:     time.Nanosecond,
+			Beacon:    netip.MustParseAddrPort(hearer.LocalAddr().String()),
+		},
+		Name:   "r1",
+		Member: true,
+		Log:    zerolog.Nop(),
+	})
 	require.NoError(b, err)
 	defer f.Close()
 	f.lease.Store(&fleet.Lease{Incarnation: 7, Until: Clock() + time.Hour})
--- a/internal/fleetio/verdicts.go
+++ b/internal/fleetio/verdicts.go
@@ -15,81 +15,89 @@
 	"threadglade.example/threadglade/verdict"
 )
 
-// Verdicts: the carrier of package verdict. Routers talk to neighbours by links of their own, which last without any keeper; operators' words stand in the log.
+// Verdicts on case servers: transport and timing for package verdict. Routers exchange evidence with their neighbours
+// on links that need no keeper. Operators' holds are facts in the fleet's log.
 
 const (
-	// lookEvery is how often the loop looks for answers that are missing, and heeds what was concluded, at the most.
-	lookEvery = 25 * time.Millisecond
-	// concludeEvery is how often the core concludes anew, at the most.
-	concludeEvery = 25 * time.Millisecond
-	// VerdictKey begins the keys of operators' words on case servers; wordMost is how long one may hold.
-	VerdictKey = "verdict/"
-	wordMost   = 24 * time.Hour
+	// checkInterval is the shortest time between the loop's checks for missing answers and updates of avoidances.
+	checkInterval = 25 * time.Millisecond
+	// evaluationInterval is the shortest time between two evaluations by the core.
+	evaluationInterval = 25 * time.Millisecond
+	// HoldKeyPrefix begins the keys of operators' holds on case servers; a hold lasts at most maxHoldDuration.
+	VerdictKey      = "verdict/"
+	maxHoldDuration = 24 * time.Hour
 )
 
-// talk is a router's part between the loop and the core.
-type talk struct {
+// verdictState is what the loop and the core keep, and exchange, about verdicts.
+type verdictState struct {
 	// Of the loop.
-	watch *verdict.Watch
-	look  time.Duration
-	taken *concluded
-	shift time.Duration // from the decisions' clock to this one's
+	watch             *verdict.Watch
+	nextCheck         time.Duration
+	appliedEvaluation *evaluation
+	clockOffset       time.Duration // Clock minus Config.Now
 	// Of the core.
-	table *verdict.Table
-	links map[string]*link // open, to neighbours, by name
-	at    time.Duration    // when it concluded last
-	held  map[string]held
-	// Between them.
-	concluded atomic.Pointer[concluded]
-	heeded    atomic.Pointer[map[verdict.Key]bool]
+	table       *verdict.Table
+	links       map[string]*link // to neighbours, by name
+	evaluatedAt time.Duration
+	holds       map[string]operatorHold // by server
+	// Shared by both.
+	evaluation atomic.Pointer[evaluation]
+	avoided    atomic.Pointer[map[verdict.Key]bool] // servers avoided because of verdicts
 }
 
-// concluded is what the core has come to; it is never changed.
-type concluded struct {
-	verdicts []verdict.Verdict
-	question map[verdict.Key]time.Duration
-	others   int
+// evaluation is the result of one evaluation by the core; immutable.
+type evaluation struct {
+	verdicts    []verdict.Verdict
+	questioned  map[verdict.Key]time.Duration
+	routerCount int
 }
 
-// held is an operator's word as this process has heard it.
-type held struct {
+// operatorHold is an operator's hold on a case server: routers avoid the server until it ends.
+type operatorHold struct {
 	version uint64
 	until   time.Duration
 	why     string
 }
 
-func (f *Fleet) openTalk(now time.Duration) {
-	t := &talk{watch: verdict.NewWatch(*f.cfg.Verdicts, f.cfg.Zone, f.process), table: verdict.NewTable(*f.cfg.Verdicts, f.cfg.Name), links: map[string]*link{}, held: map[string]held{}}
-	t.concluded.Store(&concluded{others: 1})
-	t.heeded.Store(&map[verdict.Key]bool{})
-	f.talk = t
+// openVerdicts creates the state of verdicts.
+func (f *Fleet) openVerdicts(now time.Duration) {
+	state := &verdictState{
+		watch: verdict.NewWatch(*f.cfg.Verdicts, f.cfg.Zone, f.process),
+		table: verdict.NewTable(*f.cfg.Verdicts, f.cfg.Name),
+		links: map[string]*link{},
+		holds: map[string]operatorHold{},
+	}
+	state.evaluation.Store(&evaluation{routerCount: 1})
+	state.avoided.Store(&map[verdict.Key]bool{})
+	f.verdicts = state
 }
 
-// ---- of the core ----
+// Called by the core.
 
-// noted takes what the fleet has come to: who there is, by which number this router acts, and operators' words.
-func (f *Fleet) noted(n fleet.Note) {
-	t := f.talk
-	switch n.Kind {
+// handleVerdictNote handles a change in the fleet: its members, this router's incarnation and operators' holds.
+func (f *Fleet) handleVerdictNote(note fleet.Note) {
+	state := f.verdicts
+	switch note.Kind {
 	case fleet.LeaseGranted:
-		t.table.SetIncarnation(n.Incarnation)
-		f.neighbours()
+		state.table.SetIncarnation(note.Incarnation)
+		f.updateNeighbours()
 	case fleet.MemberBegan, fleet.MemberLost, fleet.MemberLeft:
-		f.neighbours()
+		f.updateNeighbours()
 	case fleet.FactWritten:
-		if server, ok := strings.CutPrefix(n.Name, VerdictKey); ok {
-			f.word(server, n)
+		if server, ok := strings.CutPrefix(note.Name, VerdictKey); ok {
+			f.applyOperatorHold(server, note)
 		}
 	}
 }
 
-// neighbours keeps links to whom this router should have them to.
-func (f *Fleet) neighbours() {
-	if f.talk == nil {
-		f.reach(f.worksWith())
+// updateNeighbours sets the members that take part in verdicts, and opens and closes links to match the fleet's
+// members.
+func (f *Fleet) updateNeighbours() {
+	if f.verdicts == nil {
+		f.updateRouterLinks(f.wantedRouterLinks())
 		return
 	}
-	t := f.talk
+	state := f.verdicts
 	var names []string
 	var members []verdict.Member
 	for _, m := range f.member.Machine.Members() {
@@ -101,191 +109,207 @@
 			names = append(names, m.Name)
 		}
 	}
-	t.table.SetMembers(members)
+	state.table.SetMembers(members)
 	names = verdict.Neighbours(f.cfg.Name, names)
-	if f.work != nil {
-		names = append(names, f.worksWith()...)
+	if f.takeover != nil {
+		names = append(names, f.wantedRouterLinks()...)
 	}
-	f.reach(names)
+	f.updateRouterLinks(names)
 }
 
-// word takes an operator's: it holds until its end by the wall clock, and no longer than it was said to from when it was heard, so that a clock that is wrong cannot keep it.
-func (f *Fleet) word(server string, n fleet.Note) {
-	t := f.talk
-	_, why, text := Words(n.Value)
-	span, end, _ := strings.Cut(text, " ")
-	d, err := time.ParseDuration(span)
-	unix, bad := strconv.ParseInt(end, 10, 64)
-	if text == "" || err != nil || bad != nil || d <= 0 {
-		delete(t.held, server)
+// applyOperatorHold applies a fact about a hold. A hold ends at its end by the wall clock, and at the latest its
+// duration after it was received, so that a wrong clock can't prolong it.
+func (f *Fleet) applyOperatorHold(server string, note fleet.Note) {
+	state := f.verdicts
+	_, why, text := Words(note.Value)
+	durationText, endText, _ := strings.Cut(text, " ")
+	duration, err := time.ParseDuration(durationText)
+	endMillis, endErr := strconv.ParseInt(endText, 10, 64)
+	if text == "" || err != nil || endErr != nil || duration <= 0 {
+		delete(state.holds, server)
 	} else {
-		left := min(d, wordMost, time.Until(time.UnixMilli(unix)))
-		t.held[server] = held{n.Number, Clock() + left, why}
+		left := min(duration, maxHoldDuration, time.Until(time.UnixMilli(endMillis)))
+		state.holds[server] = operatorHold{note.Number, Clock() + left, why}
 	}
 	var list []verdict.Verdict
-	for _, server := range slices.Sorted(maps.Keys(t.held)) {
-		h := t.held[server]
-		list = append(list, verdict.Verdict{Key: verdict.Key{Server: server}, Kind: verdict.Held, Until: h.until, Reason: h.why, Confidence: 1, Routers: t.table.RouterCount()})
+	for _, server := range slices.Sorted(maps.Keys(state.holds)) {
+		hold := state.holds[server]
+		list = append(list, verdict.Verdict{
+			Key:        verdict.Key{Server: server},
+			Kind:       verdict.Held,
+			Until:      hold.until,
+			Reason:     hold.why,
+			Confidence: 1,
+			Routers:    state.table.RouterCount(),
+		})
 	}
-	t.table.SetHolds(list)
+	state.table.SetHolds(list)
 }
 
-// HoldWord is what stands in the log for a server that an operator has taken out, for a time.
+// EncodeHold returns the value of a fact by which an operator holds a case server, so that routers avoid it, for a
+// duration from now.
 func HoldWord(who, why string, d time.Duration, now time.Time) []byte {
 	return Word(who, why, d.String()+" "+strconv.FormatInt(now.Add(d).UnixMilli(), 10))
 }
 
-// talked takes what a link to another router brings.
-func (f *Fleet) talked(now time.Duration, e event) {
-	t, l := f.talk, e.link
+// handleRouterEvent handles an event of a link to another router.
+func (f *Fleet) handleRouterEvent(now time.Duration, e linkEvent) {
+	state, l := f.verdicts, e.link
 	switch {
-	case t == nil && f.work == nil || !f.cfg.Terms.IsListed(l.name):
-		l.cut()
-	case e.gone:
-		if f.work != nil {
-			f.linkedWork(l, false)
+	case state == nil && f.takeover == nil || !f.cfg.Terms.IsListed(l.name):
+		l.cancel()
+	case e.closed:
+		if f.takeover != nil {
+			f.updateTakeoverLinks(l, false)
 		}
-		if t != nil && t.links[l.name] == l {
-			delete(t.links, l.name)
-			t.table.LinkClosed(l.name)
+		if state != nil && state.links[l.name] == l {
+			delete(state.links, l.name)
+			state.table.LinkClosed(l.name)
 		}
-	case e.frame == nil: // the latest of two links between neighbours is used by this side; what comes on either is heard
-		if f.work != nil {
-			f.linkedWork(l, true)
+	case e.frame == nil: // of two links to a router, the latest is used to send; frames are received on both
+		if f.takeover != nil {
+			f.updateTakeoverLinks(l, true)
 		}
-		if t != nil {
-			t.links[l.name] = l
-			t.table.LinkOpened(now, l.name)
+		if state != nil {
+			state.links[l.name] = l
+			state.table.LinkOpened(now, l.name)
 		}
 	case e.frame.GetWork() != nil:
-		f.hearWork(now, l, e.frame.GetWork())
-	case e.frame.GetTalk() != nil && t != nil:
+		f.receiveTakeoverFrame(now, l, e.frame.GetWork())
+	case e.frame.GetTalk() != nil && state != nil:
 		frame, err := verdict.ParseFrame(e.frame.GetTalk())
 		if err != nil {
-			f.refused(l.name + ": " + err.Error())
-			l.cut()
+			f.countRefusal(l.name + ": " + err.Error())
+			l.cancel()
 			return
 		}
-		t.table.Receive(now, l.name, frame)
-	case e.frame.GetTalk() != nil: // verdicts are off here
+		state.table.Receive(now, l.name, frame)
+	case e.frame.GetTalk() != nil: // verdicts are disabled here: ignored
 	default:
-		f.refused(l.name + ": a frame that is not its to send")
-		l.cut()
+		f.countRefusal(l.name + ": a frame that is not its to send")
+		l.cancel()
 	}
 }
 
-// converse has the table say what it wants said, and concludes.
-func (f *Fleet) converse(now time.Duration) {
-	t := f.talk
-	for _, o := range t.table.Tick(now) {
-		if l := t.links[o.To]; l != nil {
+// tickVerdicts sends the table's frames and evaluates the evidence when that is due.
+func (f *Fleet) tickVerdicts(now time.Duration) {
+	state := f.verdicts
+	for _, o := range state.table.Tick(now) {
+		if l := state.links[o.To]; l != nil {
 			f.send(l, &fleetpb.Frame{What: &fleetpb.Frame_Talk{Talk: o.Frame.Marshal()}})
 		}
 	}
-	if now-t.at < concludeEvery || !t.table.Changed() && now-t.at < time.Second {
+	if now-state.evaluatedAt < evaluationInterval || !state.table.Changed() && now-state.evaluatedAt < time.Second {
 		return
 	}
-	t.at = now
-	was := t.concluded.Load()
-	c := &concluded{verdicts: t.table.Verdicts(now), others: t.table.RouterCount()}
-	c.question = t.table.Questioned()
-	t.concluded.Store(c)
-	if len(c.verdicts) > 0 || len(was.verdicts) > 0 {
-		f.judged(was.verdicts, c.verdicts)
+	state.evaluatedAt = now
+	previous := state.evaluation.Load()
+	current := &evaluation{verdicts: state.table.Verdicts(now), routerCount: state.table.RouterCount()}
+	current.questioned = state.table.Questioned()
+	state.evaluation.Store(current)
+	if len(current.verdicts) > 0 || len(previous.verdicts) > 0 {
+		f.logVerdictChanges(previous.verdicts, current.verdicts)
 		f.cfg.Wake()
 	}
 }
 
-// judged logs what is found otherwise than before.
-func (f *Fleet) judged(was, now []verdict.Verdict) {
+// logVerdictChanges logs the verdicts that differ between two evaluations.
+func (f *Fleet) logVerdictChanges(before, after []verdict.Verdict) {
 	kinds := map[verdict.Key]verdict.Kind{}
-	for _, v := range was {
+	for _, v := range before {
 		kinds[v.Key] = v.Kind
 	}
-	for _, v := range now {
+	for _, v := range after {
 		if kinds[v.Key] != v.Kind {
-			f.cfg.Log.Warn().Str("event", "verdict").Str("server", v.Server).Stringer("verdict", v.Kind).Strs("zones", v.Zones).Int("bad", v.Bad).Int("good", v.Good).Strs("sources", v.Sources).
-				Dur("age", v.Age).Msgf("verdict: %s is %s: %d routers of %d miss its answers, %d have had one since", v.Server, v.Kind, v.Bad, v.Routers, v.Good)
+			f.cfg.Log.Warn().Str("event", "verdict").Str("server", v.Server).Stringer("verdict", v.Kind).
+				Strs("zones", v.Zones).Int("bad", v.Bad).Int("good", v.Good).
+				Strs("sources", v.Sources).Dur("age", v.Age).
+				Msgf("verdict: %s is %s: %d routers of %d miss its answers, %d have had one since",
+					v.Server, v.Kind, v.Bad, v.Routers, v.Good)
 		}
 		delete(kinds, v.Key)
 	}
 	for key, kind := range kinds {
 		if kind != verdict.Fit {
-			f.cfg.Log.Info().Str("event", "verdict").Str("server", key.Server).Stringer("verdict", verdict.Fit).Msgf("verdict: nobody finds fault with %s any more", key.Server)
+			f.cfg.Log.Info().Str("event", "verdict").Str("server", key.Server).Stringer("verdict", verdict.Fit).
+				Msgf("verdict: nobody finds fault with %s any more", key.Server)
 		}
 	}
 }
 
-// report is the router's to an operator.
-func (t *talk) report(now time.Duration) []byte {
-	r := t.table.Report(now, *t.heeded.Load())
+// report returns the marshalled report for operators.
+func (t *verdictState) report(now time.Duration) []byte {
+	r := t.table.Report(now, *t.avoided.Load())
 	r.Zone = t.watch.Zone
 	b, _ := proto.Marshal(r)
 	return b
 }
 
-// ---- of the loop ----
+// Called by the loop.
 
-// Watches says whether routers judge together.
-func (f *Fleet) Watches() bool { return f.talk != nil }
+// HasVerdicts reports whether this router shares verdicts with others.
+func (f *Fleet) Watches() bool { return f.verdicts != nil }
 
-// Listed is the loop's: which servers are up.
+// SetServers sets the case servers in use.
 func (f *Fleet) Listed(list []verdict.Server) {
-	f.talk.watch.SetServers(Clock(), list)
+	f.verdicts.watch.SetServers(Clock(), list)
 }
 
-// Sent, Answered and AttemptEnded are the loop's: what happens to attempts, on the decisions' clock.
+// AttemptSent records that an attempt was sent to a case server. At is a time of Config.Now.
 func (f *Fleet) Sent(at time.Duration, slot uint32, server string) {
-	f.talk.watch.AttemptSent(at+f.talk.shift, slot, server)
+	f.verdicts.watch.AttemptSent(at+f.verdicts.clockOffset, slot, server)
 }
 
+// AttemptAnswered records that an attempt's answer was received. At is a time of Config.Now.
 func (f *Fleet) Answered(at time.Duration, slot uint32) {
-	f.talk.watch.AttemptAnswered(at+f.talk.shift, slot)
+	f.verdicts.watch.AttemptAnswered(at+f.verdicts.clockOffset, slot)
 }
 
-func (f *Fleet) AttemptEnded(at time.Duration, slot uint32, how verdict.End) {
-	f.talk.watch.AttemptEnded(at+f.talk.shift, slot, how)
+// AttemptEnded records the end of an attempt. At is a time of Config.Now.
+func (f *Fleet) AttemptEnded(at time.Duration, slot uint32, outcome verdict.End) {
+	f.verdicts.watch.AttemptEnded(at+f.verdicts.clockOffset, slot, outcome)
 }
 
-// heed is the watch's part of a turn of the loop: what is missing is found and told, and what was concluded is heeded.
-func (f *Fleet) heed(now time.Duration) time.Duration {
-	t := f.talk
-	c := t.concluded.Load()
-	if c == t.taken && now < t.look {
-		return t.look - now
+// updateVerdicts is the verdicts' part of a loop iteration: it detects missing answers, passes records of them to the
+// core and applies the latest evaluation. It returns how long until it is due again.
+func (f *Fleet) updateVerdicts(now time.Duration) time.Duration {
+	state := f.verdicts
+	current := state.evaluation.Load()
+	if current == state.appliedEvaluation && now < state.nextCheck {
+		return state.nextCheck - now
 	}
-	t.taken = c
+	state.appliedEvaluation = current
 	if f.cfg.Now != nil {
-		t.shift = now - f.cfg.Now()
+		state.clockOffset = now - f.cfg.Now()
 	}
-	w := t.watch
-	w.DetectMissed(now)
-	if own := w.OwnRecords(now, c.question, c.others); len(own) > 0 {
+	watch := state.watch
+	watch.DetectMissed(now)
+	if own := watch.OwnRecords(now, current.questioned, current.routerCount); len(own) > 0 {
 		select {
-		case f.tasks <- func(now time.Duration) { t.table.AddOwn(now, own) }:
+		case f.tasks <- func(now time.Duration) { state.table.AddOwn(now, own) }:
 		default:
-			f.count.Missed.Add(1) // it is told again as it changes
+			f.count.Missed.Add(1) // sent when it changes again
 		}
 	}
-	cares := w.UpdateAvoidances(now, c.verdicts)
-	for _, one := range cares {
+	avoidances := watch.UpdateAvoidances(now, current.verdicts)
+	for _, one := range avoidances {
 		if f.cfg.Care != nil {
 			f.cfg.Care(one, max(one.Until-now, 0))
 		}
 	}
-	if len(cares) > 0 {
-		heeded := maps.Clone(*t.heeded.Load())
-		for _, one := range cares {
-			if delete(heeded, one.Key); one.Until > now {
-				heeded[one.Key] = true
+	if len(avoidances) > 0 {
+		avoided := maps.Clone(*state.avoided.Load())
+		for _, one := range avoidances {
+			if delete(avoided, one.Key); one.Until > now {
+				avoided[one.Key] = true
 			}
 		}
-		t.heeded.Store(&heeded)
+		state.avoided.Store(&avoided)
 	}
-	wait := w.NextCheck(now)
-	if len(c.verdicts) > 0 { // there may be turns to take
-		wait = min(wait, 2*lookEvery)
+	wait := watch.NextCheck(now)
+	if len(current.verdicts) > 0 { // probes may become due
+		wait = min(wait, 2*checkInterval)
 	}
-	t.look = now + max(wait, lookEvery)
-	return t.look - now
+	state.nextCheck = now + max(wait, checkInterval)
+	return state.nextCheck - now
 }
--- a/internal/fleetio/work.go
+++ b/internal/fleetio/work.go
@@ -21,184 +21,203 @@
 	"threadglade.example/threadglade/verdict"
 )
 
-// Work in hand: the carrier of package takeover. Records go from the loop to the core by a bounded queue, what is to be taken comes back by another; between routers they go by the links that
-// verdicts use, too.
+// Replication and takeover of calls: transport and timing for package takeover. Records go from the loop to the core
+// by a bounded queue, and actions such as calls to take over come back by another. Between routers both use the links
+// that verdicts use, too.
 
 const (
-	workMost  = 1024    // batches of records, and lists of acts, that wait between loop and core
-	heardMost = 1 << 14 // ends of unknown calls
-	// waitMost turns' bytes wait for holders; beyond, they leave.
-	waitMost = 4096
+	maxQueuedBatches = 1024    // batches of records, and lists of actions, queued between loop and core
+	maxQueuedEnds    = 1 << 14 // ends of unknown calls, queued for the core
+	// maxWaitingTickets is how many loop iterations' bytes may wait for replica holders; beyond, the oldest are sent.
+	maxWaitingTickets = 4096
 )
 
-// ReadTakeover reads a (takeover ...) section; docs/operators/takeover.md has every field.
+// ReadTakeover reads a (takeover ...) section; docs/operators/takeover.md describes every field. Defaults for the
+// clock drift and the guarantee come from the fleet's settings. Errors are recorded with the section.
 func ReadTakeover(s *settings.Section, o *Options) *takeover.Settings {
-	t := takeover.DefaultSettings()
-	t.ClockDrift, t.GuaranteeTTL = o.Terms.ClockDrift, o.Terms.LeaseDuration
-	s.Int("holders", &t.Replicas, 1, 4)
-	s.Duration("vouch", &t.GuaranteeTTL, 200*time.Millisecond, time.Minute)
-	s.Duration("patience", &t.ConfirmTimeout, time.Millisecond, time.Second)
-	s.Duration("remember", &t.EndTTL, time.Second, 10*time.Minute)
-	s.Duration("wake", &t.ReclaimTimeout, time.Second, 10*time.Minute)
+	result := takeover.DefaultSettings()
+	result.ClockDrift, result.GuaranteeTTL = o.Terms.ClockDrift, o.Terms.LeaseDuration
+	s.Int("holders", &result.Replicas, 1, 4)
+	s.Duration("vouch", &result.GuaranteeTTL, 200*time.Millisecond, time.Minute)
+	s.Duration("patience", &result.ConfirmTimeout, time.Millisecond, time.Second)
+	s.Duration("remember", &result.EndTTL, time.Second, 10*time.Minute)
+	s.Duration("wake", &result.ReclaimTimeout, time.Second, 10*time.Minute)
 	mode := "kept"
 	s.Choice("mode", &mode, "kept", "fast")
-	t.NoWaitClasses = map[string]bool{}
+	result.NoWaitClasses = map[string]bool{}
 	for _, class := range s.Strings("fast") {
-		t.NoWaitClasses[class] = true
+		result.NoWaitClasses[class] = true
 	}
-	t.NoWait = mode == "fast"
-	if err := t.Validate(); err != nil {
+	result.NoWait = mode == "fast"
+	if err := result.Validate(); err != nil {
 		s.Errorf("", "%v", err)
 	}
 	if o.Listen == "" {
-		s.Errorf("", "work is held by routers that others reach: (listen ...) in (fleet ...) is missing")
+		s.Errorf("", "requires (listen ...) in (fleet ...): other routers must be able to connect to replicate calls")
 	}
-	return &t
+	return &result
 }
 
-// batch is the records of one turn.
+// batch is the records of one loop iteration, and what the core has to do after them.
 type batch struct {
-	take    uint64 // of the holder, whose calls are in the records
-	cease   bool   // behind them: nothing of it is in hand any more
-	passOn  bool   // behind them: nothing that stands is
-	first   uint64
-	records []takeover.Record
+	batchID    uint64 // of the replica holder, whose calls to adopt are in the records; 0: none
+	relinquish bool   // after the records: the router has relinquished all calls
+	evacuate   bool   // after the records: the router has relinquished the established calls
+	first      uint64 // number of the first record
+	records    []takeover.Record
 }
 
-// work is a router's part between the loop and the core.
-type work struct {
-	terms takeover.Settings
+// takeoverState is what the loop and the core keep, and exchange, about replication and takeover.
+type takeoverState struct {
+	settings takeover.Settings
 	// Of the loop.
-	giver   *takeover.Recorder
-	waiting []ticket
-	ticket  uint64
-	actor   *takeover.OwnershipManager
-	late    []batch // that the core has had no room for
-	served  uint64  // of an operator's wants
+	recorder           *takeover.Recorder
+	waiting            []ticket
+	lastTicket         uint64
+	ownership          *takeover.OwnershipManager
+	delayedBatches     []batch // for which the queue to the core had no room
+	evacuationsStarted uint64  // of evacuationsRequested
 	// Of the core.
-	owner  *takeover.Owner
-	holder *takeover.ReplicaHolder
-	began  time.Duration // when this incarnation did
-	safe   []batch       // that have been given and not confirmed
-	woken  bool
-	left   bool
-	gone   uint64 // the incarnation that was evacuated last
-	all    map[string][]*link
-	links  map[string]*link // of them, the one that is used
-	up     map[string]bool
-	// Between them.
-	records *xsync.SPSCQueue[batch]
-	acts    *xsync.SPSCQueue[takeover.Actions]
-	heard   *xsync.SPSCQueue[takeover.End] // by the loop
-	vouched atomic.Int64                   // until when all holders vouch
-	upto    atomic.Uint64
-	linked  atomic.Bool // to any other router
-	poke    chan struct{}
-	woke    atomic.Pointer[[]string] // what was taken from this router; taken by the loop
-	wanted  atomic.Uint64            // how often an operator wanted it to pass on what stands,
-	done    atomic.Uint64            // and of them how often it has
-	passed  atomic.Uint64            // calls that stood as it did
-	awake   atomic.Bool              // no more was
-	count   struct{ Hurried, Alone, Missed, Late atomic.Uint64 }
-}
-
-// ticket is one turn's bytes: they may leave once the inner gate has let them, and a holder has the record.
+	owner                *takeover.Owner
+	holder               *takeover.ReplicaHolder
+	incarnationSince     time.Duration // when the lease of this incarnation was granted or regained
+	unconfirmedBatches   []batch       // with calls to adopt, whose records no replica holder has confirmed
+	reclaimSignalled     bool          // reclaimDue has been set for this incarnation
+	leaving              bool
+	evacuatedIncarnation uint64 // latest one that was evacuated
+	allLinks             map[string][]*link
+	links                map[string]*link // the latest link to each router, which is used
+	linkReported         map[string]bool  // the owner has been notified of the link in use
+	// Shared by both.
+	batchQueue           *xsync.SPSCQueue[batch]
+	actionQueue          *xsync.SPSCQueue[takeover.Actions]
+	endQueue             *xsync.SPSCQueue[takeover.End] // from the loop to the core
+	guaranteedUntil      atomic.Int64                   // time of Clock until which all replica holders guarantee
+	confirmedRecord      atomic.Uint64                  // number up to which records are confirmed
+	hasLinks             atomic.Bool                    // to any other router
+	wakeCore             chan struct{}
+	takenCalls           atomic.Pointer[[]string] // calls that others have taken over from this router, for the loop
+	evacuationsRequested atomic.Uint64
+	evacuationsDone      atomic.Uint64
+	evacuatedCalls       atomic.Uint64 // established calls at the latest evacuation
+	reclaimDue           atomic.Bool   // no further calls were taken over: the loop reclaims the rest
+	count                struct{ Hurried, Alone, Missed, Late atomic.Uint64 }
+}
+
+// ticket stands for the bytes of one loop iteration: they may be sent once the inner gate has released them and a
+// replica holder has confirmed the record.
 type ticket struct {
-	inner, record uint64
-	ended         uint64 // the latest end that they tell
-	since         time.Duration
+	inner   uint64 // ticket of the inner gate
+	record  uint64 // record to be confirmed
+	lastEnd uint64 // the latest end that the bytes notify of
+	since   time.Duration
 }
 
-func (f *Fleet) openWork(now time.Duration) {
-	w := &work{terms: *f.cfg.Work, giver: &takeover.Recorder{Settings: *f.cfg.Work, WallClock: func() int64 { return time.Now().UnixMilli() }}, owner: takeover.NewOwner(*f.cfg.Work, f.cfg.Name), all: map[string][]*link{}, links: map[string]*link{}, up: map[string]bool{},
-		records: xsync.NewSPSCQueue[batch](workMost), acts: xsync.NewSPSCQueue[takeover.Actions](workMost), heard: xsync.NewSPSCQueue[takeover.End](heardMost), poke: make(chan struct{}, 1)}
-	w.giver.Tenant, w.giver.SetupTarget = f.cfg.Tenant, f.cfg.Aim
-	w.actor = takeover.NewOwnershipManager(f.cfg.Desk, w.giver, f.cfg.Open)
-	w.holder = takeover.NewReplicaHolder(*f.cfg.Work, f.cfg.Name, logOf{f})
-	w.holder.OnTaken = func(calls []string) { f.woke(calls) }
-	w.vouched.Store(math.MaxInt64)
-	w.upto.Store(math.MaxUint64)
-	w.began = now
-	f.work = w
+// openTakeover creates the state of replication and takeover.
+func (f *Fleet) openTakeover(now time.Duration) {
+	state := &takeoverState{
+		settings: *f.cfg.Work,
+		recorder: &takeover.Recorder{
+			Settings:  *f.cfg.Work,
+			WallClock: func() int64 { return time.Now().UnixMilli() },
+		},
+		owner:        takeover.NewOwner(*f.cfg.Work, f.cfg.Name),
+		allLinks:     map[string][]*link{},
+		links:        map[string]*link{},
+		linkReported: map[string]bool{},
+		batchQueue:   xsync.NewSPSCQueue[batch](maxQueuedBatches),
+		actionQueue:  xsync.NewSPSCQueue[takeover.Actions](maxQueuedBatches),
+		endQueue:     xsync.NewSPSCQueue[takeover.End](maxQueuedEnds),
+		wakeCore:     make(chan struct{}, 1),
+	}
+	state.recorder.Tenant, state.recorder.SetupTarget = f.cfg.Tenant, f.cfg.Aim
+	state.ownership = takeover.NewOwnershipManager(f.cfg.Desk, state.recorder, f.cfg.Open)
+	state.holder = takeover.NewReplicaHolder(*f.cfg.Work, f.cfg.Name, memberLog{f})
+	state.holder.OnTaken = func(calls []string) { f.queueTakenCalls(calls) }
+	state.guaranteedUntil.Store(math.MaxInt64)
+	state.confirmedRecord.Store(math.MaxUint64)
+	state.incarnationSince = now
+	f.takeover = state
 }
 
-// logOf is the log as the member has heard it.
-type logOf struct{ f *Fleet }
+// memberLog answers package takeover's questions about the fleet's log, as far as the member has received it.
+type memberLog struct{ fleet *Fleet }
 
-func (l logOf) IsOver(name string, incarnation uint64) bool {
-	return l.f.member.Machine.IsOver(name, incarnation)
+func (l memberLog) IsOver(name string, incarnation uint64) bool {
+	return l.fleet.member.Machine.IsOver(name, incarnation)
 }
 
-func (l logOf) IsLive(name string) bool { return l.f.member.Machine.Member(name).GetLive() }
+func (l memberLog) IsLive(name string) bool { return l.fleet.member.Machine.Member(name).GetLive() }
 
-func (l logOf) SuccessorOf(name string, incarnation uint64) (string, uint64, bool) {
-	return l.f.member.Machine.SuccessorOf(name, incarnation)
+func (l memberLog) SuccessorOf(name string, incarnation uint64) (string, uint64, bool) {
+	return l.fleet.member.Machine.SuccessorOf(name, incarnation)
 }
 
-// ---- of the core ----
+// Called by the core.
 
-// woke gives the loop word of what was taken from this router.
-func (f *Fleet) woke(calls []string) {
-	w := f.work
+// queueTakenCalls passes to the loop the calls that other routers have taken over from this one.
+func (f *Fleet) queueTakenCalls(calls []string) {
+	state := f.takeover
 	list := slices.Clone(calls)
-	if was := w.woke.Swap(nil); was != nil {
-		list = append(list, *was...)
+	if previous := state.takenCalls.Swap(nil); previous != nil {
+		list = append(list, *previous...)
 	}
-	w.woke.Store(&list)
+	state.takenCalls.Store(&list)
 	f.cfg.Wake()
 }
 
-// worked takes what the fleet has come to.
-func (f *Fleet) worked(now time.Duration, n fleet.Note) {
-	w := f.work
-	switch n.Kind {
+// handleTakeoverNote handles a change in the fleet: this router's incarnation, and its replica holders and links.
+func (f *Fleet) handleTakeoverNote(now time.Duration, note fleet.Note) {
+	state := f.takeover
+	switch note.Kind {
 	case fleet.LeaseGranted, fleet.LeaseRegained:
-		w.owner.SetIncarnation(n.Incarnation)
-		w.began, w.woken = now, false
+		state.owner.SetIncarnation(note.Incarnation)
+		state.incarnationSince, state.reclaimSignalled = now, false
 	}
-	switch n.Kind {
+	switch note.Kind {
 	case fleet.LeaseGranted, fleet.MemberBegan, fleet.MemberLost, fleet.MemberLeft, fleet.SuccessorChanged:
-		f.successors()
-		f.neighbours()
+		f.updateReplicaHolders()
+		f.updateNeighbours()
 	}
 }
 
-// successors has the owner know who is to hold its work.
-func (f *Fleet) successors() {
+// updateReplicaHolders sets the routers that are to hold replicas of this router's calls.
+func (f *Fleet) updateReplicaHolders() {
 	want := map[string]uint64{}
 	m := f.member.Machine
-	for _, one := range fleet.Successors(f.cfg.Name, f.cfg.Zone, m.Members(), f.work.terms.Replicas) {
+	for _, one := range fleet.Successors(f.cfg.Name, f.cfg.Zone, m.Members(), f.takeover.settings.Replicas) {
 		want[one.Name] = one.Incarnation
 	}
-	f.work.owner.SetHolders(want, m.IsOver)
+	f.takeover.owner.SetHolders(want, m.IsOver)
 }
 
-// worksWith are routers that links are wanted to.
-func (f *Fleet) worksWith() (names []string) {
-	w := f.work
-	var ring []string // what is heard goes round by neighbours
+// wantedRouterLinks returns the routers to which takeover needs links, sorted by name.
+func (f *Fleet) wantedRouterLinks() (names []string) {
+	state := f.takeover
+	var live []string // neighbours among these pass on ends of unknown calls
 	for _, m := range f.member.Machine.Members() {
 		if m.Live && (f.cfg.Reach[m.Name] != "" || m.Address != "") {
-			ring = append(ring, m.Name)
+			live = append(live, m.Name)
 		}
 	}
-	names = append(verdict.Neighbours(f.cfg.Name, ring), append(w.owner.HolderNames(), w.holder.WantedLinks()...)...)
+	names = append(verdict.Neighbours(f.cfg.Name, live),
+		append(state.owner.HolderNames(), state.holder.WantedLinks()...)...)
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// work takes a frame of another router.
-func (f *Fleet) hearWork(now time.Duration, l *link, b []byte) {
-	w := f.work
+// receiveTakeoverFrame handles a takeover frame of another router.
+func (f *Fleet) receiveTakeoverFrame(now time.Duration, l *link, data []byte) {
+	state := f.takeover
 	frame := &takeoverpb.Frame{}
-	if w == nil || proto.Unmarshal(b, frame) != nil {
-		f.refused(l.name + ": a word on work in hand that cannot be read")
-		l.cut()
+	if state == nil || proto.Unmarshal(data, frame) != nil {
+		f.countRefusal(l.name + ": a word on work in hand that cannot be read")
+		l.cancel()
 		return
 	}
-	if c := frame.GetConfirm(); c != nil {
+	if confirm := frame.GetConfirm(); confirm != nil {
 		if frame.Owner == f.cfg.Name {
-			w.owner.ReceiveConfirm(l.name, frame.Incarnation, c)
+			state.owner.ReceiveConfirm(l.name, frame.Incarnation, confirm)
 		}
 		return
 	}
@@ -206,432 +225,465 @@
 	if !ok {
 		incarnation = 0
 	}
-	w.holder.Receive(now, l.name, frame, incarnation)
+	state.holder.Receive(now, l.name, frame, incarnation)
 }
 
-// labour has the pure parts do what is due, and carries out what they want.
-func (f *Fleet) labour(now time.Duration) {
-	w := f.work
+// tickTakeover processes what the loop has queued, runs the owner and the replica holder, and carries out their
+// outputs.
+func (f *Fleet) tickTakeover(now time.Duration) {
+	state := f.takeover
 	for {
-		b, ok := w.records.TryDequeue()
+		one, ok := state.batchQueue.TryDequeue()
 		if !ok {
 			break
 		}
-		w.owner.Add(b.first, b.records)
-		if b.cease {
-			f.sendWork(w.owner.RelinquishAll(now))
-			w.safe = nil
+		state.owner.Add(one.first, one.records)
+		if one.relinquish {
+			f.sendTakeoverFrames(state.owner.RelinquishAll(now))
+			state.unconfirmedBatches = nil
 			if l := f.member.Lease(); l.IsHeld(now) {
-				w.owner.SetIncarnation(l.Incarnation)
+				state.owner.SetIncarnation(l.Incarnation)
 			}
 		}
-		if b.passOn {
-			w.gone = f.member.Lease().Incarnation
-			f.sendWork(w.owner.Evacuate(now))
-			w.safe = nil
+		if one.evacuate {
+			state.evacuatedIncarnation = f.member.Lease().Incarnation
+			f.sendTakeoverFrames(state.owner.Evacuate(now))
+			state.unconfirmedBatches = nil
 			f.member.Renounce(now)
-			lease := f.member.Lease() // the loop has to see that it has none by the time that it sees that this is done
-			f.lease.Store(&lease)
-			w.done.Store(w.wanted.Load())
-			f.cfg.Log.Warn().Str("event", "work_evacuated").Uint64("incarnation", w.gone).Uint64("calls", w.passed.Load()).Msgf("work in hand: %d calls that stand are passed on, as an operator wants", w.passed.Load())
+			lease := f.member.Lease()
+			f.lease.Store(&lease) // before evacuationsDone: once the loop sees that, it must see that it has no lease
+			state.evacuationsDone.Store(state.evacuationsRequested.Load())
+			f.cfg.Log.Warn().Str("event", "work_evacuated").
+				Uint64("incarnation", state.evacuatedIncarnation).Uint64("calls", state.evacuatedCalls.Load()).
+				Msgf("work in hand: %d calls that stand are passed on, as an operator wants", state.evacuatedCalls.Load())
 		}
-		if b.take != 0 {
-			w.safe = append(w.safe, b)
+		if one.batchID != 0 {
+			state.unconfirmedBatches = append(state.unconfirmedBatches, one)
 		}
 	}
 	var ends []takeover.End
 	for {
-		e, ok := w.heard.TryDequeue()
+		end, ok := state.endQueue.TryDequeue()
 		if !ok {
 			break
 		}
-		ends = append(ends, e)
-	}
-	w.holder.ReceiveEnds(now, "", ends)
-	for name, l := range w.links {
-		if !w.up[name] && l != nil {
-			w.up[name] = true
-			w.owner.SetLinked(name, true)
-			w.holder.SendKnownEnds(name)
+		ends = append(ends, end)
+	}
+	state.holder.ReceiveEnds(now, "", ends)
+	for name, l := range state.links {
+		if !state.linkReported[name] && l != nil {
+			state.linkReported[name] = true
+			state.owner.SetLinked(name, true)
+			state.holder.SendKnownEnds(name)
 		}
 	}
 	incarnation := f.member.Lease().Incarnation
 	if !f.member.Lease().IsHeld(now) {
 		incarnation = 0
 	}
-	w.holder.Tick(now, incarnation)
-	sends, acts := w.holder.Output()
-	if !w.left {
-		sends = append(sends, w.owner.Tick(now)...)
+	state.holder.Tick(now, incarnation)
+	sends, actions := state.holder.Output()
+	if !state.leaving {
+		sends = append(sends, state.owner.Tick(now)...)
 	}
-	f.sendWork(sends)
-	if confirmed := w.owner.Confirmed(); len(w.safe) > 0 {
-		w.safe = slices.DeleteFunc(w.safe, func(b batch) bool {
-			ok := confirmed >= b.first+uint64(len(b.records))-1
+	f.sendTakeoverFrames(sends)
+	if confirmed := state.owner.Confirmed(); len(state.unconfirmedBatches) > 0 {
+		state.unconfirmedBatches = slices.DeleteFunc(state.unconfirmedBatches, func(one batch) bool {
+			ok := confirmed >= one.first+uint64(len(one.records))-1
 			if ok {
-				w.holder.ConfirmBatch(b.take)
+				state.holder.ConfirmBatch(one.batchID)
 			}
 			return ok
 		})
-		sends, more := w.holder.Output() // before the loop acts
-		f.sendWork(sends)
-		acts.Ends = append(acts.Ends, more.Ends...)
-	}
-	if acts.BatchID != 0 || len(acts.Drop)+len(acts.Ends) > 0 {
-		if len(acts.Adopt) > 0 {
-			f.cfg.Log.Warn().Str("event", "work_taken").Int("calls", len(acts.Adopt)).Msgf("work in hand: %d calls of routers that are lost are this one's now", len(acts.Adopt))
+		sends, more := state.holder.Output() // sent before the loop acts on the confirmed batches
+		f.sendTakeoverFrames(sends)
+		actions.Ends = append(actions.Ends, more.Ends...)
+	}
+	if actions.BatchID != 0 || len(actions.Drop)+len(actions.Ends) > 0 {
+		if len(actions.Adopt) > 0 {
+			f.cfg.Log.Warn().Str("event", "work_taken").Int("calls", len(actions.Adopt)).
+				Msgf("work in hand: %d calls of routers that are lost are this one's now", len(actions.Adopt))
 		}
-		if !w.acts.TryEnqueue(acts) {
-			w.count.Missed.Add(uint64(len(acts.Adopt)))
+		if !state.actionQueue.TryEnqueue(actions) {
+			state.count.Missed.Add(uint64(len(actions.Adopt)))
 		}
 		f.cfg.Wake()
 	}
-	if was := w.upto.Load(); was != w.owner.Confirmed() {
-		w.upto.Store(w.owner.Confirmed())
+	if previous := state.confirmedRecord.Load(); previous != state.owner.Confirmed() {
+		state.confirmedRecord.Store(state.owner.Confirmed())
 		f.cfg.Wake()
 	}
-	w.vouched.Store(int64(w.owner.GuaranteedUntil()))
-	if !w.woken && f.told(now) {
-		w.woken = true
-		w.awake.Store(true)
+	state.guaranteedUntil.Store(int64(state.owner.GuaranteedUntil()))
+	if !state.reclaimSignalled && f.allSuccessorsReported(now) {
+		state.reclaimSignalled = true
+		state.reclaimDue.Store(true)
 		f.cfg.Wake()
 	}
 }
 
-// told says whether all that may have taken work from this router have said so, or have had the time to.
-func (f *Fleet) told(now time.Duration) bool {
-	w := f.work
-	if now-w.began > w.terms.ReclaimTimeout {
+// allSuccessorsReported reports whether every router that may have taken over calls of this router's earlier
+// incarnations has reported which, or ReclaimTimeout has passed.
+func (f *Fleet) allSuccessorsReported(now time.Duration) bool {
+	state := f.takeover
+	if now-state.incarnationSince > state.settings.ReclaimTimeout {
 		return true
 	}
-	m := f.member.Machine.Member(f.cfg.Name)
-	if n := f.member.Lease().Incarnation; n == 0 || m.GetIncarnation() != n { // the answer may come before the word of the log
+	member := f.member.Machine.Member(f.cfg.Name)
+	// The lease may be granted before the log entry of its incarnation has been received.
+	if n := f.member.Lease().Incarnation; n == 0 || member.GetIncarnation() != n {
 		return false
 	}
-	for _, p := range m.GetPast() {
-		if p.Successor != "" && p.Successor != f.cfg.Name && !w.holder.HasReported(p.Incarnation) {
+	for _, p := range member.GetPast() {
+		if p.Successor != "" && p.Successor != f.cfg.Name && !state.holder.HasReported(p.Incarnation) {
 			return false
 		}
 	}
 	return true
 }
 
-func (f *Fleet) sendWork(sends []takeover.Send) {
+// sendTakeoverFrames sends frames to routers; those without a link are dropped.
+func (f *Fleet) sendTakeoverFrames(sends []takeover.Send) {
 	for _, s := range sends {
-		if l := f.work.links[s.To]; l != nil {
+		if l := f.takeover.links[s.To]; l != nil {
 			b, _ := proto.Marshal(s.Frame)
 			f.send(l, &fleetpb.Frame{What: &fleetpb.Frame_Work{Work: b}})
 		}
 	}
 }
 
-// worksDue is when labour has something to do.
-func (f *Fleet) worksDue(now time.Duration) time.Duration {
-	return min(f.work.owner.NextTick(), f.work.holder.NextTick(now))
+// nextTakeoverTick returns the time by which tickTakeover has to run if nothing happens before.
+func (f *Fleet) nextTakeoverTick(now time.Duration) time.Duration {
+	return min(f.takeover.owner.NextTick(), f.takeover.holder.NextTick(now))
 }
 
-// linkedWork is told of a link to a router that has opened or ended: of several the latest is used.
-func (f *Fleet) linkedWork(l *link, open bool) {
-	w := f.work
-	list := slices.DeleteFunc(w.all[l.name], func(o *link) bool { return o == l })
+// updateTakeoverLinks records that a link to a router has opened or ended. Of several links the latest is used.
+func (f *Fleet) updateTakeoverLinks(l *link, open bool) {
+	state := f.takeover
+	list := slices.DeleteFunc(state.allLinks[l.name], func(o *link) bool { return o == l })
 	if open {
 		list = append(list, l)
 	}
-	if w.all[l.name] = list; len(list) == 0 {
-		delete(w.all, l.name)
-		delete(w.links, l.name)
-		w.owner.SetLinked(l.name, false)
-	} else if last := list[len(list)-1]; w.links[l.name] != last {
-		w.links[l.name], w.up[l.name] = last, false
+	if state.allLinks[l.name] = list; len(list) == 0 {
+		delete(state.allLinks, l.name)
+		delete(state.links, l.name)
+		state.owner.SetLinked(l.name, false)
+	} else if last := list[len(list)-1]; state.links[l.name] != last {
+		state.links[l.name], state.linkReported[l.name] = last, false
 	}
-	w.holder.SetLinks(slices.Sorted(maps.Keys(w.links)))
-	w.linked.Store(len(w.links) > 0)
+	state.holder.SetLinks(slices.Sorted(maps.Keys(state.links)))
+	state.hasLinks.Store(len(state.links) > 0)
 }
 
-// ---- of the loop ----
+// Called by the loop.
 
-// Works says whether work in hand is held by others.
-func (f *Fleet) Works() bool { return f.work != nil }
+// HasTakeover reports whether this router's calls are replicated.
+func (f *Fleet) Works() bool { return f.takeover != nil }
 
-// Giver hears the router, as its observer.
-func (f *Fleet) Giver() *takeover.Recorder { return f.work.giver }
+// Recorder returns the observer that records the router's events for replication.
+func (f *Fleet) Giver() *takeover.Recorder { return f.takeover.recorder }
 
-// toil is the work's part of a turn of the loop: a router that may not act any more lets go, and what was taken over comes.
-func (f *Fleet) toil(now time.Duration) (wait time.Duration) {
-	w := f.work
+// updateTakeover is the takeover's part of a loop iteration: it relinquishes calls that this router may no longer
+// handle and applies queued actions. It returns how long until it is due again.
+func (f *Fleet) updateTakeover(now time.Duration) (wait time.Duration) {
+	state := f.takeover
 	wait = time.Hour
 	f.LookAtWork(now)
 	if lease := f.lease.Load(); lease.IsHeld(now) {
 		wait = lease.Until - now
-	} else if !w.actor.Relinquished() {
-		wait = max(time.Duration(w.vouched.Load())-now, 0)
+	} else if !state.ownership.Relinquished() {
+		wait = max(time.Duration(state.guaranteedUntil.Load())-now, 0)
 	}
-	f.takeWork()
+	f.applyTakeoverActions()
 	return min(wait, time.Hour)
 }
 
-// LookAtWork is for the moment before the loop acts, and first thing after each of its waits: a router that may not act any more lets go of what is in hand.
+// CheckOwnership relinquishes this router's calls if it may no longer handle them. The loop calls it first after each
+// wait, and before it acts.
 func (f *Fleet) LookAtWork(now time.Duration) {
-	w := f.work
-	if w.served != w.done.Load() { // it has let go of what stands, and does not act by another incarnation before the core has left this one
+	state := f.takeover
+	if state.evacuationsStarted != state.evacuationsDone.Load() {
+		// The established calls are relinquished; the router must not act by another incarnation before the core has
+		// given up this one.
 		return
 	}
 	incarnation, ok := f.Holds(now)
 	if !ok {
 		incarnation = 0
 	}
-	if !w.actor.CheckOwnership(now, incarnation, f.lease.Load().Incarnation == 0, time.Duration(w.vouched.Load())) {
+	if !state.ownership.CheckOwnership(
+		now, incarnation, f.lease.Load().Incarnation == 0, time.Duration(state.guaranteedUntil.Load()),
+	) {
 		return
 	}
-	f.cfg.Log.Warn().Str("event", "work_ceased").Msg("work in hand: no lease, and nobody vouches: what was in hand is another's, new calls go on")
-	f.flushWork(0, true)
+	f.cfg.Log.Warn().Str("event", "work_ceased").
+		Msg("work in hand: no lease, and nobody vouches: what was in hand is another's, new calls go on")
+	f.flushRecords(0, true)
 }
 
-// lapsed says whether LookAtWork would let go now.
+// lapsed reports whether CheckOwnership would relinquish the calls now.
 func (f *Fleet) lapsed(now time.Duration) bool {
-	if f.work.served != f.work.done.Load() {
+	if f.takeover.evacuationsStarted != f.takeover.evacuationsDone.Load() {
 		return false
 	}
 	incarnation, ok := f.Holds(now)
 	if !ok {
 		incarnation = 0
 	}
-	return f.work.actor.Lapsed(now, incarnation, f.lease.Load().Incarnation == 0, time.Duration(f.work.vouched.Load()))
+	return f.takeover.ownership.Lapsed(
+		now, incarnation, f.lease.Load().Incarnation == 0, time.Duration(f.takeover.guaranteedUntil.Load()))
 }
 
-// takeWork takes what the core has come to.
-func (f *Fleet) takeWork() {
-	w := f.work
+// applyTakeoverActions applies what the core has queued for the loop.
+func (f *Fleet) applyTakeoverActions() {
+	state := f.takeover
 	for {
-		acts, ok := w.acts.TryDequeue()
+		actions, ok := state.actionQueue.TryDequeue()
 		if !ok {
 			break
 		}
-		w.actor.Apply(acts)
-		if acts.BatchID != 0 {
-			f.flushWork(acts.BatchID, false)
+		state.ownership.Apply(actions)
+		if actions.BatchID != 0 {
+			f.flushRecords(actions.BatchID, false)
 		}
 	}
-	w.actor.AdoptConfirmed(w.upto.Load())
-	if ids := w.woke.Swap(nil); ids != nil {
-		w.actor.MarkTaken(*ids)
+	state.ownership.AdoptConfirmed(state.confirmedRecord.Load())
+	if ids := state.takenCalls.Swap(nil); ids != nil {
+		state.ownership.MarkTaken(*ids)
 	}
-	if w.awake.Swap(false) {
-		w.actor.ReclaimRemaining()
+	if state.reclaimDue.Swap(false) {
+		state.ownership.ReclaimRemaining()
 	}
 }
 
-// Heard is the loop's: the end of a call that this router's Router does not know. True: it is this router's to tell.
-func (f *Fleet) Heard(id string, how uint8, byCaller bool) bool {
-	w := f.work
-	e := takeover.End{Call: id, Outcome: how, At: time.Now().UnixMilli(), ByCaller: byCaller}
-	if !w.heard.TryEnqueue(e) {
-		w.count.Missed.Add(1)
+// ReceiveEnd handles the end of a call that this router's Router doesn't know, and queues it to be forwarded to other
+// routers. It reports whether this router has to notify the caller.
+func (f *Fleet) Heard(id string, outcome uint8, byCaller bool) bool {
+	state := f.takeover
+	end := takeover.End{Call: id, Outcome: outcome, At: time.Now().UnixMilli(), ByCaller: byCaller}
+	if !state.endQueue.TryEnqueue(end) {
+		state.count.Missed.Add(1)
 	}
 	select {
-	case w.poke <- struct{}{}:
+	case state.wakeCore <- struct{}{}:
 	default:
 	}
-	return w.actor.ClaimEnd(e, w.linked.Load())
+	return state.ownership.ClaimEnd(end, state.hasLinks.Load())
 }
 
-// flushWork hands the core what has been recorded.
-func (f *Fleet) flushWork(take uint64, cease bool) (kept uint64) {
-	return f.flushBatch(batch{take: take, cease: cease})
+// flushRecords queues new records for the core and returns the number of the last one that output has to wait for.
+func (f *Fleet) flushRecords(batchID uint64, relinquish bool) (lastRecord uint64) {
+	return f.flushBatch(batch{batchID: batchID, relinquish: relinquish})
 }
 
-func (f *Fleet) flushBatch(b batch) (kept uint64) {
-	w := f.work
-	w.hand()
-	if b.take != 0 || b.cease || b.passOn || len(w.late) == 0 { // else they stay with the giver: none may be missing among those that holders have
-		if b.first, b.records, _ = w.giver.Take(nil); len(b.records) == 0 && b.take == 0 && !b.cease && !b.passOn {
-			return w.giver.LastAwaited()
+// flushBatch completes a batch with the new records and queues it for the core, see flushRecords.
+func (f *Fleet) flushBatch(b batch) (lastRecord uint64) {
+	state := f.takeover
+	state.enqueueDelayed()
+	// While batches are delayed, plain records stay in the recorder: replica holders must get all records without a
+	// gap.
+	if b.batchID != 0 || b.relinquish || b.evacuate || len(state.delayedBatches) == 0 {
+		if b.first, b.records, _ = state.recorder.Take(nil); len(b.records) == 0 &&
+			b.batchID == 0 && !b.relinquish && !b.evacuate {
+			return state.recorder.LastAwaited()
 		}
-		w.late = append(w.late, b)
-		w.hand()
+		state.delayedBatches = append(state.delayedBatches, b)
+		state.enqueueDelayed()
 	}
-	if len(w.late) > 0 {
-		w.count.Late.Add(1)
+	if len(state.delayedBatches) > 0 {
+		state.count.Late.Add(1)
 	}
 	select {
-	case w.poke <- struct{}{}:
+	case state.wakeCore <- struct{}{}:
 	default:
 	}
-	return w.giver.LastAwaited()
+	return state.recorder.LastAwaited()
 }
 
-// hand gives the core what it has room for.
-func (w *work) hand() {
-	for len(w.late) > 0 && w.records.TryEnqueue(w.late[0]) {
-		w.late = w.late[1:]
+// enqueueDelayed queues delayed batches for the core, as many as fit.
+func (w *takeoverState) enqueueDelayed() {
+	for len(w.delayedBatches) > 0 && w.batchQueue.TryEnqueue(w.delayedBatches[0]) {
+		w.delayedBatches = w.delayedBatches[1:]
 	}
 }
 
-// Hold puts the work's gate before another: the bytes of a turn leave once the other lets them, and a holder has what they tell of kept classes.
-func (f *Fleet) Hold(inner loop.OutputGate) loop.OutputGate { return &workGate{f: f, inner: inner} }
+// WrapGate returns an output gate that adds replication to an inner one, which may be nil: the bytes of a loop
+// iteration are sent once the inner gate has released them, and a replica holder has the records behind them, except
+// for classes that don't wait for replication.
+func (f *Fleet) Hold(inner loop.OutputGate) loop.OutputGate {
+	return &replicationGate{f: f, inner: inner}
+}
 
-type workGate struct {
-	f     *Fleet
-	inner loop.OutputGate // nil: none
-	kept  uint64          // and inner ticket, of the latest turn
-	last  uint64
-	ended uint64 // the latest end that was noted
-	gone  uint64 // and the latest whose word has passed
+// replicationGate is the output gate of WrapGate.
+type replicationGate struct {
+	f           *Fleet
+	inner       loop.OutputGate // nil: none
+	lastRecord  uint64          // of the latest ticket, like lastInner and lastEnd
+	lastInner   uint64
+	lastEnd     uint64
+	releasedEnd uint64 // the latest end whose notification has been released
 }
 
 // Commit implements loop.Gate.
-func (g *workGate) Commit() uint64 {
-	w := g.f.work
+func (g *replicationGate) Commit() uint64 {
+	state := g.f.takeover
 	var inner uint64
 	if g.inner != nil {
 		inner = g.inner.Commit()
 	}
-	kept, ended := g.f.flushWork(0, false), w.giver.LastEnd()
-	if kept == g.kept && inner == g.last && ended == g.ended { // nothing has come that this turn's bytes would have to wait for beyond the turn before
-		return w.ticket
+	lastRecord, lastEnd := g.f.flushRecords(0, false), state.recorder.LastEnd()
+	// If there is nothing new to wait for, the bytes share the ticket of the iteration before.
+	if lastRecord == g.lastRecord && inner == g.lastInner && lastEnd == g.lastEnd {
+		return state.lastTicket
 	}
-	g.kept, g.last, g.ended = kept, inner, ended
-	w.ticket++
-	w.waiting = append(w.waiting, ticket{inner, kept, ended, Clock()})
-	return w.ticket
+	g.lastRecord, g.lastInner, g.lastEnd = lastRecord, inner, lastEnd
+	state.lastTicket++
+	state.waiting = append(state.waiting, ticket{inner, lastRecord, lastEnd, Clock()})
+	return state.lastTicket
 }
 
 // Passed implements loop.Gate.
-func (g *workGate) Released() uint64 {
-	w := g.f.work
+func (g *replicationGate) Released() uint64 {
+	state := g.f.takeover
 	inner := uint64(math.MaxUint64)
 	if g.inner != nil {
 		inner = g.inner.Released()
 	}
-	upto, now := w.upto.Load(), Clock()
-	if g.f.lapsed(now) { // the next look lets go: what waits may be another's to tell by now
-		return w.ticket - uint64(len(w.waiting))
+	confirmed, now := state.confirmedRecord.Load(), Clock()
+	if g.f.lapsed(now) { // the calls are about to be relinquished: another router may have taken them over by now
+		return state.lastTicket - uint64(len(state.waiting))
 	}
 	done := 0
-	for done < len(w.waiting) && w.waiting[done].inner <= inner {
-		t := &w.waiting[done]
-		if t.record > upto {
-			if now-t.since < w.terms.ConfirmTimeout && len(w.waiting) < waitMost {
+	for done < len(state.waiting) && state.waiting[done].inner <= inner {
+		t := &state.waiting[done]
+		if t.record > confirmed {
+			if now-t.since < state.settings.ConfirmTimeout && len(state.waiting) < maxWaitingTickets {
 				break
 			}
-			w.count.Hurried.Add(1)
-		} else if upto == math.MaxUint64 && t.record > 0 {
-			w.count.Alone.Add(1)
+			state.count.Hurried.Add(1)
+		} else if confirmed == math.MaxUint64 && t.record > 0 {
+			state.count.Alone.Add(1)
 		}
-		g.gone = t.ended
+		g.releasedEnd = t.lastEnd
 		done++
 	}
-	w.waiting = append(w.waiting[:0], w.waiting[done:]...)
-	return w.ticket - uint64(len(w.waiting))
+	state.waiting = append(state.waiting[:0], state.waiting[done:]...)
+	return state.lastTicket - uint64(len(state.waiting))
 }
 
-// Left implements loop.Gate: now holders are told of the ends whose word has left.
-func (g *workGate) Flushed() {
-	w := g.f.work
+// Left implements loop.Gate: it records the ends whose notifications have been sent, so that replica holders learn of
+// them.
+func (g *replicationGate) Flushed() {
+	state := g.f.takeover
 	if g.inner != nil {
 		g.inner.Flushed()
 	}
-	if w.giver.RecordEnds(g.gone); w.giver.HasRecords() {
-		g.f.flushWork(0, false)
-		runtime.Gosched() // on one core the core gets to run at once
+	if state.recorder.RecordEnds(g.releasedEnd); state.recorder.HasRecords() {
+		g.f.flushRecords(0, false)
+		runtime.Gosched() // on a single CPU the core's goroutine runs at once
 	}
-	g.f.evacuate()
+	g.f.startEvacuation()
 }
 
-// evacuate passes on what stands, if an operator wants that and the word of no end is on its way. It is the loop's.
-func (f *Fleet) evacuate() {
-	w := f.work
-	want := w.wanted.Load()
-	if want == w.served || w.giver.PendingEnds() > 0 || len(w.late) > 0 {
+// startEvacuation hands over the established calls if an operator has requested it, once no notification of an end is
+// pending. Called by the loop.
+func (f *Fleet) startEvacuation() {
+	state := f.takeover
+	requested := state.evacuationsRequested.Load()
+	if requested == state.evacuationsStarted || state.recorder.PendingEnds() > 0 || len(state.delayedBatches) > 0 {
 		return
 	}
 	if _, ok := f.Holds(Clock()); !ok {
 		return
 	}
-	w.served = want
-	w.passed.Store(uint64(w.actor.Evacuate()))
-	f.flushBatch(batch{passOn: true})
+	state.evacuationsStarted = requested
+	state.evacuatedCalls.Store(uint64(state.ownership.Evacuate()))
+	f.flushBatch(batch{evacuate: true})
 }
 
 // Patience implements loop.Gate.
-func (g *workGate) PollInterval() time.Duration {
-	p := g.f.work.terms.ConfirmTimeout
+func (g *replicationGate) PollInterval() time.Duration {
+	p := g.f.takeover.settings.ConfirmTimeout
 	if g.inner != nil {
 		p = min(p, g.inner.PollInterval())
 	}
 	return p
 }
 
-// leaveWork tells holders that this router has stopped acting; it is the core's.
-func (f *Fleet) leaveWork(now time.Duration) {
-	f.labour(now)
-	if f.owed != nil {
-		w := f.work
-		w.holder.ForwardEnds(f.owed)
-		sends, _ := w.holder.Output()
-		f.sendWork(sends)
+// announceLeave notifies the replica holders that this router has stopped acting. Called by the core.
+func (f *Fleet) announceLeave(now time.Duration) {
+	f.tickTakeover(now)
+	if f.pendingEnds != nil {
+		state := f.takeover
+		state.holder.ForwardEnds(f.pendingEnds)
+		sends, _ := state.holder.Output()
+		f.sendTakeoverFrames(sends)
 	}
-	f.work.left = true
-	f.sendWork(f.work.owner.AnnounceLeave(now))
+	f.takeover.leaving = true
+	f.sendTakeoverFrames(f.takeover.owner.AnnounceLeave(now))
 }
 
-// wantEvacuation is the core's: an operator wants it to pass on what stands. Empty: it will.
-func (f *Fleet) wantEvacuation(now time.Duration) (why string) {
-	switch w := f.work; {
-	case w == nil:
+// requestEvacuation handles an operator's request to hand over the established calls. It returns the reason of a
+// refusal, or an empty string. Called by the core.
+func (f *Fleet) requestEvacuation(now time.Duration) (refusal string) {
+	switch state := f.takeover; {
+	case state == nil:
 		return "nobody else has what this router has in hand: no (takeover ...) section"
 	case !f.member.Lease().IsHeld(now):
 		return "it has no lease: what stands could not be passed on"
-	case w.owner.Unreplicated():
+	case state.owner.Unreplicated():
 		return "no other router holds its work"
-	case w.wanted.Load() == w.done.Load(): // else it is about to
-		w.wanted.Add(1)
+	case state.evacuationsRequested.Load() == state.evacuationsDone.Load(): // else a request is pending already
+		state.evacuationsRequested.Add(1)
 		f.cfg.Wake()
 	}
 	return ""
 }
 
-// reportWork is the router's to an operator.
-func (f *Fleet) reportWork(now time.Duration, find, refused string) []byte {
-	r := takeover.Report(now, f.work.owner, f.work.holder)
-	w := f.work
-	r.Evacuated, r.Passed, r.Evacuating, r.Refused = w.gone, w.passed.Load(), w.wanted.Load() != w.done.Load(), refused
-	if w.gone != 0 {
-		r.Successor, _, _ = logOf{f}.SuccessorOf(f.cfg.Name, w.gone)
-		r.Told = w.holder.HasReported(w.gone)
-	}
-	c := &f.work.count
-	r.Counts["hurried"], r.Counts["alone"], r.Counts["missed"] = c.Hurried.Load(), c.Alone.Load(), c.Missed.Load()
+// takeoverReport returns the marshalled report for operators, with what is known of the call find if that isn't
+// empty.
+func (f *Fleet) takeoverReport(now time.Duration, find, refused string) []byte {
+	report := takeover.Report(now, f.takeover.owner, f.takeover.holder)
+	state := f.takeover
+	report.Evacuated, report.Passed, report.Evacuating, report.Refused =
+		state.evacuatedIncarnation, state.evacuatedCalls.Load(),
+		state.evacuationsRequested.Load() != state.evacuationsDone.Load(), refused
+	if state.evacuatedIncarnation != 0 {
+		report.Successor, _, _ = memberLog{f}.SuccessorOf(f.cfg.Name, state.evacuatedIncarnation)
+		report.Told = state.holder.HasReported(state.evacuatedIncarnation)
+	}
+	count := &f.takeover.count
+	report.Counts["hurried"], report.Counts["alone"], report.Counts["missed"] =
+		count.Hurried.Load(), count.Alone.Load(), count.Missed.Load()
 	if find != "" {
-		r.Found = takeover.FindCall(find, f.work.owner, f.work.holder)
+		report.Found = takeover.FindCall(find, f.takeover.owner, f.takeover.holder)
 	}
-	b, _ := proto.Marshal(r)
+	b, _ := proto.Marshal(report)
 	return b
 }
 
-// reach keeps links to whom this router should have them to.
-func (f *Fleet) reach(names []string) {
+// updateRouterLinks opens links to the named routers whose addresses are known, and closes links to all others.
+func (f *Fleet) updateRouterLinks(names []string) {
 	want := map[string]bool{}
 	for _, name := range names {
-		at := f.cfg.Reach[name]
-		if at == "" {
-			at = f.member.Machine.Member(name).GetAddress()
+		address := f.cfg.Reach[name]
+		if address == "" {
+			address = f.member.Machine.Member(name).GetAddress()
 		}
-		if at == "" || name == f.cfg.Name {
+		if address == "" || name == f.cfg.Name {
 			continue
 		}
-		want[name+" "+at] = true
-		if f.dials[name+" "+at] == nil {
+		want[name+" "+address] = true
+		if f.routerDials[name+" "+address] == nil {
 			ctx, stop := context.WithCancel(f.ctx)
-			f.dials[name+" "+at] = stop
-			f.done.Add(1)
-			go f.follow(ctx, name, at, talks)
+			f.routerDials[name+" "+address] = stop
+			f.goroutines.Add(1)
+			go f.maintainLink(ctx, name, address, routerToRouter)
 		}
 	}
-	for key, stop := range f.dials {
+	for key, stop := range f.routerDials {
 		if !want[key] {
 			stop()
-			delete(f.dials, key)
+			delete(f.routerDials, key)
 		}
 	}
 }
