--- a/cmd/threadglade/fleet.go
+++ b/cmd/threadglade/fleet.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return p, fleetio.Options{}, usage(err)
 	}
-	if name != "" && !p.Fleet.Keeper(name) {
+	if name != "" && !p.Fleet.IsKeeper(name) {
 		return p, *p.Fleet, usage(fmt.Errorf("%s: %q is no keeper there", path, name))
 	}
 	return p, *p.Fleet, nil
@@ -133,14 +133,14 @@
 	if err != nil {
 		return err
 	}
-	list, err := fleet.Bootstrap(o.Terms, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	list, err := fleet.Bootstrap(o.Settings, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	for _, s := range list {
 		if err == nil {
-			err = fleetio.Found(fileSystem, filepath.Join(out, s.Identity.Name), s)
+			err = fleetio.CreateKeeperFiles(fileSystem, filepath.Join(out, s.Identity.Name), s)
 		}
 	}
 	if err == nil {
-		fmt.Fprintf(w, "fleet %s founded: %d folders below %s; each keeper's goes to where its settings' (directory ...) says\n", o.Terms.Fleet, len(list), out)
+		fmt.Fprintf(w, "fleet %s founded: %d folders below %s; each keeper's goes to where its settings' (directory ...) says\n", o.Settings.Fleet, len(list), out)
 	}
 	return err
 }
@@ -149,10 +149,10 @@
 func askKeepers(ctx context.Context, o fleetio.Options) ([]*fleetpb.Report, []error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	reports, errs := make([]*fleetpb.Report, len(o.Terms.Keepers)), make([]error, len(o.Terms.Keepers))
+	reports, errs := make([]*fleetpb.Report, len(o.Settings.Keepers)), make([]error, len(o.Settings.Keepers))
 	var all sync.WaitGroup
-	for i, name := range o.Terms.Keepers {
-		all.Go(func() { reports[i], errs[i] = fleetio.Inquire(ctx, o.Terms.Fleet, o.Addresses[name], "") })
+	for i, name := range o.Settings.Keepers {
+		all.Go(func() { reports[i], errs[i] = fleetio.Inquire(ctx, o.Settings.Fleet, o.Addresses[name], "") })
 	}
 	all.Wait()
 	return reports, errs
@@ -178,10 +178,10 @@
 			b, _ := protojson.Marshal(r)
 			fmt.Fprintln(w, string(b))
 		case asJSON:
-			b, _ := json.Marshal(map[string]string{"name": o.Terms.Keepers[i], "error": errs[i].Error()})
+			b, _ := json.Marshal(map[string]string{"name": o.Settings.Keepers[i], "error": errs[i].Error()})
 			fmt.Fprintln(w, string(b))
 		case r == nil:
-			fmt.Fprintf(t, "%s\t(no answer)\t\n", o.Terms.Keepers[i])
+			fmt.Fprintf(t, "%s\t(no answer)\t\n", o.Settings.Keepers[i])
 		default:
 			live := 0
 			for _, m := range r.GetState().GetMembers() {
@@ -199,7 +199,7 @@
 	t.Flush()
 	for i, err := range errs {
 		if err != nil && !asJSON {
-			fmt.Fprintf(w, "%s: %v\n", o.Terms.Keepers[i], err)
+			fmt.Fprintf(w, "%s: %v\n", o.Settings.Keepers[i], err)
 		}
 	}
 	if leads == 0 {
--- a/cmd/threadglade/limits.go
+++ b/cmd/threadglade/limits.go
@@ -109,7 +109,7 @@
 	words := map[string]string{}
 	for _, f := range r.GetState().GetFacts() {
 		if name, ok := strings.CutPrefix(f.Key, "limit/"); ok {
-			who, why, _ := fleetio.Words(f.Value)
+			who, why, _ := fleetio.DecodeOperatorValue(f.Value)
 			words[name] = who + ": " + why
 		}
 	}
@@ -185,7 +185,7 @@
 // sayLimit writes an operator's word on a limit.
 func sayLimit(ctx context.Context, w io.Writer, path, name, why, text string) error {
 	why = strings.ReplaceAll(why, "\n", " ")
-	return sayFact(ctx, w, path, "limit/"+name, "limit "+name, func(who string) []byte { return fleetio.Word(who, why, text) })
+	return sayFact(ctx, w, path, "limit/"+name, "limit "+name, func(who string) []byte { return fleetio.EncodeOperatorValue(who, why, text) })
 }
 
 // sayFact writes an operator's word into the log.
@@ -210,7 +210,7 @@
 			put.Expect = f.Version
 		}
 	}
-	version, err := fleetio.Tell(ctx, o.Terms.Fleet, addr, put)
+	version, err := fleetio.PutFact(ctx, o.Settings.Fleet, addr, put)
 	if err != nil {
 		return err
 	}
--- a/cmd/threadglade/verdicts.go
+++ b/cmd/threadglade/verdicts.go
@@ -63,16 +63,16 @@
 			if span <= 0 || span > 24*time.Hour {
 				return usage(errors.New("--for: a time above 0, and 24h at the most: a word always ends"))
 			}
-			return sayFact(cmd.Context(), cmd.OutOrStdout(), path, fleetio.VerdictKey+args[0], "server "+args[0], func(who string) []byte {
-				return fleetio.HoldWord(who, strings.ReplaceAll(why, "\n", " "), span, time.Now())
+			return sayFact(cmd.Context(), cmd.OutOrStdout(), path, fleetio.HoldKeyPrefix+args[0], "server "+args[0], func(who string) []byte {
+				return fleetio.EncodeHold(who, strings.ReplaceAll(why, "\n", " "), span, time.Now())
 			})
 		})
 	hold.Flags().DurationVar(&span, "for", 0, "how long, 24h at the most")
 	hold.MarkFlagRequired("for")
 	release := add(&cobra.Command{Use: "release SERVER --why TEXT", Short: "Take such a word back", Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
-			return sayFact(cmd.Context(), cmd.OutOrStdout(), path, fleetio.VerdictKey+args[0], "server "+args[0], func(who string) []byte {
-				return fleetio.Word(who, strings.ReplaceAll(why, "\n", " "), "")
+			return sayFact(cmd.Context(), cmd.OutOrStdout(), path, fleetio.HoldKeyPrefix+args[0], "server "+args[0], func(who string) []byte {
+				return fleetio.EncodeOperatorValue(who, strings.ReplaceAll(why, "\n", " "), "")
 			})
 		})
 	for _, cmd := range []*cobra.Command{hold, release} {
@@ -130,8 +130,8 @@
 		}
 		for _, m := range r.GetState().GetMembers() {
 			if m.Live && (at == "" || at == m.Name) {
-				if address[m.Name] = m.Address; o.Reach[m.Name] != "" {
-					address[m.Name] = o.Reach[m.Name]
+				if address[m.Name] = m.Address; o.RouterAddresses[m.Name] != "" {
+					address[m.Name] = o.RouterAddresses[m.Name]
 				}
 			}
 		}
@@ -148,7 +148,7 @@
 			var r *fleetpb.Report
 			err := errors.New("no address")
 			if address[name] != "" {
-				r, err = ask(ctx, o.Terms.Fleet, address[name])
+				r, err = ask(ctx, o.Settings.Fleet, address[name])
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -306,7 +306,7 @@
 		if err := os.RemoveAll(p.dir); err != nil {
 			return err
 		}
-		if err := fleetio.Found(durable.OS{}, filepath.Join(p.dir, "log"), one); err != nil {
+		if err := fleetio.CreateKeeperFiles(durable.OS{}, filepath.Join(p.dir, "log"), one); err != nil {
 			return err
 		}
 	}
--- a/internal/fleetio/fleet.go
+++ b/internal/fleetio/fleet.go
@@ -44,24 +44,24 @@
 	Wake   func() // starts a loop iteration soon; called on any goroutine
 	Log    zerolog.Logger
 	// OnNote is called on the loop with each note; may be nil.
-	Facts func(fleet.Note)
+	OnNote func(fleet.Note)
 	// OnColdShares is called on the loop with this router's shares of the calls that cold case servers may be sent,
 	// how long from now they are valid, and the share of a router without a lease; may be nil.
-	Parts func(parts []quota.ColdShare, hold time.Duration, alone float64)
+	OnColdShares func(parts []quota.ColdShare, hold time.Duration, alone float64)
 	// SetRetryLender is called on the loop with the function that lends retry attempts under the fleet's limit; may
 	// be nil.
-	Further func(lend func(left int) (lent int, limited bool))
+	SetRetryLender func(lend func(left int) (lent int, limited bool))
 	// OnAvoidance is called on the loop with a server to be avoided because of what all routers know, and for how
 	// long from now; 0 ends the avoidance. May be nil.
-	Care func(c verdict.Avoidance, hold time.Duration)
+	OnAvoidance func(c verdict.Avoidance, hold time.Duration)
 	// Now is the clock of the times passed to AttemptSent, AttemptAnswered and AttemptEnded; nil: Clock.
 	Now func() time.Duration
 	// CallHandler, OpenCalls, Tenant and SetupTarget are used by takeover only; the functions are called on the loop.
-	Desk   takeover.CallHandler
-	Open   []string                         // calls established before the start whose ends are unknown
-	Tenant func(router.Event) string        // tenant of a call
-	Aim    func(class string) time.Duration // set-up time to aim at, by class
-	Limits []quota.Limit                    // from the settings; nil: this process neither divides nor enforces limits
+	CallHandler takeover.CallHandler
+	OpenCalls   []string                         // calls established before the start whose ends are unknown
+	Tenant      func(router.Event) string        // tenant of a call
+	SetupTarget func(class string) time.Duration // set-up time to aim at, by class
+	Limits      []quota.Limit                    // from the settings; nil: this process neither divides nor enforces limits
 }
 
 // Fleet is one process's connection to its fleet: a keeper, a member, or both. Unless said otherwise, methods are
@@ -133,21 +133,21 @@
 	crand.Read(seed[:])
 	f.process = binary.BigEndian.Uint64(seed[:])>>1 + 1
 	now := Clock()
-	if cfg.Keeper(cfg.Name) {
+	if cfg.IsKeeper(cfg.Name) {
 		if err := f.openKeeper(rand.New(rand.NewChaCha8(seed)), now); err != nil {
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
 	}
 	if cfg.Member {
-		if !cfg.Terms.IsListed(cfg.Name) {
+		if !cfg.Settings.IsListed(cfg.Name) {
 			return nil, fmt.Errorf("fleet: %q is not among the members that the settings list", cfg.Name)
 		}
-		f.member = fleet.NewMember(cfg.Terms, cfg.Name, f.process)
+		f.member = fleet.NewMember(cfg.Settings, cfg.Name, f.process)
 	}
 	if cfg.Limits != nil {
 		if f.keeper != nil {
 			machine := func() *fleet.Machine { return f.keeper.Machine }
-			f.keeper.Extension = quota.NewRider(cfg.Terms, machine, func() []quota.Limit {
+			f.keeper.Extension = quota.NewRider(cfg.Settings, machine, func() []quota.Limit {
 				return effectiveLimits(cfg.Limits, machine().Facts())
 			})
 		}
@@ -162,7 +162,7 @@
 	if cfg.Verdicts != nil && f.member != nil {
 		f.openVerdicts(now)
 	}
-	if cfg.Work != nil && f.member != nil {
+	if cfg.Takeover != nil && f.member != nil {
 		f.openTakeover(now)
 	}
 	if cfg.Beacon.IsValid() {
@@ -191,9 +191,9 @@
 	}
 	if f.keeper != nil {
 		cfg.Log.Info().Str("event", "fleet_keeping").Str("address", f.address).Msgf(
-			"fleet %s: keeper %s on %s, log at %d", cfg.Terms.Fleet, cfg.Name, f.address, f.keeper.Machine.Index)
+			"fleet %s: keeper %s on %s, log at %d", cfg.Settings.Fleet, cfg.Name, f.address, f.keeper.Machine.Index)
 	}
-	for _, name := range cfg.Terms.Keepers {
+	for _, name := range cfg.Settings.Keepers {
 		if f.keeper != nil && name != cfg.Name {
 			f.goroutines.Add(1)
 			go f.maintainLink(f.ctx, name, cfg.Addresses[name], keeperToKeeper)
@@ -219,12 +219,12 @@
 	if err != nil {
 		return err
 	}
-	if f.keeper, err = fleet.NewKeeper(f.cfg.Terms, contents.Stored, random, now); err == nil &&
+	if f.keeper, err = fleet.NewKeeper(f.cfg.Settings, contents.Stored, random, now); err == nil &&
 		contents.Identity.Name != f.cfg.Name {
 		err = fmt.Errorf("%s: the files of keeper %s, this is %s", f.cfg.Dir, contents.Identity.Name, f.cfg.Name)
 	}
 	if err == nil {
-		err = opened.openLog(f.keeper, contents.Scan, f.cfg.Roll)
+		err = opened.openLog(f.keeper, contents.Scan, f.cfg.MaxSegmentBytes)
 	}
 	if err != nil {
 		opened.close()
@@ -240,10 +240,10 @@
 // recreateKeeperFiles is the mutant files-forgotten: a keeper that has lost its files starts with those of a new
 // fleet.
 func (f *Fleet) recreateKeeperFiles() error {
-	list, err := fleet.Bootstrap(f.cfg.Terms, rand.New(rand.NewPCG(1, 1))) // the seed that drills use
+	list, err := fleet.Bootstrap(f.cfg.Settings, rand.New(rand.NewPCG(1, 1))) // the seed that drills use
 	for _, state := range list {
 		if err == nil && state.Identity.Name == f.cfg.Name {
-			err = Found(f.cfg.FS, f.cfg.Dir, state)
+			err = CreateKeeperFiles(f.cfg.FS, f.cfg.Dir, state)
 		}
 	}
 	return err
@@ -418,7 +418,7 @@
 	if f.keeper != nil && f.leaderBeacon != nil {
 		if term, leads := f.keeper.LeaderTerm(); leads {
 			if now := Clock(); now >= f.nextLeaderBeacon {
-				f.nextLeaderBeacon = now + f.cfg.Every
+				f.nextLeaderBeacon = now + f.cfg.BeaconInterval
 				fmt.Fprintf(f.leaderBeacon, "lead %s %d", f.cfg.Name, term)
 			}
 		}
@@ -501,14 +501,14 @@
 
 // HoldsLease returns the incarnation by which this router may act at a time of Clock, and whether it may. Safe for
 // concurrent use.
-func (f *Fleet) Holds(now time.Duration) (incarnation uint64, ok bool) {
+func (f *Fleet) HoldsLease(now time.Duration) (incarnation uint64, ok bool) {
 	l := f.lease.Load()
 	return l.Incarnation, l.IsHeld(now)
 }
 
 // Update is called at the start of each loop iteration: it handles queued notes, updates limits, verdicts and
 // takeover, and sends the beacon if the lease allows it. It returns how long until it is due again.
-func (f *Fleet) Turn() time.Duration {
+func (f *Fleet) Update() time.Duration {
 	for {
 		note, ok := f.noteQueue.TryDequeue()
 		if !ok {
@@ -517,8 +517,8 @@
 		if f.beacon != nil && note.Kind == fleet.MemberLost {
 			fmt.Fprintf(f.beacon, "lost %s %s %d", f.cfg.Name, note.Name, note.Incarnation)
 		}
-		if f.cfg.Facts != nil {
-			f.cfg.Facts(note)
+		if f.cfg.OnNote != nil {
+			f.cfg.OnNote(note)
 		}
 	}
 	if f.limiter == nil && f.beacon == nil && f.verdicts == nil && f.takeover == nil { // nothing depends on the time
@@ -538,10 +538,10 @@
 		return wait
 	}
 	if now >= f.nextBeacon {
-		f.nextBeacon = now + f.cfg.Every
+		f.nextBeacon = now + f.cfg.BeaconInterval
 		// The lease is checked right before the act. If the process is stopped between the two, the act is late by at
 		// most the length of the stop, and still carries its incarnation.
-		if incarnation, ok := f.Holds(Clock()); ok {
+		if incarnation, ok := f.HoldsLease(Clock()); ok {
 			f.beaconCount++
 			fmt.Fprintf(f.beacon, "act %s %d %d %d", f.cfg.Name, incarnation, f.process, f.beaconCount)
 		}
@@ -552,7 +552,7 @@
 // WriteFact requests that a fact be written to the fleet's log; done is called on the core's goroutine with the
 // fact's version, or 0 if it was refused. It returns false, and never calls done, if the core is too busy. Safe for
 // concurrent use.
-func (f *Fleet) Write(p fleet.Put, done func(version uint64)) bool {
+func (f *Fleet) WriteFact(p fleet.Put, done func(version uint64)) bool {
 	task := func(now time.Duration) {
 		if f.member == nil || !f.member.Put(now, &p, done) {
 			done(0)
@@ -569,7 +569,7 @@
 // Leave gives up the lease while the process goes on with its calls in progress: a new process has taken its place,
 // and takes over its name as soon as the log has the end of this incarnation. From now on fleet-wide limits admit no
 // call here. Safe for concurrent use.
-func (f *Fleet) Yield() {
+func (f *Fleet) Leave() {
 	if f.member == nil {
 		return
 	}
@@ -580,7 +580,7 @@
 }
 
 // Halted reports whether this keeper has stopped because its disk failed. Safe for concurrent use.
-func (f *Fleet) Failed() bool { return f.halted.Load() }
+func (f *Fleet) Halted() bool { return f.halted.Load() }
 
 // Address returns the address that this process listens on for links, empty if it doesn't.
 func (f *Fleet) Address() string { return f.address }
@@ -610,7 +610,7 @@
 
 // SetPendingEnds sets the ends of calls of which this router couldn't notify the callers; Close forwards them to a
 // linked router, which notifies them instead.
-func (f *Fleet) Owe(list []takeover.End) { f.pendingEnds = list }
+func (f *Fleet) SetPendingEnds(list []takeover.End) { f.pendingEnds = list }
 
 // Close leaves the fleet, ends the core and all links, and closes a keeper's directory. The process must have stopped
 // acting, and the loop must not call the Fleet any more.
--- a/internal/fleetio/limits.go
+++ b/internal/fleetio/limits.go
@@ -111,10 +111,10 @@
 
 // EncodeOperatorValue returns the value of a fact that an operator writes: who, why and a text, separated by
 // newlines. An empty text withdraws what the key stands for.
-func Word(who, why, text string) []byte { return []byte(who + "\n" + why + "\n" + text) }
+func EncodeOperatorValue(who, why, text string) []byte { return []byte(who + "\n" + why + "\n" + text) }
 
 // DecodeOperatorValue splits a value of EncodeOperatorValue; parts that are missing are empty.
-func Words(b []byte) (who, why, text string) {
+func DecodeOperatorValue(b []byte) (who, why, text string) {
 	parts := strings.SplitN(string(b), "\n", 3)
 	for len(parts) < 3 {
 		parts = append(parts, "")
@@ -133,7 +133,7 @@
 		if !ok {
 			continue
 		}
-		_, _, text := Words(fact.Value)
+		_, _, text := DecodeOperatorValue(fact.Value)
 		limit, err := ParseLimit(fact.Key, text)
 		if text == "" {
 			delete(byName, name)
@@ -197,8 +197,8 @@
 		reduced = limiter.ApplyGrants(now, batch.seq, batch.until, batch.grants) || reduced
 		f.reportColdShares(now)
 	}
-	if f.cfg.Further != nil && limiter.HasRetryLimit() {
-		f.cfg.Further(limiter.LendRetries)
+	if f.cfg.SetRetryLender != nil && limiter.HasRetryLimit() {
+		f.cfg.SetRetryLender(limiter.LendRetries)
 	}
 	if now < limiter.nextClaims && !reduced {
 		return limiter.nextClaims - now
@@ -223,7 +223,7 @@
 
 // SetColdServers sets the case servers that have just started. Warm of each is the time from now until it is warm,
 // and is changed in place to a time of Clock. Called by the loop.
-func (f *Fleet) Cold(servers []quota.Server) {
+func (f *Fleet) SetColdServers(servers []quota.Server) {
 	now := Clock()
 	for i := range servers {
 		servers[i].Warm += now
@@ -235,16 +235,16 @@
 // reportColdShares passes on this router's shares of the calls that cold servers may be sent, and for how long from
 // now they are valid.
 func (f *Fleet) reportColdShares(now time.Duration) {
-	if f.cfg.Parts == nil {
+	if f.cfg.OnColdShares == nil {
 		return
 	}
 	if parts, alone, ok := f.limiter.ColdShares(now); ok {
-		f.cfg.Parts(parts, f.limiter.LeaseUntil()-now, alone)
+		f.cfg.OnColdShares(parts, f.limiter.LeaseUntil()-now, alone)
 	}
 }
 
 // HasLimits reports whether this router enforces fleet-wide limits.
-func (f *Fleet) Limited() bool { return f.limiter != nil }
+func (f *Fleet) HasLimits() bool { return f.limiter != nil }
 
 // Admit reports whether this router's shares allow a call now. If not, it names the limit and returns how long to
 // wait before a retry. Called by the loop.
@@ -255,7 +255,7 @@
 }
 
 // Release frees what an admitted call has used, at its end. Called by the loop.
-func (f *Fleet) Over(slot uint32) { f.limiter.Release(slot) }
+func (f *Fleet) Release(slot uint32) { f.limiter.Release(slot) }
 
 // LimitStatus returns the state of each limit. Called by the loop.
-func (f *Fleet) Limits() []quota.LimiterStatus { return f.limiter.Status(Clock()) }
+func (f *Fleet) LimitStatus() []quota.LimiterStatus { return f.limiter.Status(Clock()) }
--- a/internal/fleetio/links.go
+++ b/internal/fleetio/links.go
@@ -187,7 +187,7 @@
 		return status.Error(codes.Unavailable, "ending")
 	}
 	hello := frame.GetHello()
-	if err := f.cfg.Terms.CheckHello(hello, f.voters); err != nil {
+	if err := f.cfg.Settings.CheckHello(hello, f.voters); err != nil {
 		f.countRefusal(err.Error())
 		return status.Error(codes.PermissionDenied, err.Error())
 	}
@@ -230,7 +230,7 @@
 // helloFrame returns the first frame that this process sends on a link.
 func (f *Fleet) helloFrame() *fleetpb.Frame {
 	h := &fleetpb.Hello{
-		Fleet:   f.cfg.Terms.Fleet,
+		Fleet:   f.cfg.Settings.Fleet,
 		Name:    f.cfg.Name,
 		Version: fleet.LinkVersion,
 		Least:   fleet.MinLinkVersion,
@@ -313,7 +313,7 @@
 			if other.Name != name {
 				err = fmt.Errorf("%s answers at the address of %s", other.Name, name)
 			} else {
-				err = f.cfg.Terms.CheckHello(other, f.voters)
+				err = f.cfg.Settings.CheckHello(other, f.voters)
 			}
 		}
 		if err == nil && inTime {
@@ -391,7 +391,7 @@
 
 // PutFact writes a fact through the leading keeper, as an operator, and returns its version. Version 0: refused,
 // since the fact has changed meanwhile or the keeper doesn't lead.
-func Tell(ctx context.Context, fleetName, addr string, p *fleetpb.Put) (version uint64, err error) {
+func PutFact(ctx context.Context, fleetName, addr string, p *fleetpb.Put) (version uint64, err error) {
 	err = sendOperatorFrame(ctx, fleetName, addr, &fleetpb.Frame{
 		What: &fleetpb.Frame_Ask{Ask: &fleetpb.Ask{Seq: 1, Put: p}},
 	}, func(f *fleetpb.Frame) bool {
--- a/internal/fleetio/settings.go
+++ b/internal/fleetio/settings.go
@@ -14,36 +14,36 @@
 
 // Options are the fleet's settings for one process.
 type Options struct {
-	Terms     fleet.Settings
+	Settings  fleet.Settings
 	Dir       string            // a keeper's directory
 	Addresses map[string]string // keepers' addresses by name
 	// Listen is the address that this process listens on: for a keeper the default is its own address in Addresses,
 	// for a router empty means that other routers can't connect to it.
-	Listen   string
-	Address  string             // address that other routers connect to; empty: the address listened on
-	Zone     string             // zone of this process
-	Reach    map[string]string  // addresses that override those advertised by other routers, by router name
-	Verdicts *verdict.Settings  // nil: each router judges case servers by itself
-	Work     *takeover.Settings // nil: calls are not replicated
-	Beacon   netip.AddrPort     // where to send a UDP datagram for each act under a lease; zero value: none
-	Every    time.Duration      // interval between beacon datagrams
-	Roll     int64              // size in bytes at which a keeper begins a new segment
+	Listen          string
+	Address         string             // address that other routers connect to; empty: the address listened on
+	Zone            string             // zone of this process
+	RouterAddresses map[string]string  // addresses that override those advertised by other routers, by router name
+	Verdicts        *verdict.Settings  // nil: each router judges case servers by itself
+	Takeover        *takeover.Settings // nil: calls are not replicated
+	Beacon          netip.AddrPort     // where to send a UDP datagram for each act under a lease; zero value: none
+	BeaconInterval  time.Duration      // interval between beacon datagrams
+	MaxSegmentBytes int64              // size in bytes at which a keeper begins a new segment
 }
 
 // IsKeeper reports whether the process of that name is a keeper.
-func (o *Options) Keeper(name string) bool { return o.Addresses[name] != "" }
+func (o *Options) IsKeeper(name string) bool { return o.Addresses[name] != "" }
 
 // ReadSettings reads a (fleet ...) section; docs/operators/fleet-floor.md describes every field. Errors are recorded
 // with the section and returned by its Finish.
-func Read(s *settings.Section) Options {
+func ReadSettings(s *settings.Section) Options {
 	options := Options{
-		Terms:     fleet.DefaultSettings(),
-		Addresses: map[string]string{},
-		Reach:     map[string]string{},
-		Every:     time.Second,
-		Roll:      4 << 20,
+		Settings:        fleet.DefaultSettings(),
+		Addresses:       map[string]string{},
+		RouterAddresses: map[string]string{},
+		BeaconInterval:  time.Second,
+		MaxSegmentBytes: 4 << 20,
 	}
-	fleetSettings := &options.Terms
+	fleetSettings := &options.Settings
 	s.String("name", &fleetSettings.Fleet)
 	s.String("directory", &options.Dir)
 	s.String("listen", &options.Listen)
@@ -57,10 +57,10 @@
 	percent := int(fleetSettings.ClockDrift*100 + 0.5)
 	s.Int("drift-percent", &percent, 0, 10)
 	fleetSettings.ClockDrift = float64(percent) / 100
-	kb := int(options.Roll >> 10)
+	kb := int(options.MaxSegmentBytes >> 10)
 	s.Int("file-kb", &kb, 64, 1<<20)
-	options.Roll = int64(kb) << 10
-	s.Duration("beacon-every", &options.Every, 5*time.Millisecond, time.Minute)
+	options.MaxSegmentBytes = int64(kb) << 10
+	s.Duration("beacon-every", &options.BeaconInterval, 5*time.Millisecond, time.Minute)
 	address := func(field, text string) (a netip.AddrPort) {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil || !a.Addr().IsLoopback() && !a.Addr().IsPrivate() ||
@@ -82,7 +82,7 @@
 			return
 		}
 		address("reach", at)
-		options.Reach[name] = at
+		options.RouterAddresses[name] = at
 	})
 	var beacon string
 	if s.String("beacon", &beacon) {
@@ -127,9 +127,9 @@
 
 // Describe writes the effective settings in the syntax of a (fleet ...) section.
 func (o *Options) Describe(w io.Writer) {
-	fleetSettings := o.Terms
+	fleetSettings := o.Settings
 	fmt.Fprintf(w, "\n  (fleet (name %q) (lease %q) (renew %q) (drift-percent %.0f) (file-kb %d)",
-		fleetSettings.Fleet, fleetSettings.LeaseDuration, fleetSettings.RenewInterval, fleetSettings.ClockDrift*100, o.Roll>>10)
+		fleetSettings.Fleet, fleetSettings.LeaseDuration, fleetSettings.RenewInterval, fleetSettings.ClockDrift*100, o.MaxSegmentBytes>>10)
 	if o.Dir != "" {
 		fmt.Fprintf(w, " (directory %q)", o.Dir)
 	}
@@ -143,7 +143,7 @@
 		fmt.Fprintf(w, " (address %q)", o.Address)
 	}
 	if o.Beacon.IsValid() {
-		fmt.Fprintf(w, " (beacon %q) (beacon-every %q)", o.Beacon, o.Every)
+		fmt.Fprintf(w, " (beacon %q) (beacon-every %q)", o.Beacon, o.BeaconInterval)
 	}
 	for _, name := range fleetSettings.Keepers {
 		fmt.Fprintf(w, "\n    (keeper %q (address %q))", name, o.Addresses[name])
--- a/internal/fleetio/store.go
+++ b/internal/fleetio/store.go
@@ -110,7 +110,7 @@
 
 // CreateKeeperFiles writes the directory of a keeper of a new fleet. It returns an error if the directory already
 // holds a keeper's files, and then leaves them unchanged.
-func Found(fs durable.FS, dir string, s fleet.Stored) error {
+func CreateKeeperFiles(fs durable.FS, dir string, s fleet.Stored) error {
 	if err := fs.MakeDir(dir); err != nil {
 		return err
 	}
--- a/internal/fleetio/store_test.go
+++ b/internal/fleetio/store_test.go
@@ -90,7 +90,7 @@
 	require.NoError(t, err)
 	fresh := func(seed uint64) *durabletest.FS {
 		fs := durabletest.New(seed)
-		require.NoError(t, Found(fs, "k1", founded[0]))
+		require.NoError(t, CreateKeeperFiles(fs, "k1", founded[0]))
 		return fs
 	}
 	fs := fresh(1)
@@ -145,8 +145,8 @@
 	fs := durabletest.New(1)
 	_, err = Load(fs, "none")
 	require.ErrorIs(t, err, ErrNoFiles)
-	require.NoError(t, Found(fs, "k1", founded[0]))
-	require.ErrorContains(t, Found(fs, "k1", founded[0]), "already")
+	require.NoError(t, CreateKeeperFiles(fs, "k1", founded[0]))
+	require.ErrorContains(t, CreateKeeperFiles(fs, "k1", founded[0]), "already")
 	name := filepath.Join("k1", "fleet-00000001.tgl")
 	for bit := 0; bit < fs.Size(name)*8; bit += 13 {
 		fs.Flip(name, bit)
@@ -166,12 +166,12 @@
 	read := func(text string) (Options, error) {
 		s, err := settings.Parse("x.edn", text)
 		require.NoError(t, err)
-		o := Read(s.Sub("fleet"))
+		o := ReadSettings(s.Sub("fleet"))
 		return o, s.Finish()
 	}
 	o, err := read(good)
 	require.NoError(t, err)
-	require.True(t, o.Keeper("k1") && !o.Keeper("r1"))
+	require.True(t, o.IsKeeper("k1") && !o.IsKeeper("r1"))
 	for text, want := range map[string]string{
 		`(threadglade (fleet (name "f") (keeper "k1" (address "8.8.8.8:1")) (members "r*")))`:                                        "loopback or private",
 		`(threadglade (fleet (name "f") (keeper "k1") (members "r*")))`:                                                              "address: is missing",
@@ -195,10 +195,10 @@
 	t := testTerms()
 	f, err := Open(Config{
 		Options: Options{
-			Terms:     t,
-			Addresses: map[string]string{"k1": "127.0.0.1:1"},
-			Every:     time.Nanosecond,
-			Beacon:    netip.MustParseAddrPort(hearer.LocalAddr().String()),
+			Settings:       t,
+			Addresses:      map[string]string{"k1": "127.0.0.1:1"},
+			BeaconInterval: time.Nanosecond,
+			Beacon:         netip.MustParseAddrPort(hearer.LocalAddr().String()),
 		},
 		Name:   "r1",
 		Member: true,
@@ -208,6 +208,6 @@
 	defer f.Close()
 	f.lease.Store(&fleet.Lease{Incarnation: 7, Until: Clock() + time.Hour})
 	for b.Loop() {
-		f.Turn()
+		f.Update()
 	}
 }
--- a/internal/fleetio/verdicts.go
+++ b/internal/fleetio/verdicts.go
@@ -24,7 +24,7 @@
 	// evaluationInterval is the shortest time between two evaluations by the core.
 	evaluationInterval = 25 * time.Millisecond
 	// HoldKeyPrefix begins the keys of operators' holds on case servers; a hold lasts at most maxHoldDuration.
-	VerdictKey      = "verdict/"
+	HoldKeyPrefix   = "verdict/"
 	maxHoldDuration = 24 * time.Hour
 )
 
@@ -84,7 +84,7 @@
 	case fleet.MemberBegan, fleet.MemberLost, fleet.MemberLeft:
 		f.updateNeighbours()
 	case fleet.FactWritten:
-		if server, ok := strings.CutPrefix(note.Name, VerdictKey); ok {
+		if server, ok := strings.CutPrefix(note.Name, HoldKeyPrefix); ok {
 			f.applyOperatorHold(server, note)
 		}
 	}
@@ -105,7 +105,7 @@
 			continue
 		}
 		members = append(members, verdict.Member{Name: m.Name, Zone: m.Zone})
-		if f.cfg.Reach[m.Name] != "" || m.Address != "" {
+		if f.cfg.RouterAddresses[m.Name] != "" || m.Address != "" {
 			names = append(names, m.Name)
 		}
 	}
@@ -121,7 +121,7 @@
 // duration after it was received, so that a wrong clock can't prolong it.
 func (f *Fleet) applyOperatorHold(server string, note fleet.Note) {
 	state := f.verdicts
-	_, why, text := Words(note.Value)
+	_, why, text := DecodeOperatorValue(note.Value)
 	durationText, endText, _ := strings.Cut(text, " ")
 	duration, err := time.ParseDuration(durationText)
 	endMillis, endErr := strconv.ParseInt(endText, 10, 64)
@@ -148,15 +148,15 @@
 
 // EncodeHold returns the value of a fact by which an operator holds a case server, so that routers avoid it, for a
 // duration from now.
-func HoldWord(who, why string, d time.Duration, now time.Time) []byte {
-	return Word(who, why, d.String()+" "+strconv.FormatInt(now.Add(d).UnixMilli(), 10))
+func EncodeHold(who, why string, d time.Duration, now time.Time) []byte {
+	return EncodeOperatorValue(who, why, d.String()+" "+strconv.FormatInt(now.Add(d).UnixMilli(), 10))
 }
 
 // handleRouterEvent handles an event of a link to another router.
 func (f *Fleet) handleRouterEvent(now time.Duration, e linkEvent) {
 	state, l := f.verdicts, e.link
 	switch {
-	case state == nil && f.takeover == nil || !f.cfg.Terms.IsListed(l.name):
+	case state == nil && f.takeover == nil || !f.cfg.Settings.IsListed(l.name):
 		l.cancel()
 	case e.closed:
 		if f.takeover != nil {
@@ -248,20 +248,20 @@
 // Called by the loop.
 
 // HasVerdicts reports whether this router shares verdicts with others.
-func (f *Fleet) Watches() bool { return f.verdicts != nil }
+func (f *Fleet) HasVerdicts() bool { return f.verdicts != nil }
 
 // SetServers sets the case servers in use.
-func (f *Fleet) Listed(list []verdict.Server) {
+func (f *Fleet) SetServers(list []verdict.Server) {
 	f.verdicts.watch.SetServers(Clock(), list)
 }
 
 // AttemptSent records that an attempt was sent to a case server. At is a time of Config.Now.
-func (f *Fleet) Sent(at time.Duration, slot uint32, server string) {
+func (f *Fleet) AttemptSent(at time.Duration, slot uint32, server string) {
 	f.verdicts.watch.AttemptSent(at+f.verdicts.clockOffset, slot, server)
 }
 
 // AttemptAnswered records that an attempt's answer was received. At is a time of Config.Now.
-func (f *Fleet) Answered(at time.Duration, slot uint32) {
+func (f *Fleet) AttemptAnswered(at time.Duration, slot uint32) {
 	f.verdicts.watch.AttemptAnswered(at+f.verdicts.clockOffset, slot)
 }
 
@@ -293,8 +293,8 @@
 	}
 	avoidances := watch.UpdateAvoidances(now, current.verdicts)
 	for _, one := range avoidances {
-		if f.cfg.Care != nil {
-			f.cfg.Care(one, max(one.Until-now, 0))
+		if f.cfg.OnAvoidance != nil {
+			f.cfg.OnAvoidance(one, max(one.Until-now, 0))
 		}
 	}
 	if len(avoidances) > 0 {
--- a/internal/fleetio/work.go
+++ b/internal/fleetio/work.go
@@ -36,7 +36,7 @@
 // clock drift and the guarantee come from the fleet's settings. Errors are recorded with the section.
 func ReadTakeover(s *settings.Section, o *Options) *takeover.Settings {
 	result := takeover.DefaultSettings()
-	result.ClockDrift, result.GuaranteeTTL = o.Terms.ClockDrift, o.Terms.LeaseDuration
+	result.ClockDrift, result.GuaranteeTTL = o.Settings.ClockDrift, o.Settings.LeaseDuration
 	s.Int("holders", &result.Replicas, 1, 4)
 	s.Duration("vouch", &result.GuaranteeTTL, 200*time.Millisecond, time.Minute)
 	s.Duration("patience", &result.ConfirmTimeout, time.Millisecond, time.Second)
@@ -116,12 +116,12 @@
 // openTakeover creates the state of replication and takeover.
 func (f *Fleet) openTakeover(now time.Duration) {
 	state := &takeoverState{
-		settings: *f.cfg.Work,
+		settings: *f.cfg.Takeover,
 		recorder: &takeover.Recorder{
-			Settings:  *f.cfg.Work,
+			Settings:  *f.cfg.Takeover,
 			WallClock: func() int64 { return time.Now().UnixMilli() },
 		},
-		owner:        takeover.NewOwner(*f.cfg.Work, f.cfg.Name),
+		owner:        takeover.NewOwner(*f.cfg.Takeover, f.cfg.Name),
 		allLinks:     map[string][]*link{},
 		links:        map[string]*link{},
 		linkReported: map[string]bool{},
@@ -130,9 +130,9 @@
 		endQueue:     xsync.NewSPSCQueue[takeover.End](maxQueuedEnds),
 		wakeCore:     make(chan struct{}, 1),
 	}
-	state.recorder.Tenant, state.recorder.SetupTarget = f.cfg.Tenant, f.cfg.Aim
-	state.ownership = takeover.NewOwnershipManager(f.cfg.Desk, state.recorder, f.cfg.Open)
-	state.holder = takeover.NewReplicaHolder(*f.cfg.Work, f.cfg.Name, memberLog{f})
+	state.recorder.Tenant, state.recorder.SetupTarget = f.cfg.Tenant, f.cfg.SetupTarget
+	state.ownership = takeover.NewOwnershipManager(f.cfg.CallHandler, state.recorder, f.cfg.OpenCalls)
+	state.holder = takeover.NewReplicaHolder(*f.cfg.Takeover, f.cfg.Name, memberLog{f})
 	state.holder.OnTaken = func(calls []string) { f.queueTakenCalls(calls) }
 	state.guaranteedUntil.Store(math.MaxInt64)
 	state.confirmedRecord.Store(math.MaxUint64)
@@ -196,7 +196,7 @@
 	state := f.takeover
 	var live []string // neighbours among these pass on ends of unknown calls
 	for _, m := range f.member.Machine.Members() {
-		if m.Live && (f.cfg.Reach[m.Name] != "" || m.Address != "") {
+		if m.Live && (f.cfg.RouterAddresses[m.Name] != "" || m.Address != "") {
 			live = append(live, m.Name)
 		}
 	}
@@ -221,7 +221,7 @@
 		}
 		return
 	}
-	incarnation, ok := f.Holds(now)
+	incarnation, ok := f.HoldsLease(now)
 	if !ok {
 		incarnation = 0
 	}
@@ -377,17 +377,17 @@
 // Called by the loop.
 
 // HasTakeover reports whether this router's calls are replicated.
-func (f *Fleet) Works() bool { return f.takeover != nil }
+func (f *Fleet) HasTakeover() bool { return f.takeover != nil }
 
 // Recorder returns the observer that records the router's events for replication.
-func (f *Fleet) Giver() *takeover.Recorder { return f.takeover.recorder }
+func (f *Fleet) Recorder() *takeover.Recorder { return f.takeover.recorder }
 
 // updateTakeover is the takeover's part of a loop iteration: it relinquishes calls that this router may no longer
 // handle and applies queued actions. It returns how long until it is due again.
 func (f *Fleet) updateTakeover(now time.Duration) (wait time.Duration) {
 	state := f.takeover
 	wait = time.Hour
-	f.LookAtWork(now)
+	f.CheckOwnership(now)
 	if lease := f.lease.Load(); lease.IsHeld(now) {
 		wait = lease.Until - now
 	} else if !state.ownership.Relinquished() {
@@ -399,14 +399,14 @@
 
 // CheckOwnership relinquishes this router's calls if it may no longer handle them. The loop calls it first after each
 // wait, and before it acts.
-func (f *Fleet) LookAtWork(now time.Duration) {
+func (f *Fleet) CheckOwnership(now time.Duration) {
 	state := f.takeover
 	if state.evacuationsStarted != state.evacuationsDone.Load() {
 		// The established calls are relinquished; the router must not act by another incarnation before the core has
 		// given up this one.
 		return
 	}
-	incarnation, ok := f.Holds(now)
+	incarnation, ok := f.HoldsLease(now)
 	if !ok {
 		incarnation = 0
 	}
@@ -425,7 +425,7 @@
 	if f.takeover.evacuationsStarted != f.takeover.evacuationsDone.Load() {
 		return false
 	}
-	incarnation, ok := f.Holds(now)
+	incarnation, ok := f.HoldsLease(now)
 	if !ok {
 		incarnation = 0
 	}
@@ -457,7 +457,7 @@
 
 // ReceiveEnd handles the end of a call that this router's Router doesn't know, and queues it to be forwarded to other
 // routers. It reports whether this router has to notify the caller.
-func (f *Fleet) Heard(id string, outcome uint8, byCaller bool) bool {
+func (f *Fleet) ReceiveEnd(id string, outcome uint8, byCaller bool) bool {
 	state := f.takeover
 	end := takeover.End{Call: id, Outcome: outcome, At: time.Now().UnixMilli(), ByCaller: byCaller}
 	if !state.endQueue.TryEnqueue(end) {
@@ -509,7 +509,7 @@
 // WrapGate returns an output gate that adds replication to an inner one, which may be nil: the bytes of a loop
 // iteration are sent once the inner gate has released them, and a replica holder has the records behind them, except
 // for classes that don't wait for replication.
-func (f *Fleet) Hold(inner loop.OutputGate) loop.OutputGate {
+func (f *Fleet) WrapGate(inner loop.OutputGate) loop.OutputGate {
 	return &replicationGate{f: f, inner: inner}
 }
 
@@ -592,7 +592,7 @@
 	if requested == state.evacuationsStarted || state.recorder.PendingEnds() > 0 || len(state.delayedBatches) > 0 {
 		return
 	}
-	if _, ok := f.Holds(Clock()); !ok {
+	if _, ok := f.HoldsLease(Clock()); !ok {
 		return
 	}
 	state.evacuationsStarted = requested
@@ -665,7 +665,7 @@
 func (f *Fleet) updateRouterLinks(names []string) {
 	want := map[string]bool{}
 	for _, name := range names {
-		address := f.cfg.Reach[name]
+		address := f.cfg.RouterAddresses[name]
 		if address == "" {
 			address = f.member.Machine.Member(name).GetAddress()
 		}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -139,7 +139,7 @@
 
 // onUnknownServerRelease handles a server's release of a call that this process doesn't know.
 func (n *Node) onUnknownServerRelease(id string, outcome threadglade.Outcome) {
-	if n.fleet != nil && n.fleet.Works() && !n.fleet.Heard(id, uint8(outcome), false) {
+	if n.fleet != nil && n.fleet.HasTakeover() && !n.fleet.ReceiveEnd(id, uint8(outcome), false) {
 		return // the owner of the call is notified and notifies the caller
 	}
 	if !n.handover.asNewProcess.InStandby() { // in standby it is the old process's call, which receives the release too
@@ -152,8 +152,8 @@
 	if n.handover.oldProcessLink == nil || !sip.ForwardCallerRelease(n.handover.oldProcessLink, id) {
 		n.trunk.ReleaseAtAllServers(id)
 	}
-	if n.fleet != nil && n.fleet.Works() {
-		n.fleet.Heard(id, uint8(threadglade.Cancelled), true)
+	if n.fleet != nil && n.fleet.HasTakeover() {
+		n.fleet.ReceiveEnd(id, uint8(threadglade.Cancelled), true)
 	}
 }
 
@@ -225,7 +225,7 @@
 			t.server.Close()
 		}
 		if n.fleet != nil {
-			n.fleet.Yield()
+			n.fleet.Leave()
 		}
 		n.front.HandOver(t.newProcessLink)
 		n.log.Info().Str("event", "handed_over").Int("open", n.Router.OpenRequests()).
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -139,7 +139,7 @@
 	if cfg.Product.Fleet != nil && cfg.Product.Fleet.Verdicts != nil {
 		routerConfig.Observer = joinObservers(routerConfig.Observer, verdictObserver{n})
 	}
-	if cfg.Product.Fleet != nil && cfg.Product.Fleet.Work != nil {
+	if cfg.Product.Fleet != nil && cfg.Product.Fleet.Takeover != nil {
 		routerConfig.Observer = joinObservers(routerConfig.Observer, takeoverObserver{n})
 	}
 	if n.Router, err = router.New(routerConfig); err != nil {
@@ -283,10 +283,10 @@
 		}
 	}
 	n.Router.UpdateServers(event)
-	if n.fleet != nil && n.fleet.Limited() {
+	if n.fleet != nil && n.fleet.HasLimits() {
 		n.reportColdServers(servers)
 	}
-	if n.fleet != nil && n.fleet.Watches() {
+	if n.fleet != nil && n.fleet.HasVerdicts() {
 		n.reportMonitoredServers(servers)
 	}
 	n.front.ReserveForServers(len(servers))
@@ -297,7 +297,7 @@
 func (n *Node) Run() error {
 	tick := n.Router.Tick
 	if n.fleet != nil { // each loop iteration checks the lease first
-		tick = func() time.Duration { return min(n.fleet.Turn(), n.Router.Tick()) }
+		tick = func() time.Duration { return min(n.fleet.Update(), n.Router.Tick()) }
 	}
 	n.Loop.SetClock(n.clock)
 	n.Loop.SetBeforeWait(n.trunk.Flush)
@@ -305,7 +305,7 @@
 	n.log.Info().Str("event", "counters").Msgf("counters %s", n.Counters())
 	n.Loop.Close()
 	if n.fleet != nil {
-		if n.fleet.Works() {
+		if n.fleet.HasTakeover() {
 			n.reportPendingEnds()
 		}
 		err = errors.Join(err, n.fleet.Close())
--- a/internal/node/subsystems.go
+++ b/internal/node/subsystems.go
@@ -78,11 +78,11 @@
 		p.Trace = &o
 	}
 	if sub := s.Sub("fleet"); sub != nil {
-		o := fleetio.Read(sub)
-		if o.Keeper(router) && o.Dir == "" {
+		o := fleetio.ReadSettings(sub)
+		if o.IsKeeper(router) && o.Dir == "" {
 			sub.Errorf("directory", "is missing: %s is a keeper", router)
 		}
-		if router != "" && !o.Terms.IsListed(router) && len(o.Terms.Members) > 0 {
+		if router != "" && !o.Settings.IsListed(router) && len(o.Settings.Members) > 0 {
 			sub.Errorf("members", "%q is not among them", router)
 		}
 		p.Fleet = &o
@@ -97,14 +97,14 @@
 		if p.Fleet == nil {
 			sub.Errorf("", "takeover of calls in progress requires a (fleet ...) section")
 		} else {
-			p.Fleet.Work = fleetio.ReadTakeover(sub, p.Fleet)
+			p.Fleet.Takeover = fleetio.ReadTakeover(sub, p.Fleet)
 		}
 	}
 	if sub := s.Sub("verdicts"); sub != nil {
 		if p.Fleet == nil {
 			sub.Errorf("", "verdicts of a fleet require a (fleet ...) section")
 		} else {
-			p.Fleet.Verdicts = fleetio.ReadVerdicts(sub, p.Fleet.Terms.ClockDrift)
+			p.Fleet.Verdicts = fleetio.ReadVerdicts(sub, p.Fleet.Settings.ClockDrift)
 		}
 	}
 	return p, s.Finish()
@@ -168,8 +168,8 @@
 				v.Quorum, 100*v.MaxShare, v.MinResponseTimeout, v.LateThreshold, v.EvidenceTTL, v.ProbeInterval, v.RecoverySpread)
 		}
 	}
-	if p.Fleet != nil && p.Fleet.Work != nil {
-		t := p.Fleet.Work
+	if p.Fleet != nil && p.Fleet.Takeover != nil {
+		t := p.Fleet.Takeover
 		mode := "kept"
 		if t.NoWait {
 			mode = "fast"
@@ -189,40 +189,40 @@
 
 // openFleet joins the fleet and connects it with the loop, the router and the ledger.
 func (n *Node) openFleet() (err error) {
-	if n.config.Product.Fleet.Keeper(n.config.Name) {
+	if n.config.Product.Fleet.IsKeeper(n.config.Name) {
 		// With the signal ignored, a write beyond the file size limit fails with an error: the keeper stops voting,
 		// and the process goes on.
 		signal.Ignore(syscall.SIGXFSZ)
 	}
 	cfg := fleetio.Config{
-		Options: *n.config.Product.Fleet,
-		FS:      n.fileSystem(),
-		Name:    n.config.Name,
-		Member:  true,
-		Wake:    n.Loop.Wake,
-		Log:     n.log,
-		Limits:  n.config.Product.Limits,
-		Parts:   n.setColdStartShares,
-		Further: n.setRetryBudget,
-		Care:    n.avoidServer,
-		Now:     n.clock,
-	}
-	if cfg.Work != nil {
+		Options:        *n.config.Product.Fleet,
+		FS:             n.fileSystem(),
+		Name:           n.config.Name,
+		Member:         true,
+		Wake:           n.Loop.Wake,
+		Log:            n.log,
+		Limits:         n.config.Product.Limits,
+		OnColdShares:   n.setColdStartShares,
+		SetRetryLender: n.setRetryBudget,
+		OnAvoidance:    n.avoidServer,
+		Now:            n.clock,
+	}
+	if cfg.Takeover != nil {
 		n.configureTakeover(&cfg)
 	}
 	n.fleet, err = fleetio.Open(cfg)
-	if err == nil && n.fleet.Works() {
-		n.Loop.SetAfterWait(func() { n.fleet.LookAtWork(fleetio.Clock()) })
+	if err == nil && n.fleet.HasTakeover() {
+		n.Loop.SetAfterWait(func() { n.fleet.CheckOwnership(fleetio.Clock()) })
 		if n.ledger != nil {
-			n.Loop.SetOutputGate(n.fleet.Hold(n.ledger))
+			n.Loop.SetOutputGate(n.fleet.WrapGate(n.ledger))
 		} else {
-			n.Loop.SetOutputGate(n.fleet.Hold(nil))
+			n.Loop.SetOutputGate(n.fleet.WrapGate(nil))
 		}
 	}
-	if err == nil && n.fleet.Limited() {
+	if err == nil && n.fleet.HasLimits() {
 		n.reportColdServers(n.config.Servers)
 	}
-	if err == nil && n.fleet.Watches() {
+	if err == nil && n.fleet.HasVerdicts() {
 		n.reportMonitoredServers(n.config.Servers)
 	}
 	return err
@@ -259,7 +259,7 @@
 			list = append(list, quota.Server{ID: s.ID, Started: s.Started, Warm: warmUpLeft})
 		}
 	}
-	n.fleet.Cold(list)
+	n.fleet.SetColdServers(list)
 }
 
 // avoidServer has the router avoid a server for the time ttl, on evidence that all routers of the fleet have
@@ -300,7 +300,7 @@
 		}
 		list = append(list, server)
 	}
-	n.fleet.Listed(list)
+	n.fleet.SetServers(list)
 }
 
 // verdictObserver reports the start and the result of attempts to the fleet's failure detection.
@@ -314,9 +314,9 @@
 	}
 	switch e.Kind {
 	case router.Sent:
-		f.Sent(e.At, e.Slot, e.Server)
+		f.AttemptSent(e.At, e.Slot, e.Server)
 	case router.Established:
-		f.Answered(e.At, e.Slot)
+		f.AttemptAnswered(e.At, e.Slot)
 	case router.AttemptEnded:
 		f.AttemptEnded(e.At, e.Slot, verdict.EndFromOutcome(e.Outcome, e.Cause))
 	}
@@ -328,7 +328,7 @@
 // Observe implements router.Observer.
 func (g takeoverObserver) Observe(e router.Event) {
 	if f := g.n.fleet; f != nil {
-		f.Giver().Observe(e)
+		f.Recorder().Observe(e)
 	}
 }
 
@@ -336,13 +336,13 @@
 // others.
 func (n *Node) configureTakeover(c *fleetio.Config) {
 	if n.ledger != nil {
-		c.Open = n.ledger.Sleep()
+		c.OpenCalls = n.ledger.Sleep()
 	}
-	c.Desk = takeoverHandler{n}
+	c.CallHandler = takeoverHandler{n}
 	if o := n.config.Product.Ledger; o != nil {
 		c.Tenant = func(e router.Event) string { return o.Tenants.Tenant(e.Tenant, e.Identity, e.Caller, e.Number) }
 	}
-	c.Aim = func(class string) time.Duration {
+	c.SetupTarget = func(class string) time.Duration {
 		for i := range n.config.Settings.Classes {
 			if n.config.Settings.Classes[i].Name == class {
 				return n.config.Settings.Classes[i].Aim
@@ -469,7 +469,7 @@
 	for _, o := range n.front.PendingReleases() {
 		list = append(list, takeover.End{Call: o.ID, Outcome: uint8(o.Outcome), NotifyCaller: true})
 	}
-	n.fleet.Owe(list)
+	n.fleet.SetPendingEnds(list)
 }
 
 // limiter admits requests against the router's shares of the fleet's limits, before the router decides about them,
@@ -486,7 +486,7 @@
 	case router.Arrived:
 		l.slot = e.Slot
 	case router.Closed:
-		l.n.fleet.Over(e.Slot)
+		l.n.fleet.Release(e.Slot)
 	}
 }
 
