--- a/ledger/entry.go
+++ b/ledger/entry.go
@@ -9,46 +9,52 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// EntryKind says what an Entry records.
+// EntryKind is the type of event that an Entry records.
 type EntryKind uint8
 
 // Kinds of entries.
 const (
-	Begin   EntryKind = iota + 1 // a checkpoint begins: what was known is told anew by the entries up to Mark
-	Name                         // Index stands for Text from now on
-	Intent                       // an attempt of Call is about to leave for Server; Usage is that of the attempts before
-	Answer                       // Call stands, in time or not
-	End                          // Call is over; Usage is all that it counts
-	Spilled                      // Usage of calls that ended in Period while single entries could not be kept; Count of them
-	Gone                         // Call is over and counted in Spilled
-	Close                        // the periods from From to Period are closed, as the Sequence-th statement
-	Mark                         // the checkpoint ends: the time, the last closed period and Sequence
-	Used                         // of a checkpoint: calls have ended in Period, which is not closed
+	Begin   EntryKind = iota + 1 // a checkpoint begins; the entries up to its end hold the whole state
+	Name                         // later entries refer to Text by Index
+	Intent                       // an attempt is about to be sent to Server; Usage counts earlier ones
+	Answer                       // Call is established, in time or not
+	End                          // Call is over; Usage is everything that it counts
+	Spilled                      // usage of Count calls that ended in Period while the buffer was full
+	Gone                         // Call is over and in spilled totals, or is in another router's ledger
+	Close                        // the periods from From to Period are closed, as statement number Sequence
+	Mark                         // a checkpoint ends; Period is the end of the last closed period
+	Used                         // only in a checkpoint: calls have ended in Period, which is not closed
 )
 
-// Entry is one record of the book. Which fields count depends on Kind.
+// Entry is one record of the ledger. Which fields are used depends on Kind.
 type Entry struct {
-	Kind     EntryKind
-	At       int64  // ledger time, in milliseconds since the Unix epoch
-	Call     uint64 // as CallKey makes it
-	Tenant   uint32 // by Name; so Class and Server
-	Class    uint32
-	Server   uint32
-	Attempt  uint32
-	Retry    bool
-	InTime   bool
-	Stood    bool // of an End whose outcome is unknown: that the call stood is known
-	Usage    Usage
-	Period   int64 // of Spilled: its beginning; of Close: the end of what is closed; of Begin: the length
-	From     int64 // of Close: the beginning; of End: since when the attempt was out
+	Kind    EntryKind
+	At      int64  // ledger time, in milliseconds since the Unix epoch
+	Call    uint64 // the result of CallKey
+	Tenant  uint32 // name index, as are Class and Server; 0 means none
+	Class   uint32
+	Server  uint32
+	Attempt uint32
+	Retry   bool
+	InTime  bool
+	Stood   bool // KindEnd with an unknown result: the call is known to have been established
+	Usage   Usage
+	// Period is the start of the period for KindSpilled and KindUsedPeriod, the end of the closed range for KindClose
+	// and KindCheckpointEnd, and the length of periods for KindCheckpointBegin.
+	Period int64
+	// From is the start of the range for KindClose, the time of the last attempt for a KindEnd with an unknown result,
+	// the time of an event that is recorded later than it happened for KindAttempt and KindAnswer, and the
+	// UnknownTimeout for KindCheckpointBegin.
+	From     int64
 	Index    uint32
-	Text     string // of Begin: the router's name
+	Text     string // KindName: the name; KindCheckpointBegin: the router's name
 	Sequence uint64
 	Count    uint64
-	Grace    int64 // of Begin
+	Grace    int64 // KindCheckpointBegin
 }
 
-// CallKey is the number that stands for a call in the books: the value of its 16 hex digits, or a hash of any other id.
+// CallKey returns the number that identifies a call in the ledger: the value of an ID of 16 hex digits, or a hash of
+// any other ID.
 func CallKey(id string) uint64 {
 	if len(id) == 16 {
 		if n, err := strconv.ParseUint(id, 16, 64); err == nil {
@@ -58,57 +64,58 @@
 	return xxhash.Sum64String(id)
 }
 
-// CallText writes a call's number as its id.
+// FormatCallKey formats a call's key as an ID of 16 hex digits.
 func CallText(key uint64) string { return fmt.Sprintf("%016x", key) }
 
-// Append writes an entry behind others, as a protocol buffer of docs/formats/ledger.md: field 1 of the message Entries.
+// Append appends the encoded entry to b: field 1 of the protocol buffer message Entries in docs/formats/ledger.md.
 func (e *Entry) Append(b []byte) []byte {
 	b = protowire.AppendTag(b, 1, protowire.BytesType)
-	at := len(b)
-	b = append(b, 0) // the length, of one byte in nearly all cases
-	num := func(n protowire.Number, v uint64) {
+	start := len(b)
+	b = append(b, 0) // placeholder for the length, which nearly always fits in one byte
+	appendUint := func(n protowire.Number, v uint64) {
 		if v != 0 {
 			b = protowire.AppendVarint(protowire.AppendTag(b, n, protowire.VarintType), v)
 		}
 	}
-	num(1, uint64(e.Kind))
-	num(2, uint64(e.At))
+	appendUint(1, uint64(e.Kind))
+	appendUint(2, uint64(e.At))
 	if e.Call != 0 {
 		b = protowire.AppendFixed64(protowire.AppendTag(b, 3, protowire.Fixed64Type), e.Call)
 	}
-	num(4, uint64(e.Tenant))
-	num(5, uint64(e.Class))
-	num(6, uint64(e.Server))
-	num(7, uint64(e.Attempt))
-	num(8, protowire.EncodeBool(e.Retry))
-	num(9, protowire.EncodeBool(e.InTime))
-	num(10, protowire.EncodeBool(e.Stood))
+	appendUint(4, uint64(e.Tenant))
+	appendUint(5, uint64(e.Class))
+	appendUint(6, uint64(e.Server))
+	appendUint(7, uint64(e.Attempt))
+	appendUint(8, protowire.EncodeBool(e.Retry))
+	appendUint(9, protowire.EncodeBool(e.InTime))
+	appendUint(10, protowire.EncodeBool(e.Stood))
 	if e.Usage != (Usage{}) {
 		b = protowire.AppendTag(b, 11, protowire.BytesType)
 		size := len(b)
 		b = append(b, 0)
-		for f, n := range e.Usage {
+		for field, n := range e.Usage {
 			if n != 0 {
-				b = append(b, byte(f))
+				b = append(b, byte(field))
 				b = protowire.AppendVarint(b, protowire.EncodeZigZag(n))
 			}
 		}
-		b = fit(b, size)
+		b = insertLength(b, size)
 	}
-	num(12, uint64(e.Period))
-	num(13, uint64(e.From))
-	num(14, uint64(e.Index))
+	appendUint(12, uint64(e.Period))
+	appendUint(13, uint64(e.From))
+	appendUint(14, uint64(e.Index))
 	if e.Text != "" {
 		b = protowire.AppendString(protowire.AppendTag(b, 15, protowire.BytesType), e.Text)
 	}
-	num(16, e.Sequence)
-	num(17, e.Count)
-	num(18, uint64(e.Grace))
-	return fit(b, at)
+	appendUint(16, e.Sequence)
+	appendUint(17, e.Count)
+	appendUint(18, uint64(e.Grace))
+	return insertLength(b, start)
 }
 
-// fit puts the length of all that follows the byte at into it, moving what follows where one byte is too few.
-func fit(b []byte, at int) []byte {
+// insertLength writes the length of everything after index at, as a varint, to index at. If the varint needs more than
+// the one byte reserved there, it moves the bytes that follow.
+func insertLength(b []byte, at int) []byte {
 	n := len(b) - at - 1
 	if n < 128 {
 		b[at] = byte(n)
@@ -122,23 +129,24 @@
 	return b
 }
 
-var errEntry = errors.New("an entry that cannot be read")
+var errMalformedEntry = errors.New("malformed ledger entry")
 
-// Decode reads all entries of a payload.
+// Decode decodes the entries of a payload and calls each for every one; the Entry is valid only during the call. It
+// stops at the first error.
 func Decode(b []byte, each func(*Entry) error) error {
 	var e Entry
 	for len(b) > 0 {
 		n, t, size := protowire.ConsumeTag(b)
 		if size < 0 || n != 1 || t != protowire.BytesType {
-			return errEntry
+			return errMalformedEntry
 		}
 		b = b[size:]
-		one, size := protowire.ConsumeBytes(b)
+		message, size := protowire.ConsumeBytes(b)
 		if size < 0 {
-			return errEntry
+			return errMalformedEntry
 		}
 		b = b[size:]
-		if err := e.read(one); err != nil {
+		if err := e.decode(message); err != nil {
 			return err
 		}
 		if err := each(&e); err != nil {
@@ -148,20 +156,21 @@
 	return nil
 }
 
-// read takes one entry. Fields of later programs are an error: an entry that is understood in part would count wrongly.
-func (e *Entry) read(b []byte) error {
+// decode decodes one entry. Unknown fields, as a later version may write, are an error: an entry that is only partly
+// understood would be counted wrongly.
+func (e *Entry) decode(b []byte) error {
 	*e = Entry{}
 	for len(b) > 0 {
 		n, t, size := protowire.ConsumeTag(b)
 		if size < 0 {
-			return errEntry
+			return errMalformedEntry
 		}
 		b = b[size:]
 		switch t {
 		case protowire.VarintType:
 			v, size := protowire.ConsumeVarint(b)
 			if size < 0 {
-				return errEntry
+				return errMalformedEntry
 			}
 			b = b[size:]
 			switch n {
@@ -196,18 +205,18 @@
 			case 18:
 				e.Grace = int64(v)
 			default:
-				return errEntry
+				return errMalformedEntry
 			}
 		case protowire.Fixed64Type:
 			v, size := protowire.ConsumeFixed64(b)
 			if size < 0 || n != 3 {
-				return errEntry
+				return errMalformedEntry
 			}
 			b, e.Call = b[size:], v
 		case protowire.BytesType:
 			v, size := protowire.ConsumeBytes(b)
 			if size < 0 {
-				return errEntry
+				return errMalformedEntry
 			}
 			b = b[size:]
 			switch n {
@@ -216,7 +225,7 @@
 					f := v[0]
 					figure, size := protowire.ConsumeVarint(v[1:])
 					if size < 0 || f >= byte(Fields) {
-						return errEntry
+						return errMalformedEntry
 					}
 					e.Usage[f] = protowire.DecodeZigZag(figure)
 					v = v[1+size:]
@@ -224,14 +233,14 @@
 			case 15:
 				e.Text = string(v)
 			default:
-				return errEntry
+				return errMalformedEntry
 			}
 		default:
-			return errEntry
+			return errMalformedEntry
 		}
 	}
 	if e.Kind < Begin || e.Kind > Used {
-		return fmt.Errorf("%w: kind %d", errEntry, e.Kind)
+		return fmt.Errorf("%w: kind %d", errMalformedEntry, e.Kind)
 	}
 	return nil
 }
--- a/ledger/export.go
+++ b/ledger/export.go
@@ -16,9 +16,9 @@
 	"unique"
 )
 
-// Kinds of frames in an export file; docs/formats/ledger.md has the whole form.
+// Kinds of frames in an export file. docs/formats/ledger.md describes the format.
 const (
-	frameHead uint16 = iota + 1
+	frameHeader uint16 = iota + 1
 	frameLines
 	frameCorrections
 	frameUnknown
@@ -31,19 +31,19 @@
 	callsPerFrame = 1024
 )
 
-// Line is what one tenant has used of one class.
+// Line is the usage of one class by one tenant.
 type Line struct {
 	Tenant string `json:"tenant"`
 	Class  string `json:"class"`
 	Usage  Usage  `json:"usage"`
 }
 
-// Correction changes one figure of a period that was closed before.
+// Correction changes one field of a period that is already closed.
 type Correction struct {
 	Number uint64 `json:"number"` // within its export, from 1
-	Origin string `json:"origin"` // "late": a call's end came after the closing; "operator"
+	Origin string `json:"origin"` // "late": a call was counted after the closing; "operator"
 	Entry  uint64 `json:"entry,omitempty"`
-	Period int64  `json:"period_ms"` // beginning of the period that it mends
+	Period int64  `json:"period_ms"` // start of the period that it corrects
 	Tenant string `json:"tenant"`
 	Class  string `json:"class"`
 	Field  string `json:"field"`
@@ -53,7 +53,7 @@
 	At     int64  `json:"at_ms,omitempty"`
 }
 
-// Validate names the field that is wrong.
+// Validate checks an operator's correction. The error starts with the JSON name of the invalid field.
 func (c *Correction) Validate() error {
 	if _, err := ParseField(c.Field); err != nil {
 		return fmt.Errorf("field: %w", err)
@@ -64,75 +64,86 @@
 		}
 	}
 	if c.Reason == "" || len(c.Reason) > 4096 {
-		return errors.New("reason: 1 to 4096 bytes are wanted")
+		return errors.New("reason: want 1 to 4096 bytes")
 	}
 	if c.Delta == 0 {
-		return errors.New("delta: 0 corrects nothing")
+		return errors.New("delta: must not be 0")
 	}
 	return nil
 }
 
-// Export is one statement as it leaves the router.
+// Export is a statement with its corrections, as it is written to an export file.
 type Export struct {
-	ID          string        `json:"id"` // hash of the content
-	Router      string        `json:"router"`
-	Sequence    uint64        `json:"sequence"`
-	From        int64         `json:"from_ms"`
-	To          int64         `json:"to_ms"`
-	Length      int64         `json:"period_ms"`
-	Spilled     uint64        `json:"spilled,omitempty"` // calls in the lines that are not listed one by one
-	Lines       []Line        `json:"lines"`
-	Corrections []Correction  `json:"corrections,omitempty"`
-	Unknown     []UnknownCall `json:"unknown,omitempty"`
-	Count       uint64        `json:"calls_listed"` // calls that stood
-}
-
-// head is the first frame: what an Export holds beside its rows.
-type head struct {
+	ID       string `json:"id"` // SHA-256 of the frames before the trailer, in hex
 	Router   string `json:"router"`
 	Sequence uint64 `json:"sequence"`
 	From     int64  `json:"from_ms"`
 	To       int64  `json:"to_ms"`
 	Length   int64  `json:"period_ms"`
-	Spilled  uint64 `json:"spilled"`
-	Lines    int    `json:"lines"`
-	Mends    int    `json:"corrections"`
-	Unknown  int    `json:"unknown"`
-	Calls    uint64 `json:"calls"`
+	// Spilled counts the calls in Lines that the list of calls lacks, because they were counted as totals.
+	Spilled     uint64        `json:"spilled,omitempty"`
+	Lines       []Line        `json:"lines"`
+	Corrections []Correction  `json:"corrections,omitempty"`
+	Unknown     []UnknownCall `json:"unknown,omitempty"`
+	Count       uint64        `json:"calls_listed"` // calls that were established
 }
 
-// NewExport makes an export of a statement and the operators' corrections that go with it.
-func NewExport(t Terms, s *Statement, operator []Correction) (*Export, []uint64) {
-	e := &Export{Router: t.Router, Sequence: s.Sequence, From: s.From, To: s.To, Length: t.Length, Spilled: s.Spilled,
-		Unknown: s.Unknown, Count: uint64(len(s.Calls))}
-	for _, key := range slices.SortedFunc(maps.Keys(s.Totals), compareKeys) {
-		e.Lines = append(e.Lines, Line{key.Tenant, key.Class, *s.Totals[key]})
+// header is the content of the first frame: the fields of an Export other than its rows, and the numbers of rows.
+type header struct {
+	Router      string `json:"router"`
+	Sequence    uint64 `json:"sequence"`
+	From        int64  `json:"from_ms"`
+	To          int64  `json:"to_ms"`
+	Length      int64  `json:"period_ms"`
+	Spilled     uint64 `json:"spilled"`
+	Lines       int    `json:"lines"`
+	Corrections int    `json:"corrections"`
+	Unknown     int    `json:"unknown"`
+	Calls       uint64 `json:"calls"`
+}
+
+// NewExport returns the export of a statement with the operators' corrections, and the calls to list in it.
+func NewExport(settings Terms, statement *Statement, corrections []Correction) (*Export, []uint64) {
+	export := &Export{
+		Router:   settings.Router,
+		Sequence: statement.Sequence,
+		From:     statement.From,
+		To:       statement.To,
+		Length:   settings.Length,
+		Spilled:  statement.Spilled,
+		Unknown:  statement.Unknown,
+		Count:    uint64(len(statement.Calls)),
+	}
+	for _, key := range slices.SortedFunc(maps.Keys(statement.Totals), compareKeys) {
+		export.Lines = append(export.Lines, Line{key.Tenant, key.Class, *statement.Totals[key]})
 	}
-	for _, period := range slices.Sorted(maps.Keys(s.Late)) {
-		for _, key := range slices.SortedFunc(maps.Keys(s.Late[period]), compareKeys) {
-			for f, delta := range s.Late[period][key] {
+	for _, period := range slices.Sorted(maps.Keys(statement.Late)) {
+		for _, key := range slices.SortedFunc(maps.Keys(statement.Late[period]), compareKeys) {
+			for f, delta := range statement.Late[period][key] {
 				if delta != 0 {
-					e.Corrections = append(e.Corrections, Correction{Origin: "late", Period: period, Tenant: key.Tenant,
-						Class: key.Class, Field: Field(f).String(), Delta: delta})
+					export.Corrections = append(export.Corrections, Correction{Origin: "late", Period: period,
+						Tenant: key.Tenant, Class: key.Class, Field: Field(f).String(), Delta: delta})
 				}
 			}
 		}
 	}
-	for _, c := range operator {
+	for _, c := range corrections {
 		c.Origin = "operator"
-		e.Corrections = append(e.Corrections, c)
+		export.Corrections = append(export.Corrections, c)
 	}
-	for i := range e.Corrections {
-		e.Corrections[i].Number = uint64(i + 1)
+	for i := range export.Corrections {
+		export.Corrections[i].Number = uint64(i + 1)
 	}
-	return e, s.Calls
+	return export, statement.Calls
 }
 
-// FileName is the export's name: router, period and sequence. Bytes that do not belong in a file name are written %XX.
+// FileName returns the name of the export's file: router, period and sequence. Bytes of the router's name other than
+// letters, digits, '_' and '.' (not at the start) are written as %XX.
 func (e *Export) FileName() string {
 	var name []byte
 	for _, c := range []byte(e.Router) {
-		if c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' || c == '.' && len(name) > 0 {
+		if c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' ||
+			c == '.' && len(name) > 0 {
 			name = append(name, c)
 		} else {
 			name = fmt.Appendf(name, "%%%02X", c)
@@ -141,10 +152,10 @@
 	return fmt.Sprintf("%s-%s-%08d.tgx", name, time.UnixMilli(e.From).UTC().Format("20060102T150405Z"), e.Sequence)
 }
 
-// digest sums up frames.
+// digest computes the hash over the kinds, lengths and payloads of frames.
 type digest struct{ hash.Hash }
 
-func (d digest) frame(kind uint16, payload []byte) {
+func (d digest) addFrame(kind uint16, payload []byte) {
 	var b [6]byte
 	binary.LittleEndian.PutUint16(b[:], kind)
 	binary.LittleEndian.PutUint32(b[2:], uint32(len(payload)))
@@ -152,34 +163,34 @@
 	d.Write(payload)
 }
 
-// Encode writes an export and the calls that stood, ascending, frame by frame, and sets its ID. The same content gives the
-// same frames.
-func (e *Export) Encode(calls []uint64, frame func(kind uint16, payload []byte) error) error {
-	d := digest{sha256.New()}
-	var failed error
-	put := func(kind uint16, payload []byte) {
-		if failed == nil {
-			d.frame(kind, payload)
-			failed = frame(kind, payload)
+// Encode passes the export and its calls, ascending, to write frame by frame, and sets the ID. The same content gives
+// the same frames.
+func (e *Export) Encode(calls []uint64, write func(kind uint16, payload []byte) error) error {
+	contentHash := digest{sha256.New()}
+	var firstErr error
+	putFrame := func(kind uint16, payload []byte) {
+		if firstErr == nil {
+			contentHash.addFrame(kind, payload)
+			firstErr = write(kind, payload)
 		}
 	}
-	text := func(kind uint16, v any) {
+	putJSON := func(kind uint16, v any) {
 		b, err := json.Marshal(v)
-		if err != nil && failed == nil {
-			failed = err
+		if err != nil && firstErr == nil {
+			firstErr = err
 		}
-		put(kind, b)
+		putFrame(kind, b)
 	}
-	text(frameHead, head{e.Router, e.Sequence, e.From, e.To, e.Length, e.Spilled, len(e.Lines), len(e.Corrections),
-		len(e.Unknown), uint64(len(calls))})
+	putJSON(frameHeader, header{e.Router, e.Sequence, e.From, e.To, e.Length, e.Spilled, len(e.Lines),
+		len(e.Corrections), len(e.Unknown), uint64(len(calls))})
 	for part := range slices.Chunk(e.Lines, rowsPerFrame) {
-		text(frameLines, part)
+		putJSON(frameLines, part)
 	}
 	for part := range slices.Chunk(e.Corrections, rowsPerFrame) {
-		text(frameCorrections, part)
+		putJSON(frameCorrections, part)
 	}
 	for part := range slices.Chunk(e.Unknown, rowsPerFrame) {
-		text(frameUnknown, part)
+		putJSON(frameUnknown, part)
 	}
 	var b []byte
 	last := uint64(0)
@@ -189,33 +200,33 @@
 			b = binary.AppendUvarint(b, c-last)
 			last = c
 		}
-		put(frameCalls, b)
+		putFrame(frameCalls, b)
 	}
-	if failed != nil {
-		return failed
+	if firstErr != nil {
+		return firstErr
 	}
-	sum := d.Sum(nil)
+	sum := contentHash.Sum(nil)
 	e.ID = hex.EncodeToString(sum)
-	return frame(frameTrailer, sum)
+	return write(frameTrailer, sum)
 }
 
-// ErrContent is wrapped by errors for an export whose frames are whole but do not make an export.
-var ErrContent = errors.New("is no export")
+// ErrInvalidExport is wrapped by errors for frames that are intact but don't form a valid export.
+var ErrContent = errors.New("is not an export")
 
-// DecodeExport reads an export from its frames; next returns io.EOF or another error where there is none. calls, unless nil,
-// gets the calls that stood, ascending, in parts that are valid only during the call.
+// DecodeExport reads an export from the frames that next returns. If there are too few, it returns next's error, such
+// as io.EOF. calls, unless nil, receives the listed calls, ascending, in parts that are valid only during the call.
 func DecodeExport(next func() (kind uint16, payload []byte, err error), calls func([]uint64) error) (*Export, error) {
-	d := digest{sha256.New()}
-	bad := func(format string, args ...any) error {
+	contentHash := digest{sha256.New()}
+	invalid := func(format string, args ...any) error {
 		return fmt.Errorf("%w: "+format, append([]any{ErrContent}, args...)...)
 	}
-	var e Export
-	var h head
-	read := func(b []byte, v any) error {
+	var export Export
+	var head header
+	decodeJSON := func(b []byte, v any) error {
 		dec := json.NewDecoder(bytes.NewReader(b))
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(v); err != nil {
-			return bad("%v", err)
+			return invalid("%v", err)
 		}
 		return nil
 	}
@@ -223,16 +234,17 @@
 	if err != nil {
 		return nil, err
 	}
-	if kind != frameHead {
-		return nil, bad("it begins with a frame of kind %d", kind)
+	if kind != frameHeader {
+		return nil, invalid("first frame is of kind %d", kind)
 	}
-	if err := read(payload, &h); err != nil {
+	if err := decodeJSON(payload, &head); err != nil {
 		return nil, err
 	}
-	d.frame(kind, payload)
-	e = Export{Router: h.Router, Sequence: h.Sequence, From: h.From, To: h.To, Length: h.Length, Spilled: h.Spilled, Count: h.Calls}
-	if h.Length <= 0 || h.To <= h.From || h.Sequence == 0 {
-		return nil, bad("its period runs from %d to %d by %d", h.From, h.To, h.Length)
+	contentHash.addFrame(kind, payload)
+	export = Export{Router: head.Router, Sequence: head.Sequence, From: head.From, To: head.To, Length: head.Length,
+		Spilled: head.Spilled, Count: head.Calls}
+	if head.Length <= 0 || head.To <= head.From || head.Sequence == 0 {
+		return nil, invalid("invalid statement from %d to %d with periods of %d ms", head.From, head.To, head.Length)
 	}
 	var list CallList
 	for {
@@ -242,59 +254,62 @@
 		switch kind {
 		case frameLines:
 			var rows []Line
-			err = read(payload, &rows)
-			if e.Lines == nil {
-				e.Lines = make([]Line, 0, min(max(h.Lines, 0), 1<<20))
+			err = decodeJSON(payload, &rows)
+			if export.Lines == nil {
+				export.Lines = make([]Line, 0, min(max(head.Lines, 0), 1<<20))
 			}
 			for _, l := range rows {
-				// The same few names stand in every export; one copy of each is enough.
+				// Exports repeat the same few names; interning keeps one copy of each in memory.
 				l.Tenant, l.Class = unique.Make(l.Tenant).Value(), unique.Make(l.Class).Value()
-				e.Lines = append(e.Lines, l)
+				export.Lines = append(export.Lines, l)
 			}
 		case frameCorrections:
 			var rows []Correction
-			err = read(payload, &rows)
-			e.Corrections = append(e.Corrections, rows...)
+			err = decodeJSON(payload, &rows)
+			export.Corrections = append(export.Corrections, rows...)
 		case frameUnknown:
 			var rows []UnknownCall
-			err = read(payload, &rows)
-			e.Unknown = append(e.Unknown, rows...)
+			err = decodeJSON(payload, &rows)
+			export.Unknown = append(export.Unknown, rows...)
 		case frameCalls:
 			var part []uint64
 			if part, err = list.Take(kind, payload); err == nil && calls != nil {
 				err = calls(part)
 			}
 		case frameTrailer:
-			if e.ID = hex.EncodeToString(d.Sum(nil)); hex.EncodeToString(payload) != e.ID {
-				return nil, bad("its content is %s, its id %x", e.ID, payload)
+			if export.ID = hex.EncodeToString(contentHash.Sum(nil)); hex.EncodeToString(payload) != export.ID {
+				return nil, invalid("content has hash %s, but the ID is %x", export.ID, payload)
 			}
-			if len(e.Lines) != h.Lines || len(e.Corrections) != h.Mends || len(e.Unknown) != h.Unknown || list.count != h.Calls {
-				return nil, bad("it holds less than it says")
+			if len(export.Lines) != head.Lines || len(export.Corrections) != head.Corrections ||
+				len(export.Unknown) != head.Unknown || list.count != head.Calls {
+				return nil, invalid("numbers of rows or calls differ from the header's")
 			}
-			return &e, e.check()
+			return &export, export.check()
 		default:
-			return nil, bad("a frame of kind %d", kind)
+			return nil, invalid("unexpected frame of kind %d", kind)
 		}
 		if err != nil {
 			return nil, err
 		}
-		d.frame(kind, payload)
+		contentHash.addFrame(kind, payload)
 	}
 }
 
-// CallList reads the list of an export's calls from its frames.
+// CallList decodes the list of an export's calls from its frames, given in order.
 type CallList struct {
-	last, count uint64
-	part        []uint64
+	last  uint64 // latest call
+	count uint64 // calls so far
+	part  []uint64
 }
 
-// Take returns the calls that a frame lists, ascending, until the next Take; none for a frame of another kind.
+// Decode returns the calls that a frame lists, ascending, and none for a frame of another kind. The slice is valid
+// until the next Decode.
 func (l *CallList) Take(kind uint16, payload []byte) ([]uint64, error) {
 	l.part = l.part[:0]
 	for b := payload; kind == frameCalls && len(b) > 0; {
 		delta, n := binary.Uvarint(b)
 		if n <= 0 || delta == 0 && l.count > 0 || l.last+delta < l.last {
-			return nil, fmt.Errorf("%w: its list of calls is out of order", ErrContent)
+			return nil, fmt.Errorf("%w: list of calls is out of order", ErrContent)
 		}
 		b, l.last = b[n:], l.last+delta
 		l.count++
@@ -303,7 +318,7 @@
 	return l.part, nil
 }
 
-// check says what does not add up in an export.
+// check returns an error if the export's figures or corrections are inconsistent.
 func (e *Export) check() error {
 	for _, l := range e.Lines {
 		if err := l.Usage.Balance(); err != nil {
@@ -318,7 +333,7 @@
 	return nil
 }
 
-// compareExports orders by router and sequence.
+// compareExports orders exports by router, sequence and ID.
 func compareExports(a, b *Export) int {
 	return cmp.Or(cmp.Compare(a.Router, b.Router), cmp.Compare(a.Sequence, b.Sequence), cmp.Compare(a.ID, b.ID))
 }
--- a/ledger/keeper.go
+++ b/ledger/keeper.go
@@ -12,25 +12,27 @@
 )
 
 const (
-	// namesMost names may be in the books; calls of further tenants count as Other's. What others make up must not take
-	// the room of tenants that the settings name: servers, which are replaced for ever, and tenants that set-ups state
-	// have bounds of their own.
-	namesMost   = 200_000
-	serversMost = 50_000
-	statedMost  = 50_000
-	// Other is the tenant, class or server of calls for whose names there is no room.
+	// maxNames limits the names in the ledger; calls with names beyond it count as Other's. Server names, which keep
+	// being replaced, and tenants that set-ups state have lower limits of their own, so that they can't use up the room
+	// of the tenants in the settings.
+	maxNames         = 200_000
+	maxServerNames   = 50_000
+	maxStatedTenants = 50_000
+	// Other is the tenant, class or server of calls whose names exceed the limits.
 	Other = "(other)"
-	// spillsMost (tenant, class, period) totals are kept while entries cannot be; more are Other's.
-	spillsMost = 100_000
+	// maxSpilledTotals limits the (period, tenant, class) totals while entries can't be buffered; calls beyond it count
+	// as Other's.
+	maxSpilledTotals = 100_000
 )
 
-// Class is what a class of calls earns.
+// Class holds the set-up time and the worth by which calls of a class are counted.
 type Class struct {
-	Aim                   time.Duration
-	WorthMilli, LateMilli int64 // thousandths, for a call that stood in time or late and was not cut
+	Aim        time.Duration // a call established within it, counted from its set-up, is in time
+	WorthMilli int64         // thousandths, for a call that was established in time and not cut
+	LateMilli  int64         // thousandths, for a call that was established late and not cut
 }
 
-// Classes takes the classes of the decisions' settings.
+// ConvertClasses returns the classes of the Controller's settings by name.
 func Classes(list []threadglade.Class) map[string]Class {
 	m := map[string]Class{}
 	for _, c := range list {
@@ -39,74 +41,90 @@
 	return m
 }
 
-// KeeperConfig is what a Keeper needs.
+// KeeperConfig configures a Keeper.
 type KeeperConfig struct {
 	Classes map[string]Class
-	Tenants *Directory
-	// Wall is the time of day in milliseconds since the Unix epoch. It may jump.
+	Tenants *Directory // nil: all calls are Unassigned
+	// WallClock returns the time of day in milliseconds since the Unix epoch. It may jump.
 	Wall func() int64
-	// Most entries wait to be taken; 0 means 16,384. Beyond it totals are kept in their place.
+	// MaxEntries limits the entries that wait for Take; 0 means 16,384. Beyond it only totals are kept.
 	Most int
 }
 
-// Keeper turns what a router's observer hears into entries. It is a router.Observer and, like the router, for one goroutine.
+// Keeper records the events of a router as ledger entries. It is a router.Observer and, like the router, may be used by
+// one goroutine only.
 type Keeper struct {
-	cfg    KeeperConfig
-	terms  Terms
-	index  map[string]uint32
-	names  []string
-	others [2]int // names of servers and of stated tenants among them, since the start
-	live   map[string]*live
-	free   []*live
-	old    map[uint64]*Open  // of earlier lives, or taken over from others, while their end is not known
-	asleep map[uint64]*heard // of those: that others may have taken over, with their end where it was heard meanwhile
-	oldBy  []*Open           // the same by Since
-	now    int64
-	closed int64
-	number uint64
-	used   map[int64]bool // periods that are not closed and in which calls have ended
-	out    []Entry
-	spill  *spill
-	count  KeeperCounters
-}
-
-// KeeperCounters count what a keeper has done since its start. Open, Old and Waiting are what is held now.
+	cfg            KeeperConfig
+	settings       Terms
+	nameIndex      map[string]uint32
+	names          []string
+	limitedNames   [2]int               // new names of servers and of stated tenants since the start, by source
+	calls          map[string]*liveCall // calls of this process, by ID
+	freeCalls      []*liveCall
+	earlier        map[uint64]*Open         // calls of earlier processes or taken over, whose end is not known
+	suspended      map[uint64]*suspendedEnd // those of earlier that other routers may have taken over
+	earlierBySince []*Open                  // earlier, sorted by SentAt; may also hold calls that have ended
+	now            int64                    // ledger time, which never goes back
+	closed         int64                    // all periods before it are closed; 0: no period has started
+	sequence       uint64                   // number of the latest statement
+	usedPeriods    map[int64]bool           // starts of periods that are not closed and in which calls have ended
+	entries        []Entry                  // wait for Take
+	spill          *spillBuffer             // not nil: entries is full
+	counters       KeeperCounters
+}
+
+// KeeperCounters count what a Keeper has done since its start. Unspoken counts releases of calls that are not in the
+// ledger, Ceded calls left to another router. Open, Old and Waiting are the calls of this process, the calls of earlier
+// processes and the entries that it holds now.
 type KeeperCounters struct {
-	Calls, Entries, Spilled, Unspoken, Recovered, Unknown, Statements, Adopted, Ceded uint64
-	Open, Old, Waiting                                                                int
-}
-
-// heard is the end of a call that others may have taken over; at 0: none has been heard.
-type heard struct {
-	how threadglade.Outcome
-	at  int64
-}
-
-// live is a call of this life.
-type live struct {
-	at, stood time.Duration // on the router's clock
-	since     int64         // ledger time of the latest attempt, and of the answer
-	answered  int64
-	call      uint64
-	tenant    uint32
-	class     uint32
-	server    uint32
-	attempt   uint32
-	retry     bool
-	inTime    bool
-	out       bool // an attempt is out, or the call stands
-	written   bool // an intent of it is among the entries
-	earns     Class
-	result    Field
-	usage     Usage
-}
-
-// spill is totals that stand for entries.
-type spill struct {
-	totals map[spillKey]*spillTotal
-	gone   []uint64
-}
-
+	Calls      uint64
+	Entries    uint64
+	Spilled    uint64
+	Unspoken   uint64
+	Recovered  uint64
+	Unknown    uint64
+	Statements uint64
+	Adopted    uint64
+	Ceded      uint64
+	Open       int
+	Old        int
+	Waiting    int
+}
+
+// suspendedEnd is the end of a call that another router may have taken over.
+type suspendedEnd struct {
+	outcome threadglade.Outcome
+	at      int64 // ledger time; 0: it has not ended
+}
+
+// liveCall is a call of this process.
+type liveCall struct {
+	arrivedAt     time.Duration // on the router's clock, as establishedAt
+	establishedAt time.Duration
+	sentMs        int64 // ledger time of the latest attempt
+	answeredMs    int64 // ledger time of the answer
+	call          uint64
+	tenant        uint32
+	class         uint32
+	server        uint32
+	attempt       uint32
+	retry         bool
+	inTime        bool
+	inFlight      bool // an attempt is in flight, or the call is established
+	recorded      bool // there is a KindAttempt entry of it
+	classSettings Class
+	result        Field
+	usage         Usage
+}
+
+// spillBuffer holds totals of calls for which no entries could be buffered, and the keys of those among them that have
+// earlier entries.
+type spillBuffer struct {
+	totals  map[spillKey]*spillTotal
+	removed []uint64
+}
+
+// spillKey identifies a total by the start of its period and name indexes.
 type spillKey struct {
 	period        int64
 	tenant, class uint32
@@ -117,90 +135,94 @@
 	calls uint64
 }
 
-// NewKeeper goes on with a book.
-func NewKeeper(cfg KeeperConfig, b *Book) *Keeper {
+// NewKeeper returns a Keeper that continues from a state. It keeps no reference to it.
+func NewKeeper(cfg KeeperConfig, state *Book) *Keeper {
 	if cfg.Most == 0 {
 		cfg.Most = 16_384
 	}
-	k := &Keeper{cfg: cfg, terms: b.Terms, index: map[string]uint32{}, names: slices.Clone(b.Names), live: map[string]*live{},
-		old: map[uint64]*Open{}, now: b.Now, closed: b.Closed, number: b.Sequence, used: map[int64]bool{}}
-	for p := range b.Used {
-		k.used[p] = true
-		if b.Closed == 0 && (k.closed == 0 || p < k.closed) {
+	k := &Keeper{cfg: cfg, settings: state.Terms, nameIndex: map[string]uint32{}, names: slices.Clone(state.Names),
+		calls: map[string]*liveCall{}, earlier: map[uint64]*Open{}, now: state.Now, closed: state.Closed,
+		sequence: state.Sequence, usedPeriods: map[int64]bool{}}
+	for p := range state.Used {
+		k.usedPeriods[p] = true
+		if state.Closed == 0 && (k.closed == 0 || p < k.closed) {
 			k.closed = p
 		}
 	}
-	for i, text := range b.Names {
-		k.index[text] = uint32(i)
+	for i, text := range state.Names {
+		k.nameIndex[text] = uint32(i)
 	}
-	for key, c := range b.Calls {
-		one := *c
-		k.old[key] = &one
-		k.oldBy = append(k.oldBy, &one)
+	for key, call := range state.Calls {
+		earlier := *call
+		k.earlier[key] = &earlier
+		k.earlierBySince = append(k.earlierBySince, &earlier)
 	}
-	slices.SortFunc(k.oldBy, func(a, b *Open) int {
+	slices.SortFunc(k.earlierBySince, func(a, b *Open) int {
 		return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(a.Call, b.Call))
 	})
 	return k
 }
 
-// SetTenants replaces the tenants' tables; calls that are open stay whose they are.
+// SetTenants replaces the tenant directory for calls that arrive from now on.
 func (k *Keeper) SetTenants(d *Directory) { k.cfg.Tenants = d }
 
-// SetClasses has calls that come from now on earn by other classes. Those that were dropped are remembered for calls of earlier
-// lives; the map is not changed by the Keeper.
+// SetClasses replaces the classes for calls that arrive from now on. Removed classes are kept for the calls of earlier
+// processes. The Keeper doesn't change the map.
 func (k *Keeper) SetClasses(classes map[string]Class) {
 	all := maps.Clone(k.cfg.Classes)
 	maps.Copy(all, classes)
 	k.cfg.Classes = all
 }
 
-// Counters returns a copy.
+// Counters returns a copy of the counters.
 func (k *Keeper) Counters() KeeperCounters {
-	k.count.Open, k.count.Old, k.count.Waiting = len(k.live), len(k.old), len(k.out)
-	return k.count
+	k.counters.Open, k.counters.Old, k.counters.Waiting = len(k.calls), len(k.earlier), len(k.entries)
+	return k.counters
 }
 
-// time moves ledger time on: it is the time of day, but never goes back, whatever the clock does.
-func (k *Keeper) time() int64 {
+// advanceTime updates and returns the ledger time: the time of day, except that it never goes back when the clock does.
+func (k *Keeper) advanceTime() int64 {
 	k.now = max(k.now, k.cfg.Wall())
 	return k.now
 }
 
-// Sources of names that have bounds of their own.
+// Sources of names. The first two index Keeper.limitedNames.
 const (
-	ofServers = iota
-	ofStated
-	ofSettings
+	serverName = iota
+	statedTenantName
+	settingsName
 )
 
-// name is the index of a text.
-func (k *Keeper) name(text string, of int) uint32 {
-	if i, known := k.index[text]; known {
+// internName returns the index of a name. It adds an entry that defines a new one, or returns Other's index where there
+// is no room for it.
+func (k *Keeper) internName(text string, source int) uint32 {
+	if i, known := k.nameIndex[text]; known {
 		return i
 	}
-	full := len(k.names) >= namesMost
-	if of != ofSettings {
-		k.others[of]++
-		full = full || k.others[of] > [...]int{serversMost, statedMost}[of]
+	full := len(k.names) >= maxNames
+	if source != settingsName {
+		k.limitedNames[source]++
+		full = full || k.limitedNames[source] > [...]int{maxServerNames, maxStatedTenants}[source]
 	}
 	if full {
-		if i, known := k.index[Other]; known {
+		if i, known := k.nameIndex[Other]; known {
 			return i
 		}
 		text = Other
 	}
 	i := uint32(len(k.names))
 	k.names = append(k.names, text)
-	k.index[text] = i
-	k.out = append(k.out, Entry{Kind: Name, Index: i, Text: text}) // always kept: others lean on it
+	k.nameIndex[text] = i
+	// Names are added even to a full buffer: other entries refer to them.
+	k.entries = append(k.entries, Entry{Kind: Name, Index: i, Text: text})
 	return i
 }
 
-// full says whether no single entry has room any more.
-func (k *Keeper) full() bool {
-	if k.spill == nil && len(k.out) >= k.cfg.Most {
-		k.spill = &spill{totals: map[spillKey]*spillTotal{}}
+// spilling reports whether calls are counted in totals because the entry buffer is full, and starts that when it has
+// just become full.
+func (k *Keeper) spilling() bool {
+	if k.spill == nil && len(k.entries) >= k.cfg.Most {
+		k.spill = &spillBuffer{totals: map[spillKey]*spillTotal{}}
 	}
 	return k.spill != nil
 }
@@ -209,78 +231,84 @@
 func (k *Keeper) Observe(e router.Event) {
 	switch e.Kind {
 	case router.Arrived:
-		k.arrived(&e)
+		k.addCall(&e)
 		return
 	case router.UnknownServerRelease, router.UnknownCallerRelease:
-		k.released(CallKey(e.Call), e.Outcome)
+		k.recordRelease(CallKey(e.Call), e.Outcome)
 		return
 	}
-	l := k.live[e.Call]
-	if l == nil {
+	call := k.calls[e.Call]
+	if call == nil {
 		return
 	}
 	switch e.Kind {
 	case router.Sent:
-		l.server, l.attempt, l.out, l.since = k.name(e.Server, ofServers), uint32(e.Attempt), true, k.time()
-		k.intent(l)
+		call.server, call.attempt, call.inFlight, call.sentMs = k.internName(e.Server, serverName), uint32(e.Attempt),
+			true, k.advanceTime()
+		k.recordAttempt(call)
 	case router.AttemptEnded:
-		l.usage[ended(e.Outcome)]++
-		l.out = false
+		call.usage[outcomeField(e.Outcome)]++
+		call.inFlight = false
 	case router.Established:
-		l.stood, l.answered, l.inTime, l.result = e.At, k.time(), e.At-l.at <= l.earns.Aim, StoodLate
-		if l.inTime {
-			l.result = StoodInTime
+		call.establishedAt, call.answeredMs, call.inTime, call.result = e.At, k.advanceTime(),
+			e.At-call.arrivedAt <= call.classSettings.Aim, StoodLate
+		if call.inTime {
+			call.result = StoodInTime
 		}
-		if !k.full() && l.written {
-			k.out = append(k.out, Entry{Kind: Answer, At: l.answered, Call: l.call, InTime: l.inTime})
+		if !k.spilling() && call.recorded {
+			k.entries = append(k.entries, Entry{Kind: Answer, At: call.answeredMs, Call: call.call,
+				InTime: call.inTime})
 		}
 	case router.Refused:
-		l.result = Refused
+		call.result = Refused
 	case router.Failed:
-		l.result = Failed
+		call.result = Failed
 	case router.CallerLeft:
-		l.result = Left
+		call.result = Left
 	case router.OrphanedCall:
-		l.usage[Ghosts]++
+		call.usage[Ghosts]++
 	case router.Ended:
-		l.out = false
-		l.usage[HeldMs] = (e.At - l.stood).Milliseconds()
+		call.inFlight = false
+		call.usage[HeldMs] = (e.At - call.establishedAt).Milliseconds()
 		if e.Outcome == threadglade.Cut {
-			l.usage[Cut]++
+			call.usage[Cut]++
 			return
 		}
-		l.usage[Concluded]++ // also where the caller released it
-		l.usage[WorthMilli] = l.earns.WorthMilli
-		if !l.inTime {
-			l.usage[WorthMilli] = l.earns.LateMilli
+		call.usage[Concluded]++ // even if the caller released it
+		call.usage[WorthMilli] = call.classSettings.WorthMilli
+		if !call.inTime {
+			call.usage[WorthMilli] = call.classSettings.LateMilli
 		}
 	case router.Relinquished:
-		k.cede(e.Call, l)
+		k.relinquish(e.Call, call)
 	case router.Closed:
-		k.over(e.Call, l)
+		k.finishCall(e.Call, call)
 	}
 }
 
-// cede has a standing call be one that another router may have taken over.
-func (k *Keeper) cede(id string, l *live) {
-	delete(k.live, id)
-	c := &Open{Call: l.call, Tenant: l.tenant, Class: l.class, Server: l.server, Attempt: l.attempt, Retry: l.retry, Since: l.since, Stood: l.answered, InTime: l.inTime, Usage: l.usage}
+// relinquish turns an established call into one that another router may have taken over.
+func (k *Keeper) relinquish(id string, call *liveCall) {
+	delete(k.calls, id)
+	c := &Open{Call: call.call, Tenant: call.tenant, Class: call.class, Server: call.server, Attempt: call.attempt,
+		Retry: call.retry, Since: call.sentMs, Stood: call.answeredMs, InTime: call.inTime, Usage: call.usage}
 	c.Usage[Offered], c.Usage[Repeats] = 0, 0
-	k.keepOpen(c)
-	if k.asleep == nil {
-		k.asleep = map[uint64]*heard{}
+	k.addEarlier(c)
+	if k.suspended == nil {
+		k.suspended = map[uint64]*suspendedEnd{}
 	}
-	k.asleep[l.call] = &heard{}
+	k.suspended[call.call] = &suspendedEnd{}
 }
 
-// keepOpen adds a call to those whose end is not known.
-func (k *Keeper) keepOpen(c *Open) {
-	k.old[c.Call] = c
-	at, _ := slices.BinarySearchFunc(k.oldBy, c, func(a, b *Open) int { return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(a.Call, b.Call)) })
-	k.oldBy = slices.Insert(k.oldBy, at, c)
+// addEarlier adds a call to those of earlier processes.
+func (k *Keeper) addEarlier(c *Open) {
+	k.earlier[c.Call] = c
+	at, _ := slices.BinarySearchFunc(k.earlierBySince, c, func(a, b *Open) int {
+		return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(a.Call, b.Call))
+	})
+	k.earlierBySince = slices.Insert(k.earlierBySince, at, c)
 }
 
-// Taken is a standing call that this router has taken over from another.
+// TakenOverCall is an established call that this router has taken over from another.
 type Taken struct {
 	ID, Tenant, Class, Server string
 	Attempt                   uint32
@@ -288,282 +316,299 @@
 	Stood                     int64 // ledger time of the answer
 }
 
-// Adopt books a call taken over as one from before; false: it is in the books already. It counts as unknown after as long a time as one of an earlier life, from now on.
+// Adopt adds a call that was taken over to those of earlier processes; its UnknownTimeout starts now. It returns false
+// if the call is in the ledger already.
 func (k *Keeper) Adopt(t Taken) bool {
 	key := CallKey(t.ID)
-	if (k.live[t.ID] != nil || k.old[key] != nil) && mutant != "adopt-once" {
+	if (k.calls[t.ID] != nil || k.earlier[key] != nil) && mutant != "adopt-once" {
 		return false
 	}
-	now := k.time()
-	c := &Open{Call: key, Tenant: k.name(t.Tenant, ofStated), Class: k.name(t.Class, ofSettings), Server: k.name(t.Server, ofServers), Attempt: t.Attempt, Retry: t.Retry, Since: now, Stood: max(t.Stood, 1), InTime: t.InTime}
-	k.keepOpen(c)
-	if !k.full() {
-		k.out = append(k.out, Entry{Kind: Intent, At: now, Call: key, Tenant: c.Tenant, Class: c.Class, Server: c.Server, Attempt: c.Attempt, Retry: c.Retry},
-			Entry{Kind: Answer, At: now, From: c.Stood, Call: key, InTime: c.InTime})
-	}
-	k.count.Adopted++
+	now := k.advanceTime()
+	call := &Open{Call: key, Tenant: k.internName(t.Tenant, statedTenantName),
+		Class: k.internName(t.Class, settingsName), Server: k.internName(t.Server, serverName), Attempt: t.Attempt,
+		Retry: t.Retry, Since: now, Stood: max(t.Stood, 1), InTime: t.InTime}
+	k.addEarlier(call)
+	if !k.spilling() {
+		k.entries = append(k.entries,
+			Entry{Kind: Intent, At: now, Call: key, Tenant: call.Tenant, Class: call.Class,
+				Server: call.Server, Attempt: call.Attempt, Retry: call.Retry},
+			Entry{Kind: Answer, At: now, From: call.Stood, Call: key, InTime: call.InTime})
+	}
+	k.counters.Adopted++
 	return true
 }
 
-// Drop takes a call out of the books that is in another's.
+// RemoveCall removes an earlier call that is in another router's ledger.
 func (k *Keeper) Drop(call uint64) {
-	if k.old[call] == nil {
+	if k.earlier[call] == nil {
 		return
 	}
-	delete(k.old, call)
-	delete(k.asleep, call)
-	k.count.Ceded++
-	if !k.full() {
-		k.out = append(k.out, Entry{Kind: Gone, At: k.time(), Call: call})
+	delete(k.earlier, call)
+	delete(k.suspended, call)
+	k.counters.Ceded++
+	if !k.spilling() {
+		k.entries = append(k.entries, Entry{Kind: Gone, At: k.advanceTime(), Call: call})
 	} else {
-		k.spill.gone = append(k.spill.gone, call)
+		k.spill.removed = append(k.spill.removed, call)
 	}
 }
 
-// Sleep has calls of earlier lives wait for word of what others have taken over, and names them: their ends are kept meanwhile.
+// SuspendOpenCalls suspends the calls of earlier processes until ResumeOpenCalls says which of them other routers have
+// taken over, and returns their IDs. Releases of suspended calls are kept but not counted.
 func (k *Keeper) Sleep() (ids []string) {
-	if k.asleep = map[uint64]*heard{}; mutant == "own-books" {
+	if k.suspended = map[uint64]*suspendedEnd{}; mutant == "own-books" {
 		return nil
 	}
-	for _, call := range slices.Sorted(maps.Keys(k.old)) {
-		k.asleep[call] = &heard{}
+	for _, call := range slices.Sorted(maps.Keys(k.earlier)) {
+		k.suspended[call] = &suspendedEnd{}
 		ids = append(ids, CallText(call))
 	}
 	return ids
 }
 
-// Wake takes that word: what others have is dropped, and what is left is this router's, with the ends that were heard.
+// ResumeOpenCalls removes the suspended calls that other routers have taken over. The others are this router's: it
+// counts those that were released while they were suspended.
 func (k *Keeper) Wake(taken []string) {
 	for _, id := range taken {
-		if call := CallKey(id); k.asleep[call] != nil && mutant != "keep-taken" {
+		if call := CallKey(id); k.suspended[call] != nil && mutant != "keep-taken" {
 			k.Drop(call)
 		}
 	}
-	ends := k.asleep
-	k.asleep = nil
-	for _, call := range slices.Sorted(maps.Keys(ends)) {
-		if e := ends[call]; e.at > 0 {
-			k.released(call, e.how)
+	suspended := k.suspended
+	k.suspended = nil
+	for _, call := range slices.Sorted(maps.Keys(suspended)) {
+		if end := suspended[call]; end.at > 0 {
+			k.recordRelease(call, end.outcome)
 		}
 	}
 }
 
-func (k *Keeper) arrived(e *router.Event) {
-	var l *live
-	if n := len(k.free); n > 0 {
-		l, k.free = k.free[n-1], k.free[:n-1]
-		*l = live{}
+// addCall starts counting a call that has arrived.
+func (k *Keeper) addCall(e *router.Event) {
+	var call *liveCall
+	if n := len(k.freeCalls); n > 0 {
+		call, k.freeCalls = k.freeCalls[n-1], k.freeCalls[:n-1]
+		*call = liveCall{}
 	} else {
-		l = &live{}
+		call = &liveCall{}
 	}
 	tenant := Unassigned
 	if k.cfg.Tenants != nil {
 		tenant = k.cfg.Tenants.Tenant(e.Tenant, e.Identity, e.Caller, e.Number)
 	}
-	l.at, l.call, l.retry = e.At, CallKey(e.Call), e.Retry
-	of := ofSettings
+	call.arrivedAt, call.call, call.retry = e.At, CallKey(e.Call), e.Retry
+	source := settingsName
 	if tenant == e.Tenant {
-		of = ofStated
+		source = statedTenantName
 	}
-	l.tenant, l.class, l.earns = k.name(tenant, of), k.name(e.Class, ofSettings), k.cfg.Classes[e.Class]
-	l.usage[Offered] = 1
+	call.tenant, call.class, call.classSettings = k.internName(tenant, source), k.internName(e.Class, settingsName),
+		k.cfg.Classes[e.Class]
+	call.usage[Offered] = 1
 	if e.Retry {
-		l.usage[Repeats] = 1
+		call.usage[Repeats] = 1
 	}
-	l.result = Left
-	k.live[e.Call] = l
-	k.count.Calls++
+	call.result = Left
+	k.calls[e.Call] = call
+	k.counters.Calls++
 }
 
-func (k *Keeper) intent(l *live) {
-	if k.full() {
+// recordAttempt adds an entry of the call's latest attempt, if there is room.
+func (k *Keeper) recordAttempt(call *liveCall) {
+	if k.spilling() {
 		return
 	}
-	e := Entry{Kind: Intent, At: l.since, Call: l.call, Tenant: l.tenant, Class: l.class, Server: l.server, Attempt: l.attempt,
-		Retry: l.retry, Usage: l.usage}
-	e.Usage[Offered], e.Usage[Repeats] = 0, 0 // told by Retry
-	k.out = append(k.out, e)
-	l.written = true
+	e := Entry{Kind: Intent, At: call.sentMs, Call: call.call, Tenant: call.tenant, Class: call.class,
+		Server: call.server, Attempt: call.attempt, Retry: call.retry, Usage: call.usage}
+	e.Usage[Offered], e.Usage[Repeats] = 0, 0 // given by Entry.Retry
+	k.entries = append(k.entries, e)
+	call.recorded = true
 }
 
-// over counts a call whose everything is known.
-func (k *Keeper) over(id string, l *live) {
-	delete(k.live, id)
-	l.usage[l.result]++
-	k.end(Entry{Kind: End, At: k.time(), Call: l.call, Tenant: l.tenant, Class: l.class, Retry: l.retry, Usage: l.usage}, l.written)
-	if len(k.free) < 1024 {
-		k.free = append(k.free, l)
+// finishCall counts a call of this process that is over.
+func (k *Keeper) finishCall(id string, call *liveCall) {
+	delete(k.calls, id)
+	call.usage[call.result]++
+	k.recordEnd(Entry{Kind: End, At: k.advanceTime(), Call: call.call, Tenant: call.tenant, Class: call.class,
+		Retry: call.retry, Usage: call.usage}, call.recorded)
+	if len(k.freeCalls) < 1024 {
+		k.freeCalls = append(k.freeCalls, call)
 	}
 }
 
-// end writes the end of a call, or adds it to the totals that stand for entries.
-func (k *Keeper) end(e Entry, written bool) {
-	period := k.terms.Start(e.At)
+// recordEnd records the end of a call, or adds it to the totals while the entry buffer is full. recorded tells whether
+// the call has earlier entries.
+func (k *Keeper) recordEnd(e Entry, recorded bool) {
+	period := k.settings.Start(e.At)
 	if k.closed == 0 {
 		k.closed = period
 	}
-	k.used[period] = true
-	if !k.full() {
-		k.out = append(k.out, e)
+	k.usedPeriods[period] = true
+	if !k.spilling() {
+		k.entries = append(k.entries, e)
 		return
 	}
 	key := spillKey{period, e.Tenant, e.Class}
-	t := k.spill.totals[key]
-	if t == nil {
-		if len(k.spill.totals) >= spillsMost {
-			key.tenant, key.class = k.name(Other, ofSettings), k.name(Other, ofSettings)
-			t = k.spill.totals[key]
+	total := k.spill.totals[key]
+	if total == nil {
+		if len(k.spill.totals) >= maxSpilledTotals {
+			key.tenant, key.class = k.internName(Other, settingsName), k.internName(Other, settingsName)
+			total = k.spill.totals[key]
 		}
-		if t == nil {
-			t = &spillTotal{}
-			k.spill.totals[key] = t
+		if total == nil {
+			total = &spillTotal{}
+			k.spill.totals[key] = total
 		}
 	}
-	t.usage.Add(&e.Usage)
-	t.calls++
-	k.count.Spilled++
-	if written {
-		k.spill.gone = append(k.spill.gone, e.Call)
+	total.usage.Add(&e.Usage)
+	total.calls++
+	k.counters.Spilled++
+	if recorded {
+		k.spill.removed = append(k.spill.removed, e.Call)
 	}
 }
 
-// released takes the release of a call of an earlier life, once. One that is in no book has been counted before, or is
-// another router's.
-func (k *Keeper) released(call uint64, how threadglade.Outcome) {
-	c := k.old[call]
-	if c == nil {
-		k.count.Unspoken++
+// recordRelease counts the release of a call of an earlier process, once. A call that is not among those has been
+// counted before or is another router's.
+func (k *Keeper) recordRelease(call uint64, outcome threadglade.Outcome) {
+	open := k.earlier[call]
+	if open == nil {
+		k.counters.Unspoken++
 		return
 	}
-	if e := k.asleep[call]; e != nil {
-		e.how, e.at = how, k.time()
+	if e := k.suspended[call]; e != nil {
+		e.outcome, e.at = outcome, k.advanceTime()
 		return
 	}
-	delete(k.old, call)
-	now := k.time()
-	u := c.Usage
-	u[Offered], u[Recovered] = 1, 1
-	if c.Retry {
-		u[Repeats] = 1
-	}
-	// An answer that was never written down went to a caller who had lost the router: it is not in time.
-	earns, from := k.cfg.Classes[k.names[c.Class]], c.Since
-	if c.Stood > 0 {
-		from = c.Stood
-	}
-	u[HeldMs] = max(0, now-from)
-	if c.InTime {
-		u[StoodInTime] = 1
+	delete(k.earlier, call)
+	now := k.advanceTime()
+	usage := open.Usage
+	usage[Offered], usage[Recovered] = 1, 1
+	if open.Retry {
+		usage[Repeats] = 1
+	}
+	// An answer without an entry reached a caller that had lost the router: it is not in time.
+	class, from := k.cfg.Classes[k.names[open.Class]], open.Since
+	if open.Stood > 0 {
+		from = open.Stood
+	}
+	usage[HeldMs] = max(0, now-from)
+	if open.InTime {
+		usage[StoodInTime] = 1
 	} else {
-		u[StoodLate] = 1
+		usage[StoodLate] = 1
 	}
 	switch {
-	case how == threadglade.Cut:
-		u[Cut]++
+	case outcome == threadglade.Cut:
+		usage[Cut]++
 	default:
-		u[Concluded]++
-		if c.InTime {
-			u[WorthMilli] = earns.WorthMilli
-		} else if c.Stood > 0 {
-			u[WorthMilli] = earns.LateMilli
+		usage[Concluded]++
+		if open.InTime {
+			usage[WorthMilli] = class.WorthMilli
+		} else if open.Stood > 0 {
+			usage[WorthMilli] = class.LateMilli
 		}
 	}
-	k.count.Recovered++
-	k.end(Entry{Kind: End, At: now, Call: call, Tenant: c.Tenant, Class: c.Class, Retry: c.Retry, Usage: u}, true)
+	k.counters.Recovered++
+	k.recordEnd(Entry{Kind: End, At: now, Call: call, Tenant: open.Tenant, Class: open.Class, Retry: open.Retry,
+		Usage: usage}, true)
 }
 
-// Tick closes calls of earlier lives that have been open for too long, and periods that are over; it is called at least
-// once a second.
+// Tick closes calls of earlier processes as unknown when UnknownTimeout has passed, and periods that are over. It has
+// to be called at least once a second.
 func (k *Keeper) Tick() {
-	now := k.time()
-	for len(k.oldBy) > 0 && (now-k.oldBy[0].Since >= k.terms.UnknownAfter || k.old[k.oldBy[0].Call] != k.oldBy[0]) {
-		c := k.oldBy[0]
-		k.oldBy = k.oldBy[1:]
-		if k.old[c.Call] != c {
+	now := k.advanceTime()
+	for len(k.earlierBySince) > 0 && (now-k.earlierBySince[0].Since >= k.settings.UnknownAfter ||
+		k.earlier[k.earlierBySince[0].Call] != k.earlierBySince[0]) {
+		call := k.earlierBySince[0]
+		k.earlierBySince = k.earlierBySince[1:]
+		if k.earlier[call.Call] != call {
 			continue
 		}
-		delete(k.old, c.Call)
-		delete(k.asleep, c.Call)
-		u := c.Usage
-		u[Offered], u[Unknown] = 1, 1
-		u[Lost]++
-		if c.Retry {
-			u[Repeats] = 1
+		delete(k.earlier, call.Call)
+		delete(k.suspended, call.Call)
+		usage := call.Usage
+		usage[Offered], usage[Unknown] = 1, 1
+		usage[Lost]++
+		if call.Retry {
+			usage[Repeats] = 1
 		}
-		k.count.Unknown++
-		k.end(Entry{Kind: End, At: now, Call: c.Call, Tenant: c.Tenant, Class: c.Class, Server: c.Server, Retry: c.Retry,
-			Stood: c.Stood > 0, From: c.Since, Usage: u}, true)
+		k.counters.Unknown++
+		k.recordEnd(Entry{Kind: End, At: now, Call: call.Call, Tenant: call.Tenant, Class: call.Class,
+			Server: call.Server, Retry: call.Retry, Stood: call.Stood > 0, From: call.Since,
+			Usage: usage}, true)
 	}
 	if k.closed == 0 {
-		k.closed = k.terms.Start(now)
+		k.closed = k.settings.Start(now)
 	}
-	// A period in which calls ended is closed alone; those between, in which none did, together: after a clock that
-	// jumped, or a router that was down for long, there may be many.
-	for due := k.terms.Start(now - k.terms.Grace); k.closed < due; {
-		to := k.closed + k.terms.Length
-		if !k.used[k.closed] {
+	// Each period in which calls ended gets its own statement. Runs of periods without any share one: after the clock
+	// jumped or the router was down for long, there may be many.
+	for due := k.settings.Start(now - k.settings.Grace); k.closed < due; {
+		to := k.closed + k.settings.Length
+		if !k.usedPeriods[k.closed] {
 			to = due
-			for p := range k.used {
+			for p := range k.usedPeriods {
 				if p >= k.closed {
 					to = min(to, p)
 				}
 			}
 		}
-		delete(k.used, k.closed)
-		k.number++
-		k.count.Statements++
-		k.out = append(k.out, Entry{Kind: Close, At: now, From: k.closed, Period: to, Sequence: k.number})
+		delete(k.usedPeriods, k.closed)
+		k.sequence++
+		k.counters.Statements++
+		k.entries = append(k.entries, Entry{Kind: Close, At: now, From: k.closed, Period: to, Sequence: k.sequence})
 		k.closed = to
 	}
 }
 
-// Now is the ledger's time, in milliseconds since the Unix epoch.
-func (k *Keeper) Now() int64 { return k.time() }
+// Now returns the ledger time in milliseconds since the Unix epoch.
+func (k *Keeper) Now() int64 { return k.advanceTime() }
 
-// Waiting says whether there is something to take.
-func (k *Keeper) Waiting() bool { return len(k.out) > 0 || k.spill != nil }
+// HasEntries reports whether Take would return entries.
+func (k *Keeper) Waiting() bool { return len(k.entries) > 0 || k.spill != nil }
 
-// Take returns the entries since the last time, in order, in place of which it fills the given slice from now on. What was
-// spilled comes as totals at the end.
+// Take returns the entries since the last call, in order, with spilled totals at the end. The Keeper collects new
+// entries in next, whose contents it overwrites.
 func (k *Keeper) Take(next []Entry) []Entry {
-	if s := k.spill; s != nil {
-		keys := make([]spillKey, 0, len(s.totals))
-		for key := range s.totals {
+	if spill := k.spill; spill != nil {
+		keys := make([]spillKey, 0, len(spill.totals))
+		for key := range spill.totals {
 			keys = append(keys, key)
 		}
 		slices.SortFunc(keys, func(a, b spillKey) int {
-			return cmp.Or(cmp.Compare(a.period, b.period), cmp.Compare(a.tenant, b.tenant), cmp.Compare(a.class, b.class))
+			return cmp.Or(cmp.Compare(a.period, b.period), cmp.Compare(a.tenant, b.tenant),
+				cmp.Compare(a.class, b.class))
 		})
 		for _, key := range keys {
-			t := s.totals[key]
-			k.out = append(k.out, Entry{Kind: Spilled, At: k.time(), Period: key.period, Tenant: key.tenant, Class: key.class,
-				Usage: t.usage, Count: t.calls})
+			total := spill.totals[key]
+			k.entries = append(k.entries, Entry{Kind: Spilled, At: k.advanceTime(), Period: key.period,
+				Tenant: key.tenant, Class: key.class, Usage: total.usage, Count: total.calls})
 		}
-		for _, call := range s.gone {
-			k.out = append(k.out, Entry{Kind: Gone, At: k.now, Call: call})
+		for _, call := range spill.removed {
+			k.entries = append(k.entries, Entry{Kind: Gone, At: k.now, Call: call})
 		}
 		k.spill = nil
-		k.resume()
+		k.recordMissedAttempts()
 	}
-	out := k.out
-	k.out = next[:0]
-	k.count.Entries += uint64(len(out))
-	return out
+	entries := k.entries
+	k.entries = next[:0]
+	k.counters.Entries += uint64(len(entries))
+	return entries
 }
 
-// resume writes the intents of calls that went out while none could be written.
-func (k *Keeper) resume() {
-	for _, l := range k.live {
-		if !l.out || l.written {
+// recordMissedAttempts records the attempts and answers of open calls for which the entry buffer had no room.
+func (k *Keeper) recordMissedAttempts() {
+	for _, call := range k.calls {
+		if !call.inFlight || call.recorded {
 			continue
 		}
-		e := Entry{Kind: Intent, At: k.now, From: l.since, Call: l.call, Tenant: l.tenant, Class: l.class, Server: l.server,
-			Attempt: l.attempt, Retry: l.retry, Usage: l.usage}
+		e := Entry{Kind: Intent, At: k.now, From: call.sentMs, Call: call.call, Tenant: call.tenant,
+			Class: call.class, Server: call.server, Attempt: call.attempt, Retry: call.retry, Usage: call.usage}
 		e.Usage[Offered], e.Usage[Repeats] = 0, 0
-		k.out = append(k.out, e)
-		if l.answered > 0 {
-			k.out = append(k.out, Entry{Kind: Answer, At: k.now, From: l.answered, Call: l.call, InTime: l.inTime})
+		k.entries = append(k.entries, e)
+		if call.answeredMs > 0 {
+			k.entries = append(k.entries, Entry{Kind: Answer, At: k.now, From: call.answeredMs, Call: call.call,
+				InTime: call.inTime})
 		}
-		l.written = true
+		call.recorded = true
 	}
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -22,11 +22,11 @@
 const minute = int64(60_000)
 
 var (
-	terms   = Terms{Router: "n0", Length: minute, Grace: 10_000, UnknownAfter: 90_000}
-	classes = map[string]Class{"voice": {Aim: time.Second, WorthMilli: 3000, LateMilli: 500}}
+	testSettings = Terms{Router: "n0", Length: minute, Grace: 10_000, UnknownAfter: 90_000}
+	testClasses  = map[string]Class{"voice": {Aim: time.Second, WorthMilli: 3000, LateMilli: 500}}
 )
 
-// The same histories are drawn each time; -rapid.seed gives others.
+// TestMain fixes the seed of the random tests, unless -rapid.seed gives one.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
@@ -35,83 +35,87 @@
 	os.Exit(m.Run())
 }
 
-// bench keeps a keeper as a process would, with its clock and the entries that it has given away.
-type bench struct {
-	keeper  *Keeper
-	wall    int64         // time of day
-	clock   time.Duration // the router's
-	entries []Entry
-	most    int
+// harness runs a Keeper as a process would, with its clocks and the entries taken so far.
+type harness struct {
+	keeper     *Keeper
+	wallMs     int64         // time of day
+	clock      time.Duration // the router's
+	entries    []Entry
+	maxEntries int
 }
 
-func newBench(t require.TestingT, most int) *bench {
-	d, err := NewDirectory(nil, []Rule{{Tenant: "lda", Numbers: []string{"92"}}, {Tenant: "kda", Networks: []string{"10.4.0.0/16"}}})
+func newHarness(t require.TestingT, maxEntries int) *harness {
+	d, err := NewDirectory(nil, []Rule{
+		{Tenant: "lda", Numbers: []string{"92"}},
+		{Tenant: "kda", Networks: []string{"10.4.0.0/16"}},
+	})
 	require.NoError(t, err)
-	b := &bench{wall: 1_000 * minute, most: most}
-	b.entries = StartBook(terms).Checkpoint()
-	b.start(d)
-	return b
+	h := &harness{wallMs: 1_000 * minute, maxEntries: maxEntries}
+	h.entries = StartBook(testSettings).Checkpoint()
+	h.startKeeper(d)
+	return h
 }
 
-func (b *bench) book(t require.TestingT) *Book {
-	book := NewBook()
-	for i := range b.entries {
-		require.NoError(t, book.Apply(&b.entries[i]))
+func (h *harness) state(t require.TestingT) *Book {
+	state := NewBook()
+	for i := range h.entries {
+		require.NoError(t, state.Apply(&h.entries[i]))
 	}
-	return book
+	return state
 }
 
-func (b *bench) start(d *Directory) {
-	book := NewBook()
-	for i := range b.entries {
-		if err := book.Apply(&b.entries[i]); err != nil {
+func (h *harness) startKeeper(d *Directory) {
+	state := NewBook()
+	for i := range h.entries {
+		if err := state.Apply(&h.entries[i]); err != nil {
 			panic(err)
 		}
 	}
-	b.keeper = NewKeeper(KeeperConfig{Classes: classes, Tenants: d, Wall: func() int64 { return b.wall }, Most: b.most}, book)
+	h.keeper = NewKeeper(KeeperConfig{Classes: testClasses, Tenants: d, Wall: func() int64 { return h.wallMs },
+		Most: h.maxEntries}, state)
 }
 
-// crash begins another life with what was taken.
-func (b *bench) crash() { b.start(b.keeper.cfg.Tenants) }
+// crash starts a new Keeper from the entries taken so far.
+func (h *harness) crash() { h.startKeeper(h.keeper.cfg.Tenants) }
 
-func (b *bench) take() { b.entries = append(b.entries, b.keeper.Take(nil)...) }
+func (h *harness) takeEntries() { h.entries = append(h.entries, h.keeper.Take(nil)...) }
 
-func (b *bench) wait(ms int64) {
-	b.wall += ms
-	b.clock += time.Duration(ms) * time.Millisecond
+func (h *harness) advance(ms int64) {
+	h.wallMs += ms
+	h.clock += time.Duration(ms) * time.Millisecond
 }
 
-func (b *bench) tell(kind router.Kind, call string, more router.Event) {
-	more.Kind, more.Call, more.At = kind, call, b.clock
-	b.keeper.Observe(more)
+func (h *harness) observe(kind router.Kind, call string, event router.Event) {
+	event.Kind, event.Call, event.At = kind, call, h.clock
+	h.keeper.Observe(event)
 }
 
-func (b *bench) arrive(call string) {
-	b.tell(router.Arrived, call, router.Event{Class: "voice", Number: "92421"})
+func (h *harness) arrive(call string) {
+	h.observe(router.Arrived, call, router.Event{Class: "voice", Number: "92421"})
 }
 
-// stand sets a call up at s0.
-func (b *bench) stand(call string) {
-	b.arrive(call)
-	b.tell(router.Sent, call, router.Event{Server: "s0"})
-	b.tell(router.Established, call, router.Event{Server: "s0"})
+// establish sets up a call at s0.
+func (h *harness) establish(call string) {
+	h.arrive(call)
+	h.observe(router.Sent, call, router.Event{Server: "s0"})
+	h.observe(router.Established, call, router.Event{Server: "s0"})
 }
 
-func (b *bench) finish(call string, how threadglade.Outcome) {
-	b.tell(router.Ended, call, router.Event{Outcome: how})
-	b.tell(router.Closed, call, router.Event{})
+func (h *harness) finish(call string, outcome threadglade.Outcome) {
+	h.observe(router.Ended, call, router.Event{Outcome: outcome})
+	h.observe(router.Closed, call, router.Event{})
 }
 
-// statements reads the entries as an exporter does.
-func (b *bench) statements(t require.TestingT) (list []*Statement, c *Collector) {
+// statements collects the entries as an exporter does.
+func (h *harness) statements(t require.TestingT) (list []*Statement, c *Collector) {
 	c = NewCollector(func(s *Statement) error { list = append(list, s); return nil })
-	for i := range b.entries {
-		require.NoError(t, c.Take(&b.entries[i]))
+	for i := range h.entries {
+		require.NoError(t, c.Take(&h.entries[i]))
 	}
 	return list, c
 }
 
-// total is all that was stated, stated late, or not yet.
+// total sums up what was stated, stated late, or not stated yet.
 func total(list []*Statement, c *Collector) (u Usage) {
 	open, late := c.Unstated()
 	for _, s := range append(list, open...) {
@@ -132,100 +136,109 @@
 	return u
 }
 
-// TestEdges has a call in every way that it can go and asks for what is counted, and in which period.
-func TestEdges(t *testing.T) {
+// TestCallOutcomes guards against a wrong count, or a count in the wrong period, for each way a call can end.
+func TestCallOutcomes(t *testing.T) {
 	lda := Key{"lda", "voice"}
 	for name, c := range map[string]struct {
-		play func(b *bench)
-		want map[int64]map[string]int64 // by minutes since the start
+		play func(h *harness)
+		want map[int64]map[string]int64 // by the period's start in minutes since the test's start
 	}{
-		"stands and is concluded": {func(b *bench) {
-			b.stand("a")
-			b.wait(1234)
-			b.finish("a", threadglade.Concluded)
-		}, map[int64]map[string]int64{0: {"offered": 1, "stood_in_time": 1, "concluded": 1, "held_ms": 1234, "worth_milli": 3000}}},
-		"belongs to the period in which it ends, of three": {func(b *bench) {
-			b.stand("a")
-			b.wait(2*minute + 500)
-			b.finish("a", threadglade.Cancelled)
-		}, map[int64]map[string]int64{2: {"offered": 1, "stood_in_time": 1, "concluded": 1, "held_ms": 2*minute + 500, "worth_milli": 3000}}},
-		"stands late and is cut": {func(b *bench) {
-			b.arrive("a")
-			b.tell(router.Sent, "a", router.Event{Server: "s0"})
-			b.tell(router.AttemptEnded, "a", router.Event{Outcome: threadglade.Rejected})
-			b.wait(1001)
-			b.tell(router.Sent, "a", router.Event{Server: "s1", Attempt: 1})
-			b.tell(router.Established, "a", router.Event{})
-			b.finish("a", threadglade.Cut)
+		"stands and is concluded": {func(h *harness) {
+			h.establish("a")
+			h.advance(1234)
+			h.finish("a", threadglade.Concluded)
+		}, map[int64]map[string]int64{0: {"offered": 1, "stood_in_time": 1, "concluded": 1, "held_ms": 1234,
+			"worth_milli": 3000}}},
+		"belongs to the period in which it ends, of three": {func(h *harness) {
+			h.establish("a")
+			h.advance(2*minute + 500)
+			h.finish("a", threadglade.Cancelled)
+		}, map[int64]map[string]int64{2: {"offered": 1, "stood_in_time": 1, "concluded": 1, "held_ms": 2*minute + 500,
+			"worth_milli": 3000}}},
+		"stands late and is cut": {func(h *harness) {
+			h.arrive("a")
+			h.observe(router.Sent, "a", router.Event{Server: "s0"})
+			h.observe(router.AttemptEnded, "a", router.Event{Outcome: threadglade.Rejected})
+			h.advance(1001)
+			h.observe(router.Sent, "a", router.Event{Server: "s1", Attempt: 1})
+			h.observe(router.Established, "a", router.Event{})
+			h.finish("a", threadglade.Cut)
 		}, map[int64]map[string]int64{0: {"offered": 1, "stood_late": 1, "rejected": 1, "cut": 1}}},
-		"stands late": {func(b *bench) {
-			b.arrive("a")
-			b.tell(router.Sent, "a", router.Event{Server: "s0"})
-			b.wait(1001)
-			b.tell(router.Established, "a", router.Event{})
-			b.finish("a", threadglade.Concluded)
+		"stands late": {func(h *harness) {
+			h.arrive("a")
+			h.observe(router.Sent, "a", router.Event{Server: "s0"})
+			h.advance(1001)
+			h.observe(router.Established, "a", router.Event{})
+			h.finish("a", threadglade.Concluded)
 		}, map[int64]map[string]int64{0: {"offered": 1, "stood_late": 1, "concluded": 1, "worth_milli": 500}}},
-		"is refused without an attempt, as a repeat": {func(b *bench) {
-			b.tell(router.Arrived, "a", router.Event{Class: "voice", Number: "921", Retry: true})
-			b.tell(router.Refused, "a", router.Event{})
-			b.tell(router.Closed, "a", router.Event{})
+		"is refused without an attempt, as a repeat": {func(h *harness) {
+			h.observe(router.Arrived, "a", router.Event{Class: "voice", Number: "921", Retry: true})
+			h.observe(router.Refused, "a", router.Event{})
+			h.observe(router.Closed, "a", router.Event{})
 		}, map[int64]map[string]int64{0: {"offered": 1, "repeats": 1, "refused": 1}}},
-		"is left with an attempt out": {func(b *bench) {
-			b.arrive("a")
-			b.tell(router.Sent, "a", router.Event{Server: "s0"})
-			b.tell(router.CallerLeft, "a", router.Event{})
-			b.tell(router.AttemptEnded, "a", router.Event{Outcome: threadglade.Cancelled})
-			b.tell(router.Closed, "a", router.Event{})
+		"is left with an attempt out": {func(h *harness) {
+			h.arrive("a")
+			h.observe(router.Sent, "a", router.Event{Server: "s0"})
+			h.observe(router.CallerLeft, "a", router.Event{})
+			h.observe(router.AttemptEnded, "a", router.Event{Outcome: threadglade.Cancelled})
+			h.observe(router.Closed, "a", router.Event{})
 		}, map[int64]map[string]int64{0: {"offered": 1, "left": 1, "cancelled": 1}}},
-		"stood where its answer was lost": {func(b *bench) {
-			b.arrive("a")
-			b.tell(router.Sent, "a", router.Event{Server: "s0"})
-			b.tell(router.OrphanedCall, "a", router.Event{})
-			b.tell(router.Failed, "a", router.Event{})
-			b.tell(router.AttemptEnded, "a", router.Event{Outcome: threadglade.Cancelled})
-			b.tell(router.Closed, "a", router.Event{})
+		"stood where its answer was lost": {func(h *harness) {
+			h.arrive("a")
+			h.observe(router.Sent, "a", router.Event{Server: "s0"})
+			h.observe(router.OrphanedCall, "a", router.Event{})
+			h.observe(router.Failed, "a", router.Event{})
+			h.observe(router.AttemptEnded, "a", router.Event{Outcome: threadglade.Cancelled})
+			h.observe(router.Closed, "a", router.Event{})
 		}, map[int64]map[string]int64{0: {"offered": 1, "failed": 1, "ghosts": 1, "cancelled": 1}}},
-		"never ends": {func(b *bench) { b.stand("a"); b.wait(minute) }, nil},
-		"stood before a crash, released after it": {func(b *bench) {
-			b.stand("a")
-			b.take()
-			b.crash()
-			b.wait(minute)
-			b.tell(router.UnknownServerRelease, "a", router.Event{Outcome: threadglade.Concluded})
-			b.tell(router.UnknownServerRelease, "a", router.Event{Outcome: threadglade.Concluded}) // again, on the next connection
-		}, map[int64]map[string]int64{1: {"offered": 1, "stood_in_time": 1, "recovered": 1, "concluded": 1, "held_ms": minute, "worth_milli": 3000}}},
-		"answered as the crash came, released after it": {func(b *bench) {
-			b.arrive("a")
-			b.tell(router.Sent, "a", router.Event{Server: "s0"})
-			b.take()
-			b.crash()
-			b.tell(router.UnknownServerRelease, "a", router.Event{Outcome: threadglade.Cut})
+		"never ends": {func(h *harness) {
+			h.establish("a")
+			h.advance(minute)
+		}, nil},
+		"stood before a crash, released after it": {func(h *harness) {
+			h.establish("a")
+			h.takeEntries()
+			h.crash()
+			h.advance(minute)
+			h.observe(router.UnknownServerRelease, "a", router.Event{Outcome: threadglade.Concluded})
+			// The server repeats the release on its next connection.
+			h.observe(router.UnknownServerRelease, "a", router.Event{Outcome: threadglade.Concluded})
+		}, map[int64]map[string]int64{1: {"offered": 1, "stood_in_time": 1, "recovered": 1, "concluded": 1,
+			"held_ms": minute, "worth_milli": 3000}}},
+		"answered as the crash came, released after it": {func(h *harness) {
+			h.arrive("a")
+			h.observe(router.Sent, "a", router.Event{Server: "s0"})
+			h.takeEntries()
+			h.crash()
+			h.observe(router.UnknownServerRelease, "a", router.Event{Outcome: threadglade.Cut})
 		}, map[int64]map[string]int64{0: {"offered": 1, "stood_late": 1, "recovered": 1, "cut": 1}}},
-		"released by its caller after a crash": {func(b *bench) {
-			b.stand("a")
-			b.take()
-			b.crash()
-			b.tell(router.UnknownCallerRelease, "a", router.Event{Outcome: threadglade.Cancelled})
-		}, map[int64]map[string]int64{0: {"offered": 1, "stood_in_time": 1, "recovered": 1, "concluded": 1, "worth_milli": 3000}}},
-		"cut off by a crash for good": {func(b *bench) {
-			b.stand("a")
-			b.take()
-			b.crash()
-			b.take()
-			b.crash() // and once more
-			b.wait(90_000)
-			b.keeper.Tick()
-			b.tell(router.UnknownServerRelease, "a", router.Event{Outcome: threadglade.Concluded}) // after it was closed
+		"released by its caller after a crash": {func(h *harness) {
+			h.establish("a")
+			h.takeEntries()
+			h.crash()
+			h.observe(router.UnknownCallerRelease, "a", router.Event{Outcome: threadglade.Cancelled})
+		}, map[int64]map[string]int64{0: {"offered": 1, "stood_in_time": 1, "recovered": 1, "concluded": 1,
+			"worth_milli": 3000}}},
+		"cut off by a crash for good": {func(h *harness) {
+			h.establish("a")
+			h.takeEntries()
+			h.crash()
+			h.takeEntries()
+			h.crash() // the call survives a second restart
+			h.advance(90_000)
+			h.keeper.Tick()
+			// The call has been closed as unknown by now.
+			h.observe(router.UnknownServerRelease, "a", router.Event{Outcome: threadglade.Concluded})
 		}, map[int64]map[string]int64{1: {"offered": 1, "unknown": 1, "lost": 1}}},
-		"a release of nobody's call": {func(b *bench) {
-			b.tell(router.UnknownServerRelease, "z", router.Event{Outcome: threadglade.Concluded})
+		"a release of nobody's call": {func(h *harness) {
+			h.observe(router.UnknownServerRelease, "z", router.Event{Outcome: threadglade.Concluded})
 		}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 0)
-			c.play(b)
-			b.take()
-			list, collect := b.statements(t)
+			h := newHarness(t, 0)
+			c.play(h)
+			h.takeEntries()
+			list, collect := h.statements(t)
 			open, late := collect.Unstated()
 			require.Empty(t, late)
 			have := map[int64]map[string]int64{}
@@ -242,157 +255,164 @@
 	}
 }
 
-// TestClock has the time of day jump by an hour: no time is stated twice or skipped, and every call once.
+// TestClock guards against periods stated twice or skipped, and calls counted twice or not at all, when the time of day
+// jumps by up to 90 minutes.
 func TestClock(t *testing.T) {
-	b := newBench(t, 0)
+	h := newHarness(t, 0)
 	calls := 0
 	call := func() {
 		id := fmt.Sprint(calls)
 		calls++
-		b.stand(id)
-		b.finish(id, threadglade.Concluded)
-		b.keeper.Tick()
-		b.take()
+		h.establish(id)
+		h.finish(id, threadglade.Concluded)
+		h.keeper.Tick()
+		h.takeEntries()
 	}
-	for _, jump := range []int64{0, minute, 60 * minute, -60 * minute, minute, minute, -60 * minute, 30_000, 90 * minute, minute, minute} {
-		b.wall += jump
+	for _, jump := range []int64{0, minute, 60 * minute, -60 * minute, minute, minute, -60 * minute, 30_000,
+		90 * minute, minute, minute} {
+		h.wallMs += jump
 		call()
 		if jump < 0 { // a restart while the clock is behind
-			b.crash()
+			h.crash()
 			call()
 		}
 	}
-	b.wait(3 * minute)
-	b.keeper.Tick()
-	b.take()
-	list, c := b.statements(t)
+	h.advance(3 * minute)
+	h.keeper.Tick()
+	h.takeEntries()
+	list, c := h.statements(t)
 	last := list[0].From
 	for i, s := range list {
 		require.Equal(t, last, s.From)
 		require.EqualValues(t, i+1, s.Sequence)
 		last = s.To
 	}
-	require.Equal(t, terms.Start(b.keeper.Now()-terms.Grace), last)
-	require.Less(t, len(list), 15, "periods without use are stated together")
+	require.Equal(t, testSettings.Start(h.keeper.Now()-testSettings.Grace), last)
+	require.Less(t, len(list), 15, "periods without usage share a statement")
 	sum := total(list, c)
 	require.EqualValues(t, calls, sum[Offered])
 }
 
-// TestSpill lets entries pile up: totals stand in for them and come to the same, and calls that were out are known to
-// the next life.
+// TestSpill guards against lost counts and lost open calls when more entries are waiting than the buffer holds: the
+// totals kept instead have to add up, and open calls have to survive a restart.
 func TestSpill(t *testing.T) {
-	b := newBench(t, 40)
-	b.stand("before")
-	b.take()
+	h := newHarness(t, 40)
+	h.establish("before")
+	h.takeEntries()
 	for i := range 100 {
 		id := fmt.Sprint(i)
-		b.stand(id)
+		h.establish(id)
 		if i%10 != 0 {
-			b.finish(id, threadglade.Concluded)
+			h.finish(id, threadglade.Concluded)
 		}
 	}
-	require.LessOrEqual(t, b.keeper.Counters().Waiting, 45)
-	require.NotZero(t, b.keeper.Counters().Spilled)
-	b.finish("before", threadglade.Concluded)
-	b.wait(2 * minute) // longer than the grace: what was spilled is stated late
-	b.keeper.Tick()
-	b.take()
-	require.Len(t, b.book(t).Calls, 10)
-	b.crash()
+	require.LessOrEqual(t, h.keeper.Counters().Waiting, 45)
+	require.NotZero(t, h.keeper.Counters().Spilled)
+	h.finish("before", threadglade.Concluded)
+	h.advance(2 * minute) // longer than the grace: spilled totals are stated late
+	h.keeper.Tick()
+	h.takeEntries()
+	require.Len(t, h.state(t).Calls, 10)
+	h.crash()
 	for i := range 10 {
-		b.tell(router.UnknownServerRelease, fmt.Sprint(10*i), router.Event{Outcome: threadglade.Concluded})
+		h.observe(router.UnknownServerRelease, fmt.Sprint(10*i), router.Event{Outcome: threadglade.Concluded})
 	}
-	b.take()
-	list, c := b.statements(t)
+	h.takeEntries()
+	list, c := h.statements(t)
 	sum := total(list, c)
 	require.EqualValues(t, 101, sum[Offered])
 	require.EqualValues(t, 101, sum[StoodInTime])
 	require.EqualValues(t, 10, sum[Recovered])
 	_, late := c.Unstated()
 	require.NotEmpty(t, late)
-	require.Empty(t, b.book(t).Calls)
+	require.Empty(t, h.state(t).Calls)
 }
 
-// TestTaken: of three calls open at a crash another router has taken one; of the two others the end of one came while that was not known. A fourth is taken over from another, a fifth let go while it
-// stood. Each is counted once, or not at all where it is another's.
-func TestTaken(t *testing.T) { taken(t) }
+// TestTakenOver guards against double counting when routers take over calls. Of three calls open at a crash, another
+// router has taken over one, and a release arrives for two before that is known. A fourth call is taken over from
+// another router, a fifth is relinquished while it is established. Each must be counted once, or not at all if it is
+// another router's.
+func TestTakenOver(t *testing.T) { checkTakenOver(t) }
 
-func taken(t require.TestingT) {
-	b := newBench(t, 0)
+func checkTakenOver(t require.TestingT) {
+	h := newHarness(t, 0)
 	ids := []string{"00000000000000a1", "00000000000000a2", "00000000000000a3"}
 	for _, id := range ids {
-		b.stand(id)
+		h.establish(id)
 	}
-	b.take()
-	b.crash()
-	require.Equal(t, ids, b.keeper.Sleep())
-	b.tell(router.UnknownServerRelease, ids[0], router.Event{Outcome: threadglade.Concluded})
-	b.tell(router.UnknownServerRelease, ids[1], router.Event{Outcome: threadglade.Concluded})
-	require.Zero(t, b.keeper.Counters().Recovered, "nobody knows yet whose they are")
-	b.keeper.Wake([]string{ids[1]})
-	require.Equal(t, uint64(1), b.keeper.Counters().Recovered)
-	b.tell(router.UnknownServerRelease, ids[2], router.Event{Outcome: threadglade.Cut})
-
-	taken := Taken{ID: "00000000000000b1", Tenant: "kda", Class: "voice", Server: "s9", InTime: true, Stood: b.wall - 500}
-	require.True(t, b.keeper.Adopt(taken))
-	require.False(t, b.keeper.Adopt(taken), "it is in the books")
-	b.take()
-	b.crash() // what was taken over outlives this router, too
-	b.tell(router.UnknownServerRelease, taken.ID, router.Event{Outcome: threadglade.Concluded})
-
-	b.stand("00000000000000c1")
-	b.tell(router.Relinquished, "00000000000000c1", router.Event{})
-	b.finish("00000000000000c1", threadglade.Cancelled) // as its router lets go: no end
-	b.take()
-	require.Len(t, b.book(t).Calls, 1)
-	b.keeper.Drop(CallKey("00000000000000c1"))
-	b.take()
-	require.Empty(t, b.book(t).Calls)
-	b.wait(2 * minute)
-	b.keeper.Tick()
-	b.take()
-	list, c := b.statements(t)
+	h.takeEntries()
+	h.crash()
+	require.Equal(t, ids, h.keeper.Sleep())
+	h.observe(router.UnknownServerRelease, ids[0], router.Event{Outcome: threadglade.Concluded})
+	h.observe(router.UnknownServerRelease, ids[1], router.Event{Outcome: threadglade.Concluded})
+	require.Zero(t, h.keeper.Counters().Recovered, "it is not known yet which router owns them")
+	h.keeper.Wake([]string{ids[1]})
+	require.Equal(t, uint64(1), h.keeper.Counters().Recovered)
+	h.observe(router.UnknownServerRelease, ids[2], router.Event{Outcome: threadglade.Cut})
+
+	taken := Taken{ID: "00000000000000b1", Tenant: "kda", Class: "voice", Server: "s9", InTime: true,
+		Stood: h.wallMs - 500}
+	require.True(t, h.keeper.Adopt(taken))
+	require.False(t, h.keeper.Adopt(taken), "it is in the ledger already")
+	h.takeEntries()
+	h.crash() // a call taken over has to survive a crash, too
+	h.observe(router.UnknownServerRelease, taken.ID, router.Event{Outcome: threadglade.Concluded})
+
+	h.establish("00000000000000c1")
+	h.observe(router.Relinquished, "00000000000000c1", router.Event{})
+	h.finish("00000000000000c1", threadglade.Cancelled) // sent when the router relinquishes the call: not its end
+	h.takeEntries()
+	require.Len(t, h.state(t).Calls, 1)
+	h.keeper.Drop(CallKey("00000000000000c1"))
+	h.takeEntries()
+	require.Empty(t, h.state(t).Calls)
+	h.advance(2 * minute)
+	h.keeper.Tick()
+	h.takeEntries()
+	list, c := h.statements(t)
 	u := total(list, c)
 	require.NoError(t, u.Balance())
-	require.Equal(t, int64(3), u[Offered], "two of its own and the one taken over")
+	require.Equal(t, int64(3), u[Offered], "two of its own calls and the one taken over")
 	require.Equal(t, int64(3), u[StoodInTime])
 	require.Equal(t, int64(2), u[Concluded])
 	require.Equal(t, int64(1), u[Cut])
 	require.Zero(t, u[Unknown])
 }
 
-// TestTrim: a new life keeps the names of calls that are open, and no others.
+// TestTrim guards against losing the names of open calls, and keeping any others, at a restart.
 func TestTrim(t *testing.T) {
-	b := newBench(t, 0)
+	h := newHarness(t, 0)
 	for i := range 50 {
 		id := fmt.Sprint(i)
-		b.arrive(id)
-		b.tell(router.Sent, id, router.Event{Server: "s" + id})
-		b.tell(router.Established, id, router.Event{})
+		h.arrive(id)
+		h.observe(router.Sent, id, router.Event{Server: "s" + id})
+		h.observe(router.Established, id, router.Event{})
 		if i != 30 {
-			b.finish(id, threadglade.Concluded)
+			h.finish(id, threadglade.Concluded)
 		}
 	}
-	b.take()
-	book := b.book(t)
-	require.Len(t, book.Names, 53)
-	book.Trim()
-	require.ElementsMatch(t, []string{"", "lda", "voice", "s30"}, book.Names)
+	h.takeEntries()
+	state := h.state(t)
+	require.Len(t, state.Names, 53)
+	state.Trim()
+	require.ElementsMatch(t, []string{"", "lda", "voice", "s30"}, state.Names)
 	again := NewBook()
-	for _, e := range book.Checkpoint() {
+	for _, e := range state.Checkpoint() {
 		require.NoError(t, again.Apply(&e))
 	}
 	c := again.Calls[CallKey("30")]
-	require.Equal(t, []string{"lda", "voice", "s30"}, []string{again.Name(c.Tenant), again.Name(c.Class), again.Name(c.Server)})
+	require.Equal(t, []string{"lda", "voice", "s30"},
+		[]string{again.Name(c.Tenant), again.Name(c.Class), again.Name(c.Server)})
 }
 
-// TestHistories plays random calls, waits, clock jumps and crashes, and compares with a count on the side.
+// TestHistories runs random calls, waits, clock jumps and crashes, and compares the totals with an independent count.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(t, rapid.SampledFrom([]int{0, 15}).Draw(t, "most"))
-		var offered, stood, before int64
+		h := newHarness(t, rapid.SampledFrom([]int{0, 15}).Draw(t, "most"))
+		var offered, establishedCount, recovered int64
 		next := 0
-		up, out, old := map[string]bool{}, map[string]bool{}, map[string]bool{} // standing, unanswered, of lives before
+		// Established calls, unanswered calls, and calls of earlier processes.
+		established, pending, earlier := map[string]bool{}, map[string]bool{}, map[string]bool{}
 		pick := func(m map[string]bool) string {
 			ids := make([]string, 0, len(m))
 			for id := range m {
@@ -404,68 +424,69 @@
 			return id
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
-			case what < 3:
+			switch action := rapid.IntRange(0, 9).Draw(t, "what"); {
+			case action < 3:
 				id := fmt.Sprint(next)
 				next++
 				offered++
-				b.arrive(id)
-				b.tell(router.Sent, id, router.Event{Server: "s0"})
-				out[id] = true
-			case what == 3 && len(out) > 0:
-				id := pick(out)
-				b.tell(router.Established, id, router.Event{})
-				stood++
-				up[id] = true
-			case what == 4 && len(out) > 0:
-				id := pick(out)
-				b.tell(router.AttemptEnded, id, router.Event{Outcome: threadglade.TimedOut})
-				b.tell(router.Failed, id, router.Event{})
-				b.tell(router.Closed, id, router.Event{})
-			case what == 5 && len(up) > 0:
-				b.finish(pick(up), threadglade.Concluded)
-			case what == 6 && len(old) > 0:
-				b.tell(router.UnknownServerRelease, pick(old), router.Event{Outcome: threadglade.Concluded})
-				before++
-			case what == 7:
-				b.wait(rapid.Int64Range(0, minute).Draw(t, "ms"))
-				b.wall += rapid.SampledFrom([]int64{0, 0, 0, 60 * minute, -60 * minute}).Draw(t, "jump")
-				b.keeper.Tick()
-				for id := range old {
-					if b.keeper.old[CallKey(id)] == nil {
-						delete(old, id) // closed as unknown
+				h.arrive(id)
+				h.observe(router.Sent, id, router.Event{Server: "s0"})
+				pending[id] = true
+			case action == 3 && len(pending) > 0:
+				id := pick(pending)
+				h.observe(router.Established, id, router.Event{})
+				establishedCount++
+				established[id] = true
+			case action == 4 && len(pending) > 0:
+				id := pick(pending)
+				h.observe(router.AttemptEnded, id, router.Event{Outcome: threadglade.TimedOut})
+				h.observe(router.Failed, id, router.Event{})
+				h.observe(router.Closed, id, router.Event{})
+			case action == 5 && len(established) > 0:
+				h.finish(pick(established), threadglade.Concluded)
+			case action == 6 && len(earlier) > 0:
+				h.observe(router.UnknownServerRelease, pick(earlier), router.Event{Outcome: threadglade.Concluded})
+				recovered++
+			case action == 7:
+				h.advance(rapid.Int64Range(0, minute).Draw(t, "ms"))
+				h.wallMs += rapid.SampledFrom([]int64{0, 0, 0, 60 * minute, -60 * minute}).Draw(t, "jump")
+				h.keeper.Tick()
+				for id := range earlier {
+					if h.keeper.earlier[CallKey(id)] == nil {
+						delete(earlier, id) // closed as unknown
 					}
 				}
-			case what == 8:
-				b.take()
-			case what == 9:
-				b.take()
-				for id := range up {
-					old[id] = true
-					stood--
+			case action == 8:
+				h.takeEntries()
+			case action == 9:
+				h.takeEntries()
+				for id := range established {
+					earlier[id] = true
+					establishedCount--
 				}
-				for id := range out {
-					old[id] = true
+				for id := range pending {
+					earlier[id] = true
 				}
-				clear(up)
-				clear(out)
-				b.crash()
+				clear(established)
+				clear(pending)
+				h.crash()
 			}
 		}
-		b.take()
-		list, c := b.statements(t)
+		h.takeEntries()
+		list, c := h.statements(t)
 		sum := total(list, c)
-		require.Equal(t, offered-int64(len(up)+len(out)+len(old)), sum[Offered], "%v", sum.Map())
-		require.Equal(t, stood-int64(len(up))+before, sum[StoodInTime]+sum[StoodLate])
-		require.Equal(t, before, sum[Recovered])
+		require.Equal(t, offered-int64(len(established)+len(pending)+len(earlier)), sum[Offered], "%v", sum.Map())
+		require.Equal(t, establishedCount-int64(len(established))+recovered,
+			sum[StoodInTime]+sum[StoodLate])
+		require.Equal(t, recovered, sum[Recovered])
 		require.NoError(t, sum.Balance())
-		// A book made anew of its own checkpoint is the same.
-		book, again := b.book(t), NewBook()
-		for _, e := range book.Checkpoint() {
+		// The checkpoint restores the same state.
+		state, again := h.state(t), NewBook()
+		for _, e := range state.Checkpoint() {
 			require.NoError(t, again.Apply(&e))
 		}
-		again.Entries, book.free = book.Entries, nil
-		require.Equal(t, book, again)
+		again.Entries, state.freeCalls = state.Entries, nil
+		require.Equal(t, state, again)
 		last := int64(0)
 		for i, s := range list {
 			if i > 0 {
@@ -477,16 +498,25 @@
 }
 
 func drawEntry(t *rapid.T) Entry {
-	e := Entry{Kind: EntryKind(rapid.IntRange(int(Begin), int(Used)).Draw(t, "kind")), At: rapid.Int64Min(0).Draw(t, "at"),
-		Call: rapid.Uint64().Draw(t, "call"), Tenant: rapid.Uint32().Draw(t, "tenant"), Class: rapid.Uint32().Draw(t, "class"),
-		Attempt: rapid.Uint32().Draw(t, "attempt"), Retry: rapid.Bool().Draw(t, "retry"), Text: rapid.String().Draw(t, "text"),
-		Period: rapid.Int64().Draw(t, "period"), Sequence: rapid.Uint64().Draw(t, "sequence")}
+	e := Entry{
+		Kind:     EntryKind(rapid.IntRange(int(Begin), int(Used)).Draw(t, "kind")),
+		At:       rapid.Int64Min(0).Draw(t, "at"),
+		Call:     rapid.Uint64().Draw(t, "call"),
+		Tenant:   rapid.Uint32().Draw(t, "tenant"),
+		Class:    rapid.Uint32().Draw(t, "class"),
+		Attempt:  rapid.Uint32().Draw(t, "attempt"),
+		Retry:    rapid.Bool().Draw(t, "retry"),
+		Text:     rapid.String().Draw(t, "text"),
+		Period:   rapid.Int64().Draw(t, "period"),
+		Sequence: rapid.Uint64().Draw(t, "sequence"),
+	}
 	for f := range e.Usage {
 		e.Usage[f] = rapid.Int64().Draw(t, "usage")
 	}
 	return e
 }
 
+// TestEntryForm guards against entries that are decoded differently from how they were encoded.
 func TestEntryForm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := rapid.SliceOf(rapid.Custom(drawEntry)).Draw(t, "entries")
@@ -500,29 +530,33 @@
 	})
 }
 
+// FuzzDecode guards against panics on malformed entries.
 func FuzzDecode(f *testing.F) {
 	f.Add((&Entry{Kind: End, Call: 7, Usage: Usage{Offered: 1, Left: 1}}).Append(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		book := NewBook()
-		Decode(b, book.Apply)
+		state := NewBook()
+		Decode(b, state.Apply)
 	})
 }
 
-// drawExport makes an export that adds up.
+// drawExport returns a random export whose figures balance, and its calls.
 func drawExport(t *rapid.T) (*Export, []uint64) {
-	s := &Statement{Sequence: uint64(rapid.IntRange(1, 4).Draw(t, "sequence")), Totals: map[Key]*Usage{}, Late: map[int64]map[Key]*Usage{}}
+	s := &Statement{Sequence: uint64(rapid.IntRange(1, 4).Draw(t, "sequence")), Totals: map[Key]*Usage{},
+		Late: map[int64]map[Key]*Usage{}}
 	s.From = minute * (1000 + int64(s.Sequence))
 	s.To = s.From + minute
 	for range rapid.IntRange(0, 3).Draw(t, "lines") {
 		n := rapid.Int64Range(1, 9).Draw(t, "n")
-		s.Totals[Key{rapid.SampledFrom([]string{"lda", "kda"}).Draw(t, "tenant"), "voice"}] = &Usage{Offered: n, Refused: n}
+		s.Totals[Key{rapid.SampledFrom([]string{"lda", "kda"}).Draw(t, "tenant"), "voice"}] =
+			&Usage{Offered: n, Refused: n}
 	}
 	if rapid.Bool().Draw(t, "late") {
 		s.Late[minute*1000] = map[Key]*Usage{{"lda", "voice"}: {Offered: 1, Left: 1}}
 	}
 	s.Calls = rapid.SliceOfDistinct(rapid.Uint64Range(0, 50), rapid.ID).Draw(t, "calls")
 	slices.Sort(s.Calls)
-	e, calls := NewExport(Terms{Router: rapid.SampledFrom([]string{"n0", "n1"}).Draw(t, "router"), Length: minute}, s, nil)
+	e, calls := NewExport(Terms{Router: rapid.SampledFrom([]string{"n0", "n1"}).Draw(t, "router"), Length: minute},
+		s, nil)
 	e.Encode(calls, func(uint16, []byte) error { return nil })
 	return e, calls
 }
@@ -536,7 +570,7 @@
 	return m
 }
 
-// TestJoin: exports may be brought together in any order, in any grouping, and any number of times.
+// TestJoin guards against a result that depends on the order, grouping or repetition of joins.
 func TestJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawMerged(t), drawMerged(t), drawMerged(t)
@@ -572,7 +606,8 @@
 	}
 }
 
-// TestExportForm: what is written is read back, the same content is the same bytes, and no changed byte goes unnoticed.
+// TestExportForm guards against exports that are decoded differently, encoding that is not deterministic, and flipped
+// bits that go undetected.
 func TestExportForm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e, calls := drawExport(t)
@@ -593,10 +628,12 @@
 	})
 }
 
-// TestFindings: what is wrong among exports is reported, with names.
+// TestFindings guards against missing and false findings for gaps, duplicates, overlaps and corrections, and for calls
+// listed by two exports.
 func TestFindings(t *testing.T) {
 	export := func(router string, seq, from, to int64, calls ...uint64) *Export {
-		e, c := NewExport(Terms{Router: router, Length: minute}, &Statement{Sequence: uint64(seq), From: from * minute, To: to * minute,
+		e, c := NewExport(Terms{Router: router, Length: minute}, &Statement{Sequence: uint64(seq),
+			From: from * minute, To: to * minute,
 			Totals: map[Key]*Usage{{"lda", "voice"}: {Offered: seq, Left: seq}}, Calls: calls}, nil)
 		require.NoError(t, e.Encode(c, func(uint16, []byte) error { return nil }))
 		return e
@@ -611,47 +648,71 @@
 		}
 		return kinds
 	}
-	require.Empty(t, kinds(export("n0", 1, 10, 11), export("n0", 2, 11, 15), export("n1", 7, 11, 12), export("n0", 2, 11, 15)))
+	require.Empty(t, kinds(export("n0", 1, 10, 11), export("n0", 2, 11, 15), export("n1", 7, 11, 12),
+		export("n0", 2, 11, 15)))
 	require.Equal(t, []string{"gap"}, kinds(export("n0", 1, 10, 11), export("n0", 3, 12, 13)))
 	require.Equal(t, []string{"gap"}, kinds(export("n0", 1, 10, 11), export("n0", 2, 12, 13)))
 	require.Equal(t, []string{"twice"}, kinds(export("n0", 1, 10, 11), export("n0", 1, 10, 12)))
 	require.Equal(t, []string{"overlap"}, kinds(export("n0", 1, 10, 12), export("n0", 2, 11, 12)))
-	mend := export("n0", 2, 11, 12)
-	mend.Corrections = []Correction{{Number: 1, Period: 3 * minute, Tenant: "lda", Class: "voice", Field: "left", Delta: -1}}
-	require.Equal(t, []string{"stray"}, kinds(export("n0", 1, 10, 11), mend))
+	corrected := export("n0", 2, 11, 12)
+	corrected.Corrections = []Correction{{Number: 1, Period: 3 * minute, Tenant: "lda", Class: "voice",
+		Field: "left", Delta: -1}}
+	require.Equal(t, []string{"stray"}, kinds(export("n0", 1, 10, 11), corrected))
 
 	var claims []string
-	n, err := Claims([]CallSource{&list{{1, 5}, {9}}, &list{{2, 3}, {5, 7}}, &list{}, &list{{9}}}, func(call uint64, one, other int) {
-		claims = append(claims, fmt.Sprint(call, min(one, other), max(one, other)))
-	})
+	n, err := Claims(
+		[]CallSource{&callParts{{1, 5}, {9}}, &callParts{{2, 3}, {5, 7}}, &callParts{}, &callParts{{9}}},
+		func(call uint64, one, other int) {
+			claims = append(claims, fmt.Sprint(call, min(one, other), max(one, other)))
+		})
 	require.NoError(t, err)
 	require.EqualValues(t, 8, n)
 	require.Equal(t, []string{"5 0 1", "9 0 3"}, claims)
 }
 
-type list [][]uint64
+type callParts [][]uint64
 
-func (l *list) Next() (part []uint64, err error) {
+func (l *callParts) Next() (part []uint64, err error) {
 	if len(*l) > 0 {
 		part, *l = (*l)[0], (*l)[1:]
 	}
 	return part, nil
 }
 
+// TestDirectory guards against wrong tenants, wrong precedence, accepted conflicting rules and allocating look-ups.
 func TestDirectory(t *testing.T) {
-	rules := []Rule{{Tenant: "lda", Networks: []string{"10.4.0.0/16", "fd00::/8"}, Identities: []string{"spiffe://b.example/lda/*"}, Numbers: []string{"9242"}},
-		{Tenant: "kda", Networks: []string{"10.4.7.0/24", "10.4.0.9"}, Identities: []string{"spiffe://b.example/lda/kda"}, Numbers: []string{"92421"}}}
+	rules := []Rule{
+		{
+			Tenant:     "lda",
+			Networks:   []string{"10.4.0.0/16", "fd00::/8"},
+			Identities: []string{"spiffe://b.example/lda/*"},
+			Numbers:    []string{"9242"},
+		},
+		{
+			Tenant:     "kda",
+			Networks:   []string{"10.4.7.0/24", "10.4.0.9"},
+			Identities: []string{"spiffe://b.example/lda/kda"},
+			Numbers:    []string{"92421"},
+		},
+	}
 	d, err := NewDirectory(nil, rules)
 	require.NoError(t, err)
 	addr := netip.MustParseAddr
 	for _, c := range []struct {
 		stated, identity, caller, number, want string
 	}{
-		{"", "", "10.4.8.1", "", "lda"}, {"", "", "10.4.7.1", "", "kda"}, {"", "", "10.4.0.9", "", "kda"},
-		{"", "", "::ffff:10.4.7.1", "", "kda"}, {"", "", "fd00::1", "", "lda"}, {"", "", "10.5.0.1", "", Unassigned},
-		{"", "spiffe://b.example/lda/x", "10.4.7.1", "", "lda"}, {"", "spiffe://b.example/lda/kda", "10.4.8.1", "", "kda"},
-		{"", "spiffe://b.example/ldax", "10.4.7.1", "", "kda"}, {"", "", "10.5.0.1", "92429", "lda"},
-		{"", "", "10.5.0.1", "924211", "kda"}, {"own", "spiffe://b.example/lda/x", "10.4.7.1", "9242", "own"},
+		{"", "", "10.4.8.1", "", "lda"},
+		{"", "", "10.4.7.1", "", "kda"},
+		{"", "", "10.4.0.9", "", "kda"},
+		{"", "", "::ffff:10.4.7.1", "", "kda"},
+		{"", "", "fd00::1", "", "lda"},
+		{"", "", "10.5.0.1", "", Unassigned},
+		{"", "spiffe://b.example/lda/x", "10.4.7.1", "", "lda"},
+		{"", "spiffe://b.example/lda/kda", "10.4.8.1", "", "kda"},
+		{"", "spiffe://b.example/ldax", "10.4.7.1", "", "kda"},
+		{"", "", "10.5.0.1", "92429", "lda"},
+		{"", "", "10.5.0.1", "924211", "kda"},
+		{"own", "spiffe://b.example/lda/x", "10.4.7.1", "9242", "own"},
 	} {
 		require.Equal(t, c.want, d.Tenant(c.stated, c.identity, addr(c.caller), c.number), "%v", c)
 	}
@@ -673,7 +734,9 @@
 	require.ErrorContains(t, err, "10.4.0.0/16 is meant")
 	_, err = NewDirectory([]Source{"moon"}, nil)
 	require.ErrorContains(t, err, "precedence")
-	require.Zero(t, testing.AllocsPerRun(100, func() { d.Tenant("", "spiffe://b.example/lda/x", addr("10.4.8.1"), "92421") }))
+	require.Zero(t, testing.AllocsPerRun(100, func() {
+		d.Tenant("", "spiffe://b.example/lda/x", addr("10.4.8.1"), "92421")
+	}))
 }
 
 func manyRules(tenants int) (rules []Rule) {
@@ -687,6 +750,7 @@
 	return rules
 }
 
+// BenchmarkDirectory measures building a directory and looking up tenants.
 func BenchmarkDirectory(b *testing.B) {
 	for _, n := range []int{10, 10_000} {
 		rules := manyRules(n)
@@ -712,10 +776,10 @@
 	}
 }
 
-// BenchmarkKeeper is one call's whole life in the books, on the loop's side and on the writer's.
+// BenchmarkKeeper measures recording one call and encoding and applying its entries.
 func BenchmarkKeeper(b *testing.B) {
-	w := newBench(b, 0)
-	book := w.book(b)
+	h := newHarness(b, 0)
+	state := h.state(b)
 	var out []Entry
 	var buf []byte
 	id := make([]string, 1024)
@@ -725,14 +789,14 @@
 	bytes, i := 0, 0
 	b.ReportAllocs()
 	for b.Loop() {
-		w.stand(id[i&1023])
-		w.finish(id[i&1023], threadglade.Concluded)
+		h.establish(id[i&1023])
+		h.finish(id[i&1023], threadglade.Concluded)
 		if i++; i%10 == 0 {
-			out = w.keeper.Take(out)
+			out = h.keeper.Take(out)
 			buf = buf[:0]
 			for j := range out {
 				buf = out[j].Append(buf)
-				book.Apply(&out[j])
+				state.Apply(&out[j])
 			}
 			bytes += len(buf)
 		}
--- a/ledger/merge.go
+++ b/ledger/merge.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// Merged is any number of exports, each once. It is only ever added to: Join is commutative, associative and idempotent,
-// so that exports may be brought together in any order and any number of times.
+// Merged is a set of exports. It only grows: Join is commutative, associative and idempotent, so exports can be joined
+// in any order and any number of times.
 type Merged struct {
 	exports map[string]*Export // by ID
 }
 
-// Merge is one export as a Merged.
+// Merge returns a Merged of one export.
 func Merge(e *Export) Merged { return Merged{map[string]*Export{e.ID: e}} }
 
-// Join brings two together; neither is changed.
+// Join returns the union of two sets and changes neither.
 func Join(a, b Merged) Merged {
 	m := Merged{make(map[string]*Export, len(a.exports)+len(b.exports))}
 	maps.Copy(m.exports, a.exports)
@@ -26,26 +26,28 @@
 	return m
 }
 
-// Exports lists them by router and sequence.
+// Exports returns the exports sorted by router and sequence.
 func (m Merged) Exports() []*Export { return slices.SortedFunc(maps.Values(m.exports), compareExports) }
 
-// Has says whether an export is among them.
+// Has reports whether the set contains an export, by its ID.
 func (m Merged) Has(id string) bool { return m.exports[id] != nil }
 
-// Finding is something about exports that wants a person's eye. The totals are stated all the same.
+// Finding is a problem with exports that a person has to look at. Totals include the exports all the same.
 type Finding struct {
-	Kind   string `json:"kind"` // gap, twice, overlap, claim, stray, newer, damaged
+	// Kind is one of: gap, twice, overlap, stray (a correction of a period that no export states), claim (a call in two
+	// exports), newer (a file of a later version) and damaged.
+	Kind   string `json:"kind"`
 	Router string `json:"router,omitempty"`
 	Text   string `json:"text"`
 }
 
-func at(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02T15:04:05Z") }
+func formatTime(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02T15:04:05Z") }
 
-// Findings reports what is missing and what is there twice: a statement with two contents, a gap in a router's sequence or
-// in its time, periods that overlap, and corrections of periods that no export here states.
+// Findings reports missing and duplicate data: a statement with two contents, a gap in a router's sequence or in the
+// time covered, overlapping periods, and corrections of periods that no export of the set states.
 func (m Merged) Findings() (list []Finding) {
 	stated := map[string]map[int64]bool{}
-	var before *Export
+	var previous *Export
 	for _, e := range m.Exports() {
 		if stated[e.Router] == nil {
 			stated[e.Router] = map[int64]bool{}
@@ -54,54 +56,59 @@
 		report := func(kind, format string, args ...any) {
 			list = append(list, Finding{kind, e.Router, fmt.Sprintf(format, args...)})
 		}
-		if before == nil || before.Router != e.Router {
-			before = e
+		if previous == nil || previous.Router != e.Router {
+			previous = e
 			continue
 		}
 		switch {
-		case e.Sequence == before.Sequence:
-			report("twice", "statement %d is there with two contents, %.12s and %.12s", e.Sequence, before.ID, e.ID)
-		case e.Sequence > before.Sequence+1:
-			report("gap", "statements %d to %d are missing, from %s to %s", before.Sequence+1, e.Sequence-1, at(before.To), at(e.From))
-		case e.From > before.To:
-			report("gap", "nothing is stated from %s to %s, between statements %d and %d", at(before.To), at(e.From), before.Sequence, e.Sequence)
+		case e.Sequence == previous.Sequence:
+			report("twice", "statement %d is there with two contents, %.12s and %.12s", e.Sequence, previous.ID, e.ID)
+		case e.Sequence > previous.Sequence+1:
+			report("gap", "statements %d to %d are missing, from %s to %s", previous.Sequence+1, e.Sequence-1,
+				formatTime(previous.To), formatTime(e.From))
+		case e.From > previous.To:
+			report("gap", "nothing is stated from %s to %s, between statements %d and %d", formatTime(previous.To),
+				formatTime(e.From), previous.Sequence, e.Sequence)
 		}
-		if e.From < before.To && e.Sequence != before.Sequence {
-			report("overlap", "statements %d and %d both state the time from %s to %s", before.Sequence, e.Sequence, at(e.From), at(min(e.To, before.To)))
+		if e.From < previous.To && e.Sequence != previous.Sequence {
+			report("overlap", "statements %d and %d both state the time from %s to %s", previous.Sequence, e.Sequence,
+				formatTime(e.From), formatTime(min(e.To, previous.To)))
 		}
-		before = e
+		previous = e
 	}
 	for _, e := range m.Exports() {
 		for _, c := range e.Corrections {
 			if !stated[e.Router][c.Period] {
-				list = append(list, Finding{"stray", e.Router, fmt.Sprintf("correction %d of statement %d mends the period of %s, which no file here states",
-					c.Number, e.Sequence, at(c.Period))})
+				list = append(list, Finding{"stray", e.Router,
+					fmt.Sprintf("correction %d of statement %d mends the period of %s, which no file here states",
+						c.Number, e.Sequence, formatTime(c.Period))})
 			}
 		}
 	}
 	return list
 }
 
-// Row is the use of one tenant and class in one period by all routers: as stated, and as mended since.
+// Row is the usage of one class by one tenant in one period at all routers.
 type Row struct {
-	Period int64
+	Period int64 // start, in milliseconds since the Unix epoch
 	Key
-	Stated, Mended Usage
+	Stated Usage // without corrections
+	Mended Usage // with all corrections
 }
 
-// Rows lists the totals by period, tenant and class.
+// Rows returns the totals sorted by period, tenant and class.
 func (m Merged) Rows() []Row {
-	type place struct {
+	type rowKey struct {
 		period int64
 		key    Key
 	}
-	rows := map[place]*Row{}
+	rows := map[rowKey]*Row{}
 	row := func(period int64, key Key) *Row {
-		at := place{period, key}
-		if rows[at] == nil {
-			rows[at] = &Row{Period: period, Key: key}
+		k := rowKey{period, key}
+		if rows[k] == nil {
+			rows[k] = &Row{Period: period, Key: key}
 		}
-		return rows[at]
+		return rows[k]
 	}
 	for _, e := range m.exports {
 		for _, l := range e.Lines {
@@ -118,11 +125,13 @@
 	for _, r := range rows {
 		list = append(list, *r)
 	}
-	slices.SortFunc(list, func(a, b Row) int { return cmp.Or(cmp.Compare(a.Period, b.Period), compareKeys(a.Key, b.Key)) })
+	slices.SortFunc(list, func(a, b Row) int {
+		return cmp.Or(cmp.Compare(a.Period, b.Period), compareKeys(a.Key, b.Key))
+	})
 	return list
 }
 
-// Total is the sum of all rows as mended.
+// Total returns the sum of all rows with corrections.
 func (m Merged) Total() (u Usage) {
 	for _, r := range m.Rows() {
 		u.Add(&r.Mended)
@@ -130,64 +139,66 @@
 	return u
 }
 
-// CallSource gives the calls of one export, ascending, part by part; an empty part is the end.
+// CallSource reads the calls of one export, ascending, part by part.
 type CallSource interface {
+	// Next returns the next part. An empty part is the end.
 	Next() ([]uint64, error)
 }
 
-// stream is a source of which a part is being used up.
-type stream struct {
-	index int
-	part  []uint64
-	src   CallSource
+// callStream is a source with the rest of the part that was read last.
+type callStream struct {
+	index  int
+	part   []uint64
+	source CallSource
 }
 
-type streams []*stream
+// streamHeap is a heap.Interface of streams by their next call.
+type streamHeap []*callStream
 
-func (s streams) Len() int           { return len(s) }
-func (s streams) Less(i, j int) bool { return s[i].part[0] < s[j].part[0] }
-func (s streams) Swap(i, j int)      { s[i], s[j] = s[j], s[i] }
-func (s *streams) Push(x any)        { *s = append(*s, x.(*stream)) }
-func (s *streams) Pop() any {
+func (s streamHeap) Len() int           { return len(s) }
+func (s streamHeap) Less(i, j int) bool { return s[i].part[0] < s[j].part[0] }
+func (s streamHeap) Swap(i, j int)      { s[i], s[j] = s[j], s[i] }
+func (s *streamHeap) Push(x any)        { *s = append(*s, x.(*callStream)) }
+func (s *streamHeap) Pop() any {
 	old := *s
 	last := old[len(old)-1]
 	*s = old[:len(old)-1]
 	return last
 }
 
-// Claims finds calls that stand in more than one source, by walking all of them at once in the memory of one part each. claimed
-// gets the call and the indexes of two sources that have it.
-func Claims(sources []CallSource, claimed func(call uint64, one, other int)) (calls uint64, err error) {
-	var h streams
-	for i, src := range sources {
-		s := &stream{index: i, src: src}
-		if s.part, err = src.Next(); err != nil {
+// FindDuplicateCalls finds calls that more than one source lists. It merges all sources, with one part of each in
+// memory. found receives a call and the indexes of two sources that list it. It returns the number of calls read.
+func Claims(sources []CallSource, found func(call uint64, first, second int)) (calls uint64, err error) {
+	var streams streamHeap
+	for i, source := range sources {
+		stream := &callStream{index: i, source: source}
+		if stream.part, err = source.Next(); err != nil {
 			return calls, err
 		}
-		if len(s.part) > 0 {
-			h = append(h, s)
+		if len(stream.part) > 0 {
+			streams = append(streams, stream)
 		}
 	}
-	heap.Init(&h)
-	last, owner := uint64(0), -1
-	for len(h) > 0 {
-		s := h[0]
-		call := s.part[0]
-		if owner >= 0 && call == last {
-			claimed(call, owner, s.index)
+	heap.Init(&streams)
+	lastCall, lastSource := uint64(0), -1
+	for len(streams) > 0 {
+		stream := streams[0]
+		call := stream.part[0]
+		if lastSource >= 0 && call == lastCall {
+			found(call, lastSource, stream.index)
 		}
-		last, owner = call, s.index
+		lastCall, lastSource = call, stream.index
 		calls++
-		if s.part = s.part[1:]; len(s.part) == 0 {
-			if s.part, err = s.src.Next(); err != nil {
+		if stream.part = stream.part[1:]; len(stream.part) == 0 {
+			if stream.part, err = stream.source.Next(); err != nil {
 				return calls, err
 			}
-			if len(s.part) == 0 {
-				heap.Pop(&h)
+			if len(stream.part) == 0 {
+				heap.Pop(&streams)
 				continue
 			}
 		}
-		heap.Fix(&h, 0)
+		heap.Fix(&streams, 0)
 	}
 	return calls, nil
 }
--- a/ledger/mutant_off.go
+++ b/ledger/mutant_off.go
@@ -2,5 +2,5 @@
 
 package ledger
 
-// mutant is the fault that is built in: none but in builds for tests.
+// mutant is the name of the injected fault: none without the build tag mutant.
 const mutant = ""
--- a/ledger/mutant_on.go
+++ b/ledger/mutant_on.go
@@ -2,15 +2,16 @@
 
 package ledger
 
-// mutant is the fault built in, one of Mutants. This file is only built with the tag mutant, for tests that see a fault found.
+// mutant is the name of the injected fault, a key of Mutants. The build tag mutant is for tests that check that a fault
+// is detected.
 var mutant = ""
 
-// Mutate builds a fault into every Keeper of the process; empty: none.
+// Mutate injects a fault into every Keeper of the process; "" removes it.
 func Mutate(name string) { mutant = name }
 
-// Mutants are the faults that can be built in, with what each does.
+// Mutants describes the faults that can be injected, by name.
 var Mutants = map[string]string{
-	"own-books":  "calls of earlier lives do not wait for word of what others have taken over",
-	"keep-taken": "what others have taken over stays in the books",
-	"adopt-once": "a call taken over is not found in the books again",
+	"own-books":  "calls of earlier processes are not suspended until it is known which others have taken over",
+	"keep-taken": "calls that others have taken over stay in the ledger",
+	"adopt-once": "a call that was taken over before is added to the ledger again",
 }
--- a/ledger/mutant_test.go
+++ b/ledger/mutant_test.go
@@ -8,15 +8,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// verdict hears whether a test fails.
-type verdict struct{ failed bool }
+// failureRecorder is a require.TestingT that records whether a test fails.
+type failureRecorder struct{ failed bool }
 
-func (v *verdict) Errorf(string, ...any) { v.failed = true }
-func (v *verdict) FailNow()              { panic(v) }
+func (v *failureRecorder) Errorf(string, ...any) { v.failed = true }
+func (v *failureRecorder) FailNow()              { panic(v) }
 
-// finds says whether a test fails.
-func finds(test func(require.TestingT)) (found bool) {
-	v := &verdict{}
+// testFails reports whether a test fails.
+func testFails(test func(require.TestingT)) (found bool) {
+	v := &failureRecorder{}
 	defer func() {
 		if p := recover(); p != nil {
 			found = true
@@ -26,12 +26,12 @@
 	return v.failed
 }
 
-// TestMutants finds every fault that can be built in, and none without it.
+// TestMutants guards against a check that misses an injected fault, or that fails without one.
 func TestMutants(t *testing.T) {
 	defer Mutate("")
-	require.False(t, finds(taken))
+	require.False(t, testFails(checkTakenOver))
 	for name := range Mutants {
 		Mutate(name)
-		require.True(t, finds(taken), "%s is not found", name)
+		require.True(t, testFails(checkTakenOver), "%s is not detected", name)
 	}
 }
--- a/ledger/report.go
+++ b/ledger/report.go
@@ -10,40 +10,42 @@
 )
 
 //go:embed report.html.tmpl
-var pages embed.FS
+var templateFiles embed.FS
 
-var page = template.Must(template.New("report.html.tmpl").Funcs(template.FuncMap{
-	"at":    at,
+var pageTemplate = template.Must(template.New("report.html.tmpl").Funcs(template.FuncMap{
+	"at":    formatTime,
 	"hours": func(ms int64) string { return strconv.FormatFloat(float64(ms)/3_600_000, 'f', 2, 64) },
 	"worth": func(milli int64) string { return strconv.FormatFloat(float64(milli)/1000, 'f', 3, 64) },
 	"short": func(id string) string { return id[:min(len(id), 12)] },
-}).ParseFS(pages, "report.html.tmpl"))
+}).ParseFS(templateFiles, "report.html.tmpl"))
 
-// Report is what a merge has found, for people.
+// Report is the result of a merge, to be written as HTML or CSV.
 type Report struct {
-	Made     time.Time
+	Made     time.Time // of the report
 	Exports  []*Export
 	Rows     []Row
 	Total    Usage
 	Findings []Finding
-	Calls    uint64 // that stood, listed one by one
+	Calls    uint64 // calls that the exports list
 }
 
-// Figure names a field in templates.
-func (r Row) Figure(name string) int64 { return figure(&r.Mended, name) }
+// Figure returns the corrected value of a field by its name, for templates; 0 for an unknown name.
+func (r Row) Figure(name string) int64 { return figureByName(&r.Mended, name) }
 
-// Mend is by how much a field was corrected since its period was stated.
-func (r Row) Mend(name string) int64 { return figure(&r.Mended, name) - figure(&r.Stated, name) }
+// Mend returns the sum of the corrections of a field by its name, for templates.
+func (r Row) Mend(name string) int64 {
+	return figureByName(&r.Mended, name) - figureByName(&r.Stated, name)
+}
 
-// Sum names a field of the total.
-func (r Report) Sum(name string) int64 { return figure(&r.Total, name) }
+// Sum returns the total of a field by its name, for templates.
+func (r Report) Sum(name string) int64 { return figureByName(&r.Total, name) }
 
-// Shown is the fields that the page has columns for.
+// Shown returns the names of the fields that have a column on the page.
 func (Report) Shown() []string {
 	return []string{"offered", "repeats", "stood_in_time", "stood_late", "refused", "failed", "left", "unknown"}
 }
 
-func figure(u *Usage, name string) int64 {
+func figureByName(u *Usage, name string) int64 {
 	f, err := ParseField(name)
 	if err != nil {
 		return 0
@@ -51,10 +53,10 @@
 	return u[f]
 }
 
-// HTML writes the report as one page that needs nothing beside it.
-func (r Report) HTML(w io.Writer) error { return page.Execute(w, r) }
+// HTML writes the report as a self-contained page.
+func (r Report) HTML(w io.Writer) error { return pageTemplate.Execute(w, r) }
 
-// CSV writes one line a period, tenant and class, with every field as stated and as mended.
+// CSV writes a line for each period, tenant and class, with every field both with and without corrections.
 func (r Report) CSV(w io.Writer) error {
 	c := csv.NewWriter(w)
 	head := []string{"period", "tenant", "class"}
@@ -66,7 +68,7 @@
 	}
 	c.Write(head)
 	for _, row := range r.Rows {
-		line := []string{at(row.Period), row.Tenant, row.Class}
+		line := []string{formatTime(row.Period), row.Tenant, row.Class}
 		for _, u := range []*Usage{&row.Mended, &row.Stated} {
 			for _, n := range u {
 				line = append(line, strconv.FormatInt(n, 10))
--- a/ledger/tenant.go
+++ b/ledger/tenant.go
@@ -10,35 +10,35 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// Unassigned is the tenant of calls that no rule fits.
+// Unassigned is the tenant of calls that match no rule.
 const Unassigned = "unassigned"
 
-// Source is a way to tell a call's tenant.
+// Source is a property of a call that determines its tenant.
 type Source string
 
-// Sources, in the order that holds unless the settings give another.
+// Sources, in the default precedence.
 const (
-	Stated     Source = "stated"   // what the embedding program, or the set-up itself, says
-	ByIdentity Source = "identity" // the SPIFFE id of the call-control session
-	ByNetwork  Source = "network"  // the caller's address, by longest match
+	Stated     Source = "stated"   // as the embedding program or the set-up names it
+	ByIdentity Source = "identity" // the SPIFFE ID of the call-control session
+	ByNetwork  Source = "network"  // the caller's address, by longest prefix
 	ByNumber   Source = "number"   // the number called, by longest prefix
 )
 
-// Sources is all of them in that order.
+// Sources lists all sources in the default precedence.
 var Sources = []Source{Stated, ByIdentity, ByNetwork, ByNumber}
 
-// Rule says which calls are a tenant's.
+// Rule defines which calls belong to a tenant.
 type Rule struct {
 	Tenant     string
-	Networks   []string // such as 10.4.0.0/16 or 10.4.7.9
-	Identities []string // SPIFFE ids; one that ends in /* stands for all below it
-	Numbers    []string // beginnings of the numbers called
+	Networks   []string // prefixes or addresses, such as 10.4.0.0/16 or 10.4.7.9
+	Identities []string // SPIFFE IDs; one that ends in /* matches all below it
+	Numbers    []string // prefixes of the numbers called
 }
 
-// RuleError is what is wrong with one value of a rule.
+// RuleError reports an invalid value of a rule.
 type RuleError struct {
-	Rule  int // index
-	Field string
+	Rule  int    // index
+	Field string // "name", "networks", "identities" or "numbers"
 	Text  string
 }
 
@@ -46,153 +46,154 @@
 	return fmt.Sprintf("tenant %d: %s: %s", e.Rule+1, e.Field, e.Text)
 }
 
-// Directory tells tenants. It never changes, so that any number of goroutines may use one while the next is made; a look-up
-// allocates nothing.
+// Directory determines the tenants of calls. It is immutable and safe for concurrent use; look-ups don't allocate.
 type Directory struct {
-	order    []Source
-	tenants  []string
-	networks bart.Table[int32]
-	exact    map[string]int32
-	below    *iradix.Tree[int32]
-	numbers  *iradix.Tree[int32]
+	precedence       []Source
+	tenants          []string
+	networks         bart.Table[int32]
+	exactIdentities  map[string]int32
+	identityPrefixes *iradix.Tree[int32]
+	numberPrefixes   *iradix.Tree[int32]
 }
 
-// NewDirectory makes a directory; order nil means Sources. The error is a *RuleError where a rule is to blame: two tenants
-// may not claim the same network, identity or number.
+// NewDirectory returns a directory of rules that applies the sources in the given order; nil means Sources. Two tenants
+// may not have the same network, identity or number. The error for an invalid rule is a *RuleError.
 func NewDirectory(order []Source, rules []Rule) (*Directory, error) {
 	if order == nil {
 		order = Sources
 	}
-	for i, s := range order {
-		if !slices.Contains(Sources, s) {
-			return nil, fmt.Errorf("precedence: %q is none of %v", s, Sources)
+	for i, source := range order {
+		if !slices.Contains(Sources, source) {
+			return nil, fmt.Errorf("precedence: %q is not one of %v", source, Sources)
 		}
-		if slices.Contains(order[:i], s) {
-			return nil, fmt.Errorf("precedence: %q stands twice", s)
+		if slices.Contains(order[:i], source) {
+			return nil, fmt.Errorf("precedence: %q stands twice", source)
 		}
 	}
-	d := &Directory{order: slices.Clone(order), exact: map[string]int32{}}
-	below, numbers := iradix.New[int32]().Txn(), iradix.New[int32]().Txn()
-	known := map[string]bool{}
-	for i, r := range rules {
-		bad := func(field, format string, args ...any) error {
+	directory := &Directory{precedence: slices.Clone(order), exactIdentities: map[string]int32{}}
+	identityPrefixes, numberPrefixes := iradix.New[int32]().Txn(), iradix.New[int32]().Txn()
+	knownTenants := map[string]bool{}
+	for i, rule := range rules {
+		invalid := func(field, format string, args ...any) error {
 			return &RuleError{i, field, fmt.Sprintf(format, args...)}
 		}
-		if err := ValidName(r.Tenant); err != nil {
-			return nil, bad("name", "%v", err)
+		if err := ValidName(rule.Tenant); err != nil {
+			return nil, invalid("name", "%v", err)
 		}
-		if known[r.Tenant] {
-			return nil, bad("name", "%q stands twice", r.Tenant)
+		if knownTenants[rule.Tenant] {
+			return nil, invalid("name", "%q stands twice", rule.Tenant)
 		}
-		known[r.Tenant] = true
-		at := int32(len(d.tenants))
-		d.tenants = append(d.tenants, r.Tenant)
-		for _, text := range r.Networks {
-			p, err := network(text)
+		knownTenants[rule.Tenant] = true
+		tenant := int32(len(directory.tenants))
+		directory.tenants = append(directory.tenants, rule.Tenant)
+		for _, text := range rule.Networks {
+			prefix, err := parseNetwork(text)
 			if err != nil {
-				return nil, bad("networks", "%q: %v", text, err)
+				return nil, invalid("networks", "%q: %v", text, err)
 			}
-			if other, taken := d.networks.Get(p); taken {
-				return nil, bad("networks", "%q is %s's", text, d.tenants[other])
+			if other, taken := directory.networks.Get(prefix); taken {
+				return nil, invalid("networks", "%q belongs to tenant %s", text, directory.tenants[other])
 			}
-			d.networks.Insert(p, at)
+			directory.networks.Insert(prefix, tenant)
 		}
-		for _, text := range r.Identities {
-			plain, wide := strings.CutSuffix(text, "/*")
-			if !strings.HasPrefix(plain, "spiffe://") || len(plain) == len("spiffe://") || strings.ContainsAny(plain, "* ") {
-				return nil, bad("identities", "%q is no SPIFFE id", text)
+		for _, text := range rule.Identities {
+			identity, wildcard := strings.CutSuffix(text, "/*")
+			if !strings.HasPrefix(identity, "spiffe://") || len(identity) == len("spiffe://") ||
+				strings.ContainsAny(identity, "* ") {
+				return nil, invalid("identities", "%q is not a SPIFFE ID", text)
 			}
 			taken := false
-			if wide {
-				_, taken = below.Insert([]byte(plain+"/"), at)
-			} else if _, taken = d.exact[plain]; !taken {
-				d.exact[plain] = at
+			if wildcard {
+				_, taken = identityPrefixes.Insert([]byte(identity+"/"), tenant)
+			} else if _, taken = directory.exactIdentities[identity]; !taken {
+				directory.exactIdentities[identity] = tenant
 			}
 			if taken {
-				return nil, bad("identities", "%q stands twice", text)
+				return nil, invalid("identities", "%q stands twice", text)
 			}
 		}
-		for _, text := range r.Numbers {
+		for _, text := range rule.Numbers {
 			if text == "" || strings.ContainsAny(text, " *@") {
-				return nil, bad("numbers", "%q is no beginning of a number", text)
+				return nil, invalid("numbers", "%q is not a prefix of a number", text)
 			}
-			if _, taken := numbers.Insert([]byte(text), at); taken {
-				return nil, bad("numbers", "%q stands twice", text)
+			if _, taken := numberPrefixes.Insert([]byte(text), tenant); taken {
+				return nil, invalid("numbers", "%q stands twice", text)
 			}
 		}
 	}
-	d.below, d.numbers = below.CommitOnly(), numbers.CommitOnly()
-	return d, nil
+	directory.identityPrefixes, directory.numberPrefixes = identityPrefixes.CommitOnly(), numberPrefixes.CommitOnly()
+	return directory, nil
 }
 
-// nameMost bytes a name may have in the books.
-const nameMost = 128
+// maxNameBytes limits the names in the ledger.
+const maxNameBytes = 128
 
-// ValidName says what keeps text from being a tenant's name.
+// ValidName returns an error if a name is empty, too long or not printable.
 func ValidName(name string) error {
-	if name == "" || len(name) > nameMost {
-		return fmt.Errorf("%q has %d bytes, 1 to %d are wanted", name, len(name), nameMost)
+	if name == "" || len(name) > maxNameBytes {
+		return fmt.Errorf("%q has %d bytes, want 1 to %d", name, len(name), maxNameBytes)
 	}
 	for _, c := range name {
 		if c < ' ' || c == 0x7f || c == 0xfffd {
-			return fmt.Errorf("%q holds what cannot be printed", name)
+			return fmt.Errorf("%q contains an unprintable character", name)
 		}
 	}
 	return nil
 }
 
-func network(text string) (netip.Prefix, error) {
-	if a, err := netip.ParseAddr(text); err == nil {
-		return netip.PrefixFrom(a.Unmap(), a.Unmap().BitLen()), nil
+// parseNetwork parses a prefix, or an address as the prefix of that address alone.
+func parseNetwork(text string) (netip.Prefix, error) {
+	if addr, err := netip.ParseAddr(text); err == nil {
+		return netip.PrefixFrom(addr.Unmap(), addr.Unmap().BitLen()), nil
 	}
-	p, err := netip.ParsePrefix(text)
-	if err == nil && p != p.Masked() {
-		err = fmt.Errorf("has bits beyond its length; %s is meant", p.Masked())
+	prefix, err := netip.ParsePrefix(text)
+	if err == nil && prefix != prefix.Masked() {
+		err = fmt.Errorf("has bits set beyond the prefix length; %s is meant", prefix.Masked())
 	}
-	if err == nil && p.Addr().Is4In6() {
-		err = fmt.Errorf("is an IPv4 network in IPv6 form")
+	if err == nil && prefix.Addr().Is4In6() {
+		err = fmt.Errorf("is an IPv4-mapped IPv6 network")
 	}
-	return p, err
+	return prefix, err
 }
 
-// Size is how many tenants and networks there are.
+// Size returns the numbers of tenants and networks.
 func (d *Directory) Size() (tenants, networks int) { return len(d.tenants), d.networks.Size() }
 
-// Precedence lists the sources in their order.
+// Precedence returns the sources in the order in which they apply.
 func (d *Directory) Precedence() (list []string) {
-	for _, s := range d.order {
+	for _, s := range d.precedence {
 		list = append(list, string(s))
 	}
 	return list
 }
 
-// Tenant tells whose call it is: the first source that knows decides.
+// Tenant returns the tenant that the first matching source gives, or Unassigned.
 func (d *Directory) Tenant(stated, identity string, caller netip.Addr, number string) string {
-	for _, s := range d.order {
-		at, found := int32(0), false
-		switch s {
+	for _, source := range d.precedence {
+		tenant, found := int32(0), false
+		switch source {
 		case Stated:
-			if stated != "" && len(stated) <= nameMost {
+			if stated != "" && len(stated) <= maxNameBytes {
 				return stated
 			}
 		case ByIdentity:
 			if identity == "" {
 				continue
 			}
-			if at, found = d.exact[identity]; !found {
-				_, at, found = d.below.Root().LongestPrefix([]byte(identity))
+			if tenant, found = d.exactIdentities[identity]; !found {
+				_, tenant, found = d.identityPrefixes.Root().LongestPrefix([]byte(identity))
 			}
 		case ByNetwork:
 			if caller.IsValid() {
-				at, found = d.networks.Lookup(caller.Unmap())
+				tenant, found = d.networks.Lookup(caller.Unmap())
 			}
 		case ByNumber:
 			if number != "" {
-				_, at, found = d.numbers.Root().LongestPrefix([]byte(number))
+				_, tenant, found = d.numberPrefixes.Root().LongestPrefix([]byte(number))
 			}
 		}
 		if found {
-			return d.tenants[at]
+			return d.tenants[tenant]
 		}
 	}
 	return Unassigned
--- a/ledger/usage.go
+++ b/ledger/usage.go
@@ -1,7 +1,7 @@
-// Package ledger counts what each tenant has used of the call routers: every call once, in the period in which it ends, and
-// every period stated once. It owns the tenants' tables, the counting of one call, the book of calls that are open, the
-// closing of periods, the form of entries and exports, and their merging. It must never do I/O, read a clock, start a
-// goroutine, or forget an entry that it was given. internal/ledgerio carries it to files.
+// Package ledger accounts for the usage of the call routers by tenant: it counts each call once, in the period in which
+// the call ends, and states each period once. It covers tenant look-up, the counting of calls, the state of open calls,
+// the closing of periods, and the formats and merging of entries and exports. It does no I/O, reads no clock, starts no
+// goroutine and never drops an entry that it was given. Package internal/ledgerio reads and writes the files.
 package ledger
 
 import (
@@ -13,70 +13,72 @@
 	"threadglade.example/threadglade"
 )
 
-// Field is one figure of a Usage. The order is part of the file format: new ones go at the end.
+// Field identifies a value of a Usage. The order is part of the file format: new fields go at the end.
 type Field uint8
 
-// Fields. A try has one result of StoodInTime, StoodLate, Refused, Failed, Left and Unknown, so that Offered is their sum.
+// The fields of a Usage. A set-up has exactly one result of EstablishedInTime, EstablishedLate, Refused, Failed,
+// Abandoned and Unknown, so Offered is their sum.
 const (
-	Offered     Field = iota // tries handed to the router, repeats among them
-	Repeats                  // tries that their callers marked as repeats
-	StoodInTime              // stood within the aim of the class, counted from this try
-	StoodLate                // stood after it
-	Refused                  // turned away
-	Failed                   // failed, or out of time
-	Left                     // given up by the caller
-	Unknown                  // a restart came between, and no release told how it went on
-	Recovered                // of StoodInTime and StoodLate: their end was heard after a restart
-	Ghosts                   // of Failed: stood at a server whose answer was lost
-	Concluded                // attempts whose call stood and was released by either side
-	Faulted                  // attempts that ended as threadglade's Outcome of that name; so to NotSent
-	Rejected                 //
-	TimedOut                 //
-	Unreachable              //
-	Cut                      //
-	Cancelled                //
-	NotSent                  //
-	Lost                     // attempts of which a restart has lost the end
-	HeldMs                   // milliseconds for which calls have stood
-	WorthMilli               // thousandths of the worth that calls have earned
-	Fields
+	Offered     Field = iota // set-ups that the router received, including repeats
+	Repeats                  // set-ups that their callers marked as repeats
+	StoodInTime              // established within the Aim of the class, counted from this set-up
+	StoodLate                // established later
+	Refused                  // refused by the router
+	Failed                   // failed or reached the deadline
+	Left                     // the caller gave up before an answer
+	Unknown                  // interrupted by a restart, and no release was received since
+	Recovered                // part of EstablishedInTime and EstablishedLate: ended after a restart or takeover
+	Ghosts                   // calls established at a server whose answer was lost
+	Concluded                // attempts whose call was established and released by either side
+	Faulted                  // Faulted to NotSent: attempts that ended with the threadglade.Outcome of that name
+	Rejected
+	TimedOut
+	Unreachable
+	Cut
+	Cancelled
+	NotSent
+	Lost       // attempts whose end was lost at a restart
+	HeldMs     // total duration of established calls, in milliseconds
+	WorthMilli // total worth earned by calls, in thousandths
+	Fields     // number of fields
 )
 
-var fieldNames = [Fields]string{"offered", "repeats", "stood_in_time", "stood_late", "refused", "failed", "left", "unknown",
-	"recovered", "ghosts", "concluded", "faulted", "rejected", "timed_out", "unreachable", "cut", "cancelled", "not_sent",
-	"lost", "held_ms", "worth_milli"}
+// fieldNames are part of the export format.
+var fieldNames = [Fields]string{"offered", "repeats", "stood_in_time", "stood_late", "refused", "failed", "left",
+	"unknown", "recovered", "ghosts", "concluded", "faulted", "rejected", "timed_out", "unreachable", "cut",
+	"cancelled", "not_sent", "lost", "held_ms", "worth_milli"}
 
 func (f Field) String() string { return fieldNames[f] }
 
-// ParseField finds a field by its name.
+// ParseField returns the field with a name. The error lists all names.
 func ParseField(name string) (Field, error) {
 	for f, n := range fieldNames {
 		if n == name {
 			return Field(f), nil
 		}
 	}
-	return 0, fmt.Errorf("no field %q; there are %s", name, strings.Join(fieldNames[:], ", "))
+	return 0, fmt.Errorf("unknown field %q, want one of %s", name, strings.Join(fieldNames[:], ", "))
 }
 
-// ended is the field that counts attempts of an outcome.
-func ended(how threadglade.Outcome) Field {
-	if how < threadglade.Concluded || how > threadglade.NotSent {
+// outcomeField returns the field that counts attempts with an outcome, and Faulted for an invalid outcome.
+func outcomeField(outcome threadglade.Outcome) Field {
+	if outcome < threadglade.Concluded || outcome > threadglade.NotSent {
 		return Faulted
 	}
-	return Concluded + Field(how)
+	return Concluded + Field(outcome)
 }
 
-// Usage holds one figure a field; differences may be negative.
+// Usage holds the value of each field. A value may be negative where the Usage is a difference.
 type Usage [Fields]int64
 
-// Add adds another usage.
+// Add adds v to u.
 func (u *Usage) Add(v *Usage) {
 	for f := range u {
 		u[f] += v[f]
 	}
 }
 
-// Attempts is how many attempts were made, whatever became of them.
+// Attempts returns the number of attempts that have ended, whatever their outcome.
 func (u Usage) Attempts() (n int64) {
 	for f := Concluded; f <= Lost; f++ {
 		n += u[f]
@@ -84,15 +86,16 @@
 	return n
 }
 
-// Balance says what does not add up: every try has one result.
+// CheckBalance returns an error unless every set-up has exactly one result.
 func (u *Usage) Balance() error {
-	if results := u[StoodInTime] + u[StoodLate] + u[Refused] + u[Failed] + u[Left] + u[Unknown]; results != u[Offered] {
-		return fmt.Errorf("%d tries have %d results", u[Offered], results)
+	if results := u[StoodInTime] + u[StoodLate] + u[Refused] + u[Failed] + u[Left] +
+		u[Unknown]; results != u[Offered] {
+		return fmt.Errorf("%d set-ups have %d results", u[Offered], results)
 	}
 	return nil
 }
 
-// Map is the figures that are not zero, by name.
+// Map returns the non-zero values by field name.
 func (u *Usage) Map() map[string]int64 {
 	m := map[string]int64{}
 	for f, n := range u {
@@ -103,7 +106,7 @@
 	return m
 }
 
-// MarshalJSON writes the figures that are not zero, by name, in the order of the fields.
+// MarshalJSON encodes the non-zero values by field name, in the order of the fields.
 func (u Usage) MarshalJSON() ([]byte, error) {
 	b := []byte{'{'}
 	for f, n := range u {
@@ -118,7 +121,7 @@
 	return append(b, '}'), nil
 }
 
-// UnmarshalJSON reads figures by name; the error names one that is not known.
+// UnmarshalJSON decodes values by field name. Unknown names are an error.
 func (u *Usage) UnmarshalJSON(b []byte) error {
 	var m map[string]int64
 	if err := json.Unmarshal(b, &m); err != nil {
@@ -135,7 +138,7 @@
 	return nil
 }
 
-// Key is whose use is counted, and of what.
+// Key identifies what a Usage counts: a class as used by a tenant.
 type Key struct{ Tenant, Class string }
 
 func compareKeys(a, b Key) int {
