--- a/cmd/threadglade/bench_test.go
+++ b/cmd/threadglade/bench_test.go
@@ -192,13 +192,13 @@
 		for p := range periods {
 			s := &ledger.Statement{Sequence: uint64(p + 1), From: int64(p) * 3_600_000, To: int64(p+1) * 3_600_000, Totals: map[ledger.Key]*ledger.Usage{}}
 			for t := range 1000 {
-				s.Totals[ledger.Key{Tenant: fmt.Sprintf("t%04d", t), Class: "voice"}] = &ledger.Usage{ledger.Offered: calls / 1000, ledger.StoodInTime: calls / 1000}
+				s.Totals[ledger.Key{Tenant: fmt.Sprintf("t%04d", t), Class: "voice"}] = &ledger.Usage{ledger.Offered: calls / 1000, ledger.EstablishedInTime: calls / 1000}
 			}
 			for range calls {
 				s.Calls = append(s.Calls, random.Uint64())
 			}
 			slices.Sort(s.Calls)
-			e, list := ledger.NewExport(ledger.Terms{Router: fmt.Sprintf("n%d", r), Length: 3_600_000}, s, nil)
+			e, list := ledger.NewExport(ledger.Settings{Router: fmt.Sprintf("n%d", r), Length: 3_600_000}, s, nil)
 			require.NoError(b, ledgerio.WriteExport(fileSystem, filepath.Join(dir, e.FileName()), e, list))
 		}
 	}
--- a/cmd/threadglade/child_test.go
+++ b/cmd/threadglade/child_test.go
@@ -24,7 +24,7 @@
 // TestMain lets this binary be the program itself: with CHILD set it carries out its command line, on files that kill it
 // at the step that KILL names, as WHAT NAME COUNT.
 func TestMain(m *testing.M) {
-	ledger.ShortestForTests = time.Second
+	ledger.MinPeriodForTests = time.Second
 	if os.Getenv("CHILD") == "" {
 		flag.Set("test.parallel", "8") // drills wait most of their time
 		os.Exit(m.Run())
--- a/cmd/threadglade/ledger.go
+++ b/cmd/threadglade/ledger.go
@@ -204,7 +204,7 @@
 		if err != nil {
 			return usage(err)
 		}
-		only = v.Terms.Start(t.UnixMilli())
+		only = v.Terms.PeriodStart(t.UnixMilli())
 	}
 	list := []shown{}
 	add := func(from int64, state string, key ledger.Key, u ledger.Usage) {
@@ -249,7 +249,7 @@
 		for _, s := range list {
 			u := &s.usage
 			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", s.Period, s.State, s.Tenant, s.Class, u[ledger.Offered],
-				u[ledger.Repeats], u[ledger.StoodInTime], u[ledger.StoodLate], u[ledger.Refused], u[ledger.Failed], u[ledger.Left],
+				u[ledger.Repeats], u[ledger.EstablishedInTime], u[ledger.EstablishedLate], u[ledger.Refused], u[ledger.Failed], u[ledger.Abandoned],
 				u[ledger.Unknown], u.Attempts(), u[ledger.HeldMs], float64(u[ledger.WorthMilli])/1000)
 		}
 		t.Flush()
@@ -341,9 +341,9 @@
 		sources = append(sources, src)
 	}
 	claims := 0
-	calls, err := ledger.Claims(sources, func(call uint64, one, other int) {
+	calls, err := ledger.FindDuplicateCalls(sources, func(call uint64, one, other int) {
 		if claims++; claims <= claimsMost {
-			findings = append(findings, ledger.Finding{Kind: "claim", Text: fmt.Sprintf("call %s stood in %s and in %s", ledger.CallText(call), names[one], names[other])})
+			findings = append(findings, ledger.Finding{Kind: "claim", Text: fmt.Sprintf("call %s stood in %s and in %s", ledger.FormatCallKey(call), names[one], names[other])})
 		}
 	})
 	if err != nil {
@@ -382,7 +382,7 @@
 				mends = "yes"
 			}
 			fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%s\t\n", utc(row.Period), row.Tenant, row.Class, u[ledger.Offered],
-				u[ledger.StoodInTime], u[ledger.StoodLate], u[ledger.Refused], u[ledger.Failed], u[ledger.Left], u[ledger.Unknown],
+				u[ledger.EstablishedInTime], u[ledger.EstablishedLate], u[ledger.Refused], u[ledger.Failed], u[ledger.Abandoned], u[ledger.Unknown],
 				u.Attempts(), u[ledger.HeldMs], float64(u[ledger.WorthMilli])/1000, mends)
 		}
 		t.Flush()
--- a/cmd/threadglade/ledger_test.go
+++ b/cmd/threadglade/ledger_test.go
@@ -93,7 +93,7 @@
 	for _, path := range files {
 		_, err := ledgerio.ReadExport(durable.OS{}, path, func(calls []uint64) error {
 			for _, c := range calls {
-				require.False(s.t, stated[c], "%s is stated twice", ledger.CallText(c))
+				require.False(s.t, stated[c], "%s is stated twice", ledger.FormatCallKey(c))
 				stated[c] = true
 			}
 			return nil
@@ -101,18 +101,18 @@
 		require.NoError(s.t, err)
 	}
 	for c := range saw.stood {
-		require.True(s.t, stated[c], "%s stood at a case server and is stated nowhere", ledger.CallText(c))
+		require.True(s.t, stated[c], "%s stood at a case server and is stated nowhere", ledger.FormatCallKey(c))
 	}
 	require.Equal(s.t, len(saw.stood), len(stated), "calls are stated that stood nowhere")
 	byKey := map[ledger.Key]int64{}
 	for _, row := range r.Rows {
-		if n := row.Mended[ledger.StoodInTime] + row.Mended[ledger.StoodLate]; n > 0 {
+		if n := row.Mended[ledger.EstablishedInTime] + row.Mended[ledger.EstablishedLate]; n > 0 {
 			byKey[row.Key] += n
 		}
 	}
 	require.Equal(s.t, saw.byKey, byKey)
 	u := r.Total
-	require.NoError(s.t, u.Balance())
+	require.NoError(s.t, u.CheckBalance())
 	require.Zero(s.t, saw.odd)
 	// Set-ups that a case server got are among the attempts; those that it may not have got are told apart.
 	require.LessOrEqual(s.t, saw.received, u.Attempts())
@@ -176,8 +176,8 @@
 	u := s.compare([]string{out}, load)
 	t.Logf("%d lives ended at a step, %d between; callers saw %+v; stated %v", byStep, steady, counts, u.Map())
 	require.NotZero(t, u[ledger.Recovered])
-	require.GreaterOrEqual(t, u[ledger.StoodInTime]+u[ledger.StoodLate], int64(counts.Stood), "every call that stood for its caller")
-	require.Less(t, int(u[ledger.StoodLate]), int(u[ledger.StoodInTime]))
+	require.GreaterOrEqual(t, u[ledger.EstablishedInTime]+u[ledger.EstablishedLate], int64(counts.Stood), "every call that stood for its caller")
+	require.Less(t, int(u[ledger.EstablishedLate]), int(u[ledger.EstablishedInTime]))
 	names, err := os.ReadDir(dir)
 	require.NoError(t, err)
 	require.Less(t, len(names), 50, "what was exported is removed")
@@ -300,7 +300,7 @@
 		require.Zero(t, code, text)
 	}
 	u := s.compare(outs, loads...)
-	require.EqualValues(t, stood, u[ledger.StoodInTime]+u[ledger.StoodLate])
+	require.EqualValues(t, stood, u[ledger.EstablishedInTime]+u[ledger.EstablishedLate])
 	require.NotZero(t, u[ledger.Repeats])
 	saw := s.tally(loads...)
 	require.InDelta(t, saw.held.Milliseconds(), u[ledger.HeldMs], 0.05*float64(saw.held.Milliseconds())+20)
@@ -500,7 +500,7 @@
 func TestMergeFindings(t *testing.T) {
 	dir := t.TempDir()
 	for _, router := range []string{"n0", "n1"} {
-		e, calls := ledger.NewExport(ledger.Terms{Router: router, Length: 60_000}, &ledger.Statement{Sequence: 1, From: 60_000, To: 120_000, Calls: []uint64{7, 9}}, nil)
+		e, calls := ledger.NewExport(ledger.Settings{Router: router, Length: 60_000}, &ledger.Statement{Sequence: 1, From: 60_000, To: 120_000, Calls: []uint64{7, 9}}, nil)
 		require.NoError(t, ledgerio.WriteExport(durable.OS{}, filepath.Join(dir, e.FileName()), e, calls))
 	}
 	text, code := tool(t, "ledger", "merge", dir)
--- a/internal/ledgerio/bench_test.go
+++ b/internal/ledgerio/bench_test.go
@@ -13,18 +13,18 @@
 
 // fill writes calls of three entries each to a journal, a turn of ten calls at a time; every tenth stays open for a while.
 func fill(b *testing.B, dir string, calls int, roll int64) (took time.Duration, bytes int64) {
-	book := ledger.StartBook(ledger.Terms{Router: "n0", Length: 60_000, Grace: 1000, UnknownAfter: 60_000})
+	book := ledger.NewInitializedState(ledger.Settings{Router: "n0", Length: 60_000, Grace: 1000, UnknownTimeout: 60_000})
 	l, err := durable.Continue(journalConfig(durable.OS{}, dir, roll, book), durable.Scan{})
 	require.NoError(b, err)
-	list := []ledger.Entry{{Kind: ledger.Name, Index: 1, Text: "lda"}, {Kind: ledger.Name, Index: 2, Text: "voice"}, {Kind: ledger.Name, Index: 3, Text: "s0"}}
+	list := []ledger.Entry{{Kind: ledger.KindName, Index: 1, Text: "lda"}, {Kind: ledger.KindName, Index: 2, Text: "voice"}, {Kind: ledger.KindName, Index: 3, Text: "s0"}}
 	at, began := int64(1_700_000_000_000), time.Now()
 	for i := range calls {
 		at += int64(i & 1)
 		call := uint64(i)*0x9e3779b97f4a7c15 + 1
-		u := ledger.Usage{ledger.Offered: 1, ledger.StoodInTime: 1, ledger.Concluded: 1, ledger.HeldMs: 7000, ledger.WorthMilli: 1000}
-		list = append(list, ledger.Entry{Kind: ledger.Intent, At: at, Call: call, Tenant: 1, Class: 2, Server: 3},
-			ledger.Entry{Kind: ledger.Answer, At: at, Call: call, InTime: true},
-			ledger.Entry{Kind: ledger.End, At: at, Call: call, Tenant: 1, Class: 2, Usage: u})
+		u := ledger.Usage{ledger.Offered: 1, ledger.EstablishedInTime: 1, ledger.Concluded: 1, ledger.HeldMs: 7000, ledger.WorthMilli: 1000}
+		list = append(list, ledger.Entry{Kind: ledger.KindAttempt, At: at, Call: call, Tenant: 1, Class: 2, Server: 3},
+			ledger.Entry{Kind: ledger.KindAnswer, At: at, Call: call, InTime: true},
+			ledger.Entry{Kind: ledger.KindEnd, At: at, Call: call, Tenant: 1, Class: 2, Usage: u})
 		if i%10 == 9 {
 			require.NoError(b, l.Append(frames(frameEntries, list)...))
 			for j := range list {
--- a/internal/ledgerio/carrier.go
+++ b/internal/ledgerio/carrier.go
@@ -38,7 +38,7 @@
 // Options are what the settings say of the ledger.
 type Options struct {
 	Dir      string
-	Terms    ledger.Terms
+	Terms    ledger.Settings
 	Sync     time.Duration // how often what was written is made to outlast a crash of the machine; 0: with every write
 	Export   string        // folder that closed periods are exported to as they close; empty: only by command
 	Keep     time.Duration // how long what was exported is kept
@@ -50,8 +50,8 @@
 
 // Defaults of Options, and of Terms but for the router's name.
 func Defaults() Options {
-	return Options{Terms: ledger.Terms{Length: time.Hour.Milliseconds(), Grace: (30 * time.Second).Milliseconds(),
-		UnknownAfter: (15 * time.Minute).Milliseconds()}, Sync: 200 * time.Millisecond, Keep: 35 * 24 * time.Hour,
+	return Options{Terms: ledger.Settings{Length: time.Hour.Milliseconds(), Grace: (30 * time.Second).Milliseconds(),
+		UnknownTimeout: (15 * time.Minute).Milliseconds()}, Sync: 200 * time.Millisecond, Keep: 35 * 24 * time.Hour,
 		Patience: 20 * time.Millisecond, Roll: 16 << 20}
 }
 
@@ -95,7 +95,7 @@
 	aside  sync.WaitGroup // what syncs and exports
 
 	// Of the writer.
-	book   *ledger.Book
+	book   *ledger.State
 	log    *durable.Log
 	told   time.Time // when a failure was last logged
 	closed chan struct{}
@@ -152,7 +152,7 @@
 		return nil, err
 	}
 	if book == nil {
-		book = ledger.StartBook(cfg.Terms)
+		book = ledger.NewInitializedState(cfg.Terms)
 	}
 	for _, torn := range scan.Torn {
 		cfg.Log.Warn().Str("event", "ledger_torn").Str("where", torn).Msgf("ledger: a crash has cut off %s; it does not count", torn)
@@ -161,11 +161,11 @@
 		return nil, fmt.Errorf("%s: is the ledger of %s by periods of %v, not of %s by %v; name another directory", cfg.Dir, book.Router,
 			time.Duration(book.Length)*time.Millisecond, cfg.Terms.Router, time.Duration(cfg.Terms.Length)*time.Millisecond)
 	}
-	book.Terms = cfg.Terms
-	book.Trim()
+	book.Settings = cfg.Terms
+	book.CompactNames()
 	c := &Carrier{cfg: cfg, book: book, queue: xsync.NewSPSCQueue[batch](batchesMost), spare: xsync.NewSPSCQueue[[]ledger.Entry](spareMost),
 		wake: make(chan struct{}, 1), stop: make(chan struct{}), closed: make(chan struct{}, 1)}
-	c.keeper = ledger.NewKeeper(ledger.KeeperConfig{Classes: cfg.Classes, Tenants: cfg.Tenants, Wall: cfg.Wall}, book)
+	c.keeper = ledger.NewKeeper(ledger.KeeperConfig{Classes: cfg.Classes, Tenants: cfg.Tenants, WallClock: cfg.Wall}, book)
 	if c.log, err = durable.Continue(journalConfig(cfg.FS, cfg.Dir, cfg.Roll, book), scan); err != nil {
 		return nil, err
 	}
@@ -189,16 +189,16 @@
 func (c *Carrier) SetClasses(classes map[string]ledger.Class) { c.keeper.SetClasses(classes) }
 
 // Adopt books a standing call taken over from another router; false: it is in the books already. Drop, Sleep and Wake are the keeper's, too: calls that are others' are dropped.
-func (c *Carrier) Adopt(t ledger.Taken) bool { return c.keeper.Adopt(t) }
+func (c *Carrier) Adopt(t ledger.TakenOverCall) bool { return c.keeper.Adopt(t) }
 
 // Drop takes a call out of the books that is in another router's.
-func (c *Carrier) Drop(id string) { c.keeper.Drop(ledger.CallKey(id)) }
+func (c *Carrier) Drop(id string) { c.keeper.RemoveCall(ledger.CallKey(id)) }
 
 // Sleep has calls from before wait for Wake, and names them.
-func (c *Carrier) Sleep() []string { return c.keeper.Sleep() }
+func (c *Carrier) Sleep() []string { return c.keeper.SuspendOpenCalls() }
 
 // Wake says which of them others have taken over.
-func (c *Carrier) Wake(taken []string) { c.keeper.Wake(taken) }
+func (c *Carrier) Wake(taken []string) { c.keeper.ResumeOpenCalls(taken) }
 
 // Admit says whether a request can be billed, where the settings want only such.
 func (c *Carrier) Admit(router.Request) (threadglade.Reason, time.Duration) {
@@ -212,7 +212,7 @@
 // Commit implements loop.Gate: it hands the turn's entries to the writer. On one core the writer gets to run at once, and
 // where the disk is quick it is done by the time this returns.
 func (c *Carrier) Commit() uint64 {
-	if !c.keeper.Waiting() {
+	if !c.keeper.HasEntries() {
 		return c.ticket
 	}
 	if c.handed.Load() >= handedMost || c.queued.Load() >= batchesMost {
@@ -254,7 +254,7 @@
 			c.since = c.cfg.Clock()
 		}
 	}
-	if p >= c.ticket && !c.keeper.Waiting() {
+	if p >= c.ticket && !c.keeper.HasEntries() {
 		c.since = 0
 		c.waits.Store(false)
 		if c.open && !c.failed.Load() {
@@ -293,7 +293,7 @@
 // for a second at most. The error says what may not have been written.
 func (c *Carrier) Close() error {
 	for patience := 100; ; patience-- {
-		if c.Commit(); !c.keeper.Waiting() || patience == 0 {
+		if c.Commit(); !c.keeper.HasEntries() || patience == 0 {
 			break
 		}
 		time.Sleep(10 * time.Millisecond) // until the writer has room
@@ -304,7 +304,7 @@
 	}
 	within(&c.aside, 250*time.Millisecond) // an export that is cut short goes on at the next start
 	err := c.lock.Close()
-	if c.failed.Load() || c.passed.Load() < c.ticket || c.keeper.Waiting() {
+	if c.failed.Load() || c.passed.Load() < c.ticket || c.keeper.HasEntries() {
 		err = errors.Join(err, errors.New("ledger: the last entries could not be written"))
 	}
 	return err
@@ -411,7 +411,7 @@
 			if err := c.book.Apply(e); err != nil {
 				c.complain("ledger_fault", err)
 			}
-			closed = closed || e.Kind == ledger.Close
+			closed = closed || e.Kind == ledger.KindClose
 		}
 		c.handed.Add(-int64(len(b.entries)))
 		c.spare.TryEnqueue(b.entries)
--- a/internal/ledgerio/carrier_test.go
+++ b/internal/ledgerio/carrier_test.go
@@ -46,7 +46,7 @@
 	d := &desk{t: t, fs: durabletest.New(seed), options: Defaults(), offered: map[string]bool{}, seen: map[string]bool{}, stood: map[string]bool{}}
 	d.wall.Store(1000 * minute)
 	d.options.Dir, d.options.Export, d.options.Roll, d.options.Sync = "ledger", "out", 2000, 0
-	d.options.Terms = ledger.Terms{Router: "n0", Length: minute, Grace: 1000, UnknownAfter: 10 * minute}
+	d.options.Terms = ledger.Settings{Router: "n0", Length: minute, Grace: 1000, UnknownTimeout: 10 * minute}
 	d.options.Keep = 0
 	return d
 }
@@ -148,7 +148,7 @@
 		}
 		e, err := ReadExport(d.fs, "out/"+f, func(calls []uint64) error {
 			for _, c := range calls {
-				stated[ledger.CallText(c)]++
+				stated[ledger.FormatCallKey(c)]++
 			}
 			return nil
 		})
@@ -235,7 +235,7 @@
 		d.fs.Restart()
 		entries := 0
 		_, err := readJournal(d.fs, "ledger", 0, func(e *ledger.Entry) error {
-			if e.Kind == ledger.End {
+			if e.Kind == ledger.KindEnd {
 				entries++
 			}
 			return nil
--- a/internal/ledgerio/export.go
+++ b/internal/ledgerio/export.go
@@ -50,14 +50,14 @@
 		if s.Sequence != w.st.Done+1 || w.st.To != 0 && s.From != w.st.To {
 			return fmt.Errorf("%w: statement %d from %s follows export %d up to %s", errHere, s.Sequence, stamp(s.From), w.st.Done, stamp(w.st.To))
 		}
-		done, err := w.state(c.Book.Terms, s)
+		done, err := w.state(c.State.Settings, s)
 		if err != nil {
 			return fmt.Errorf("%w of statement %d: %w", errHere, s.Sequence, err)
 		}
 		list = append(list, done)
 		return nil
 	})
-	_, err = readJournal(f, dir, first, c.Take)
+	_, err = readJournal(f, dir, first, c.Add)
 	if w.log != nil {
 		err = errors.Join(err, w.log.Close())
 	}
@@ -103,7 +103,7 @@
 
 // state exports one statement: what goes into it is settled and written down first, then the file appears, then it counts
 // as done.
-func (w *exporter) state(t ledger.Terms, s *ledger.Statement) (Exported, error) {
+func (w *exporter) state(t ledger.Settings, s *ledger.Statement) (Exported, error) {
 	mends, _, err := readCorrections(w.f, w.dir)
 	if err != nil {
 		return Exported{}, err
@@ -198,9 +198,9 @@
 	if book == nil {
 		return false, fmt.Errorf("%s: %w", dir, ErrNoLedger)
 	}
-	k := ledger.NewKeeper(ledger.KeeperConfig{Wall: wall}, book)
+	k := ledger.NewKeeper(ledger.KeeperConfig{WallClock: wall}, book)
 	k.Tick()
-	if !k.Waiting() {
+	if !k.HasEntries() {
 		return true, nil
 	}
 	l, err := durable.Continue(journalConfig(f, dir, smallRoll, book), scan)
@@ -214,7 +214,7 @@
 }
 
 // journalConfig is the journal of a book: its segments begin with what the book holds then.
-func journalConfig(f durable.FS, dir string, roll int64, book *ledger.Book) durable.LogConfig {
+func journalConfig(f durable.FS, dir string, roll int64, book *ledger.State) durable.LogConfig {
 	return durable.LogConfig{FS: f, Dir: dir, Name: journal, Kind: kindJournal, Roll: roll,
 		Checkpoint: func() []durable.Frame { return frames(frameCheckpoint, book.Checkpoint()) }}
 }
--- a/internal/ledgerio/settings.go
+++ b/internal/ledgerio/settings.go
@@ -21,19 +21,19 @@
 		s.Duration(field, &d, low, high)
 		*v = d.Milliseconds()
 	}
-	shortest := ledger.ShortestPeriod
-	if ledger.ShortestForTests > 0 {
-		shortest = ledger.ShortestForTests
+	shortest := ledger.MinPeriod
+	if ledger.MinPeriodForTests > 0 {
+		shortest = ledger.MinPeriodForTests
 	}
 	if !s.String("directory", &o.Dir) || o.Dir == "" {
 		s.Errorf("directory", "is missing")
 	}
-	ms("period", &o.Terms.Length, shortest, ledger.LongestPeriod)
+	ms("period", &o.Terms.Length, shortest, ledger.MaxPeriod)
 	if o.Terms.Length < o.Terms.Grace {
 		o.Terms.Grace = o.Terms.Length
 	}
 	ms("grace", &o.Terms.Grace, 0, time.Duration(o.Terms.Length)*time.Millisecond)
-	ms("unknown-after", &o.Terms.UnknownAfter, time.Second, 24*time.Hour)
+	ms("unknown-after", &o.Terms.UnknownTimeout, time.Second, 24*time.Hour)
 	s.Duration("sync", &o.Sync, 0, time.Minute)
 	s.Duration("keep", &o.Keep, 0, 10*366*24*time.Hour)
 	s.Duration("patience", &o.Patience, time.Millisecond, time.Second)
--- a/internal/ledgerio/store.go
+++ b/internal/ledgerio/store.go
@@ -83,14 +83,14 @@
 var errHere = errors.New("export")
 
 // Recover reads a ledger's book as of its last entry; that takes its last segment alone.
-func Recover(f durable.FS, dir string) (*ledger.Book, durable.Scan, error) {
+func Recover(f durable.FS, dir string) (*ledger.State, durable.Scan, error) {
 	numbers, err := durable.Segments(f, dir, journal)
 	if err != nil || len(numbers) == 0 {
 		return nil, durable.Scan{}, err
 	}
-	book := ledger.NewBook()
+	book := ledger.NewState()
 	s, err := readJournal(f, dir, numbers[len(numbers)-1], book.Apply)
-	if err == nil && !book.Whole() {
+	if err == nil && !book.HasCheckpoint() {
 		err = &durable.Damage{File: filepath.Join(dir, fmt.Sprintf("%s-%08d.tgl", journal, numbers[len(numbers)-1])), Offset: 0, What: "its checkpoint is not whole"}
 	}
 	return book, s, err
@@ -104,7 +104,7 @@
 			return durable.Stop()
 		}
 		return ledger.Decode(payload, func(e *ledger.Entry) error {
-			if e.Kind != ledger.Mark {
+			if e.Kind != ledger.KindCheckpointEnd {
 				return nil
 			}
 			m, err = *e, nil
@@ -252,8 +252,8 @@
 
 // View is what a ledger's folder holds.
 type View struct {
-	Terms       ledger.Terms
-	Book        *ledger.Book
+	Terms       ledger.Settings
+	Book        *ledger.State
 	Statements  []*ledger.Statement // of the segments that are there
 	Unstated    []*ledger.Statement // periods that are not closed
 	Late        map[int64]map[ledger.Key]*ledger.Usage
@@ -278,12 +278,12 @@
 	}
 	v := &View{}
 	c := ledger.NewCollector(func(s *ledger.Statement) error { v.Statements = append(v.Statements, s); return nil })
-	s, err := readJournal(f, dir, 0, c.Take)
+	s, err := readJournal(f, dir, 0, c.Add)
 	if err != nil {
 		return nil, err
 	}
-	v.Terms, v.Book, v.Torn, v.Segments, v.Bytes = c.Book.Terms, c.Book, s.Torn, s.Segments, s.Bytes
-	v.Unstated, v.Late = c.Unstated()
+	v.Terms, v.Book, v.Torn, v.Segments, v.Bytes = c.State.Settings, c.State, s.Torn, s.Segments, s.Bytes
+	v.Unstated, v.Late = c.Pending()
 	list, s, err := readCorrections(f, dir)
 	if err != nil {
 		return nil, err
@@ -294,8 +294,8 @@
 		return nil, err
 	}
 	v.Exported, v.ExportedTo, v.Planned, v.Torn = st.Done, st.To, st.Plan != nil, append(v.Torn, s.Torn...)
-	if st.Done > c.Book.Sequence || st.Corrections > uint64(len(list)) {
-		return nil, fmt.Errorf("%s: %d periods were exported, but the journal has closed %d: a part of it is not there", dir, st.Done, c.Book.Sequence)
+	if st.Done > c.State.Sequence || st.Corrections > uint64(len(list)) {
+		return nil, fmt.Errorf("%s: %d periods were exported, but the journal has closed %d: a part of it is not there", dir, st.Done, c.State.Sequence)
 	}
 	return v, nil
 }
@@ -313,14 +313,14 @@
 		return nil
 	}
 	c := ledger.NewCollector(take)
-	if _, err = readJournal(f, dir, 0, c.Take); err != nil {
+	if _, err = readJournal(f, dir, 0, c.Add); err != nil {
 		return nil, nil, nil, err
 	}
-	list, _ := c.Unstated()
+	list, _ := c.Pending()
 	for _, s := range list {
 		take(s)
 	}
-	for call := range c.Book.Calls {
+	for call := range c.State.Calls {
 		open[call] = true
 	}
 	return counted, unknown, open, nil
@@ -342,7 +342,7 @@
 		}
 		return kind, payload, err
 	}, calls)
-	if errors.Is(err, ledger.ErrContent) {
+	if errors.Is(err, ledger.ErrInvalidExport) {
 		return nil, r.Damaged(at, "%v", err)
 	}
 	if err == nil {
@@ -377,7 +377,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if part, err := c.list.Take(kind, payload); err != nil || len(part) > 0 {
+		if part, err := c.list.Decode(kind, payload); err != nil || len(part) > 0 {
 			return part, err
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -424,7 +424,7 @@
 		n.callControl.Change(settings.Classes)
 	}
 	if n.ledger != nil {
-		n.ledger.SetClasses(ledger.Classes(settings.Classes))
+		n.ledger.SetClasses(ledger.ConvertClasses(settings.Classes))
 	}
 	if n.trace != nil {
 		n.trace.SetClasses(trace.Classes(settings.Classes))
--- a/internal/node/subsystems.go
+++ b/internal/node/subsystems.go
@@ -136,7 +136,7 @@
 		ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 		fmt.Fprintf(w, "\n  (ledger (directory %q) (period %q) (grace %q) (unknown-after %q)\n"+
 			"    (sync %q) (patience %q) (keep %q) (segment-kb %d) (when-unwritable %s)",
-			o.Dir, ms(o.Terms.Length), ms(o.Terms.Grace), ms(o.Terms.UnknownAfter),
+			o.Dir, ms(o.Terms.Length), ms(o.Terms.Grace), ms(o.Terms.UnknownTimeout),
 			o.Sync, o.Patience, o.Keep, o.Roll>>10, when)
 		if o.Export != "" {
 			fmt.Fprintf(w, " (export %q)", o.Export)
@@ -399,15 +399,15 @@
 		h.n.trunk.CancelAndRelease(t.Server, t.ID, "0")
 		return false
 	}
-	return h.n.ledger == nil || h.n.ledger.Adopt(ledger.Taken{
-		ID:      t.ID,
-		Tenant:  t.Tenant,
-		Class:   t.Class,
-		Server:  t.Server,
-		Attempt: t.Attempt,
-		Retry:   t.Retry,
-		InTime:  t.InTime,
-		Stood:   t.EstablishedAt,
+	return h.n.ledger == nil || h.n.ledger.Adopt(ledger.TakenOverCall{
+		ID:            t.ID,
+		Tenant:        t.Tenant,
+		Class:         t.Class,
+		Server:        t.Server,
+		Attempt:       t.Attempt,
+		Retry:         t.Retry,
+		InTime:        t.InTime,
+		EstablishedAt: t.EstablishedAt,
 	})
 }
 
@@ -518,7 +518,7 @@
 	n.ledger, err = ledgerio.Open(ledgerio.Config{
 		Options: *n.config.Product.Ledger,
 		FS:      n.fileSystem(),
-		Classes: ledger.Classes(n.config.Settings.Classes),
+		Classes: ledger.ConvertClasses(n.config.Settings.Classes),
 		Wall:    func() int64 { return time.Now().UnixMilli() },
 		Clock:   n.clock,
 		Nudge:   n.Loop.Wake,
--- a/internal/scenario/ledger_test.go
+++ b/internal/scenario/ledger_test.go
@@ -81,5 +81,5 @@
 	for _, c := range v.Book.Calls {
 		require.Equal(t, "lda", v.Book.Name(c.Tenant))
 	}
-	require.Equal(t, ledger.Usage{ledger.Offered: 1, ledger.Left: 1, ledger.Cancelled: 1}, *v.Unstated[0].Totals[ledger.Key{Tenant: "kda", Class: "voice"}])
+	require.Equal(t, ledger.Usage{ledger.Offered: 1, ledger.Abandoned: 1, ledger.Cancelled: 1}, *v.Unstated[0].Totals[ledger.Key{Tenant: "kda", Class: "voice"}])
 }
--- a/ledger/entry.go
+++ b/ledger/entry.go
@@ -14,31 +14,31 @@
 
 // Kinds of entries.
 const (
-	Begin   EntryKind = iota + 1 // a checkpoint begins; the entries up to its end hold the whole state
-	Name                         // later entries refer to Text by Index
-	Intent                       // an attempt is about to be sent to Server; Usage counts earlier ones
-	Answer                       // Call is established, in time or not
-	End                          // Call is over; Usage is everything that it counts
-	Spilled                      // usage of Count calls that ended in Period while the buffer was full
-	Gone                         // Call is over and in spilled totals, or is in another router's ledger
-	Close                        // the periods from From to Period are closed, as statement number Sequence
-	Mark                         // a checkpoint ends; Period is the end of the last closed period
-	Used                         // only in a checkpoint: calls have ended in Period, which is not closed
+	KindCheckpointBegin EntryKind = iota + 1 // a checkpoint begins; the entries up to its end hold the whole state
+	KindName                                 // later entries refer to Text by Index
+	KindAttempt                              // an attempt is about to be sent to Server; Usage counts earlier ones
+	KindAnswer                               // Call is established, in time or not
+	KindEnd                                  // Call is over; Usage is everything that it counts
+	KindSpilled                              // usage of Count calls that ended in Period while the buffer was full
+	KindRemoved                              // Call is over and in spilled totals, or is in another router's ledger
+	KindClose                                // the periods from From to Period are closed, as statement number Sequence
+	KindCheckpointEnd                        // a checkpoint ends; Period is the end of the last closed period
+	KindUsedPeriod                           // only in a checkpoint: calls have ended in Period, which is not closed
 )
 
 // Entry is one record of the ledger. Which fields are used depends on Kind.
 type Entry struct {
-	Kind    EntryKind
-	At      int64  // ledger time, in milliseconds since the Unix epoch
-	Call    uint64 // the result of CallKey
-	Tenant  uint32 // name index, as are Class and Server; 0 means none
-	Class   uint32
-	Server  uint32
-	Attempt uint32
-	Retry   bool
-	InTime  bool
-	Stood   bool // KindEnd with an unknown result: the call is known to have been established
-	Usage   Usage
+	Kind        EntryKind
+	At          int64  // ledger time, in milliseconds since the Unix epoch
+	Call        uint64 // the result of CallKey
+	Tenant      uint32 // name index, as are Class and Server; 0 means none
+	Class       uint32
+	Server      uint32
+	Attempt     uint32
+	Retry       bool
+	InTime      bool
+	Established bool // KindEnd with an unknown result: the call is known to have been established
+	Usage       Usage
 	// Period is the start of the period for KindSpilled and KindUsedPeriod, the end of the closed range for KindClose
 	// and KindCheckpointEnd, and the length of periods for KindCheckpointBegin.
 	Period int64
@@ -65,7 +65,7 @@
 }
 
 // FormatCallKey formats a call's key as an ID of 16 hex digits.
-func CallText(key uint64) string { return fmt.Sprintf("%016x", key) }
+func FormatCallKey(key uint64) string { return fmt.Sprintf("%016x", key) }
 
 // Append appends the encoded entry to b: field 1 of the protocol buffer message Entries in docs/formats/ledger.md.
 func (e *Entry) Append(b []byte) []byte {
@@ -88,7 +88,7 @@
 	appendUint(7, uint64(e.Attempt))
 	appendUint(8, protowire.EncodeBool(e.Retry))
 	appendUint(9, protowire.EncodeBool(e.InTime))
-	appendUint(10, protowire.EncodeBool(e.Stood))
+	appendUint(10, protowire.EncodeBool(e.Established))
 	if e.Usage != (Usage{}) {
 		b = protowire.AppendTag(b, 11, protowire.BytesType)
 		size := len(b)
@@ -191,7 +191,7 @@
 			case 9:
 				e.InTime = protowire.DecodeBool(v)
 			case 10:
-				e.Stood = protowire.DecodeBool(v)
+				e.Established = protowire.DecodeBool(v)
 			case 12:
 				e.Period = int64(v)
 			case 13:
@@ -224,7 +224,7 @@
 				for len(v) > 0 {
 					f := v[0]
 					figure, size := protowire.ConsumeVarint(v[1:])
-					if size < 0 || f >= byte(Fields) {
+					if size < 0 || f >= byte(FieldCount) {
 						return errMalformedEntry
 					}
 					e.Usage[f] = protowire.DecodeZigZag(figure)
@@ -239,7 +239,7 @@
 			return errMalformedEntry
 		}
 	}
-	if e.Kind < Begin || e.Kind > Used {
+	if e.Kind < KindCheckpointBegin || e.Kind > KindUsedPeriod {
 		return fmt.Errorf("%w: kind %d", errMalformedEntry, e.Kind)
 	}
 	return nil
--- a/ledger/export.go
+++ b/ledger/export.go
@@ -103,7 +103,7 @@
 }
 
 // NewExport returns the export of a statement with the operators' corrections, and the calls to list in it.
-func NewExport(settings Terms, statement *Statement, corrections []Correction) (*Export, []uint64) {
+func NewExport(settings Settings, statement *Statement, corrections []Correction) (*Export, []uint64) {
 	export := &Export{
 		Router:   settings.Router,
 		Sequence: statement.Sequence,
@@ -211,14 +211,14 @@
 }
 
 // ErrInvalidExport is wrapped by errors for frames that are intact but don't form a valid export.
-var ErrContent = errors.New("is not an export")
+var ErrInvalidExport = errors.New("is not an export")
 
 // DecodeExport reads an export from the frames that next returns. If there are too few, it returns next's error, such
 // as io.EOF. calls, unless nil, receives the listed calls, ascending, in parts that are valid only during the call.
 func DecodeExport(next func() (kind uint16, payload []byte, err error), calls func([]uint64) error) (*Export, error) {
 	contentHash := digest{sha256.New()}
 	invalid := func(format string, args ...any) error {
-		return fmt.Errorf("%w: "+format, append([]any{ErrContent}, args...)...)
+		return fmt.Errorf("%w: "+format, append([]any{ErrInvalidExport}, args...)...)
 	}
 	var export Export
 	var head header
@@ -273,7 +273,7 @@
 			export.Unknown = append(export.Unknown, rows...)
 		case frameCalls:
 			var part []uint64
-			if part, err = list.Take(kind, payload); err == nil && calls != nil {
+			if part, err = list.Decode(kind, payload); err == nil && calls != nil {
 				err = calls(part)
 			}
 		case frameTrailer:
@@ -304,12 +304,12 @@
 
 // Decode returns the calls that a frame lists, ascending, and none for a frame of another kind. The slice is valid
 // until the next Decode.
-func (l *CallList) Take(kind uint16, payload []byte) ([]uint64, error) {
+func (l *CallList) Decode(kind uint16, payload []byte) ([]uint64, error) {
 	l.part = l.part[:0]
 	for b := payload; kind == frameCalls && len(b) > 0; {
 		delta, n := binary.Uvarint(b)
 		if n <= 0 || delta == 0 && l.count > 0 || l.last+delta < l.last {
-			return nil, fmt.Errorf("%w: list of calls is out of order", ErrContent)
+			return nil, fmt.Errorf("%w: list of calls is out of order", ErrInvalidExport)
 		}
 		b, l.last = b[n:], l.last+delta
 		l.count++
@@ -321,13 +321,13 @@
 // check returns an error if the export's figures or corrections are inconsistent.
 func (e *Export) check() error {
 	for _, l := range e.Lines {
-		if err := l.Usage.Balance(); err != nil {
-			return fmt.Errorf("%w: %s, %s: %v", ErrContent, l.Tenant, l.Class, err)
+		if err := l.Usage.CheckBalance(); err != nil {
+			return fmt.Errorf("%w: %s, %s: %v", ErrInvalidExport, l.Tenant, l.Class, err)
 		}
 	}
 	for _, c := range e.Corrections {
 		if _, err := ParseField(c.Field); err != nil || c.Period >= e.From {
-			return fmt.Errorf("%w: correction %d of period %d", ErrContent, c.Number, c.Period)
+			return fmt.Errorf("%w: correction %d of period %d", ErrInvalidExport, c.Number, c.Period)
 		}
 	}
 	return nil
--- a/ledger/keeper.go
+++ b/ledger/keeper.go
@@ -27,13 +27,13 @@
 
 // Class holds the set-up time and the worth by which calls of a class are counted.
 type Class struct {
-	Aim        time.Duration // a call established within it, counted from its set-up, is in time
-	WorthMilli int64         // thousandths, for a call that was established in time and not cut
-	LateMilli  int64         // thousandths, for a call that was established late and not cut
+	Aim            time.Duration // a call established within it, counted from its set-up, is in time
+	WorthMilli     int64         // thousandths, for a call that was established in time and not cut
+	LateWorthMilli int64         // thousandths, for a call that was established late and not cut
 }
 
 // ConvertClasses returns the classes of the Controller's settings by name.
-func Classes(list []threadglade.Class) map[string]Class {
+func ConvertClasses(list []threadglade.Class) map[string]Class {
 	m := map[string]Class{}
 	for _, c := range list {
 		m[c.Name] = Class{c.Aim, int64(math.Round(1000 * c.Worth)), int64(math.Round(1000 * c.Worth * c.LateFactor))}
@@ -46,24 +46,24 @@
 	Classes map[string]Class
 	Tenants *Directory // nil: all calls are Unassigned
 	// WallClock returns the time of day in milliseconds since the Unix epoch. It may jump.
-	Wall func() int64
+	WallClock func() int64
 	// MaxEntries limits the entries that wait for Take; 0 means 16,384. Beyond it only totals are kept.
-	Most int
+	MaxEntries int
 }
 
 // Keeper records the events of a router as ledger entries. It is a router.Observer and, like the router, may be used by
 // one goroutine only.
 type Keeper struct {
 	cfg            KeeperConfig
-	settings       Terms
+	settings       Settings
 	nameIndex      map[string]uint32
 	names          []string
 	limitedNames   [2]int               // new names of servers and of stated tenants since the start, by source
 	calls          map[string]*liveCall // calls of this process, by ID
 	freeCalls      []*liveCall
-	earlier        map[uint64]*Open         // calls of earlier processes or taken over, whose end is not known
+	earlier        map[uint64]*OpenCall     // calls of earlier processes or taken over, whose end is not known
 	suspended      map[uint64]*suspendedEnd // those of earlier that other routers may have taken over
-	earlierBySince []*Open                  // earlier, sorted by SentAt; may also hold calls that have ended
+	earlierBySince []*OpenCall              // earlier, sorted by SentAt; may also hold calls that have ended
 	now            int64                    // ledger time, which never goes back
 	closed         int64                    // all periods before it are closed; 0: no period has started
 	sequence       uint64                   // number of the latest statement
@@ -136,14 +136,14 @@
 }
 
 // NewKeeper returns a Keeper that continues from a state. It keeps no reference to it.
-func NewKeeper(cfg KeeperConfig, state *Book) *Keeper {
-	if cfg.Most == 0 {
-		cfg.Most = 16_384
+func NewKeeper(cfg KeeperConfig, state *State) *Keeper {
+	if cfg.MaxEntries == 0 {
+		cfg.MaxEntries = 16_384
 	}
-	k := &Keeper{cfg: cfg, settings: state.Terms, nameIndex: map[string]uint32{}, names: slices.Clone(state.Names),
-		calls: map[string]*liveCall{}, earlier: map[uint64]*Open{}, now: state.Now, closed: state.Closed,
+	k := &Keeper{cfg: cfg, settings: state.Settings, nameIndex: map[string]uint32{}, names: slices.Clone(state.Names),
+		calls: map[string]*liveCall{}, earlier: map[uint64]*OpenCall{}, now: state.Now, closed: state.Closed,
 		sequence: state.Sequence, usedPeriods: map[int64]bool{}}
-	for p := range state.Used {
+	for p := range state.UsedPeriods {
 		k.usedPeriods[p] = true
 		if state.Closed == 0 && (k.closed == 0 || p < k.closed) {
 			k.closed = p
@@ -157,8 +157,8 @@
 		k.earlier[key] = &earlier
 		k.earlierBySince = append(k.earlierBySince, &earlier)
 	}
-	slices.SortFunc(k.earlierBySince, func(a, b *Open) int {
-		return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(a.Call, b.Call))
+	slices.SortFunc(k.earlierBySince, func(a, b *OpenCall) int {
+		return cmp.Or(cmp.Compare(a.SentAt, b.SentAt), cmp.Compare(a.Call, b.Call))
 	})
 	return k
 }
@@ -182,7 +182,7 @@
 
 // advanceTime updates and returns the ledger time: the time of day, except that it never goes back when the clock does.
 func (k *Keeper) advanceTime() int64 {
-	k.now = max(k.now, k.cfg.Wall())
+	k.now = max(k.now, k.cfg.WallClock())
 	return k.now
 }
 
@@ -214,14 +214,14 @@
 	k.names = append(k.names, text)
 	k.nameIndex[text] = i
 	// Names are added even to a full buffer: other entries refer to them.
-	k.entries = append(k.entries, Entry{Kind: Name, Index: i, Text: text})
+	k.entries = append(k.entries, Entry{Kind: KindName, Index: i, Text: text})
 	return i
 }
 
 // spilling reports whether calls are counted in totals because the entry buffer is full, and starts that when it has
 // just become full.
 func (k *Keeper) spilling() bool {
-	if k.spill == nil && len(k.entries) >= k.cfg.Most {
+	if k.spill == nil && len(k.entries) >= k.cfg.MaxEntries {
 		k.spill = &spillBuffer{totals: map[spillKey]*spillTotal{}}
 	}
 	return k.spill != nil
@@ -251,12 +251,12 @@
 		call.inFlight = false
 	case router.Established:
 		call.establishedAt, call.answeredMs, call.inTime, call.result = e.At, k.advanceTime(),
-			e.At-call.arrivedAt <= call.classSettings.Aim, StoodLate
+			e.At-call.arrivedAt <= call.classSettings.Aim, EstablishedLate
 		if call.inTime {
-			call.result = StoodInTime
+			call.result = EstablishedInTime
 		}
 		if !k.spilling() && call.recorded {
-			k.entries = append(k.entries, Entry{Kind: Answer, At: call.answeredMs, Call: call.call,
+			k.entries = append(k.entries, Entry{Kind: KindAnswer, At: call.answeredMs, Call: call.call,
 				InTime: call.inTime})
 		}
 	case router.Refused:
@@ -264,9 +264,9 @@
 	case router.Failed:
 		call.result = Failed
 	case router.CallerLeft:
-		call.result = Left
+		call.result = Abandoned
 	case router.OrphanedCall:
-		call.usage[Ghosts]++
+		call.usage[OrphanedCalls]++
 	case router.Ended:
 		call.inFlight = false
 		call.usage[HeldMs] = (e.At - call.establishedAt).Milliseconds()
@@ -277,7 +277,7 @@
 		call.usage[Concluded]++ // even if the caller released it
 		call.usage[WorthMilli] = call.classSettings.WorthMilli
 		if !call.inTime {
-			call.usage[WorthMilli] = call.classSettings.LateMilli
+			call.usage[WorthMilli] = call.classSettings.LateWorthMilli
 		}
 	case router.Relinquished:
 		k.relinquish(e.Call, call)
@@ -289,8 +289,8 @@
 // relinquish turns an established call into one that another router may have taken over.
 func (k *Keeper) relinquish(id string, call *liveCall) {
 	delete(k.calls, id)
-	c := &Open{Call: call.call, Tenant: call.tenant, Class: call.class, Server: call.server, Attempt: call.attempt,
-		Retry: call.retry, Since: call.sentMs, Stood: call.answeredMs, InTime: call.inTime, Usage: call.usage}
+	c := &OpenCall{Call: call.call, Tenant: call.tenant, Class: call.class, Server: call.server, Attempt: call.attempt,
+		Retry: call.retry, SentAt: call.sentMs, EstablishedAt: call.answeredMs, InTime: call.inTime, Usage: call.usage}
 	c.Usage[Offered], c.Usage[Repeats] = 0, 0
 	k.addEarlier(c)
 	if k.suspended == nil {
@@ -300,46 +300,46 @@
 }
 
 // addEarlier adds a call to those of earlier processes.
-func (k *Keeper) addEarlier(c *Open) {
+func (k *Keeper) addEarlier(c *OpenCall) {
 	k.earlier[c.Call] = c
-	at, _ := slices.BinarySearchFunc(k.earlierBySince, c, func(a, b *Open) int {
-		return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(a.Call, b.Call))
+	at, _ := slices.BinarySearchFunc(k.earlierBySince, c, func(a, b *OpenCall) int {
+		return cmp.Or(cmp.Compare(a.SentAt, b.SentAt), cmp.Compare(a.Call, b.Call))
 	})
 	k.earlierBySince = slices.Insert(k.earlierBySince, at, c)
 }
 
 // TakenOverCall is an established call that this router has taken over from another.
-type Taken struct {
+type TakenOverCall struct {
 	ID, Tenant, Class, Server string
 	Attempt                   uint32
 	Retry, InTime             bool
-	Stood                     int64 // ledger time of the answer
+	EstablishedAt             int64 // ledger time of the answer
 }
 
 // Adopt adds a call that was taken over to those of earlier processes; its UnknownTimeout starts now. It returns false
 // if the call is in the ledger already.
-func (k *Keeper) Adopt(t Taken) bool {
+func (k *Keeper) Adopt(t TakenOverCall) bool {
 	key := CallKey(t.ID)
 	if (k.calls[t.ID] != nil || k.earlier[key] != nil) && mutant != "adopt-once" {
 		return false
 	}
 	now := k.advanceTime()
-	call := &Open{Call: key, Tenant: k.internName(t.Tenant, statedTenantName),
+	call := &OpenCall{Call: key, Tenant: k.internName(t.Tenant, statedTenantName),
 		Class: k.internName(t.Class, settingsName), Server: k.internName(t.Server, serverName), Attempt: t.Attempt,
-		Retry: t.Retry, Since: now, Stood: max(t.Stood, 1), InTime: t.InTime}
+		Retry: t.Retry, SentAt: now, EstablishedAt: max(t.EstablishedAt, 1), InTime: t.InTime}
 	k.addEarlier(call)
 	if !k.spilling() {
 		k.entries = append(k.entries,
-			Entry{Kind: Intent, At: now, Call: key, Tenant: call.Tenant, Class: call.Class,
+			Entry{Kind: KindAttempt, At: now, Call: key, Tenant: call.Tenant, Class: call.Class,
 				Server: call.Server, Attempt: call.Attempt, Retry: call.Retry},
-			Entry{Kind: Answer, At: now, From: call.Stood, Call: key, InTime: call.InTime})
+			Entry{Kind: KindAnswer, At: now, From: call.EstablishedAt, Call: key, InTime: call.InTime})
 	}
 	k.counters.Adopted++
 	return true
 }
 
 // RemoveCall removes an earlier call that is in another router's ledger.
-func (k *Keeper) Drop(call uint64) {
+func (k *Keeper) RemoveCall(call uint64) {
 	if k.earlier[call] == nil {
 		return
 	}
@@ -347,7 +347,7 @@
 	delete(k.suspended, call)
 	k.counters.Ceded++
 	if !k.spilling() {
-		k.entries = append(k.entries, Entry{Kind: Gone, At: k.advanceTime(), Call: call})
+		k.entries = append(k.entries, Entry{Kind: KindRemoved, At: k.advanceTime(), Call: call})
 	} else {
 		k.spill.removed = append(k.spill.removed, call)
 	}
@@ -355,23 +355,23 @@
 
 // SuspendOpenCalls suspends the calls of earlier processes until ResumeOpenCalls says which of them other routers have
 // taken over, and returns their IDs. Releases of suspended calls are kept but not counted.
-func (k *Keeper) Sleep() (ids []string) {
+func (k *Keeper) SuspendOpenCalls() (ids []string) {
 	if k.suspended = map[uint64]*suspendedEnd{}; mutant == "own-books" {
 		return nil
 	}
 	for _, call := range slices.Sorted(maps.Keys(k.earlier)) {
 		k.suspended[call] = &suspendedEnd{}
-		ids = append(ids, CallText(call))
+		ids = append(ids, FormatCallKey(call))
 	}
 	return ids
 }
 
 // ResumeOpenCalls removes the suspended calls that other routers have taken over. The others are this router's: it
 // counts those that were released while they were suspended.
-func (k *Keeper) Wake(taken []string) {
+func (k *Keeper) ResumeOpenCalls(taken []string) {
 	for _, id := range taken {
 		if call := CallKey(id); k.suspended[call] != nil && mutant != "keep-taken" {
-			k.Drop(call)
+			k.RemoveCall(call)
 		}
 	}
 	suspended := k.suspended
@@ -407,7 +407,7 @@
 	if e.Retry {
 		call.usage[Repeats] = 1
 	}
-	call.result = Left
+	call.result = Abandoned
 	k.calls[e.Call] = call
 	k.counters.Calls++
 }
@@ -417,7 +417,7 @@
 	if k.spilling() {
 		return
 	}
-	e := Entry{Kind: Intent, At: call.sentMs, Call: call.call, Tenant: call.tenant, Class: call.class,
+	e := Entry{Kind: KindAttempt, At: call.sentMs, Call: call.call, Tenant: call.tenant, Class: call.class,
 		Server: call.server, Attempt: call.attempt, Retry: call.retry, Usage: call.usage}
 	e.Usage[Offered], e.Usage[Repeats] = 0, 0 // given by Entry.Retry
 	k.entries = append(k.entries, e)
@@ -428,7 +428,7 @@
 func (k *Keeper) finishCall(id string, call *liveCall) {
 	delete(k.calls, id)
 	call.usage[call.result]++
-	k.recordEnd(Entry{Kind: End, At: k.advanceTime(), Call: call.call, Tenant: call.tenant, Class: call.class,
+	k.recordEnd(Entry{Kind: KindEnd, At: k.advanceTime(), Call: call.call, Tenant: call.tenant, Class: call.class,
 		Retry: call.retry, Usage: call.usage}, call.recorded)
 	if len(k.freeCalls) < 1024 {
 		k.freeCalls = append(k.freeCalls, call)
@@ -438,7 +438,7 @@
 // recordEnd records the end of a call, or adds it to the totals while the entry buffer is full. recorded tells whether
 // the call has earlier entries.
 func (k *Keeper) recordEnd(e Entry, recorded bool) {
-	period := k.settings.Start(e.At)
+	period := k.settings.PeriodStart(e.At)
 	if k.closed == 0 {
 		k.closed = period
 	}
@@ -487,15 +487,15 @@
 		usage[Repeats] = 1
 	}
 	// An answer without an entry reached a caller that had lost the router: it is not in time.
-	class, from := k.cfg.Classes[k.names[open.Class]], open.Since
-	if open.Stood > 0 {
-		from = open.Stood
+	class, from := k.cfg.Classes[k.names[open.Class]], open.SentAt
+	if open.EstablishedAt > 0 {
+		from = open.EstablishedAt
 	}
 	usage[HeldMs] = max(0, now-from)
 	if open.InTime {
-		usage[StoodInTime] = 1
+		usage[EstablishedInTime] = 1
 	} else {
-		usage[StoodLate] = 1
+		usage[EstablishedLate] = 1
 	}
 	switch {
 	case outcome == threadglade.Cut:
@@ -504,12 +504,12 @@
 		usage[Concluded]++
 		if open.InTime {
 			usage[WorthMilli] = class.WorthMilli
-		} else if open.Stood > 0 {
-			usage[WorthMilli] = class.LateMilli
+		} else if open.EstablishedAt > 0 {
+			usage[WorthMilli] = class.LateWorthMilli
 		}
 	}
 	k.counters.Recovered++
-	k.recordEnd(Entry{Kind: End, At: now, Call: call, Tenant: open.Tenant, Class: open.Class, Retry: open.Retry,
+	k.recordEnd(Entry{Kind: KindEnd, At: now, Call: call, Tenant: open.Tenant, Class: open.Class, Retry: open.Retry,
 		Usage: usage}, true)
 }
 
@@ -517,7 +517,7 @@
 // to be called at least once a second.
 func (k *Keeper) Tick() {
 	now := k.advanceTime()
-	for len(k.earlierBySince) > 0 && (now-k.earlierBySince[0].Since >= k.settings.UnknownAfter ||
+	for len(k.earlierBySince) > 0 && (now-k.earlierBySince[0].SentAt >= k.settings.UnknownTimeout ||
 		k.earlier[k.earlierBySince[0].Call] != k.earlierBySince[0]) {
 		call := k.earlierBySince[0]
 		k.earlierBySince = k.earlierBySince[1:]
@@ -533,16 +533,16 @@
 			usage[Repeats] = 1
 		}
 		k.counters.Unknown++
-		k.recordEnd(Entry{Kind: End, At: now, Call: call.Call, Tenant: call.Tenant, Class: call.Class,
-			Server: call.Server, Retry: call.Retry, Stood: call.Stood > 0, From: call.Since,
+		k.recordEnd(Entry{Kind: KindEnd, At: now, Call: call.Call, Tenant: call.Tenant, Class: call.Class,
+			Server: call.Server, Retry: call.Retry, Established: call.EstablishedAt > 0, From: call.SentAt,
 			Usage: usage}, true)
 	}
 	if k.closed == 0 {
-		k.closed = k.settings.Start(now)
+		k.closed = k.settings.PeriodStart(now)
 	}
 	// Each period in which calls ended gets its own statement. Runs of periods without any share one: after the clock
 	// jumped or the router was down for long, there may be many.
-	for due := k.settings.Start(now - k.settings.Grace); k.closed < due; {
+	for due := k.settings.PeriodStart(now - k.settings.Grace); k.closed < due; {
 		to := k.closed + k.settings.Length
 		if !k.usedPeriods[k.closed] {
 			to = due
@@ -555,7 +555,7 @@
 		delete(k.usedPeriods, k.closed)
 		k.sequence++
 		k.counters.Statements++
-		k.entries = append(k.entries, Entry{Kind: Close, At: now, From: k.closed, Period: to, Sequence: k.sequence})
+		k.entries = append(k.entries, Entry{Kind: KindClose, At: now, From: k.closed, Period: to, Sequence: k.sequence})
 		k.closed = to
 	}
 }
@@ -564,7 +564,7 @@
 func (k *Keeper) Now() int64 { return k.advanceTime() }
 
 // HasEntries reports whether Take would return entries.
-func (k *Keeper) Waiting() bool { return len(k.entries) > 0 || k.spill != nil }
+func (k *Keeper) HasEntries() bool { return len(k.entries) > 0 || k.spill != nil }
 
 // Take returns the entries since the last call, in order, with spilled totals at the end. The Keeper collects new
 // entries in next, whose contents it overwrites.
@@ -580,11 +580,11 @@
 		})
 		for _, key := range keys {
 			total := spill.totals[key]
-			k.entries = append(k.entries, Entry{Kind: Spilled, At: k.advanceTime(), Period: key.period,
+			k.entries = append(k.entries, Entry{Kind: KindSpilled, At: k.advanceTime(), Period: key.period,
 				Tenant: key.tenant, Class: key.class, Usage: total.usage, Count: total.calls})
 		}
 		for _, call := range spill.removed {
-			k.entries = append(k.entries, Entry{Kind: Gone, At: k.now, Call: call})
+			k.entries = append(k.entries, Entry{Kind: KindRemoved, At: k.now, Call: call})
 		}
 		k.spill = nil
 		k.recordMissedAttempts()
@@ -601,12 +601,12 @@
 		if !call.inFlight || call.recorded {
 			continue
 		}
-		e := Entry{Kind: Intent, At: k.now, From: call.sentMs, Call: call.call, Tenant: call.tenant,
+		e := Entry{Kind: KindAttempt, At: k.now, From: call.sentMs, Call: call.call, Tenant: call.tenant,
 			Class: call.class, Server: call.server, Attempt: call.attempt, Retry: call.retry, Usage: call.usage}
 		e.Usage[Offered], e.Usage[Repeats] = 0, 0
 		k.entries = append(k.entries, e)
 		if call.answeredMs > 0 {
-			k.entries = append(k.entries, Entry{Kind: Answer, At: k.now, From: call.answeredMs, Call: call.call,
+			k.entries = append(k.entries, Entry{Kind: KindAnswer, At: k.now, From: call.answeredMs, Call: call.call,
 				InTime: call.inTime})
 		}
 		call.recorded = true
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -22,8 +22,8 @@
 const minute = int64(60_000)
 
 var (
-	testSettings = Terms{Router: "n0", Length: minute, Grace: 10_000, UnknownAfter: 90_000}
-	testClasses  = map[string]Class{"voice": {Aim: time.Second, WorthMilli: 3000, LateMilli: 500}}
+	testSettings = Settings{Router: "n0", Length: minute, Grace: 10_000, UnknownTimeout: 90_000}
+	testClasses  = map[string]Class{"voice": {Aim: time.Second, WorthMilli: 3000, LateWorthMilli: 500}}
 )
 
 // TestMain fixes the seed of the random tests, unless -rapid.seed gives one.
@@ -51,13 +51,13 @@
 	})
 	require.NoError(t, err)
 	h := &harness{wallMs: 1_000 * minute, maxEntries: maxEntries}
-	h.entries = StartBook(testSettings).Checkpoint()
+	h.entries = NewInitializedState(testSettings).Checkpoint()
 	h.startKeeper(d)
 	return h
 }
 
-func (h *harness) state(t require.TestingT) *Book {
-	state := NewBook()
+func (h *harness) state(t require.TestingT) *State {
+	state := NewState()
 	for i := range h.entries {
 		require.NoError(t, state.Apply(&h.entries[i]))
 	}
@@ -65,14 +65,14 @@
 }
 
 func (h *harness) startKeeper(d *Directory) {
-	state := NewBook()
+	state := NewState()
 	for i := range h.entries {
 		if err := state.Apply(&h.entries[i]); err != nil {
 			panic(err)
 		}
 	}
-	h.keeper = NewKeeper(KeeperConfig{Classes: testClasses, Tenants: d, Wall: func() int64 { return h.wallMs },
-		Most: h.maxEntries}, state)
+	h.keeper = NewKeeper(KeeperConfig{Classes: testClasses, Tenants: d, WallClock: func() int64 { return h.wallMs },
+		MaxEntries: h.maxEntries}, state)
 }
 
 // crash starts a new Keeper from the entries taken so far.
@@ -110,14 +110,14 @@
 func (h *harness) statements(t require.TestingT) (list []*Statement, c *Collector) {
 	c = NewCollector(func(s *Statement) error { list = append(list, s); return nil })
 	for i := range h.entries {
-		require.NoError(t, c.Take(&h.entries[i]))
+		require.NoError(t, c.Add(&h.entries[i]))
 	}
 	return list, c
 }
 
 // total sums up what was stated, stated late, or not stated yet.
 func total(list []*Statement, c *Collector) (u Usage) {
-	open, late := c.Unstated()
+	open, late := c.Pending()
 	for _, s := range append(list, open...) {
 		for _, v := range s.Totals {
 			u.Add(v)
@@ -239,7 +239,7 @@
 			c.play(h)
 			h.takeEntries()
 			list, collect := h.statements(t)
-			open, late := collect.Unstated()
+			open, late := collect.Pending()
 			require.Empty(t, late)
 			have := map[int64]map[string]int64{}
 			for _, s := range append(list, open...) {
@@ -287,7 +287,7 @@
 		require.EqualValues(t, i+1, s.Sequence)
 		last = s.To
 	}
-	require.Equal(t, testSettings.Start(h.keeper.Now()-testSettings.Grace), last)
+	require.Equal(t, testSettings.PeriodStart(h.keeper.Now()-testSettings.Grace), last)
 	require.Less(t, len(list), 15, "periods without usage share a statement")
 	sum := total(list, c)
 	require.EqualValues(t, calls, sum[Offered])
@@ -321,9 +321,9 @@
 	list, c := h.statements(t)
 	sum := total(list, c)
 	require.EqualValues(t, 101, sum[Offered])
-	require.EqualValues(t, 101, sum[StoodInTime])
+	require.EqualValues(t, 101, sum[EstablishedInTime])
 	require.EqualValues(t, 10, sum[Recovered])
-	_, late := c.Unstated()
+	_, late := c.Pending()
 	require.NotEmpty(t, late)
 	require.Empty(t, h.state(t).Calls)
 }
@@ -342,16 +342,16 @@
 	}
 	h.takeEntries()
 	h.crash()
-	require.Equal(t, ids, h.keeper.Sleep())
+	require.Equal(t, ids, h.keeper.SuspendOpenCalls())
 	h.observe(router.UnknownServerRelease, ids[0], router.Event{Outcome: threadglade.Concluded})
 	h.observe(router.UnknownServerRelease, ids[1], router.Event{Outcome: threadglade.Concluded})
 	require.Zero(t, h.keeper.Counters().Recovered, "it is not known yet which router owns them")
-	h.keeper.Wake([]string{ids[1]})
+	h.keeper.ResumeOpenCalls([]string{ids[1]})
 	require.Equal(t, uint64(1), h.keeper.Counters().Recovered)
 	h.observe(router.UnknownServerRelease, ids[2], router.Event{Outcome: threadglade.Cut})
 
-	taken := Taken{ID: "00000000000000b1", Tenant: "kda", Class: "voice", Server: "s9", InTime: true,
-		Stood: h.wallMs - 500}
+	taken := TakenOverCall{ID: "00000000000000b1", Tenant: "kda", Class: "voice", Server: "s9", InTime: true,
+		EstablishedAt: h.wallMs - 500}
 	require.True(t, h.keeper.Adopt(taken))
 	require.False(t, h.keeper.Adopt(taken), "it is in the ledger already")
 	h.takeEntries()
@@ -363,7 +363,7 @@
 	h.finish("00000000000000c1", threadglade.Cancelled) // sent when the router relinquishes the call: not its end
 	h.takeEntries()
 	require.Len(t, h.state(t).Calls, 1)
-	h.keeper.Drop(CallKey("00000000000000c1"))
+	h.keeper.RemoveCall(CallKey("00000000000000c1"))
 	h.takeEntries()
 	require.Empty(t, h.state(t).Calls)
 	h.advance(2 * minute)
@@ -371,9 +371,9 @@
 	h.takeEntries()
 	list, c := h.statements(t)
 	u := total(list, c)
-	require.NoError(t, u.Balance())
+	require.NoError(t, u.CheckBalance())
 	require.Equal(t, int64(3), u[Offered], "two of its own calls and the one taken over")
-	require.Equal(t, int64(3), u[StoodInTime])
+	require.Equal(t, int64(3), u[EstablishedInTime])
 	require.Equal(t, int64(2), u[Concluded])
 	require.Equal(t, int64(1), u[Cut])
 	require.Zero(t, u[Unknown])
@@ -394,9 +394,9 @@
 	h.takeEntries()
 	state := h.state(t)
 	require.Len(t, state.Names, 53)
-	state.Trim()
+	state.CompactNames()
 	require.ElementsMatch(t, []string{"", "lda", "voice", "s30"}, state.Names)
-	again := NewBook()
+	again := NewState()
 	for _, e := range state.Checkpoint() {
 		require.NoError(t, again.Apply(&e))
 	}
@@ -477,11 +477,11 @@
 		sum := total(list, c)
 		require.Equal(t, offered-int64(len(established)+len(pending)+len(earlier)), sum[Offered], "%v", sum.Map())
 		require.Equal(t, establishedCount-int64(len(established))+recovered,
-			sum[StoodInTime]+sum[StoodLate])
+			sum[EstablishedInTime]+sum[EstablishedLate])
 		require.Equal(t, recovered, sum[Recovered])
-		require.NoError(t, sum.Balance())
+		require.NoError(t, sum.CheckBalance())
 		// The checkpoint restores the same state.
-		state, again := h.state(t), NewBook()
+		state, again := h.state(t), NewState()
 		for _, e := range state.Checkpoint() {
 			require.NoError(t, again.Apply(&e))
 		}
@@ -499,7 +499,7 @@
 
 func drawEntry(t *rapid.T) Entry {
 	e := Entry{
-		Kind:     EntryKind(rapid.IntRange(int(Begin), int(Used)).Draw(t, "kind")),
+		Kind:     EntryKind(rapid.IntRange(int(KindCheckpointBegin), int(KindUsedPeriod)).Draw(t, "kind")),
 		At:       rapid.Int64Min(0).Draw(t, "at"),
 		Call:     rapid.Uint64().Draw(t, "call"),
 		Tenant:   rapid.Uint32().Draw(t, "tenant"),
@@ -532,9 +532,9 @@
 
 // FuzzDecode guards against panics on malformed entries.
 func FuzzDecode(f *testing.F) {
-	f.Add((&Entry{Kind: End, Call: 7, Usage: Usage{Offered: 1, Left: 1}}).Append(nil))
+	f.Add((&Entry{Kind: KindEnd, Call: 7, Usage: Usage{Offered: 1, Abandoned: 1}}).Append(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		state := NewBook()
+		state := NewState()
 		Decode(b, state.Apply)
 	})
 }
@@ -551,11 +551,11 @@
 			&Usage{Offered: n, Refused: n}
 	}
 	if rapid.Bool().Draw(t, "late") {
-		s.Late[minute*1000] = map[Key]*Usage{{"lda", "voice"}: {Offered: 1, Left: 1}}
+		s.Late[minute*1000] = map[Key]*Usage{{"lda", "voice"}: {Offered: 1, Abandoned: 1}}
 	}
 	s.Calls = rapid.SliceOfDistinct(rapid.Uint64Range(0, 50), rapid.ID).Draw(t, "calls")
 	slices.Sort(s.Calls)
-	e, calls := NewExport(Terms{Router: rapid.SampledFrom([]string{"n0", "n1"}).Draw(t, "router"), Length: minute},
+	e, calls := NewExport(Settings{Router: rapid.SampledFrom([]string{"n0", "n1"}).Draw(t, "router"), Length: minute},
 		s, nil)
 	e.Encode(calls, func(uint16, []byte) error { return nil })
 	return e, calls
@@ -632,9 +632,9 @@
 // listed by two exports.
 func TestFindings(t *testing.T) {
 	export := func(router string, seq, from, to int64, calls ...uint64) *Export {
-		e, c := NewExport(Terms{Router: router, Length: minute}, &Statement{Sequence: uint64(seq),
+		e, c := NewExport(Settings{Router: router, Length: minute}, &Statement{Sequence: uint64(seq),
 			From: from * minute, To: to * minute,
-			Totals: map[Key]*Usage{{"lda", "voice"}: {Offered: seq, Left: seq}}, Calls: calls}, nil)
+			Totals: map[Key]*Usage{{"lda", "voice"}: {Offered: seq, Abandoned: seq}}, Calls: calls}, nil)
 		require.NoError(t, e.Encode(c, func(uint16, []byte) error { return nil }))
 		return e
 	}
@@ -660,7 +660,7 @@
 	require.Equal(t, []string{"stray"}, kinds(export("n0", 1, 10, 11), corrected))
 
 	var claims []string
-	n, err := Claims(
+	n, err := FindDuplicateCalls(
 		[]CallSource{&callParts{{1, 5}, {9}}, &callParts{{2, 3}, {5, 7}}, &callParts{}, &callParts{{9}}},
 		func(call uint64, one, other int) {
 			claims = append(claims, fmt.Sprint(call, min(one, other), max(one, other)))
@@ -784,7 +784,7 @@
 	var buf []byte
 	id := make([]string, 1024)
 	for i := range id {
-		id[i] = CallText(uint64(i))
+		id[i] = FormatCallKey(uint64(i))
 	}
 	bytes, i := 0, 0
 	b.ReportAllocs()
--- a/ledger/merge.go
+++ b/ledger/merge.go
@@ -168,7 +168,7 @@
 
 // FindDuplicateCalls finds calls that more than one source lists. It merges all sources, with one part of each in
 // memory. found receives a call and the indexes of two sources that list it. It returns the number of calls read.
-func Claims(sources []CallSource, found func(call uint64, first, second int)) (calls uint64, err error) {
+func FindDuplicateCalls(sources []CallSource, found func(call uint64, first, second int)) (calls uint64, err error) {
 	var streams streamHeap
 	for i, source := range sources {
 		stream := &callStream{index: i, source: source}
--- a/ledger/report.go
+++ b/ledger/report.go
@@ -60,10 +60,10 @@
 func (r Report) CSV(w io.Writer) error {
 	c := csv.NewWriter(w)
 	head := []string{"period", "tenant", "class"}
-	for f := range Fields {
+	for f := range FieldCount {
 		head = append(head, f.String())
 	}
-	for f := range Fields {
+	for f := range FieldCount {
 		head = append(head, "stated_"+f.String())
 	}
 	c.Write(head)
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -10,45 +10,45 @@
 
 // Settings are the parameters of a ledger. Router and Length can't change during its lifetime; changes of Grace and
 // UnknownTimeout apply from then on.
-type Terms struct {
-	Router       string
-	Length       int64 // of a period, in ms; periods start at multiples of it since the Unix epoch, in UTC
-	Grace        int64 // delay from a period's end to its closing, in ms
-	UnknownAfter int64 // a call from before a restart is closed as unknown after it, in ms
+type Settings struct {
+	Router         string
+	Length         int64 // of a period, in ms; periods start at multiples of it since the Unix epoch, in UTC
+	Grace          int64 // delay from a period's end to its closing, in ms
+	UnknownTimeout int64 // a call from before a restart is closed as unknown after it, in ms
 }
 
 // Bounds of a period's length.
 const (
-	ShortestPeriod = time.Minute
-	LongestPeriod  = 24 * time.Hour
+	MinPeriod = time.Minute
+	MaxPeriod = 24 * time.Hour
 )
 
 // MinPeriodForTests replaces MinPeriod if it is not 0. Only tests set it, before they start anything.
-var ShortestForTests time.Duration
+var MinPeriodForTests time.Duration
 
 // Validate checks the settings. The error starts with the name of the invalid field, as the settings file has it.
-func (s Terms) Validate() error {
-	shortest := ShortestPeriod
-	if ShortestForTests > 0 {
-		shortest = ShortestForTests
+func (s Settings) Validate() error {
+	shortest := MinPeriod
+	if MinPeriodForTests > 0 {
+		shortest = MinPeriodForTests
 	}
 	length := time.Duration(s.Length) * time.Millisecond
 	switch {
 	case ValidName(s.Router) != nil:
 		return fmt.Errorf("router: %w", ValidName(s.Router))
-	case length < shortest || length > LongestPeriod || LongestPeriod%length != 0:
-		return fmt.Errorf("period: %v is no part of a day from %v to %v", length, shortest, LongestPeriod)
+	case length < shortest || length > MaxPeriod || MaxPeriod%length != 0:
+		return fmt.Errorf("period: %v is no part of a day from %v to %v", length, shortest, MaxPeriod)
 	case s.Grace < 0 || s.Grace > s.Length:
 		return fmt.Errorf("grace: %v is not between 0 and the period", time.Duration(s.Grace)*time.Millisecond)
-	case s.UnknownAfter < 1000 || s.UnknownAfter > LongestPeriod.Milliseconds():
+	case s.UnknownTimeout < 1000 || s.UnknownTimeout > MaxPeriod.Milliseconds():
 		return fmt.Errorf("unknown-after: %v is not between 1s and 24h",
-			time.Duration(s.UnknownAfter)*time.Millisecond)
+			time.Duration(s.UnknownTimeout)*time.Millisecond)
 	}
 	return nil
 }
 
 // PeriodStart returns the start of the period that contains a time; both in milliseconds since the Unix epoch.
-func (s Terms) Start(at int64) int64 {
+func (s Settings) PeriodStart(at int64) int64 {
 	start := at - at%s.Length
 	if start > at { // before 1970
 		start -= s.Length
@@ -57,47 +57,47 @@
 }
 
 // OpenCall is a call that has an attempt in flight or is established.
-type Open struct {
+type OpenCall struct {
 	Call                  uint64
 	Tenant, Class, Server uint32
 	Attempt               uint32
 	Retry                 bool
-	Since                 int64 // ledger time of the attempt
-	Stood                 int64 // ledger time of the answer; 0: no answer is known
+	SentAt                int64 // ledger time of the attempt
+	EstablishedAt         int64 // ledger time of the answer; 0: no answer is known
 	InTime                bool
 	Usage                 Usage // of earlier attempts
 }
 
 // State is the result of applying all entries so far: what a Keeper needs to continue after a restart. It holds no
 // totals; a Collector computes those from the entries.
-type Book struct {
-	Terms
-	Names     []string         // by index; index 0 means no name
-	Calls     map[uint64]*Open // by call key
-	Used      map[int64]bool   // starts of periods that are not closed and in which calls have ended
-	Now       int64            // the latest ledger time
-	Closed    int64            // all periods before it are closed; 0: no period has started
-	Sequence  uint64           // number of the latest statement
-	Entries   uint64
-	freeCalls []*Open
-	started   bool // the beginning of a checkpoint has been applied
-	complete  bool // a whole checkpoint has been applied
+type State struct {
+	Settings
+	Names       []string             // by index; index 0 means no name
+	Calls       map[uint64]*OpenCall // by call key
+	UsedPeriods map[int64]bool       // starts of periods that are not closed and in which calls have ended
+	Now         int64                // the latest ledger time
+	Closed      int64                // all periods before it are closed; 0: no period has started
+	Sequence    uint64               // number of the latest statement
+	Entries     uint64
+	freeCalls   []*OpenCall
+	started     bool // the beginning of a checkpoint has been applied
+	complete    bool // a whole checkpoint has been applied
 }
 
 // NewState returns an empty state; the first entry applied has to begin a checkpoint.
-func NewBook() *Book {
-	return &Book{Names: []string{""}, Calls: map[uint64]*Open{}, Used: map[int64]bool{}}
+func NewState() *State {
+	return &State{Names: []string{""}, Calls: map[uint64]*OpenCall{}, UsedPeriods: map[int64]bool{}}
 }
 
 // NewInitializedState returns the state of a new ledger, as if a checkpoint had been applied.
-func StartBook(settings Terms) *Book {
-	s := NewBook()
-	s.Terms, s.started, s.complete = settings, true, true
+func NewInitializedState(settings Settings) *State {
+	s := NewState()
+	s.Settings, s.started, s.complete = settings, true, true
 	return s
 }
 
 // Name returns the name with an index, or "" if there is none.
-func (s *Book) Name(index uint32) string {
+func (s *State) Name(index uint32) string {
 	if int(index) < len(s.Names) {
 		return s.Names[index]
 	}
@@ -105,8 +105,8 @@
 }
 
 // Apply applies an entry. It returns an error if the entry contradicts earlier ones.
-func (s *Book) Apply(e *Entry) error {
-	if !s.started && e.Kind != Begin {
+func (s *State) Apply(e *Entry) error {
+	if !s.started && e.Kind != KindCheckpointBegin {
 		return fmt.Errorf("the first entry is of kind %d, which begins no checkpoint", e.Kind)
 	}
 	s.Entries++
@@ -119,71 +119,71 @@
 		}
 	}
 	switch e.Kind {
-	case Begin:
+	case KindCheckpointBegin:
 		if s.started && (s.Router != e.Text || s.Length != e.Period) {
 			return fmt.Errorf("the ledger of %s with periods of %d ms continues as that of %s with periods of %d ms",
 				s.Router, s.Length, e.Text, e.Period)
 		}
-		s.Terms = Terms{e.Text, e.Period, e.Grace, e.From}
+		s.Settings = Settings{e.Text, e.Period, e.Grace, e.From}
 		if s.Length <= 0 {
 			return fmt.Errorf("period length of %d ms is not positive", s.Length)
 		}
 		s.Names = s.Names[:1]
 		clear(s.Calls)
-		clear(s.Used)
+		clear(s.UsedPeriods)
 		s.started, s.complete = true, false
-	case Mark:
+	case KindCheckpointEnd:
 		s.Now, s.complete = max(s.Now, e.At), true
 		if e.Sequence < s.Sequence || e.Period < s.Closed {
 			return fmt.Errorf("the checkpoint records %d statements, but %d were made", e.Sequence, s.Sequence)
 		}
 		s.Closed, s.Sequence = e.Period, e.Sequence
-	case Name:
+	case KindName:
 		if int(e.Index) != len(s.Names) {
 			return fmt.Errorf("name index %d follows %d names", e.Index, len(s.Names))
 		}
 		s.Names = append(s.Names, e.Text)
-	case Intent:
+	case KindAttempt:
 		call := s.Calls[e.Call]
 		if call == nil {
 			if n := len(s.freeCalls); n > 0 {
 				call, s.freeCalls = s.freeCalls[n-1], s.freeCalls[:n-1]
 			} else {
-				call = &Open{}
+				call = &OpenCall{}
 			}
 			s.Calls[e.Call] = call
 		}
-		*call = Open{Call: e.Call, Tenant: e.Tenant, Class: e.Class, Server: e.Server, Attempt: e.Attempt,
-			Retry: e.Retry, Since: e.At, Usage: e.Usage}
+		*call = OpenCall{Call: e.Call, Tenant: e.Tenant, Class: e.Class, Server: e.Server, Attempt: e.Attempt,
+			Retry: e.Retry, SentAt: e.At, Usage: e.Usage}
 		if e.From > 0 { // repeats an attempt sent earlier
-			call.Since = e.From
+			call.SentAt = e.From
 		}
-	case Answer:
+	case KindAnswer:
 		if call := s.Calls[e.Call]; call != nil {
-			call.Stood, call.InTime = max(e.At, 1), e.InTime
+			call.EstablishedAt, call.InTime = max(e.At, 1), e.InTime
 			if e.From > 0 {
-				call.Stood = e.From
+				call.EstablishedAt = e.From
 			}
 		}
-	case End:
+	case KindEnd:
 		if e.Usage[Offered] != 1 {
-			return fmt.Errorf("the end of %s counts %d set-ups", CallText(e.Call), e.Usage[Offered])
+			return fmt.Errorf("the end of %s counts %d set-ups", FormatCallKey(e.Call), e.Usage[Offered])
 		}
-		if err := e.Usage.Balance(); err != nil {
-			return fmt.Errorf("the end of %s: %w", CallText(e.Call), err)
+		if err := e.Usage.CheckBalance(); err != nil {
+			return fmt.Errorf("the end of %s: %w", FormatCallKey(e.Call), err)
 		}
 		s.removeCall(e.Call)
-		s.markUsed(s.Start(e.At))
-	case Used:
+		s.markUsed(s.PeriodStart(e.At))
+	case KindUsedPeriod:
 		s.markUsed(e.Period)
-	case Gone:
+	case KindRemoved:
 		s.removeCall(e.Call)
-	case Spilled:
-		if err := e.Usage.Balance(); err != nil {
+	case KindSpilled:
+		if err := e.Usage.CheckBalance(); err != nil {
 			return fmt.Errorf("spilled totals of period %d: %w", e.Period, err)
 		}
 		s.markUsed(e.Period)
-	case Close:
+	case KindClose:
 		switch {
 		case e.Sequence != s.Sequence+1:
 			return fmt.Errorf("statement %d comes after %d", e.Sequence, s.Sequence)
@@ -194,9 +194,9 @@
 			return fmt.Errorf("statement %d has an invalid range from %d to %d", e.Sequence, e.From, e.Period)
 		}
 		s.Closed, s.Sequence = e.Period, e.Sequence
-		for p := range s.Used {
+		for p := range s.UsedPeriods {
 			if p < s.Closed {
-				delete(s.Used, p)
+				delete(s.UsedPeriods, p)
 			}
 		}
 	}
@@ -204,7 +204,7 @@
 }
 
 // removeCall removes an open call, if it is there.
-func (s *Book) removeCall(call uint64) {
+func (s *State) removeCall(call uint64) {
 	if open := s.Calls[call]; open != nil {
 		delete(s.Calls, call)
 		if len(s.freeCalls) < 1024 {
@@ -214,15 +214,15 @@
 }
 
 // markUsed notes that a call has ended in a period, by its start.
-func (s *Book) markUsed(period int64) {
+func (s *State) markUsed(period int64) {
 	if period >= s.Closed {
-		s.Used[period] = true
+		s.UsedPeriods[period] = true
 	}
 }
 
 // CompactNames drops names that no open call uses and renumbers the rest, so that the names of removed servers don't
 // accumulate. It is for a start, after which a new segment begins.
-func (s *Book) Trim() {
+func (s *State) CompactNames() {
 	names, renumbered := []string{""}, map[uint32]uint32{0: 0}
 	renumber := func(index uint32) uint32 {
 		if _, known := renumbered[index]; !known {
@@ -239,29 +239,29 @@
 }
 
 // Checkpoint returns entries that restore this state when applied to an empty one.
-func (s *Book) Checkpoint() []Entry {
+func (s *State) Checkpoint() []Entry {
 	list := make([]Entry, 0, 2+len(s.Names)+2*len(s.Calls))
-	list = append(list, Entry{Kind: Begin, Text: s.Router, Period: s.Length, Grace: s.Grace,
-		From: s.UnknownAfter})
+	list = append(list, Entry{Kind: KindCheckpointBegin, Text: s.Router, Period: s.Length, Grace: s.Grace,
+		From: s.UnknownTimeout})
 	for i, text := range s.Names[1:] {
-		list = append(list, Entry{Kind: Name, Index: uint32(i + 1), Text: text})
+		list = append(list, Entry{Kind: KindName, Index: uint32(i + 1), Text: text})
 	}
 	for _, key := range slices.Sorted(maps.Keys(s.Calls)) {
 		call := s.Calls[key]
-		list = append(list, Entry{Kind: Intent, Call: call.Call, Tenant: call.Tenant, Class: call.Class,
-			Server: call.Server, Attempt: call.Attempt, Retry: call.Retry, From: call.Since, Usage: call.Usage})
-		if call.Stood > 0 {
-			list = append(list, Entry{Kind: Answer, Call: call.Call, From: call.Stood, InTime: call.InTime})
+		list = append(list, Entry{Kind: KindAttempt, Call: call.Call, Tenant: call.Tenant, Class: call.Class,
+			Server: call.Server, Attempt: call.Attempt, Retry: call.Retry, From: call.SentAt, Usage: call.Usage})
+		if call.EstablishedAt > 0 {
+			list = append(list, Entry{Kind: KindAnswer, Call: call.Call, From: call.EstablishedAt, InTime: call.InTime})
 		}
 	}
-	for _, p := range slices.Sorted(maps.Keys(s.Used)) {
-		list = append(list, Entry{Kind: Used, Period: p})
+	for _, p := range slices.Sorted(maps.Keys(s.UsedPeriods)) {
+		list = append(list, Entry{Kind: KindUsedPeriod, Period: p})
 	}
-	return append(list, Entry{Kind: Mark, At: s.Now, Period: s.Closed, Sequence: s.Sequence})
+	return append(list, Entry{Kind: KindCheckpointEnd, At: s.Now, Period: s.Closed, Sequence: s.Sequence})
 }
 
 // HasCheckpoint reports whether a checkpoint has been applied to its end.
-func (s *Book) Whole() bool { return s.complete }
+func (s *State) HasCheckpoint() bool { return s.complete }
 
 // Statement is the result of one closing: the usage of one period, or that nothing was used in a range of several.
 type Statement struct {
@@ -276,47 +276,47 @@
 
 // UnknownCall is a call whose end was lost at a restart.
 type UnknownCall struct {
-	Call   string `json:"call"`
-	Tenant string `json:"tenant"`
-	Class  string `json:"class"`
-	Server string `json:"server"`
-	Since  int64  `json:"since_ms"` // when its last attempt was sent
-	Stood  bool   `json:"stood"`
+	Call        string `json:"call"`
+	Tenant      string `json:"tenant"`
+	Class       string `json:"class"`
+	Server      string `json:"server"`
+	Since       int64  `json:"since_ms"` // when its last attempt was sent
+	Established bool   `json:"stood"`
 }
 
 // Collector computes statements from the entries of whole segments, added in order.
 type Collector struct {
-	Book         *Book
+	State        *State
 	open         map[int64]*Statement // by start of the period
 	late         map[int64]map[Key]*Usage
 	inCheckpoint bool // within a checkpoint, which adds nothing to the totals
 	// OnStatement, if not nil, is called with each statement when its closing is added. An error of it ends Add.
-	Stated func(*Statement) error
+	OnStatement func(*Statement) error
 }
 
 // NewCollector returns a Collector without entries that calls onStatement with each statement.
 func NewCollector(onStatement func(*Statement) error) *Collector {
-	return &Collector{Book: NewBook(), open: map[int64]*Statement{}, late: map[int64]map[Key]*Usage{},
-		Stated: onStatement}
+	return &Collector{State: NewState(), open: map[int64]*Statement{}, late: map[int64]map[Key]*Usage{},
+		OnStatement: onStatement}
 }
 
 // Add adds an entry. It returns an error if the entry contradicts earlier ones.
-func (c *Collector) Take(e *Entry) error {
-	if err := c.Book.Apply(e); err != nil {
+func (c *Collector) Add(e *Entry) error {
+	if err := c.State.Apply(e); err != nil {
 		return err
 	}
 	switch e.Kind {
-	case Begin:
+	case KindCheckpointBegin:
 		c.inCheckpoint = true
-	case Mark:
+	case KindCheckpointEnd:
 		c.inCheckpoint = false
-	case End, Spilled:
+	case KindEnd, KindSpilled:
 		period, count := e.Period, e.Count
-		if e.Kind == End {
-			period = c.Book.Start(e.At)
+		if e.Kind == KindEnd {
+			period = c.State.PeriodStart(e.At)
 		}
-		key := Key{c.Book.Name(e.Tenant), c.Book.Name(e.Class)}
-		if period < c.Book.Closed {
+		key := Key{c.State.Name(e.Tenant), c.State.Name(e.Class)}
+		if period < c.State.Closed {
 			m := c.late[period]
 			if m == nil {
 				m = map[Key]*Usage{}
@@ -328,16 +328,16 @@
 		s := c.openStatement(period)
 		addUsage(s.Totals, key, &e.Usage)
 		s.Spilled += count
-		if e.Kind == End {
-			if e.Usage[StoodInTime]+e.Usage[StoodLate] > 0 {
+		if e.Kind == KindEnd {
+			if e.Usage[EstablishedInTime]+e.Usage[EstablishedLate] > 0 {
 				s.Calls = append(s.Calls, e.Call)
 			}
 			if e.Usage[Unknown] > 0 {
-				s.Unknown = append(s.Unknown, UnknownCall{CallText(e.Call), key.Tenant, key.Class,
-					c.Book.Name(e.Server), e.From, e.Stood})
+				s.Unknown = append(s.Unknown, UnknownCall{FormatCallKey(e.Call), key.Tenant, key.Class,
+					c.State.Name(e.Server), e.From, e.Established})
 			}
 		}
-	case Close:
+	case KindClose:
 		return c.close(e)
 	}
 	return nil
@@ -347,7 +347,7 @@
 func (c *Collector) openStatement(period int64) *Statement {
 	s := c.open[period]
 	if s == nil {
-		s = &Statement{From: period, To: period + c.Book.Length, Totals: map[Key]*Usage{}}
+		s = &Statement{From: period, To: period + c.State.Length, Totals: map[Key]*Usage{}}
 		c.open[period] = s
 	}
 	return s
@@ -366,7 +366,7 @@
 	for from := range c.open {
 		switch {
 		case from >= e.Period:
-		case from >= e.From && e.Period-e.From == c.Book.Length:
+		case from >= e.From && e.Period-e.From == c.State.Length:
 			s = c.open[from]
 			delete(c.open, from)
 		case from >= e.From:
@@ -380,17 +380,17 @@
 	c.late = map[int64]map[Key]*Usage{}
 	slices.Sort(s.Calls)
 	slices.SortFunc(s.Unknown, func(a, b UnknownCall) int { return cmp.Compare(a.Call, b.Call) })
-	if c.Stated == nil {
+	if c.OnStatement == nil {
 		return nil
 	}
-	return c.Stated(s)
+	return c.OnStatement(s)
 }
 
 // Pending returns what no statement holds yet: the totals of periods that are not closed, by start of the period, and
 // the late usage of closed ones, which goes into the next statement.
-func (c *Collector) Unstated() (open []*Statement, late map[int64]map[Key]*Usage) {
+func (c *Collector) Pending() (open []*Statement, late map[int64]map[Key]*Usage) {
 	for _, from := range slices.Sorted(maps.Keys(c.open)) {
-		if from >= c.Book.Closed {
+		if from >= c.State.Closed {
 			open = append(open, c.open[from])
 		}
 	}
--- a/ledger/tenant.go
+++ b/ledger/tenant.go
@@ -18,14 +18,14 @@
 
 // Sources, in the default precedence.
 const (
-	Stated     Source = "stated"   // as the embedding program or the set-up names it
+	Explicit   Source = "stated"   // as the embedding program or the set-up names it
 	ByIdentity Source = "identity" // the SPIFFE ID of the call-control session
 	ByNetwork  Source = "network"  // the caller's address, by longest prefix
 	ByNumber   Source = "number"   // the number called, by longest prefix
 )
 
 // Sources lists all sources in the default precedence.
-var Sources = []Source{Stated, ByIdentity, ByNetwork, ByNumber}
+var Sources = []Source{Explicit, ByIdentity, ByNetwork, ByNumber}
 
 // Rule defines which calls belong to a tenant.
 type Rule struct {
@@ -172,7 +172,7 @@
 	for _, source := range d.precedence {
 		tenant, found := int32(0), false
 		switch source {
-		case Stated:
+		case Explicit:
 			if stated != "" && len(stated) <= maxNameBytes {
 				return stated
 			}
--- a/ledger/usage.go
+++ b/ledger/usage.go
@@ -19,18 +19,18 @@
 // The fields of a Usage. A set-up has exactly one result of EstablishedInTime, EstablishedLate, Refused, Failed,
 // Abandoned and Unknown, so Offered is their sum.
 const (
-	Offered     Field = iota // set-ups that the router received, including repeats
-	Repeats                  // set-ups that their callers marked as repeats
-	StoodInTime              // established within the Aim of the class, counted from this set-up
-	StoodLate                // established later
-	Refused                  // refused by the router
-	Failed                   // failed or reached the deadline
-	Left                     // the caller gave up before an answer
-	Unknown                  // interrupted by a restart, and no release was received since
-	Recovered                // part of EstablishedInTime and EstablishedLate: ended after a restart or takeover
-	Ghosts                   // calls established at a server whose answer was lost
-	Concluded                // attempts whose call was established and released by either side
-	Faulted                  // Faulted to NotSent: attempts that ended with the threadglade.Outcome of that name
+	Offered           Field = iota // set-ups that the router received, including repeats
+	Repeats                        // set-ups that their callers marked as repeats
+	EstablishedInTime              // established within the Aim of the class, counted from this set-up
+	EstablishedLate                // established later
+	Refused                        // refused by the router
+	Failed                         // failed or reached the deadline
+	Abandoned                      // the caller gave up before an answer
+	Unknown                        // interrupted by a restart, and no release was received since
+	Recovered                      // part of EstablishedInTime and EstablishedLate: ended after a restart or takeover
+	OrphanedCalls                  // calls established at a server whose answer was lost
+	Concluded                      // attempts whose call was established and released by either side
+	Faulted                        // Faulted to NotSent: attempts that ended with the threadglade.Outcome of that name
 	Rejected
 	TimedOut
 	Unreachable
@@ -40,11 +40,11 @@
 	Lost       // attempts whose end was lost at a restart
 	HeldMs     // total duration of established calls, in milliseconds
 	WorthMilli // total worth earned by calls, in thousandths
-	Fields     // number of fields
+	FieldCount // number of fields
 )
 
 // fieldNames are part of the export format.
-var fieldNames = [Fields]string{"offered", "repeats", "stood_in_time", "stood_late", "refused", "failed", "left",
+var fieldNames = [FieldCount]string{"offered", "repeats", "stood_in_time", "stood_late", "refused", "failed", "left",
 	"unknown", "recovered", "ghosts", "concluded", "faulted", "rejected", "timed_out", "unreachable", "cut",
 	"cancelled", "not_sent", "lost", "held_ms", "worth_milli"}
 
@@ -69,7 +69,7 @@
 }
 
 // Usage holds the value of each field. A value may be negative where the Usage is a difference.
-type Usage [Fields]int64
+type Usage [FieldCount]int64
 
 // Add adds v to u.
 func (u *Usage) Add(v *Usage) {
@@ -87,8 +87,8 @@
 }
 
 // CheckBalance returns an error unless every set-up has exactly one result.
-func (u *Usage) Balance() error {
-	if results := u[StoodInTime] + u[StoodLate] + u[Refused] + u[Failed] + u[Left] +
+func (u *Usage) CheckBalance() error {
+	if results := u[EstablishedInTime] + u[EstablishedLate] + u[Refused] + u[Failed] + u[Abandoned] +
 		u[Unknown]; results != u[Offered] {
 		return fmt.Errorf("%d set-ups have %d results", u[Offered], results)
 	}
