--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command simhost hosts controllers on the simulator's wire: standard input to standard output.
+// Command simhost runs controllers for the simulator. It reads their input from standard input and writes
+// their actions to standard output.
 package main
 
 import (
--- a/internal/callcontrol/callcontrol.go
+++ b/internal/callcontrol/callcontrol.go
@@ -22,65 +22,70 @@
 )
 
 const (
-	// answerEarly is taken off what a caller waits, as on the SIP side: its clock runs from its send.
-	answerEarly = 30 * time.Millisecond
-	// pingAfter without a word from the other side draws a ping, goneAfter closes the socket.
-	pingAfter = 15 * time.Second
-	goneAfter = 40 * time.Second
-	// closeWithin is how long the other side has to answer a close.
-	closeWithin = 2 * time.Second
-	// wholeWithin is how long a new connection has for its handshake, and each later message from its first byte
-	// until it is whole.
-	wholeWithin = 2 * time.Second
-	// sweepEvery is how often sockets are looked at.
-	sweepEvery = 100 * time.Millisecond
-	// placesPerS calls a second, and placesAtOnce, may be placed by one socket, as on the SIP side.
-	placesPerS   = 400
-	placesAtOnce = 64
-	// unsentMost bytes may wait for a client that does not read.
-	unsentMost = 64 << 10
-	// complainEvery is how often a client's fault is worth a line in the log.
-	complainEvery = time.Second
-	// callsMost of one identity may be known at once, descriptionMost bytes may describe one.
-	callsMost       = 1000
-	descriptionMost = 8 << 10
+	// answerMargin is subtracted from the time in which a client wants its answer, as on the SIP side, because the
+	// client's clock runs from when it sent the request.
+	answerMargin = 30 * time.Millisecond
+	// pingIdleTimeout is how long the client may be silent before it is sent a ping.
+	pingIdleTimeout = 15 * time.Second
+	// idleTimeout is how long the client may be silent before its connection is closed.
+	idleTimeout = 40 * time.Second
+	// closeTimeout is how long the client has to answer a close frame.
+	closeTimeout = 2 * time.Second
+	// messageTimeout is how long a new connection has to complete its handshake, and each later message to arrive
+	// in full, counted from its first byte.
+	messageTimeout = 2 * time.Second
+	// sweepInterval is how often the sockets' deadlines are checked.
+	sweepInterval = 100 * time.Millisecond
+	// maxPlaceRate is how many calls one socket may place per second, maxPlaceBurst how many at once, as on the
+	// SIP side.
+	maxPlaceRate  = 400
+	maxPlaceBurst = 64
+	// maxUnsentBytes bounds the output buffered for a client that does not read.
+	maxUnsentBytes = 64 << 10
+	// faultLogInterval is the least time between two log lines about clients' faults.
+	faultLogInterval = time.Second
+	// maxCallsPerIdentity bounds the calls of one identity that are held at once.
+	maxCallsPerIdentity = 1000
+	// maxDescriptionBytes bounds the description of a call.
+	maxDescriptionBytes = 8 << 10
 )
 
-// Error codes of the API; -32700 to -32600 are JSON-RPC's own.
+// Error codes of the API. Those from -32700 to -32600 are defined by JSON-RPC.
 const (
-	codeParse     = -32700
-	codeRequest   = -32600
-	codeMethod    = -32601
-	codeParams    = -32602
-	codeRefused   = -32001 // data.retryAfterMs says when to come back
-	codeFailed    = -32002 // something may have run
-	codeDeadline  = -32003 // answerWithinMs has gone by
-	codeUnknown   = -32004 // no such call of this identity
-	codeElsewhere = -32005 // another socket has attached to the call
-	codeCancelled = -32006 // withdrawn by call.cancel
-	codeTooMany   = -32007 // too many calls of this identity
+	codeParseError        = -32700
+	codeInvalidRequest    = -32600
+	codeMethodNotFound    = -32601
+	codeInvalidParams     = -32602
+	codeRefused           = -32001 // data.retryAfterMs says when to retry
+	codeFailed            = -32002 // a server may have processed the call
+	codeDeadlineExceeded  = -32003 // answerWithinMs has elapsed
+	codeUnknownCall       = -32004 // the identity has no such call
+	codeAttachedElsewhere = -32005 // another socket has attached to the call
+	codeCancelled         = -32006 // withdrawn by call.cancel
+	codeTooManyCalls      = -32007 // the identity or the socket has too many calls
 )
 
-// Config is the file that switches the front on.
+// Config configures the front.
 type Config struct {
-	Listen      string   `toml:"listen"`
-	Origins     []string `toml:"origins"`
-	TrustDomain string   `toml:"trust_domain"`
-	Audience    string   `toml:"audience"`
-	Allowed     []string `toml:"allowed_ids"`
-	WorkloadAPI string   `toml:"workload_api"`
-	GraceMs     int      `toml:"grace_ms"`
-	Sockets     int      `toml:"sockets"`
+	Listen      string   `toml:"listen"`       // loopback address and port
+	Origins     []string `toml:"origins"`      // origins of web pages that may connect
+	TrustDomain string   `toml:"trust_domain"` // SPIFFE trust domain of the callers
+	Audience    string   `toml:"audience"`     // audience that tokens must name
+	Allowed     []string `toml:"allowed_ids"`  // as in identity.Config
+	WorkloadAPI string   `toml:"workload_api"` // address of the SPIFFE Workload API
+	GraceMs     int      `toml:"grace_ms"`     // how long a call without a socket waits for call.attach
+	Sockets     int      `toml:"sockets"`      // most connections at once
 
-	Addr netip.AddrPort `toml:"-"`
+	Addr netip.AddrPort `toml:"-"` // Listen, parsed
 }
 
-// Identity is the part of the configuration that says whom to let in.
+// Identity returns the part of the configuration that decides which callers are authorized.
 func (c Config) Identity() identity.Config {
-	return identity.Config{TrustDomain: c.TrustDomain, Audience: c.Audience, Allowed: c.Allowed, WorkloadAPI: c.WorkloadAPI}
+	return identity.Config{TrustDomain: c.TrustDomain, Audience: c.Audience, Allowed: c.Allowed,
+		WorkloadAPI: c.WorkloadAPI}
 }
 
-// Load reads the file. The error names it and what is wrong in it.
+// Load reads the configuration from a TOML file. An error names the file and the invalid or unknown key.
 func Load(path string) (Config, error) {
 	c := Config{GraceMs: 5000, Sockets: 64}
 	meta, err := toml.DecodeFile(path, &c)
@@ -96,7 +101,8 @@
 	return c, nil
 }
 
-// Read reads a (callcontrol ...) section. What is wrong is noted with the section and reported by its Finish.
+// Read reads a (callcontrol ...) section of the settings. Errors are recorded in the section and returned by its
+// Finish.
 func Read(s *settings.Section) Config {
 	c := Config{GraceMs: 5000, Sockets: 64}
 	s.String("listen", &c.Listen)
@@ -113,16 +119,16 @@
 	return c
 }
 
-// validate checks the configuration, and names the field that is wrong in the error, too.
+// validate checks the configuration and sets Addr. It returns the name of the invalid field, which the error has, too.
 func (c *Config) validate() (field string, err error) {
 	if c.Addr, err = netip.ParseAddrPort(c.Listen); err != nil {
 		return "listen", fmt.Errorf("listen: %w", err)
 	}
 	if !c.Addr.Addr().IsLoopback() {
-		return "listen", fmt.Errorf("listen: %s is not a loopback address; TLS ends at a local proxy", c.Listen)
+		return "listen", fmt.Errorf("listen: %s is not a loopback address; TLS is terminated by a local proxy", c.Listen)
 	}
 	if c.GraceMs < 1 || c.GraceMs > 60_000 {
-		return "grace_ms", fmt.Errorf("grace_ms: %d is not within 1 and 60000", c.GraceMs)
+		return "grace_ms", fmt.Errorf("grace_ms: %d is not between 1 and 60000", c.GraceMs)
 	}
 	if c.Sockets < 1 {
 		return "sockets", fmt.Errorf("sockets: %d is not positive", c.Sockets)
@@ -134,57 +140,69 @@
 	return "", nil
 }
 
-// Verify checks a token; identity.Verifier's is the real one.
+// VerifyFunc verifies a token and returns the caller it identifies, as identity.Verifier.Verify does.
 type Verify func(token string) (identity.Caller, error)
 
-// Front serves the API.
+// Front serves the call control API. All its methods, and those of its sockets, run on the event loop.
 type Front struct {
-	cfg        Config
-	classes    map[string]threadglade.Class
-	router     *router.Router
-	clock      router.Clock
-	verify     Verify
-	log        zerolog.Logger
-	socks      map[*socket]bool
-	calls      map[string]*call // by the router's id
-	owned      map[string]int   // calls of each identity
-	closing    bool
-	buf        []byte        // what is being written
-	complained time.Duration // when a client's fault was last logged
-	count      Counters
-}
-
-// Counters count what came by the second front and left by it.
+	cfg          Config
+	classes      map[string]threadglade.Class
+	router       *router.Router
+	clock        router.Clock
+	verify       Verify
+	log          zerolog.Logger
+	sockets      map[*socket]bool
+	calls        map[string]*call // by call ID
+	callCounts   map[string]int   // number of calls by identity
+	closing      bool
+	writeBuffer  []byte        // encodes the frame being sent; reused
+	lastFaultLog time.Duration // when a client's fault was last logged; 0: never
+	counters     Counters
+}
+
+// Counters counts the front's connections, messages and calls since its start.
 type Counters struct {
-	Accepted, Turned, Late, Unauthorised, Messages, Faults, Flooded, Placed, Answers, Ended, Attached, Unclaimed uint64
-	Sockets, Calls                                                                                               int // held now
-}
-
-// call is one call of an identity, from its placing until its end. It is the request's router.Front.
+	Accepted     uint64 // connections accepted
+	Turned       uint64 // connections refused because there were too many or the front was closing
+	Late         uint64 // connections closed by a time limit, to make room, or for not reading
+	Unauthorised uint64 // handshakes refused because of the token
+	Messages     uint64 // JSON-RPC messages received
+	Faults       uint64 // violations of the WebSocket protocol, other than in close frames
+	Flooded      uint64 // call.place requests refused by the rate limit of a socket
+	Placed       uint64 // calls placed
+	Answers      uint64 // final answers of calls
+	Ended        uint64 // call.ended notifications
+	Attached     uint64 // call.attach requests for existing calls
+	Unclaimed    uint64 // calls removed because no socket attached in time
+	Sockets      int    // open now
+	Calls        int    // held now
+}
+
+// call is one call of an identity, from call.place until its end. It is the router.Front of its request.
 type call struct {
-	f       *Front
-	id      string
-	owner   string
-	on      *socket         // nil while nobody is attached
-	waiting json.RawMessage // the request on that socket that is owed the final answer
-	answer  *response       // the final answer while nobody has had it
-	stands  bool
-	over    bool
-	how     threadglade.Outcome // how it ended, once over
-	lapse   int                 // counts graces, so that only the latest one's timer acts
-}
-
-// New makes the front.
+	front       *Front
+	id          string
+	owner       string
+	socket      *socket         // nil while no socket is attached
+	requestID   json.RawMessage // ID of the request on that socket that is to receive the final answer; nil: none
+	undelivered *response       // the final answer, until it has been sent to a client
+	established bool
+	ended       bool
+	outcome     threadglade.Outcome // valid once ended is set
+	graceNumber int                 // numbers the grace periods, so that only the latest one's timer takes effect
+}
+
+// New returns a front for calls of the given classes. It schedules its periodic checks with the router.
 func New(cfg Config, classes []threadglade.Class, r *router.Router, clock router.Clock, verify Verify,
 	log zerolog.Logger) *Front {
 	f := &Front{cfg: cfg, router: r, clock: clock, verify: verify, log: log,
-		socks: map[*socket]bool{}, calls: map[string]*call{}, owned: map[string]int{}}
+		sockets: map[*socket]bool{}, calls: map[string]*call{}, callCounts: map[string]int{}}
 	f.Change(classes)
 	f.sweep()
 	return f
 }
 
-// Change has calls that are placed from now on be checked against other classes.
+// SetClasses replaces the classes against which further calls are checked.
 func (f *Front) Change(classes []threadglade.Class) {
 	f.classes = make(map[string]threadglade.Class, len(classes))
 	for _, c := range classes {
@@ -192,14 +210,15 @@
 	}
 }
 
-// Counters returns a copy.
+// Counters returns a copy of the counters.
 func (f *Front) Counters() Counters {
-	f.count.Sockets, f.count.Calls = len(f.socks), len(f.calls)
-	return f.count
+	f.counters.Sockets, f.counters.Calls = len(f.sockets), len(f.calls)
+	return f.counters
 }
 
-// Reconfigure takes a file that was read anew: pages, grace and sockets hold from now on, for new connections.
-// The address stays that of the start, and no call or socket is forgotten.
+// Reconfigure replaces the configuration. Origins and MaxSockets apply to connections that are opened from now on,
+// GraceMs to grace periods that start from now on. The listen address takes a restart and stays as it is; sockets and
+// calls are kept.
 func (f *Front) Reconfigure(c Config) {
 	if c.Addr != f.cfg.Addr {
 		f.log.Warn().Str("event", "callcontrol_listen").Msg("call control: listen has changed, which takes a restart")
@@ -208,152 +227,157 @@
 	f.cfg = c
 }
 
-// Close says goodbye to every socket.
+// Close starts the closing handshake on every socket and refuses further connections.
 func (f *Front) Close() {
 	f.closing = true
-	for s := range f.socks {
-		s.close(closeAway, "the router ends")
+	for s := range f.sockets {
+		s.close(closeGoingAway, "the router ends")
 	}
 }
 
 // ---- sockets ----
 
-// socket is one WebSocket.
+// socket is one WebSocket connection.
 type socket struct {
-	f       *Front
-	conn    *loop.Conn
-	caller  identity.Caller // ID is empty until the handshake is done
-	heard   time.Duration
-	by      time.Duration // when it is closed unless the handshake, a message or the close is whole by then; 0: none is due
-	pinged  bool
-	closing bool // a close has been sent
-	parts   assembler
-	rate    loop.Bucket // of calls placed
-}
-
-// Accept takes a new connection. Where there is no room, the one that has owed its handshake longest goes.
+	front        *Front
+	conn         *loop.Conn
+	caller       identity.Caller // ID is empty until the handshake is complete
+	lastReceived time.Duration   // when data last arrived
+	deadline     time.Duration   // for the handshake, message or close in progress; 0: none
+	pingSent     bool            // since lastReceived
+	closing      bool            // a close frame has been sent, or the connection is being finished
+	assembler    assembler
+	placeRate    loop.Bucket // limits the calls placed
+}
+
+// Accept accepts a connection, or returns nil if there are too many or the front is closing. At the limit, the
+// connection whose handshake has been pending longest is closed to make room.
 func (f *Front) Accept(c *loop.Conn) loop.Handler {
-	if len(f.socks) >= f.cfg.Sockets && !f.closing {
-		var mute *socket
-		for s := range f.socks {
-			if s.caller.ID == "" && (mute == nil || s.by < mute.by) {
-				mute = s
+	if len(f.sockets) >= f.cfg.Sockets && !f.closing {
+		var oldest *socket
+		for s := range f.sockets {
+			if s.caller.ID == "" && (oldest == nil || s.deadline < oldest.deadline) {
+				oldest = s
 			}
 		}
-		if mute != nil {
-			f.count.Late++
-			mute.conn.Close(errHello)
+		if oldest != nil {
+			f.counters.Late++
+			oldest.conn.Close(errHandshake)
 		}
 	}
-	if len(f.socks) >= f.cfg.Sockets || f.closing {
-		f.count.Turned++
+	if len(f.sockets) >= f.cfg.Sockets || f.closing {
+		f.counters.Turned++
 		return nil
 	}
-	f.count.Accepted++
+	f.counters.Accepted++
 	now := f.clock()
-	s := &socket{f: f, conn: c, heard: now, by: now + wholeWithin, rate: loop.Bucket{Rate: placesPerS, Burst: placesAtOnce}}
-	f.socks[s] = true
+	s := &socket{front: f, conn: c, lastReceived: now, deadline: now + messageTimeout,
+		placeRate: loop.Bucket{Rate: maxPlaceRate, Burst: maxPlaceBurst}}
+	f.sockets[s] = true
 	return s
 }
 
-// sweep keeps the sockets' deadlines: handshakes, messages and closes that are not whole in time, tokens that have
-// expired, quiet sockets, which are pinged, and dead ones. No socket has a timer of its own that could outlive it.
+// sweep enforces the sockets' time limits: it closes sockets whose handshake, message or close is overdue, that don't
+// read, that are idle or whose token has expired, and pings silent ones. Sockets have no timers of their own, which
+// could outlive them.
 func (f *Front) sweep() {
 	now := f.clock()
-	for s := range f.socks {
-		quiet := now - s.heard
+	for s := range f.sockets {
+		idle := now - s.lastReceived
 		switch {
-		case s.by > 0 && now >= s.by, s.conn.Unsent() > unsentMost, quiet >= goneAfter:
-			f.count.Late++
+		case s.deadline > 0 && now >= s.deadline, s.conn.Unsent() > maxUnsentBytes, idle >= idleTimeout:
+			f.counters.Late++
 			s.conn.Close(loop.ErrSlowPeer)
 		case s.caller.ID == "" || s.closing:
 		case now >= time.Duration(s.caller.Expires.UnixNano()):
-			// The token speaks for its caller until then and no longer.
-			s.close(closePolicy, "token has expired")
-		case quiet >= pingAfter && !s.pinged:
-			s.pinged = true
-			s.write(opPing, nil)
+			// A token authenticates its caller only until it expires.
+			s.close(closePolicyViolation, "token has expired")
+		case idle >= pingIdleTimeout && !s.pingSent:
+			s.pingSent = true
+			s.writeFrame(opPing, nil)
 		}
 	}
-	f.router.Schedule(now+sweepEvery, f.sweep)
+	f.router.Schedule(now+sweepInterval, f.sweep)
 }
 
-// complain logs what a client did wrong, now and then: a bad client can repeat it at will.
-func (f *Front) complain(event, format string, args ...any) {
-	if now := f.clock(); f.complained == 0 || now-f.complained >= complainEvery {
-		f.complained = now
+// logFault logs a client's fault, at most once in faultLogInterval, as a faulty client can repeat it at will.
+func (f *Front) logFault(event, format string, args ...any) {
+	if now := f.clock(); f.lastFaultLog == 0 || now-f.lastFaultLog >= faultLogInterval {
+		f.lastFaultLog = now
 		f.log.Warn().Str("event", event).Msgf(format, args...)
 	}
 }
 
+// Opened implements loop.Handler.
 func (s *socket) Opened(*loop.Conn) {}
 
-// Closed leaves the socket's calls to their identity: set-ups go on to their deadline, standing calls wait for
-// somebody to attach.
+// Closed detaches the socket's calls, which stay with their identity: set-ups go on until their deadline, and
+// established calls wait for a client to attach.
 func (s *socket) Closed(*loop.Conn, error) {
-	delete(s.f.socks, s)
-	for _, c := range s.f.calls {
-		if c.on == s {
+	delete(s.front.sockets, s)
+	for _, c := range s.front.calls {
+		if c.socket == s {
 			c.detach()
 		}
 	}
 }
 
+// Data implements loop.Handler: it processes the handshake, then one frame at a time, and returns the bytes consumed.
 func (s *socket) Data(_ *loop.Conn, b []byte) int {
-	s.heard, s.pinged = s.f.clock(), false
+	s.lastReceived, s.pingSent = s.front.clock(), false
 	if s.caller.ID == "" {
-		return s.open(b)
+		return s.handleHandshake(b)
 	}
 	f, n, err := parseFrame(b)
 	if err != nil {
-		s.fault(err)
+		s.failProtocol(err)
 		return len(b)
 	}
 	if n > 0 {
-		s.frame(f)
+		s.handleFrame(f)
 	}
 	switch {
 	case s.closing:
-	case n == 0 || s.parts.open: // something has begun
-		if s.by == 0 {
-			s.by = s.heard + wholeWithin
+	case n == 0 || s.assembler.pending: // a frame or a message is incomplete
+		if s.deadline == 0 {
+			s.deadline = s.lastReceived + messageTimeout
 		}
 	default:
-		s.by = 0
+		s.deadline = 0
 	}
 	return n
 }
 
-// open takes the handshake.
-func (s *socket) open(b []byte) int {
-	h, n, err := parseHello(b)
+// handleHandshake answers the opening handshake and authenticates the caller. It returns the bytes consumed.
+func (s *socket) handleHandshake(b []byte) int {
+	h, n, err := parseHandshake(b)
 	if err == nil && n == 0 {
 		return 0
 	}
 	accept, keyed := acceptKey(h.key)
 	switch {
 	case err != nil, !h.upgrade, !keyed:
-		s.turn("400 Bad Request", "")
+		s.reject("400 Bad Request", "")
 		return len(b)
 	case h.version != "13":
-		s.turn("426 Upgrade Required", "Sec-WebSocket-Version: 13\r\n")
+		s.reject("426 Upgrade Required", "Sec-WebSocket-Version: 13\r\n")
 		return len(b)
-	case h.origin != "" && !slices.Contains(s.f.cfg.Origins, h.origin):
-		s.turn("403 Forbidden", "")
+	case h.origin != "" && !slices.Contains(s.front.cfg.Origins, h.origin):
+		s.reject("403 Forbidden", "")
 		return len(b)
 	}
-	caller, err := s.f.verify(h.bearer)
+	caller, err := s.front.verify(h.token)
 	if err != nil {
-		s.f.count.Unauthorised++
-		s.f.complain("callcontrol_turned", "call control: %s turned away: %v", s.conn.Remote(), err)
+		s.front.counters.Unauthorised++
+		s.front.logFault("callcontrol_turned", "call control: %s turned away: %v", s.conn.Remote(), err)
 		if errors.Is(err, identity.ErrNoBundle) {
-			s.turn("503 Service Unavailable", "Retry-After: 1\r\n")
+			s.reject("503 Service Unavailable", "Retry-After: 1\r\n")
 		} else {
-			s.turn("401 Unauthorized", "WWW-Authenticate: Bearer\r\n")
+			s.reject("401 Unauthorized", "WWW-Authenticate: Bearer\r\n")
 		}
 		return len(b)
 	}
-	s.caller, s.by = caller, 0
+	s.caller, s.deadline = caller, 0
 	protocol := ""
 	if slices.Contains(h.protocols, subprotocol) {
 		protocol = "Sec-WebSocket-Protocol: " + subprotocol + "\r\n"
@@ -363,43 +387,47 @@
 	return n
 }
 
-func (s *socket) turn(status, headers string) {
+// reject answers the handshake with an HTTP error and ends the connection.
+func (s *socket) reject(status, headers string) {
 	s.conn.Write([]byte("HTTP/1.1 " + status + "\r\n" + headers + "Connection: close\r\nContent-Length: 0\r\n\r\n"))
-	s.finish()
+	s.finishConnection()
 }
 
-// finish ends the connection so that its last word can be read.
-func (s *socket) finish() {
-	s.closing, s.by = true, s.f.clock()+closeWithin
+// finishConnection closes the connection once the client has had time to read what was sent last.
+func (s *socket) finishConnection() {
+	s.closing, s.deadline = true, s.front.clock()+closeTimeout
 	s.conn.Finish()
 }
 
-func (s *socket) write(op byte, payload []byte) {
-	s.f.buf = appendFrame(s.f.buf[:0], op, payload)
-	s.conn.Write(s.f.buf)
+// writeFrame sends one frame.
+func (s *socket) writeFrame(op byte, payload []byte) {
+	s.front.writeBuffer = appendFrame(s.front.writeBuffer[:0], op, payload)
+	s.conn.Write(s.front.writeBuffer)
 }
 
-func (s *socket) fault(err *fault) {
-	s.f.count.Faults++
-	s.f.complain("callcontrol_fault", "call control: %s: %v", s.caller.ID, err)
-	s.close(err.code, err.text)
+// failProtocol closes the connection because of a protocol error.
+func (s *socket) failProtocol(err *protocolError) {
+	s.front.counters.Faults++
+	s.front.logFault("callcontrol_fault", "call control: %s: %v", s.caller.ID, err)
+	s.close(err.code, err.reason)
 }
 
-// close begins the closing handshake; the other side's close or a timer ends it.
+// close starts the closing handshake. The client's close frame or closeTimeout completes it.
 func (s *socket) close(code int, reason string) {
 	if s.closing || !s.conn.Open() {
 		return
 	}
 	s.closing = true
-	s.write(opClose, closePayload(code, reason))
-	s.by = s.f.clock() + closeWithin
+	s.writeFrame(opClose, closePayload(code, reason))
+	s.deadline = s.front.clock() + closeTimeout
 }
 
-func (s *socket) frame(f frame) {
+// handleFrame processes one frame from the client.
+func (s *socket) handleFrame(f frame) {
 	switch f.op {
 	case opPing:
 		if !s.closing {
-			s.write(opPong, f.payload)
+			s.writeFrame(opPong, f.payload)
 		}
 	case opPong:
 	case opClose:
@@ -407,29 +435,30 @@
 		switch {
 		case s.closing:
 		case err != nil:
-			s.close(err.code, err.text)
-		case code == closeNoCode:
-			s.write(opClose, nil)
+			s.close(err.code, err.reason)
+		case code == closeNoStatus:
+			s.writeFrame(opClose, nil)
 		default:
-			s.write(opClose, closePayload(code, ""))
+			s.writeFrame(opClose, closePayload(code, ""))
 		}
-		s.finish()
+		s.finishConnection()
 	default:
 		if s.closing {
 			return
 		}
-		text, whole, err := s.parts.add(f)
+		text, complete, err := s.assembler.add(f)
 		if err != nil {
-			s.fault(err)
-		} else if whole {
-			s.f.count.Messages++
-			s.message(text)
+			s.failProtocol(err)
+		} else if complete {
+			s.front.counters.Messages++
+			s.handleMessage(text)
 		}
 	}
 }
 
 // ---- JSON-RPC ----
 
+// message is a JSON-RPC request or notification from the client.
 type message struct {
 	Version string          `json:"jsonrpc"`
 	ID      json.RawMessage `json:"id"`
@@ -437,6 +466,7 @@
 	Params  json.RawMessage `json:"params"`
 }
 
+// response is a JSON-RPC response.
 type response struct {
 	Version string          `json:"jsonrpc"`
 	ID      json.RawMessage `json:"id"`
@@ -444,91 +474,98 @@
 	Error   *rpcError       `json:"error,omitempty"`
 }
 
+// rpcError is the error object of a JSON-RPC response.
 type rpcError struct {
 	Code    int            `json:"code"`
 	Message string         `json:"message"`
 	Data    map[string]any `json:"data,omitempty"`
 }
 
+// notification is a JSON-RPC notification to the client.
 type notification struct {
 	Version string         `json:"jsonrpc"`
 	Method  string         `json:"method"`
 	Params  map[string]any `json:"params"`
 }
 
-var null = json.RawMessage("null")
+// nullID answers a request whose ID cannot be read.
+var nullID = json.RawMessage("null")
 
-func failure(code int, text string, data map[string]any) *response {
+// errorResponse returns an error response without an ID.
+func errorResponse(code int, text string, data map[string]any) *response {
 	return &response{Error: &rpcError{code, text, data}}
 }
 
-// send answers a request; one without an id wants no answer.
-func (s *socket) send(id json.RawMessage, r *response) {
+// respond sends the response to the request with the given ID. A nil ID belongs to a notification, which gets none.
+func (s *socket) respond(id json.RawMessage, r *response) {
 	if s == nil || id == nil || s.closing {
 		return
 	}
 	r.Version, r.ID = "2.0", id
-	s.put(r)
+	s.writeJSON(r)
 }
 
-func (s *socket) put(v any) {
+// writeJSON sends a value as a JSON text message.
+func (s *socket) writeJSON(v any) {
 	text, err := json.Marshal(v)
 	if err != nil {
-		s.f.log.Warn().Str("event", "callcontrol_fault").Msgf("call control: %v", err)
+		s.front.log.Warn().Str("event", "callcontrol_fault").Msgf("call control: %v", err)
 		return
 	}
-	s.write(opText, text)
+	s.writeFrame(opText, text)
 }
 
-func (s *socket) message(text []byte) {
+// handleMessage processes one JSON-RPC message.
+func (s *socket) handleMessage(text []byte) {
 	var m message
 	if err := json.Unmarshal(text, &m); err != nil {
-		code := codeParse
-		if json.Valid(text) { // a batch, or members of the wrong kind
-			code = codeRequest
+		code := codeParseError
+		if json.Valid(text) { // a batch, or members of the wrong type
+			code = codeInvalidRequest
 		}
-		s.send(null, failure(code, "not a JSON-RPC request", nil))
+		s.respond(nullID, errorResponse(code, "not a JSON-RPC request", nil))
 		return
 	}
 	if m.ID != nil && !validID(m.ID) {
-		s.send(null, failure(codeRequest, "id must be a string, a number or null", nil))
+		s.respond(nullID, errorResponse(codeInvalidRequest, "id must be a string, a number or null", nil))
 		return
 	}
-	if m.Method == nil && m.ID != nil { // an answer of the client's: nothing is ever asked of it
+	if m.Method == nil && m.ID != nil { // a response, although clients are never sent requests
 		return
 	}
 	if m.Version != "2.0" || m.Method == nil {
 		id := m.ID
 		if id == nil {
-			id = null
+			id = nullID
 		}
-		s.send(id, failure(codeRequest, "not a JSON-RPC 2.0 request", nil))
+		s.respond(id, errorResponse(codeInvalidRequest, "not a JSON-RPC 2.0 request", nil))
 		return
 	}
 	var answer *response
 	switch *m.Method {
 	case "call.place":
-		answer = s.place(m)
+		answer = s.placeCall(m)
 	case "call.cancel":
-		answer = s.cancel(m)
+		answer = s.cancelCall(m)
 	case "call.release":
-		answer = s.release(m)
+		answer = s.releaseCall(m)
 	case "call.attach":
-		answer = s.attach(m)
+		answer = s.attachCall(m)
 	default:
-		answer = failure(codeMethod, "no such method", nil)
+		answer = errorResponse(codeMethodNotFound, "no such method", nil)
 	}
 	if answer != nil {
-		s.send(m.ID, answer)
+		s.respond(m.ID, answer)
 	}
 }
 
+// validID reports whether a raw JSON-RPC ID is a string, a number or null.
 func validID(id json.RawMessage) bool {
 	return id[0] == '"' || id[0] == '-' || id[0] >= '0' && id[0] <= '9' || string(id) == "null"
 }
 
-// strict reads params and takes no key that it does not know.
-func strict(raw json.RawMessage, into any) error {
+// decodeParams decodes params, which must be an object without unknown keys.
+func decodeParams(raw json.RawMessage, into any) error {
 	if len(raw) == 0 || raw[0] != '{' {
 		return errors.New("params must be an object")
 	}
@@ -537,8 +574,9 @@
 	return d.Decode(into)
 }
 
-// place starts a call. Its answer is the final one and comes later; call.placed tells the id at once.
-func (s *socket) place(m message) *response {
+// placeCall starts a call. It returns an error response or nil: the request is answered when the call's final answer
+// is known, while the notification call.placed carries the call's ID at once.
+func (s *socket) placeCall(m message) *response {
 	var p struct {
 		Class       string `json:"class"`
 		Number      string `json:"number"`
@@ -547,50 +585,52 @@
 		Description string `json:"description"`
 		Retry       bool   `json:"retry"`
 	}
-	err := strict(m.Params, &p)
-	class, known := s.f.classes[p.Class]
+	err := decodeParams(m.Params, &p)
+	class, known := s.front.classes[p.Class]
 	switch {
 	case err != nil:
 	case m.ID == nil || string(m.ID) == "null":
-		return failure(codeRequest, "call.place needs an id", nil)
+		return errorResponse(codeInvalidRequest, "call.place needs an id", nil)
 	case !known:
 		err = fmt.Errorf("class %q is unknown", p.Class)
-	case !dialable(p.Number):
+	case !validNumber(p.Number):
 		err = errors.New("number must be 1 to 64 letters, digits or any of + - . _ * #")
 	case p.Within < 1 || p.Within > class.Deadline.Milliseconds():
 		err = errors.New("answerWithinMs is out of range")
-	case p.Destination != nil && *p.Destination != -1 && len(class.Servers) > 0 && !slices.Contains(class.Servers, *p.Destination):
+	case p.Destination != nil && *p.Destination != -1 && len(class.Servers) > 0 &&
+		!slices.Contains(class.Servers, *p.Destination):
 		err = errors.New("destination is not a server of the class")
-	case len(p.Description) > descriptionMost:
+	case len(p.Description) > maxDescriptionBytes:
 		err = errors.New("description is too long")
 	}
 	if err != nil {
-		return failure(codeParams, err.Error(), nil)
+		return errorResponse(codeInvalidParams, err.Error(), nil)
 	}
-	if !s.rate.Take(s.heard) {
-		s.f.count.Flooded++
-		return failure(codeTooMany, "too many calls at once", nil)
+	if !s.placeRate.Take(s.lastReceived) {
+		s.front.counters.Flooded++
+		return errorResponse(codeTooManyCalls, "too many calls at once", nil)
 	}
-	if s.f.owned[s.caller.ID] >= callsMost {
-		return failure(codeTooMany, "too many calls", nil)
+	if s.front.callCounts[s.caller.ID] >= maxCallsPerIdentity {
+		return errorResponse(codeTooManyCalls, "too many calls", nil)
 	}
 	destination := -1
 	if p.Destination != nil {
 		destination = *p.Destination
 	}
-	c := &call{f: s.f, id: newID(), owner: s.caller.ID, on: s, waiting: slices.Clone(m.ID)}
-	s.f.calls[c.id] = c
-	s.f.owned[c.owner]++
-	s.f.count.Placed++
-	s.notify("call.placed", map[string]any{"call": c.id, "request": c.waiting})
-	s.f.router.Arrive(c, router.Request{ID: c.id, Class: p.Class, Number: p.Number, Description: []byte(p.Description),
-		Destination: destination, Retry: p.Retry,
-		Deadline: s.heard + time.Duration(p.Within)*time.Millisecond - answerEarly, Caller: s.conn.Remote().Addr(),
-		Identity: s.caller.ID, Front: "callcontrol"})
+	c := &call{front: s.front, id: newID(), owner: s.caller.ID, socket: s, requestID: slices.Clone(m.ID)}
+	s.front.calls[c.id] = c
+	s.front.callCounts[c.owner]++
+	s.front.counters.Placed++
+	s.notify("call.placed", map[string]any{"call": c.id, "request": c.requestID})
+	s.front.router.Arrive(c, router.Request{ID: c.id, Class: p.Class, Number: p.Number,
+		Description: []byte(p.Description), Destination: destination, Retry: p.Retry,
+		Deadline: s.lastReceived + time.Duration(p.Within)*time.Millisecond - answerMargin,
+		Caller:   s.conn.Remote().Addr(), Identity: s.caller.ID, Front: "callcontrol"})
 	return nil
 }
 
-func dialable(number string) bool {
+// validNumber reports whether a number has a valid length and no characters other than those allowed.
+func validNumber(number string) bool {
 	for _, r := range number {
 		if (r < '0' || r > '9') && (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') && !strings.ContainsRune("+-._*#", r) {
 			return false
@@ -599,191 +639,199 @@
 	return len(number) >= 1 && len(number) <= 64
 }
 
+// newID returns a random call ID.
 func newID() string {
 	var b [8]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
+// notify sends a notification unless the socket is closing.
 func (s *socket) notify(method string, params map[string]any) {
 	if !s.closing {
-		s.put(notification{"2.0", method, params})
+		s.writeJSON(notification{"2.0", method, params})
 	}
 }
 
-// find reads which of its calls the caller means.
-func (s *socket) find(m message) (*call, *response) {
+// findCall returns the call of the socket's identity that the message names, or an error response.
+func (s *socket) findCall(m message) (*call, *response) {
 	var p struct {
 		Call string `json:"call"`
 	}
-	if err := strict(m.Params, &p); err != nil {
-		return nil, failure(codeParams, err.Error(), nil)
+	if err := decodeParams(m.Params, &p); err != nil {
+		return nil, errorResponse(codeInvalidParams, err.Error(), nil)
 	}
-	c := s.f.calls[p.Call]
+	c := s.front.calls[p.Call]
 	if c == nil || c.owner != s.caller.ID {
-		return nil, failure(codeUnknown, "no such call", nil)
+		return nil, errorResponse(codeUnknownCall, "no such call", nil)
 	}
 	return c, nil
 }
 
-// cancel withdraws a call that has no answer yet.
-func (s *socket) cancel(m message) *response {
-	c, bad := s.find(m)
-	if bad != nil {
-		return bad
+// cancelCall withdraws a call that has no final answer yet.
+func (s *socket) cancelCall(m message) *response {
+	c, failed := s.findCall(m)
+	if failed != nil {
+		return failed
 	}
-	if c.stands || c.answer != nil {
-		return failure(codeUnknown, "the call has its answer", nil)
+	if c.established || c.undelivered != nil {
+		return errorResponse(codeUnknownCall, "the call has its answer", nil)
 	}
-	s.f.router.Cancel(c, c.id)
-	c.on.send(c.waiting, failure(codeCancelled, "cancelled", map[string]any{"call": c.id}))
-	c.forget()
+	s.front.router.Cancel(c, c.id)
+	c.socket.respond(c.requestID, errorResponse(codeCancelled, "cancelled", map[string]any{"call": c.id}))
+	c.remove()
 	return &response{Result: map[string]any{"call": c.id}}
 }
 
-// release ends a call that stands.
-func (s *socket) release(m message) *response {
-	c, bad := s.find(m)
-	if bad != nil {
-		return bad
+// releaseCall releases an established call.
+func (s *socket) releaseCall(m message) *response {
+	c, failed := s.findCall(m)
+	if failed != nil {
+		return failed
 	}
-	if !c.stands {
-		return failure(codeUnknown, "the call does not stand", nil)
+	if !c.established {
+		return errorResponse(codeUnknownCall, "the call does not stand", nil)
 	}
-	s.f.router.Release(c.id)
-	c.forget()
+	s.front.router.Release(c.id)
+	c.remove()
 	return &response{Result: map[string]any{"call": c.id}}
 }
 
-// attach gives a call to this socket. One without an answer answers here when it has it, one whose answer nobody
-// has had answers now, one that stands says so; call.ended comes here from now on.
-func (s *socket) attach(m message) *response {
+// attachCall attaches a call to this socket, which receives call.ended from now on. The request is answered with the
+// final answer: at once if it is known and was not delivered, otherwise when it is known. For a call whose answer was
+// delivered it reports that the call is established.
+func (s *socket) attachCall(m message) *response {
 	if m.ID == nil || string(m.ID) == "null" {
-		return failure(codeRequest, "call.attach needs an id", nil)
+		return errorResponse(codeInvalidRequest, "call.attach needs an id", nil)
 	}
-	c, bad := s.find(m)
-	if bad != nil {
-		return bad
+	c, failed := s.findCall(m)
+	if failed != nil {
+		return failed
 	}
-	s.f.count.Attached++
-	if c.on != nil && c.on != s {
-		c.on.send(c.waiting, failure(codeElsewhere, "attached elsewhere", map[string]any{"call": c.id}))
-	} else if c.on == s && c.waiting != nil {
-		return failure(codeRequest, "this socket waits for the call already", nil)
+	s.front.counters.Attached++
+	if c.socket != nil && c.socket != s {
+		c.socket.respond(c.requestID,
+			errorResponse(codeAttachedElsewhere, "attached elsewhere", map[string]any{"call": c.id}))
+	} else if c.socket == s && c.requestID != nil {
+		return errorResponse(codeInvalidRequest, "this socket waits for the call already", nil)
 	}
-	c.on, c.waiting = s, nil
-	c.lapse++
+	c.socket, c.requestID = s, nil
+	c.graceNumber++
 	switch {
-	case c.answer != nil:
-		answer := c.answer
-		c.answer = nil
-		if c.over || !c.stands {
-			c.forget()
+	case c.undelivered != nil:
+		answer := c.undelivered
+		c.undelivered = nil
+		if c.ended || !c.established {
+			c.remove()
 		}
-		if c.stands && c.over { // it came and went unseen
-			s.send(m.ID, answer)
-			s.ended(c.id, c.how)
+		if c.established && c.ended { // established and ended while no socket was attached
+			s.respond(m.ID, answer)
+			s.notifyEnded(c.id, c.outcome)
 			return nil
 		}
 		return answer
-	case c.stands:
+	case c.established:
 		return &response{Result: map[string]any{"call": c.id, "state": "standing"}}
 	}
-	c.waiting = slices.Clone(m.ID)
+	c.requestID = slices.Clone(m.ID)
 	return nil
 }
 
-func (s *socket) ended(id string, how threadglade.Outcome) {
+// notifyEnded notifies the client that an established call has ended.
+func (s *socket) notifyEnded(id string, outcome threadglade.Outcome) {
 	cause := "cut"
-	if how == threadglade.Concluded {
+	if outcome == threadglade.Concluded {
 		cause = "concluded"
 	}
-	s.f.count.Ended++
+	s.front.counters.Ended++
 	s.notify("call.ended", map[string]any{"call": id, "cause": cause})
 }
 
 // ---- calls ----
 
-// detach leaves the call to whoever attaches next, for a while.
+// detach removes the call's socket. A call that has its final answer then waits GraceMs for another socket to attach.
 func (c *call) detach() {
-	c.on, c.waiting = nil, nil
-	if c.stands || c.answer != nil {
-		c.grace()
+	c.socket, c.requestID = nil, nil
+	if c.established || c.undelivered != nil {
+		c.startGracePeriod()
 	}
 }
 
-// grace forgets a call that nobody claims and releases it if it stands.
-func (c *call) grace() {
-	c.lapse++
-	lapse := c.lapse
-	c.f.router.Schedule(c.f.clock()+time.Duration(c.f.cfg.GraceMs)*time.Millisecond, func() {
-		if c.f.calls[c.id] != c || c.on != nil || c.lapse != lapse {
+// startGracePeriod removes the call after GraceMs unless a socket attaches, and releases it if it is established.
+func (c *call) startGracePeriod() {
+	c.graceNumber++
+	number := c.graceNumber
+	c.front.router.Schedule(c.front.clock()+time.Duration(c.front.cfg.GraceMs)*time.Millisecond, func() {
+		if c.front.calls[c.id] != c || c.socket != nil || c.graceNumber != number {
 			return
 		}
-		c.f.count.Unclaimed++
-		c.f.log.Info().Str("event", "callcontrol_unclaimed").Str("call", c.id).Str("identity", c.owner).
+		c.front.counters.Unclaimed++
+		c.front.log.Info().Str("event", "callcontrol_unclaimed").Str("call", c.id).Str("identity", c.owner).
 			Msgf("call control: call %s of %s was not claimed", c.id, c.owner)
-		if c.stands && !c.over {
-			c.f.router.Release(c.id)
+		if c.established && !c.ended {
+			c.front.router.Release(c.id)
 		}
-		c.forget()
+		c.remove()
 	})
 }
 
-func (c *call) forget() {
-	if c.f.calls[c.id] != c {
+// remove deletes the call from the front.
+func (c *call) remove() {
+	if c.front.calls[c.id] != c {
 		return
 	}
-	delete(c.f.calls, c.id)
-	if c.f.owned[c.owner]--; c.f.owned[c.owner] <= 0 {
-		delete(c.f.owned, c.owner)
+	delete(c.front.calls, c.id)
+	if c.front.callCounts[c.owner]--; c.front.callCounts[c.owner] <= 0 {
+		delete(c.front.callCounts, c.owner)
 	}
 }
 
-// final gives the one answer to whoever waits, or keeps it for whoever attaches.
-func (c *call) final(r *response) {
-	c.f.count.Answers++
-	if c.on != nil && !c.on.closing {
-		c.on.send(c.waiting, r)
-		c.waiting = nil
-		if !c.stands {
-			c.forget()
+// deliverAnswer sends the final answer to the attached socket, or keeps it for the next socket that attaches.
+func (c *call) deliverAnswer(r *response) {
+	c.front.counters.Answers++
+	if c.socket != nil && !c.socket.closing {
+		c.socket.respond(c.requestID, r)
+		c.requestID = nil
+		if !c.established {
+			c.remove()
 		}
 		return
 	}
-	c.on, c.waiting, c.answer = nil, nil, r
-	c.grace()
+	c.socket, c.requestID, c.undelivered = nil, nil, r
+	c.startGracePeriod()
 }
 
-// Stood is called by the router.
+// Established implements router.Front.
 func (c *call) Established(_ string, description []byte) {
-	c.stands = true
-	c.final(&response{Result: map[string]any{"call": c.id, "state": "standing", "description": string(description)}})
+	c.established = true
+	c.deliverAnswer(&response{Result: map[string]any{"call": c.id, "state": "standing",
+		"description": string(description)}})
 }
 
-// Refused is called by the router.
+// Refused implements router.Front.
 func (c *call) Refused(_ string, retryAfter time.Duration) {
-	c.final(failure(codeRefused, "refused", map[string]any{"call": c.id, "retryAfterMs": retryAfter.Milliseconds()}))
+	c.deliverAnswer(errorResponse(codeRefused, "refused", map[string]any{"call": c.id,
+		"retryAfterMs": retryAfter.Milliseconds()}))
 }
 
-// Failed is called by the router.
-func (c *call) Failed(_ string, why router.Failure) {
-	if why == router.DeadlineExceeded {
-		c.final(failure(codeDeadline, "deadline", map[string]any{"call": c.id}))
+// Failed implements router.Front.
+func (c *call) Failed(_ string, reason router.Failure) {
+	if reason == router.DeadlineExceeded {
+		c.deliverAnswer(errorResponse(codeDeadlineExceeded, "deadline", map[string]any{"call": c.id}))
 		return
 	}
-	c.final(failure(codeFailed, "failed", map[string]any{"call": c.id}))
+	c.deliverAnswer(errorResponse(codeFailed, "failed", map[string]any{"call": c.id}))
 }
 
-// Released is called by the router.
-func (c *call) Released(_ string, how threadglade.Outcome) {
-	c.over, c.how = true, how
+// Released implements router.Front.
+func (c *call) Released(_ string, outcome threadglade.Outcome) {
+	c.ended, c.outcome = true, outcome
 	switch {
-	case c.answer != nil: // kept until the grace ends: whoever attaches hears both
-	case c.on != nil:
-		c.on.ended(c.id, how)
-		c.forget()
+	case c.undelivered != nil: // kept for the grace period: a socket that attaches receives the answer and call.ended
+	case c.socket != nil:
+		c.socket.notifyEnded(c.id, outcome)
+		c.remove()
 	default:
-		c.forget()
+		c.remove()
 	}
 }
--- a/internal/callcontrol/codec.go
+++ b/internal/callcontrol/codec.go
@@ -1,7 +1,8 @@
-// Package callcontrol is the second front: JSON-RPC 2.0 over WebSocket on the same loop as SIP. codec.go is the
-// WebSocket protocol (RFC 6455), callcontrol.go the calls and who they belong to. It owns the sockets' state and
-// the identities' claims on calls. It must never decide about a call, give one a better or worse chance than a
-// SIP caller has, let one identity see another's calls, or trust a length, an origin or a token unchecked.
+// Package callcontrol serves the call control API, JSON-RPC 2.0 over WebSocket, as a second front beside SIP on the
+// same event loop. codec.go implements the WebSocket protocol (RFC 6455), callcontrol.go the calls and their owners.
+// The package holds the state of the sockets and which identity each call belongs to. It must never decide about a
+// call, treat one better or worse than a SIP caller's, let one identity see another's calls, or use a length, an
+// origin or a token unchecked.
 package callcontrol
 
 import (
@@ -16,49 +17,53 @@
 
 // Close codes of RFC 6455, section 7.4.1.
 const (
-	closeNormal   = 1000
-	closeAway     = 1001
-	closeProtocol = 1002
-	closeKind     = 1003
-	closeNoCode   = 1005 // never on the wire
-	closeText     = 1007
-	closePolicy   = 1008
-	closeTooBig   = 1009
+	closeNormal          = 1000
+	closeGoingAway       = 1001
+	closeProtocolError   = 1002
+	closeUnsupportedData = 1003
+	closeNoStatus        = 1005 // never sent: stands for a close frame without a code
+	closeInvalidPayload  = 1007
+	closePolicyViolation = 1008
+	closeMessageTooBig   = 1009
 )
 
+// Opcodes of RFC 6455, section 5.2.
 const (
-	opMore  = 0
-	opText  = 1
-	opBin   = 2
-	opClose = 8
-	opPing  = 9
-	opPong  = 10
+	opContinuation = 0
+	opText         = 1
+	opBinary       = 2
+	opClose        = 8
+	opPing         = 9
+	opPong         = 10
 )
 
+// Limits of what a client may send.
 const (
-	messageMost = 32 << 10
-	helloMost   = 8 << 10
+	maxMessageBytes   = 32 << 10
+	maxHandshakeBytes = 8 << 10
 )
 
-// fault is a breach of the protocol with the close code that answers it.
-type fault struct {
-	code int
-	text string
+// protocolError is a violation of the WebSocket protocol, with the close code to answer it with.
+type protocolError struct {
+	code   int
+	reason string
 }
 
-func (f *fault) Error() string { return f.text }
+// Error implements error.
+func (f *protocolError) Error() string { return f.reason }
 
-var errHello = errors.New("malformed handshake")
+// errHandshake is returned for an opening handshake that is not a valid HTTP request.
+var errHandshake = errors.New("malformed handshake")
 
-// frame is one frame; payload is a slice of the read buffer, unmasked in place.
+// frame is one WebSocket frame. Its payload is a slice of the read buffer, unmasked in place.
 type frame struct {
 	fin     bool
 	op      byte
 	payload []byte
 }
 
-// parseFrame reads one masked frame from the start of b; n is 0 while it is not all there.
-func parseFrame(b []byte) (f frame, n int, err *fault) {
+// parseFrame parses one masked frame from the start of b and returns its size in bytes, 0 while it is incomplete.
+func parseFrame(b []byte) (f frame, n int, err *protocolError) {
 	if len(b) < 2 {
 		return f, 0, nil
 	}
@@ -67,20 +72,20 @@
 	control := f.op >= opClose
 	switch {
 	case b[0]&0x70 != 0:
-		return f, 0, &fault{closeProtocol, "reserved bit set"}
-	case f.op > opBin && !control || f.op > opPong:
-		return f, 0, &fault{closeProtocol, "unknown opcode"}
+		return f, 0, &protocolError{closeProtocolError, "reserved bit set"}
+	case f.op > opBinary && !control || f.op > opPong:
+		return f, 0, &protocolError{closeProtocolError, "unknown opcode"}
 	case b[1]&0x80 == 0:
-		return f, 0, &fault{closeProtocol, "frame is not masked"}
+		return f, 0, &protocolError{closeProtocolError, "frame is not masked"}
 	case control && (!f.fin || size > 125):
-		return f, 0, &fault{closeProtocol, "malformed control frame"}
+		return f, 0, &protocolError{closeProtocolError, "malformed control frame"}
 	case size == 126:
 		if len(b) < 4 {
 			return f, 0, nil
 		}
 		size, at = uint64(binary.BigEndian.Uint16(b[2:])), 4
 		if size < 126 {
-			return f, 0, &fault{closeProtocol, "length is not in its shortest form"}
+			return f, 0, &protocolError{closeProtocolError, "length is not in its shortest form"}
 		}
 	case size == 127:
 		if len(b) < 10 {
@@ -88,11 +93,11 @@
 		}
 		size, at = binary.BigEndian.Uint64(b[2:]), 10
 		if size < 1<<16 || size > 1<<63-1 {
-			return f, 0, &fault{closeProtocol, "length is not in its shortest form"}
+			return f, 0, &protocolError{closeProtocolError, "length is not in its shortest form"}
 		}
 	}
-	if size > messageMost {
-		return f, 0, &fault{closeTooBig, "message too big"}
+	if size > maxMessageBytes {
+		return f, 0, &protocolError{closeMessageTooBig, "message too big"}
 	}
 	end := at + 4 + int(size)
 	if len(b) < end {
@@ -106,7 +111,7 @@
 	return f, end, nil
 }
 
-// appendFrame writes one whole unmasked frame.
+// appendFrame appends one unfragmented, unmasked frame to b.
 func appendFrame(b []byte, op byte, payload []byte) []byte {
 	b = append(b, 0x80|op)
 	switch n := len(payload); {
@@ -120,107 +125,109 @@
 	return append(b, payload...)
 }
 
-// assembler puts fragments together.
+// assembler reassembles fragmented messages.
 type assembler struct {
-	open  bool // a fragmented message has begun
-	parts []byte
+	pending   bool // a fragmented message is incomplete
+	fragments []byte
 }
 
-// add takes a data frame and returns the message that it completes; whole is false while one is incomplete.
-func (a *assembler) add(f frame) (text []byte, whole bool, err *fault) {
+// add adds a data frame and returns the message that it completes. complete is false while more fragments are due.
+func (a *assembler) add(f frame) (text []byte, complete bool, err *protocolError) {
 	switch {
-	case f.op == opBin:
-		return nil, false, &fault{closeKind, "only text is spoken here"}
-	case f.op == opText && a.open:
-		return nil, false, &fault{closeProtocol, "new message within a fragmented one"}
-	case f.op == opMore && !a.open:
-		return nil, false, &fault{closeProtocol, "continuation of nothing"}
+	case f.op == opBinary:
+		return nil, false, &protocolError{closeUnsupportedData, "only text is spoken here"}
+	case f.op == opText && a.pending:
+		return nil, false, &protocolError{closeProtocolError, "new message within a fragmented one"}
+	case f.op == opContinuation && !a.pending:
+		return nil, false, &protocolError{closeProtocolError, "continuation of nothing"}
 	}
 	text = f.payload
-	if f.op == opMore || !f.fin {
-		if len(a.parts)+len(f.payload) > messageMost {
-			return nil, false, &fault{closeTooBig, "message too big"}
+	if f.op == opContinuation || !f.fin {
+		if len(a.fragments)+len(f.payload) > maxMessageBytes {
+			return nil, false, &protocolError{closeMessageTooBig, "message too big"}
 		}
-		a.parts = append(a.parts, f.payload...)
-		a.open = !f.fin
-		if a.open {
+		a.fragments = append(a.fragments, f.payload...)
+		a.pending = !f.fin
+		if a.pending {
 			return nil, false, nil
 		}
-		text, a.parts = a.parts, nil
+		text, a.fragments = a.fragments, nil
 	}
 	if !utf8.Valid(text) {
-		return nil, false, &fault{closeText, "text is not UTF-8"}
+		return nil, false, &protocolError{closeInvalidPayload, "text is not UTF-8"}
 	}
 	return text, true, nil
 }
 
-// closeCode reads the payload of a close frame.
-func closeCode(payload []byte) (int, *fault) {
+// closeCode returns the code in the payload of a close frame, closeNoStatus if there is none.
+func closeCode(payload []byte) (int, *protocolError) {
 	switch {
 	case len(payload) == 0:
-		return closeNoCode, nil
+		return closeNoStatus, nil
 	case len(payload) == 1:
-		return 0, &fault{closeProtocol, "malformed close"}
+		return 0, &protocolError{closeProtocolError, "malformed close"}
 	}
 	code := int(binary.BigEndian.Uint16(payload))
 	switch {
 	case code < 1000, code >= 1004 && code <= 1006, code >= 1015 && code < 3000, code >= 5000:
-		return 0, &fault{closeProtocol, "close code is not for the wire"}
+		return 0, &protocolError{closeProtocolError, "close code is not for the wire"}
 	case !utf8.Valid(payload[2:]):
-		return 0, &fault{closeText, "reason is not UTF-8"}
+		return 0, &protocolError{closeInvalidPayload, "reason is not UTF-8"}
 	}
 	return code, nil
 }
 
+// closePayload returns the payload of a close frame. The reason is cut to fit into a control frame.
 func closePayload(code int, reason string) []byte {
 	return append(binary.BigEndian.AppendUint16(nil, uint16(code)), reason[:min(len(reason), 120)]...)
 }
 
 // ---- the opening handshake ----
 
-// hello is the request that opens a WebSocket.
-type hello struct {
+// handshake is the HTTP request that opens a WebSocket.
+type handshake struct {
 	key       string
 	origin    string
-	bearer    string   // token from Authorization or from a subprotocol
-	protocols []string // offered, without the one that carries a token
+	token     string   // token from Authorization or from a subprotocol
+	protocols []string // offered subprotocols, without the one that carries a token
 	version   string
 	upgrade   bool
 }
 
+// Subprotocols: the API's own, and the prefix of the one in which a browser, which can't set headers, sends its token.
 const (
 	subprotocol  = "callcontrol.v1"
 	bearerPrefix = "bearer."
 )
 
-// parseHello reads the HTTP request at the start of b; n is 0 while it is not all there.
-func parseHello(b []byte) (h hello, n int, err error) {
+// parseHandshake parses the HTTP request at the start of b and returns its size in bytes, 0 while it is incomplete.
+func parseHandshake(b []byte) (h handshake, n int, err error) {
 	end := bytes.Index(b, []byte("\r\n\r\n"))
 	if end < 0 {
-		if len(b) > helloMost {
-			return h, 0, errHello
+		if len(b) > maxHandshakeBytes {
+			return h, 0, errHandshake
 		}
 		return h, 0, nil
 	}
 	lines := strings.Split(string(b[:end]), "\r\n")
 	start := strings.Split(lines[0], " ")
-	if end > helloMost || len(start) != 3 || start[0] != "GET" || start[2] != "HTTP/1.1" {
-		return h, 0, errHello
+	if end > maxHandshakeBytes || len(start) != 3 || start[0] != "GET" || start[2] != "HTTP/1.1" {
+		return h, 0, errHandshake
 	}
 	upgrade, connection, host, keys := false, false, false, 0
 	for _, line := range lines[1:] {
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || strings.ContainsAny(name, " \t") {
-			return h, 0, errHello
+			return h, 0, errHandshake
 		}
 		value = strings.TrimSpace(value)
 		switch strings.ToLower(name) {
 		case "host":
 			host = value != ""
 		case "upgrade":
-			upgrade = upgrade || listed(value, "websocket")
+			upgrade = upgrade || hasToken(value, "websocket")
 		case "connection":
-			connection = connection || listed(value, "upgrade")
+			connection = connection || hasToken(value, "upgrade")
 		case "sec-websocket-key":
 			h.key, keys = value, keys+1
 		case "sec-websocket-version":
@@ -229,38 +236,39 @@
 			h.origin = value
 		case "authorization":
 			if scheme, token, ok := strings.Cut(value, " "); ok && strings.EqualFold(scheme, "bearer") {
-				h.bearer = strings.TrimSpace(token)
+				h.token = strings.TrimSpace(token)
 			}
 		case "sec-websocket-protocol":
-			for one := range strings.SplitSeq(value, ",") {
-				one = strings.TrimSpace(one)
-				if token, ok := strings.CutPrefix(one, bearerPrefix); ok {
-					if h.bearer == "" {
-						h.bearer = token
+			for item := range strings.SplitSeq(value, ",") {
+				item = strings.TrimSpace(item)
+				if token, ok := strings.CutPrefix(item, bearerPrefix); ok {
+					if h.token == "" {
+						h.token = token
 					}
 				} else {
-					h.protocols = append(h.protocols, one)
+					h.protocols = append(h.protocols, item)
 				}
 			}
 		}
 	}
 	if !host || keys > 1 {
-		return h, 0, errHello
+		return h, 0, errHandshake
 	}
 	h.upgrade = upgrade && connection
 	return h, end + 4, nil
 }
 
-func listed(value, want string) bool {
-	for one := range strings.SplitSeq(value, ",") {
-		if strings.EqualFold(strings.TrimSpace(one), want) {
+// hasToken reports whether a comma-separated header value contains a token, ignoring case.
+func hasToken(value, want string) bool {
+	for item := range strings.SplitSeq(value, ",") {
+		if strings.EqualFold(strings.TrimSpace(item), want) {
 			return true
 		}
 	}
 	return false
 }
 
-// acceptKey answers the key of a handshake; false if it is none.
+// acceptKey returns the Sec-WebSocket-Accept value for a key, or false if the key is invalid.
 func acceptKey(key string) (string, bool) {
 	raw, err := base64.StdEncoding.DecodeString(key)
 	if err != nil || len(raw) != 16 {
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,6 +1,6 @@
-// Package identity tells who speaks: it checks JWT-SVIDs against the trust bundles that the SPIFFE Workload API
-// hands out. It owns the bundles and keeps them fresh. It must never hold a private key, accept a token before
-// it has a bundle, or let anyone in who is not listed.
+// Package identity authenticates and authorizes callers: it validates JWT-SVIDs against the trust bundles that the
+// SPIFFE Workload API distributes, and keeps these up to date. It must never hold a private key, accept a token
+// before it has a bundle, or accept an identity that is not listed.
 package identity
 
 import (
@@ -18,48 +18,52 @@
 	"github.com/spiffe/go-spiffe/v2/workloadapi"
 )
 
-// Errors of Verify other than those of the token itself.
+// Errors of Verifier.Verify other than those of an invalid token.
 var (
-	ErrNoBundle   = errors.New("no trust bundle yet")
+	// ErrNoBundle is returned until the first trust bundles have been received.
+	ErrNoBundle = errors.New("no trust bundle yet")
+	// ErrNotAllowed is returned for a valid token of an identity that is not listed.
 	ErrNotAllowed = errors.New("identity is not allowed")
 )
 
-// Caller is who a token speaks for.
+// Caller is the subject of a verified token.
 type Caller struct {
-	ID      string
-	Expires time.Time
+	ID      string    // SPIFFE ID
+	Expires time.Time // when the token expires
 }
 
-// Config says whom to let in.
+// Config configures which tokens are accepted.
 type Config struct {
-	TrustDomain string
-	Audience    string
-	Allowed     []string // SPIFFE ids; one that ends in /* stands for all below it
+	TrustDomain string   // of all accepted identities
+	Audience    string   // that a token must name
+	Allowed     []string // SPIFFE IDs; one that ends in /* allows all IDs below it
 	WorkloadAPI string   // address of the Workload API
 }
 
-// Verifier checks tokens.
+// Verifier verifies tokens. Its methods may be called concurrently.
 type Verifier struct {
 	policy  atomic.Pointer[policy]
 	bundles atomic.Pointer[jwtbundle.Set]
 	log     zerolog.Logger
 }
 
-// policy says whom to let in.
+// policy is a parsed Config.
 type policy struct {
 	domain   spiffeid.TrustDomain
 	audience []string
-	exact    map[string]bool
-	below    []string
+	exact    map[string]bool // allowed IDs
+	prefixes []string        // of allowed IDs, each ends in a slash
 }
 
-// New checks the configuration. The error names the field that is wrong.
+// New returns a Verifier, which accepts no token until Watch has received trust bundles. An error names the invalid
+// field.
 func New(c Config, log zerolog.Logger) (*Verifier, error) {
 	v := &Verifier{log: log}
 	return v, v.Reconfigure(c)
 }
 
-// Reconfigure changes who is let in; a wrong configuration changes nothing. The Workload API stays that of Watch.
+// Reconfigure replaces the configuration. An error names the invalid field; the previous configuration then stays in
+// force. The address of the Workload API stays the one passed to Watch.
 func (v *Verifier) Reconfigure(c Config) error {
 	p, err := newPolicy(c)
 	if err == nil {
@@ -68,10 +72,11 @@
 	return err
 }
 
+// newPolicy validates a configuration.
 func newPolicy(c Config) (*policy, error) {
-	v := &policy{exact: map[string]bool{}, audience: []string{c.Audience}}
+	p := &policy{exact: map[string]bool{}, audience: []string{c.Audience}}
 	var err error
-	if v.domain, err = spiffeid.TrustDomainFromString(c.TrustDomain); err != nil {
+	if p.domain, err = spiffeid.TrustDomainFromString(c.TrustDomain); err != nil {
 		return nil, fmt.Errorf("trust_domain: %w", err)
 	}
 	if c.Audience == "" {
@@ -80,28 +85,28 @@
 	if len(c.Allowed) == 0 {
 		return nil, errors.New("allowed_ids: is empty")
 	}
-	for _, text := range c.Allowed {
-		plain, prefix := strings.CutSuffix(text, "/*")
-		id, err := spiffeid.FromString(plain)
+	for _, pattern := range c.Allowed {
+		base, prefix := strings.CutSuffix(pattern, "/*")
+		id, err := spiffeid.FromString(base)
 		if err != nil {
-			return nil, fmt.Errorf("allowed_ids: %q: %w", text, err)
+			return nil, fmt.Errorf("allowed_ids: %q: %w", pattern, err)
 		}
-		if !id.MemberOf(v.domain) {
-			return nil, fmt.Errorf("allowed_ids: %q is not of %s", text, v.domain)
+		if !id.MemberOf(p.domain) {
+			return nil, fmt.Errorf("allowed_ids: %q is not in trust domain %s", pattern, p.domain)
 		}
 		if prefix {
-			v.below = append(v.below, id.String()+"/")
+			p.prefixes = append(p.prefixes, id.String()+"/")
 		} else {
-			v.exact[id.String()] = true
+			p.exact[id.String()] = true
 		}
 	}
 	if err := workloadapi.ValidateAddress(c.WorkloadAPI); err != nil {
 		return nil, fmt.Errorf("workload_api: %w", err)
 	}
-	return v, nil
+	return p, nil
 }
 
-// Watch follows the trust bundles until the context ends; it returns at once.
+// Watch starts to receive trust bundles from the Workload API, until the context ends, and returns at once.
 func (v *Verifier) Watch(ctx context.Context, address string) error {
 	client, err := workloadapi.New(ctx, workloadapi.WithAddr(address))
 	if err != nil {
@@ -109,25 +114,29 @@
 	}
 	go func() {
 		defer client.Close()
+		//lint:ignore SA4023 the client always returns an error today, but the interface allows nil
 		if err := client.WatchJWTBundles(ctx, v); err != nil && ctx.Err() == nil {
-			v.log.Error().Str("event", "identity_watch_ended").Msgf("identity: the watch of the trust bundles has ended: %v", err)
+			v.log.Error().Str("event", "identity_watch_ended").
+				Msgf("identity: the watch of the trust bundles has ended: %v", err)
 		}
 	}()
 	return nil
 }
 
-// OnJWTBundlesUpdate takes new bundles.
+// OnJWTBundlesUpdate implements workloadapi.JWTBundleWatcher: it replaces the trust bundles.
 func (v *Verifier) OnJWTBundlesUpdate(set *jwtbundle.Set) {
 	v.bundles.Store(set)
-	v.log.Info().Str("event", "identity_bundles").Int("domains", set.Len()).Msgf("identity: trust bundles of %d domains", set.Len())
+	v.log.Info().Str("event", "identity_bundles").Int("domains", set.Len()).
+		Msgf("identity: trust bundles of %d domains", set.Len())
 }
 
-// OnJWTBundlesWatchError hears of trouble with the Workload API; the bundles at hand go on to serve.
+// OnJWTBundlesWatchError implements workloadapi.JWTBundleWatcher. The bundles received before stay in force.
 func (v *Verifier) OnJWTBundlesWatchError(err error) {
 	v.log.Warn().Str("event", "identity_watch").Msgf("identity: Workload API: %v", err)
 }
 
-// Verify checks a token and who it speaks for.
+// Verify validates a token and returns its subject if it is allowed. Errors are ErrNoBundle, ErrNotAllowed (wrapped)
+// and those of the token.
 func (v *Verifier) Verify(token string) (Caller, error) {
 	set, p := v.bundles.Load(), v.policy.Load()
 	if set == nil {
@@ -139,7 +148,7 @@
 	}
 	id := svid.ID.String()
 	allowed := p.exact[id]
-	for _, prefix := range p.below {
+	for _, prefix := range p.prefixes {
 		allowed = allowed || strings.HasPrefix(id, prefix)
 	}
 	if !allowed || !svid.ID.MemberOf(p.domain) {
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -11,15 +11,15 @@
 	"threadglade.example/threadglade/internal/identity/identitytest"
 )
 
-// TestVerify guards the door: only a token in date, for us, of a listed identity and signed by an authority of the
-// bundle now in force opens it, and none does before there is a bundle.
+// TestVerify checks that only unexpired tokens are accepted that name the audience and a listed identity and are
+// signed by an authority of the current bundle, and that none is accepted before there is a bundle.
 func TestVerify(t *testing.T) {
 	api := identitytest.New(t)
 	address := api.Address
 	updated := make(chan bool, 9)
 	v, err := New(Config{TrustDomain: "branch.example", Audience: "threadglade", WorkloadAPI: address,
 		Allowed: []string{"spiffe://branch.example/desk/*", "spiffe://branch.example/ops"}},
-		zerolog.New(notice(updated)))
+		zerolog.New(writeNotifier(updated)))
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -39,21 +39,24 @@
 	require.NoError(t, err)
 
 	for name, bad := range map[string]string{
-		"none":           "",
-		"nonsense":       "a.b.c",
-		"expired":        identitytest.Token(t, k, "spiffe://branch.example/desk/7", "threadglade", time.Now().Add(-time.Hour)),
+		"none":     "",
+		"nonsense": "a.b.c",
+		"expired": identitytest.Token(t, k, "spiffe://branch.example/desk/7", "threadglade",
+			time.Now().Add(-time.Hour)),
 		"other audience": identitytest.Token(t, k, "spiffe://branch.example/desk/7", "elsewhere", later),
 		"other domain":   identitytest.Token(t, k, "spiffe://other.example/desk/7", "threadglade", later),
 		"not listed":     identitytest.Token(t, k, "spiffe://branch.example/door", "threadglade", later),
 		"below ops":      identitytest.Token(t, k, "spiffe://branch.example/ops/x", "threadglade", later),
-		"other key":      identitytest.Token(t, identitytest.Key(t), "spiffe://branch.example/desk/7", "threadglade", later),
+		"other key": identitytest.Token(t, identitytest.Key(t), "spiffe://branch.example/desk/7", "threadglade",
+			later),
 	} {
 		_, err := v.Verify(bad)
 		require.Error(t, err, name)
 	}
 
-	// A configuration read anew decides from now on; a bad one changes nothing.
-	ops := Config{TrustDomain: "branch.example", Audience: "threadglade", WorkloadAPI: address, Allowed: []string{"spiffe://other.example/x"}}
+	// A new configuration takes effect at once; an invalid one changes nothing.
+	ops := Config{TrustDomain: "branch.example", Audience: "threadglade", WorkloadAPI: address,
+		Allowed: []string{"spiffe://other.example/x"}}
 	require.ErrorContains(t, v.Reconfigure(ops), "allowed_ids")
 	_, err = v.Verify(good)
 	require.NoError(t, err)
@@ -68,6 +71,7 @@
 	require.Error(t, err)
 }
 
+// TestConfig checks that the error for an invalid configuration names the field.
 func TestConfig(t *testing.T) {
 	good := Config{TrustDomain: "branch.example", Audience: "a", WorkloadAPI: "unix:///run/x.sock",
 		Allowed: []string{"spiffe://branch.example/desk/*"}}
@@ -86,7 +90,11 @@
 	}
 }
 
-// notice is told of every log event.
-type notice chan bool
+// writeNotifier is an io.Writer that signals every log event.
+type writeNotifier chan bool
 
-func (n notice) Write(b []byte) (int, error) { n <- true; return len(b), nil }
+// Write implements io.Writer.
+func (n writeNotifier) Write(b []byte) (int, error) {
+	n <- true
+	return len(b), nil
+}
--- a/internal/identity/identitytest/identitytest.go
+++ b/internal/identity/identitytest/identitytest.go
@@ -1,5 +1,5 @@
-// Package identitytest is a stand-in for the SPIFFE Workload API and an authority that signs tokens, for tests. It
-// must never be imported by anything but tests.
+// Package identitytest provides a fake SPIFFE Workload API and an authority that signs tokens. It must only be
+// imported by tests.
 package identitytest
 
 import (
@@ -22,14 +22,14 @@
 // Domain is the trust domain of all bundles and tokens.
 const Domain = "branch.example"
 
-// API hands out one trust bundle after another, those that are put into Bundles.
+// WorkloadAPI is a fake Workload API that sends each trust bundle put into Bundles to a watching client.
 type API struct {
 	workload.UnimplementedSpiffeWorkloadAPIServer
 	Bundles chan []byte
-	Address string
+	Address string // for workloadapi.WithAddr
 }
 
-// New serves the Workload API on loopback until the test ends.
+// New starts a fake Workload API on loopback, which stops when the test ends.
 func New(t *testing.T) *API {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -41,12 +41,14 @@
 	return a
 }
 
-// FetchJWTBundles streams bundles as they come.
-func (a *API) FetchJWTBundles(_ *workload.JWTBundlesRequest, s grpc.ServerStreamingServer[workload.JWTBundlesResponse]) error {
+// FetchJWTBundles implements the Workload API: it streams the bundles as they are put into Bundles.
+func (a *API) FetchJWTBundles(_ *workload.JWTBundlesRequest,
+	s grpc.ServerStreamingServer[workload.JWTBundlesResponse]) error {
 	for {
 		select {
 		case b := <-a.Bundles:
-			if err := s.Send(&workload.JWTBundlesResponse{Bundles: map[string][]byte{"spiffe://" + Domain: b}}); err != nil {
+			if err := s.Send(&workload.JWTBundlesResponse{
+				Bundles: map[string][]byte{"spiffe://" + Domain: b}}); err != nil {
 				return err
 			}
 		case <-s.Context().Done():
@@ -55,14 +57,14 @@
 	}
 }
 
-// Key makes an authority's key.
+// Key generates the key of an authority.
 func Key(t *testing.T) *ecdsa.PrivateKey {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
 	return k
 }
 
-// Bundle is the trust bundle of one authority.
+// Bundle returns the encoded trust bundle of an authority.
 func Bundle(t *testing.T, k *ecdsa.PrivateKey) []byte {
 	b := jwtbundle.New(spiffeid.RequireTrustDomainFromString(Domain))
 	require.NoError(t, b.AddJWTAuthority("k1", k.Public()))
@@ -71,7 +73,7 @@
 	return text
 }
 
-// Token is a JWT-SVID signed by the key.
+// Token returns a JWT-SVID signed by the key.
 func Token(t *testing.T, k *ecdsa.PrivateKey, id, audience string, expires time.Time) string {
 	s, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.ES256, Key: jose.JSONWebKey{Key: k, KeyID: "k1"}}, nil)
 	require.NoError(t, err)
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -11,19 +11,21 @@
 	"threadglade.example/threadglade"
 )
 
-// Host runs many instances over one conversation. The instances share nothing but the process.
+// Host runs controller instances for the simulator on one connection. The instances share no state.
 type Host struct {
-	instances map[string]*threadglade.Controller
-	tables    map[int][]Row
-	now       time.Duration
-	out       *json.Encoder
+	instances map[string]*threadglade.Controller // by proxy ID
+	tables    map[int][]Row                      // server lists by table number
+	now       time.Duration                      // simulated time
+	replies   *json.Encoder
 }
 
-// Serve answers batches from in on out until in ends. A malformed line is an error that names its number.
+// Serve reads batches of lines from in and writes the reply to each batch to out, until in ends. The error for a
+// malformed line names its number.
 func Serve(in io.Reader, out io.Writer) error {
 	var reply bytes.Buffer
-	h := &Host{instances: map[string]*threadglade.Controller{}, tables: map[int][]Row{}, out: json.NewEncoder(&reply)}
-	h.out.SetEscapeHTML(false)
+	h := &Host{instances: map[string]*threadglade.Controller{}, tables: map[int][]Row{},
+		replies: json.NewEncoder(&reply)}
+	h.replies.SetEscapeHTML(false)
 	lines := bufio.NewReaderSize(in, 1<<20)
 	for number := 1; ; number++ {
 		text, err := lines.ReadBytes('\n')
@@ -41,7 +43,7 @@
 		if err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
-		if err := h.take(line); err != nil {
+		if err := h.handle(line); err != nil {
 			return fmt.Errorf("line %d: %s: %w", number, line.Cmd, err)
 		}
 		if line.Cmd != "EofBatch" {
@@ -54,19 +56,19 @@
 	}
 }
 
-// take handles one line and appends what it calls for to the reply.
-func (h *Host) take(l Line) error {
+// handle processes one line and appends any resulting lines to the reply.
+func (h *Host) handle(l Line) error {
 	switch l.Cmd {
 	case "Mark":
 		h.now = Span(l.Clock)
 		return nil
 	case "EofBatch":
-		return h.out.Encode(Reply{Cmd: "End"})
+		return h.replies.Encode(Reply{Cmd: "End"})
 	case "Pool":
 		h.tables[l.Table] = l.Rows
 		return nil
 	case "PowerOn":
-		return h.start(l)
+		return h.startInstance(l)
 	case "Destroy":
 		delete(h.instances, l.Proxy)
 		return nil
@@ -79,46 +81,48 @@
 	if instance == nil || !known {
 		return nil
 	}
-	actions, err := guarded(func() []threadglade.Action { return instance.Handle(h.now, event) })
+	actions, err := recoverPanic(func() []threadglade.Action { return instance.Handle(h.now, event) })
 	if err != nil {
-		return h.fault(l.Proxy, fmt.Errorf("handling %s: %w", l.Cmd, err))
+		return h.writeException(l.Proxy, fmt.Errorf("handling %s: %w", l.Cmd, err))
 	}
-	return h.put(l.Proxy, actions)
+	return h.writeActions(l.Proxy, actions)
 }
 
-func (h *Host) start(l Line) error {
+// startInstance creates the controller of a proxy.
+func (h *Host) startInstance(l Line) error {
 	settings, err := Settings(l.Params)
 	if err != nil {
 		return fmt.Errorf("params: %w", err)
 	}
 	instance, err := threadglade.New(settings, l.Seed)
 	if err != nil {
-		return h.fault(l.Proxy, err)
+		return h.writeException(l.Proxy, err)
 	}
 	h.instances[l.Proxy] = instance
 	return nil
 }
 
-// fault reports that an instance cannot go on.
-func (h *Host) fault(proxy string, err error) error {
-	return h.out.Encode(Reply{Cmd: "Exception", Proxy: proxy, What: err.Error()})
+// writeException reports that an instance has failed.
+func (h *Host) writeException(proxy string, err error) error {
+	return h.replies.Encode(Reply{Cmd: "Exception", Proxy: proxy, What: err.Error()})
 }
 
-func (h *Host) put(proxy string, actions []threadglade.Action) error {
+// writeActions appends a controller's actions to the reply.
+func (h *Host) writeActions(proxy string, actions []threadglade.Action) error {
 	for _, a := range actions {
 		r, err := Action(proxy, a)
 		if err != nil {
 			return err
 		}
-		if err := h.out.Encode(r); err != nil {
+		if err := h.replies.Encode(r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// guarded turns a panic of the module into an error.
-func guarded(f func() []threadglade.Action) (actions []threadglade.Action, err error) {
+// recoverPanic calls f and turns a panic into an error.
+func recoverPanic(f func() []threadglade.Action) (actions []threadglade.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v", p)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,12 +7,13 @@
 	"threadglade.example/threadglade"
 )
 
-type params struct {
-	Me       int     `json:"me"`
-	Proxies  int     `json:"replicasOfMe"`
-	Find     string  `json:"discovery"`
-	OverPart float64 `json:"overShareWorth"`
-	Classes  []struct {
+// settingsJSON is the wire form of an instance's settings. Durations are in milliseconds.
+type settingsJSON struct {
+	Index          int     `json:"me"`
+	Proxies        int     `json:"replicasOfMe"`
+	Discovery      string  `json:"discovery"`
+	OverShareWorth float64 `json:"overShareWorth"`
+	Classes        []struct {
 		Name     string  `json:"name"`
 		Aim      float64 `json:"aimMs"`
 		Deadline float64 `json:"deadlineMs"`
@@ -50,18 +51,19 @@
 	} `json:"rules"`
 }
 
-var repeats = map[string]threadglade.Repeat{
+// repeatsByName holds the wire names of the repeat rules.
+var repeatsByName = map[string]threadglade.Repeat{
 	"free": threadglade.RepeatFree, "guarded": threadglade.RepeatGuarded, "single_shot": threadglade.RepeatNever}
 
-// Settings reads an instance's settings; keys it does not know are skipped.
+// ParseSettings parses an instance's settings. Unknown keys are ignored.
 func Settings(raw json.RawMessage) (threadglade.Settings, error) {
-	var p params
+	var p settingsJSON
 	if err := json.Unmarshal(raw, &p); err != nil {
 		return threadglade.Settings{}, err
 	}
 	s := threadglade.Settings{
-		Index: p.Me, Proxies: p.Proxies, OverQuotaFactor: p.OverPart,
-		Network: p.Domain.Form == "network", SubscribeList: p.Find == "on_request",
+		Index: p.Index, Proxies: p.Proxies, OverQuotaFactor: p.OverShareWorth,
+		Network: p.Domain.Form == "network", SubscribeList: p.Discovery == "on_request",
 		Limits: threadglade.Limits{MaxAttempts: p.Limits.MaxAttempts, MaxRetryAfter: Span(p.Limits.MaxPause),
 			RetryAfter: p.Limits.RetryAfter, Cancel: p.Limits.Cancel},
 		Rules: threadglade.Rules{ReleaseWait: Span(p.Domain.Release), DrainGrace: Span(p.Rules.DrainGrace),
@@ -70,11 +72,11 @@
 		Callers: threadglade.Callers{MarkRetries: p.Callers.Marks},
 	}
 	for i, c := range p.Classes {
-		if _, known := repeats[c.Repeat]; !known {
+		if _, known := repeatsByName[c.Repeat]; !known {
 			return s, fmt.Errorf("classes[%d].repeat: %q is unknown", i, c.Repeat)
 		}
 		class := threadglade.Class{Name: c.Name, Aim: Span(c.Aim), Deadline: Span(c.Deadline), Worth: c.Gain,
-			LateFactor: c.Late, Repeat: repeats[c.Repeat]}
+			LateFactor: c.Late, Repeat: repeatsByName[c.Repeat]}
 		if i < len(p.Domain.Pools) {
 			class.Servers = p.Domain.Pools[i]
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,5 @@
-// Package wire reads and writes the simulator's line protocol and translates it to the library's events and actions.
+// Package wire implements the simulator's line protocol, one JSON object per line, and translates it to and from the
+// controller's events and actions.
 package wire
 
 import (
@@ -10,7 +11,7 @@
 	"threadglade.example/threadglade"
 )
 
-// Line is one incoming line.
+// Line is one incoming line. Cmd decides which of the other fields are set.
 type Line struct {
 	Cmd         string             `json:"cmd"`
 	Clock       float64            `json:"clockMs"`
@@ -38,7 +39,7 @@
 	Token       int64              `json:"handle"`
 }
 
-// Row is one entry of a server list.
+// Row is one server of a server list.
 type Row struct {
 	Server  string  `json:"server"`
 	Number  int     `json:"number"`
@@ -46,7 +47,7 @@
 	Started float64 `json:"lastStartMs"`
 }
 
-// Parse reads one line.
+// ParseLine parses one line, which must have a cmd field.
 func Parse(b []byte) (Line, error) {
 	var l Line
 	if err := json.Unmarshal(b, &l); err != nil {
@@ -58,34 +59,41 @@
 	return l, nil
 }
 
-// Span turns the wire's fractional milliseconds into a span of whole microseconds.
+// Duration converts fractional milliseconds, as on the wire, to a duration, rounded to microseconds and clamped to
+// ±2⁶² nanoseconds.
 func Span(ms float64) time.Duration {
-	const most = float64(1<<62) / 1e6
-	return time.Duration(math.Round(max(-most, min(most, ms))*1000)) * time.Microsecond
+	const maxMs = float64(1<<62) / 1e6
+	return time.Duration(math.Round(max(-maxMs, min(maxMs, ms))*1000)) * time.Microsecond
 }
 
-func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+// milliseconds converts a duration to fractional milliseconds, truncated to microseconds.
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-var outcomes = map[string]threadglade.Outcome{
+// outcomesByStatus maps the status that ended an attempt to its outcome.
+var outcomesByStatus = map[string]threadglade.Outcome{
 	"OK": threadglade.Concluded, "INTERNAL": threadglade.Faulted, "RESOURCE_EXHAUSTED": threadglade.Rejected,
 	"DEADLINE_EXCEEDED": threadglade.TimedOut, "UNAVAILABLE": threadglade.Unreachable, "ABORTED": threadglade.Cut,
 	"CANCELLED": threadglade.Cancelled, "TOO_LATE": threadglade.NotSent,
 }
 
-var states = map[string]threadglade.ServerState{
+// statesByName holds the wire names of server states.
+var statesByName = map[string]threadglade.ServerState{
 	"up": threadglade.Up, "draining": threadglade.Draining, "removed": threadglade.Removed,
 }
 
-// codes holds the low four bits of a clear code; 18 is a processor beyond the one that answered.
-var codes = map[int]threadglade.Cause{
-	1: threadglade.CauseNoAgent, 2: threadglade.CauseSentBack, 3: threadglade.CauseProcessorFull, 4: threadglade.CauseLinesBusy,
+// causesByCode maps the low four bits of a clear code to a cause. Code 18, whose low bits are 2, comes from a
+// processor beyond the one that answered.
+var causesByCode = map[int]threadglade.Cause{
+	1: threadglade.CauseNoAgent, 2: threadglade.CauseSentBack, 3: threadglade.CauseProcessorFull,
+	4: threadglade.CauseLinesBusy,
 }
 
-// Event translates a line about one instance; known is false for a message that the module has no use for.
+// Event translates a line for one instance to an event of its controller. known is false for a line that the
+// controller has no use for.
 func (l Line) Event(tables map[int][]Row) (ev threadglade.Event, known bool, err error) {
 	switch l.Cmd {
 	case "Registry":
-		ev, err := l.list(tables)
+		ev, err := l.serverList(tables)
 		return ev, err == nil, err
 	case "JobIn":
 		return threadglade.Arrival{
@@ -95,19 +103,19 @@
 	case "FirstByte":
 		return threadglade.Stood{Call: l.Call, Attempt: l.Attempt, Server: l.Server, Latency: Span(l.Wait)}, true, nil
 	case "ClosedAttempt":
-		outcome, ok := outcomes[l.Ending]
+		outcome, ok := outcomesByStatus[l.Ending]
 		if !ok {
 			return nil, false, fmt.Errorf("unknown ending %q", l.Ending)
 		}
 		return threadglade.Ended{
-			Call: l.Call, Attempt: l.Attempt, Server: l.Server, Outcome: outcome, Cause: codes[l.Code&15],
+			Call: l.Call, Attempt: l.Attempt, Server: l.Server, Outcome: outcome, Cause: causesByCode[l.Code&15],
 			Elapsed: Span(l.Wait), Final: l.Settled,
 		}, true, nil
 	case "CheckResult":
-		free, told := l.Pressure["idle"]
-		total, sized := l.Pressure["circuits"]
+		free, hasIdle := l.Pressure["idle"]
+		total, hasTotal := l.Pressure["circuits"]
 		agents := threadglade.Agents{Server: l.Server, Free: int(free), Total: int(total)}
-		return agents, told && sized && l.Ending == "OK", nil
+		return agents, hasIdle && hasTotal && l.Ending == "OK", nil
 	case "CancelledByClient":
 		return threadglade.CallerGone{Call: l.Call}, true, nil
 	case "Due":
@@ -116,13 +124,15 @@
 	return nil, false, nil
 }
 
-func (l Line) list(tables map[int][]Row) (threadglade.Event, error) {
-	ev := threadglade.ServerList{Delta: l.Scope == "Partial", Stored: l.Scope == "Persisted", Failed: l.Scope == "Error"}
+// serverList translates a server list update.
+func (l Line) serverList(tables map[int][]Row) (threadglade.Event, error) {
+	ev := threadglade.ServerList{Delta: l.Scope == "Partial", Stored: l.Scope == "Persisted",
+		Failed: l.Scope == "Error"}
 	if ev.Failed {
 		return ev, nil
 	}
 	for _, r := range tables[l.Table] {
-		state, ok := states[r.State]
+		state, ok := statesByName[r.State]
 		if !ok {
 			return nil, fmt.Errorf("unknown state %q of server %s", r.State, r.Server)
 		}
@@ -132,7 +142,7 @@
 	return ev, nil
 }
 
-// Reply is one outgoing line.
+// Reply is one outgoing line. Cmd decides which of the other fields are set.
 type Reply struct {
 	Cmd     string   `json:"cmd"`
 	Proxy   string   `json:"proxyId,omitempty"`
@@ -147,22 +157,23 @@
 	What    string   `json:"what,omitempty"`
 }
 
-// Action translates an action of one instance.
+// EncodeAction translates an action of a proxy's controller to a line.
 func Action(proxy string, a threadglade.Action) (Reply, error) {
 	switch a := a.(type) {
 	case threadglade.Send:
-		return Reply{Cmd: "SubmitTo", Proxy: proxy, Call: a.Call, Server: a.Server, Timeout: millis(a.Timeout)}, nil
+		return Reply{Cmd: "SubmitTo", Proxy: proxy, Call: a.Call, Server: a.Server,
+			Timeout: milliseconds(a.Timeout)}, nil
 	case threadglade.Refuse:
-		return Reply{Cmd: "Shed", Proxy: proxy, Call: a.Call, Pause: millis(a.RetryAfter)}, nil
+		return Reply{Cmd: "Shed", Proxy: proxy, Call: a.Call, Pause: milliseconds(a.RetryAfter)}, nil
 	case threadglade.Fail:
 		return Reply{Cmd: "DropRequest", Proxy: proxy, Call: a.Call}, nil
 	case threadglade.GiveUp:
 		return Reply{Cmd: "Abandon", Proxy: proxy, Call: a.Call, Attempt: &a.Attempt}, nil
 	case threadglade.SetTimer:
-		at := millis(a.At)
+		at := milliseconds(a.At)
 		return Reply{Cmd: "WakeAt", Proxy: proxy, At: &at, Token: &a.Token}, nil
 	case threadglade.Subscribe:
 		return Reply{Cmd: "Observe", Proxy: proxy, Enable: true}, nil
 	}
-	return Reply{}, fmt.Errorf("no wire form for %T", a)
+	return Reply{}, fmt.Errorf("action %T has no wire format", a)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -4,9 +4,11 @@
 	"bytes"
 	"strings"
 	"testing"
+
 	"threadglade.example/threadglade"
 )
 
+// start is a batch that starts an instance with one class and one server.
 const start = `{"cmd":"Mark","clockMs":1000}
 {"cmd":"PowerOn","proxyId":"proxy/0","randomSeed":5,"params":{"me":0,"replicasOfMe":2,"discovery":"pushed","unknown":1,` +
 	`"classes":[{"name":"song","aimMs":1000,"deadlineMs":5000,"gain":2,"lateWorth":0.5,"repeat":"free"}],` +
@@ -19,11 +21,13 @@
 {"cmd":"EofBatch"}
 `
 
+// call is a batch with one arrival.
 const call = `{"cmd":"Mark","clockMs":1005.5}
 {"cmd":"JobIn","proxyId":"proxy/0","txn":"t1","lane":"song","resource":"aa","timeLeftMs":2000,"destination":4}
 {"cmd":"EofBatch"}
 `
 
+// serve runs Serve on the input and returns its output.
 func serve(t *testing.T, in string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -31,6 +35,8 @@
 	return out.String(), err
 }
 
+// An instance sends an attempt for an arrival, refuses the call when the server rejects the attempt, and sends
+// nothing once it is destroyed.
 func TestConversation(t *testing.T) {
 	got, err := serve(t, start+call+`{"cmd":"Mark","clockMs":1040}
 {"cmd":"ClosedAttempt","proxyId":"proxy/0","txn":"t1","seqNo":0,"server":"10.0.0.1:7","ending":"RESOURCE_EXHAUSTED",`+
@@ -58,6 +64,7 @@
 	}
 }
 
+// An instance decides the same whether or not another runs beside it.
 func TestInstancesShareNothing(t *testing.T) {
 	alone, err := serve(t, start+call)
 	if err != nil {
@@ -73,13 +80,15 @@
 	}
 }
 
+// The error for an invalid line names its number and the invalid value.
 func TestBadInput(t *testing.T) {
 	for name, c := range map[string]struct{ in, want string }{
-		"not JSON":        {"{\n", "line 1"},
-		"no name":         {`{"cmd":"Mark"}` + "\n{}\n", "line 2: no cmd field"},
-		"wrong type":      {`{"cmd":"Mark","clockMs":"soon"}` + "\n", "line 1"},
-		"unknown ending":  {start + `{"cmd":"ClosedAttempt","proxyId":"proxy/0","ending":"WHAT"}` + "\n", `ending "WHAT"`},
-		"unknown state":   {`{"cmd":"Pool","table":1,"rows":[{"state":"odd"}]}` + "\n" + `{"cmd":"Registry","proxyId":"p","table":1}`, `state "odd"`},
+		"not JSON":       {"{\n", "line 1"},
+		"no name":        {`{"cmd":"Mark"}` + "\n{}\n", "line 2: no cmd field"},
+		"wrong type":     {`{"cmd":"Mark","clockMs":"soon"}` + "\n", "line 1"},
+		"unknown ending": {start + `{"cmd":"ClosedAttempt","proxyId":"proxy/0","ending":"WHAT"}` + "\n", `ending "WHAT"`},
+		"unknown state": {`{"cmd":"Pool","table":1,"rows":[{"state":"odd"}]}` + "\n" +
+			`{"cmd":"Registry","proxyId":"p","table":1}`, `state "odd"`},
 		"settings by sum": {`{"cmd":"PowerOn","proxyId":"p","params":7}` + "\n", "params"},
 	} {
 		if _, err := serve(t, c.in); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -88,7 +97,8 @@
 	}
 }
 
-func TestSettingsThatCannotBeServedAreAFault(t *testing.T) {
+// Invalid settings are reported as an exception of the instance.
+func TestInvalidSettingsAreReported(t *testing.T) {
 	got, err := serve(t, `{"cmd":"PowerOn","proxyId":"p","params":{"replicasOfMe":1}}`+"\n"+`{"cmd":"EofBatch"}`)
 	if err != nil {
 		t.Fatal(err)
@@ -98,12 +108,14 @@
 	}
 }
 
+// A panic of the controller becomes an error.
 func TestPanicIsAnError(t *testing.T) {
-	if _, err := guarded(func() (_ []threadglade.Action) { panic("odd state") }); err == nil {
+	if _, err := recoverPanic(func() (_ []threadglade.Action) { panic("odd state") }); err == nil {
 		t.Error("no error")
 	}
 }
 
+// FuzzServe checks that no input makes Serve panic or write half a reply.
 func FuzzServe(f *testing.F) {
 	f.Add(start + call)
 	f.Add("{}")
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -1,7 +1,7 @@
-// Package middleware puts the router's core before an http.Handler: each HTTP request becomes a request of the
-// core, the server that the core chooses goes into the request's context, and the handler's result is the
-// outcome of the attempt. It owns the requests that are being served here and one goroutine for the core's
-// timers. It must never choose a server, run two attempts of one request at once, or start a goroutine for one.
+// Package middleware wraps an http.Handler with the router: each HTTP request becomes a request of the router, the
+// server that the router chooses is passed in the request's context, and the handler's result is the outcome of the
+// attempt. The package owns the requests in progress and one goroutine for the router's timers. It must never choose
+// a server, run two attempts of one request concurrently, or start a goroutine per request.
 package middleware
 
 import (
@@ -22,50 +22,51 @@
 )
 
 const (
-	// holdMost bytes of a failed attempt's response are kept until it is known whether another attempt follows.
-	holdMost = 64 << 10
-	// requestsMost are in the core at once unless Config says otherwise.
-	requestsMost = 10_000
+	// maxHeldBytes bounds how much of a failed attempt's response body is kept until it is known whether another
+	// attempt follows.
+	maxHeldBytes = 64 << 10
+	// defaultMaxRequests is the default of Config.MaxRequests.
+	defaultMaxRequests = 10_000
 )
 
-// Config is what the middleware needs.
+// Config configures a Core. Settings and Describe are required.
 type Config struct {
 	Settings threadglade.Settings
-	Seed     uint64
-	Clock    router.Clock // nil: the system's
-	// Describe says what a request asks for: class, number, destination, retry and the deadline by which the
-	// handler must have begun to answer. Where the request's own context ends earlier, that counts. The ID is
-	// the middleware's.
+	Seed     uint64       // of the router's random choices
+	Clock    router.Clock // nil: the system clock
+	// Describe maps an HTTP request to a request of the router: class, number, destination, retry and the deadline
+	// by which the handler must have begun to answer. An earlier deadline of the request's context takes precedence.
+	// The ID is set by the middleware. Describe is called concurrently.
 	Describe func(r *http.Request, now time.Duration) router.Request
 	Log      zerolog.Logger // the zero value logs nothing
-	// Observer hears what happens; nil: nobody does. It is called by whichever goroutine works on the core, one at a time.
+	// Observer receives the router's events; nil: none. It is called on various goroutines, but never concurrently.
 	Observer router.Observer
-	// Most requests may be in the core at once, 10,000 if 0: more are refused at once.
+	// MaxRequests bounds the requests in progress, 10,000 if 0. Further requests are refused at once.
 	Most int
 }
 
-// Core is a router whose attempts are runs of an http.Handler.
+// Core is a router whose attempts are calls of an http.Handler. Its methods may be called concurrently.
 type Core struct {
-	cfg    Config
-	router *router.Router
-	wake   chan struct{}
-	done   chan struct{}
-	once   sync.Once
-	mu     sync.Mutex
-	calls  map[string]*call
-	spans  atomic.Pointer[map[string]time.Duration] // the classes' deadlines
+	cfg            Config
+	router         *router.Router
+	wake           chan struct{}
+	done           chan struct{}
+	closeOnce      sync.Once
+	mu             sync.Mutex
+	calls          map[string]*call
+	classDeadlines atomic.Pointer[map[string]time.Duration] // by class name
 }
 
-// New starts a core; Close ends it. The error names the setting that cannot be served.
+// New starts a Core, which Close stops. An error names the invalid setting.
 func New(cfg Config) (*Core, error) {
 	if cfg.Clock == nil {
 		cfg.Clock = router.SystemClock()
 	}
 	if cfg.Most == 0 {
-		cfg.Most = requestsMost
+		cfg.Most = defaultMaxRequests
 	}
 	c := &Core{cfg: cfg, wake: make(chan struct{}, 1), done: make(chan struct{}), calls: map[string]*call{}}
-	c.spans.Store(spans(cfg.Settings))
+	c.classDeadlines.Store(classDeadlines(cfg.Settings))
 	var err error
 	c.router, err = router.New(router.Config{Settings: cfg.Settings, Seed: cfg.Seed, Clock: cfg.Clock, Trunk: trunk{c},
 		Log: cfg.Log, Wake: c.Wake, Observer: cfg.Observer})
@@ -76,17 +77,18 @@
 	return c, nil
 }
 
-// Change puts other settings in force for the requests that come from now on, whole; those that are open keep theirs. An error names
-// the setting that cannot be served, and nothing has changed.
+// Change replaces the settings as a whole for requests that arrive from now on. Requests in progress keep the settings
+// they arrived under. An error names the invalid setting; the settings in force then stay.
 func (c *Core) Change(set threadglade.Settings) error {
 	err := c.router.Change(set)
 	if err == nil {
-		c.spans.Store(spans(set))
+		c.classDeadlines.Store(classDeadlines(set))
 	}
 	return err
 }
 
-func spans(set threadglade.Settings) *map[string]time.Duration {
+// classDeadlines returns the deadlines by class name.
+func classDeadlines(set threadglade.Settings) *map[string]time.Duration {
 	m := make(map[string]time.Duration, len(set.Classes))
 	for _, class := range set.Classes {
 		m[class.Name] = class.Deadline
@@ -94,7 +96,7 @@
 	return &m
 }
 
-// run is the one goroutine that drives the core's timers.
+// run drives the router's timers until Close.
 func (c *Core) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -109,7 +111,7 @@
 	}
 }
 
-// Wake has the timers looked at again; a clock that is moved by hand calls for it.
+// Wake has the timers checked again. It must be called after a manual clock was advanced.
 func (c *Core) Wake() {
 	select {
 	case c.wake <- struct{}{}:
@@ -117,95 +119,107 @@
 	}
 }
 
-// Close ends the timers. Requests that are still waiting end with their contexts.
-func (c *Core) Close() { c.once.Do(func() { close(c.done) }) }
+// Close stops the timers. Requests that are still waiting end with their contexts. It may be called more than once.
+func (c *Core) Close() { c.closeOnce.Do(func() { close(c.done) }) }
 
-// List tells the core of its servers.
+// UpdateServers passes a server list to the router.
 func (c *Core) List(list threadglade.ServerList) { c.router.UpdateServers(list) }
 
-// Agents tells the core of a server's free agents.
+// ReportAgents passes a report of a server's free agents to the router.
 func (c *Core) Agents(a threadglade.Agents) { c.router.ReportAgents(a) }
 
-// Counters returns the core's counters.
+// Counters returns the router's counters.
 func (c *Core) Counters() router.Counters { return c.router.Counters() }
 
+// serverKey is the context key of the chosen server's ID.
 type serverKey struct{}
 
-// Server is the id of the server that the core chose for this request; false outside of a handler.
+// Server returns the ID of the server that the router chose for this attempt, or false outside of a handler.
 func Server(ctx context.Context) (string, bool) {
 	id, ok := ctx.Value(serverKey{}).(string)
 	return id, ok
 }
 
-// call is one HTTP request; it is the request's router.Front.
+// call is one HTTP request in progress. It is the router.Front of its request.
 type call struct {
-	verdicts chan verdict // what the core says, in order; never full: six attempts and one end at the most
-	mu       sync.Mutex
-	cancel   context.CancelFunc // of the handler that runs
-	given    map[int]bool       // attempts that were given up
+	events    chan callEvent // in order; never full: at most six attempts and one final answer
+	mu        sync.Mutex
+	cancel    context.CancelFunc // cancels the attempt in progress
+	withdrawn map[int]bool       // by index: attempts that the router has withdrawn
 }
 
-// verdict is an attempt to be made, or the end.
-type verdict struct {
+// callEvent is an attempt to make, or the final answer: a refusal, or else a failure.
+type callEvent struct {
 	attempt    *router.Attempt
 	refused    bool
 	retryAfter time.Duration
-	why        router.Failure
+	reason     router.Failure
 }
 
-func (k *call) Established(string, []byte)           {}
+// Established implements router.Front. The handler's response is the answer.
+func (k *call) Established(string, []byte) {}
+
+// Released implements router.Front.
 func (k *call) Released(string, threadglade.Outcome) {}
+
+// Refused implements router.Front.
 func (k *call) Refused(_ string, retryAfter time.Duration) {
-	k.verdicts <- verdict{refused: true, retryAfter: retryAfter}
+	k.events <- callEvent{refused: true, retryAfter: retryAfter}
 }
-func (k *call) Failed(_ string, why router.Failure) { k.verdicts <- verdict{why: why} }
 
-// trunk hands attempts to the goroutines of their requests.
-type trunk struct{ c *Core }
+// Failed implements router.Front.
+func (k *call) Failed(_ string, reason router.Failure) { k.events <- callEvent{reason: reason} }
+
+// trunk is the router.Trunk that passes attempts to the goroutines of their requests.
+type trunk struct{ core *Core }
 
+// call returns the request in progress with the given ID, or nil.
 func (t trunk) call(id string) *call {
-	t.c.mu.Lock()
-	defer t.c.mu.Unlock()
-	return t.c.calls[id]
+	t.core.mu.Lock()
+	defer t.core.mu.Unlock()
+	return t.core.calls[id]
 }
 
+// Send implements router.Trunk.
 func (t trunk) Send(a router.Attempt) {
 	if k := t.call(a.ID); k != nil {
-		k.verdicts <- verdict{attempt: &a}
+		k.events <- callEvent{attempt: &a}
 	}
 }
 
+// GiveUp implements router.Trunk: it cancels the handler's context.
 func (t trunk) GiveUp(a router.Attempt) {
 	if k := t.call(a.ID); k != nil {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		k.given[a.Index] = true
+		k.withdrawn[a.Index] = true
 		if k.cancel != nil {
 			k.cancel()
 		}
 	}
 }
 
+// Release implements router.Trunk.
 func (t trunk) Release(a router.Attempt, _ threadglade.Outcome) { t.GiveUp(a) }
 
-// Handler puts the core before a handler. The handler runs once for each attempt: a response that begins with a
-// status below 500 is final, 502 stands for unreachable, 503 for full, 504 for too late and any other for a
-// fault. A request with a body gets one attempt.
+// Handler wraps a handler, which is called once for each attempt. A response with a status below 500 is final; 502
+// means that the server is unreachable, 503 that it is overloaded, 504 that it timed out, and any other status a
+// fault. A request with a body gets only one attempt.
 func (c *Core) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		now := c.cfg.Clock()
 		req := c.cfg.Describe(r, now)
 		req.ID = newID()
-		span, known := (*c.spans.Load())[req.Class]
+		classDeadline, known := (*c.classDeadlines.Load())[req.Class]
 		if !known {
 			http.Error(w, "no such class", http.StatusBadRequest)
 			return
 		}
-		req.Deadline = min(req.Deadline, now+span) // no caller waits longer than its class goes on trying
+		req.Deadline = min(req.Deadline, now+classDeadline) // no caller waits longer than the class's deadline
 		if until, ok := r.Context().Deadline(); ok {
 			req.Deadline = min(req.Deadline, now+time.Until(until))
 		}
-		k := &call{verdicts: make(chan verdict, 4+c.cfg.Settings.Limits.MaxAttempts), given: map[int]bool{}}
+		k := &call{events: make(chan callEvent, 4+c.cfg.Settings.Limits.MaxAttempts), withdrawn: map[int]bool{}}
 		c.mu.Lock()
 		full := len(c.calls) >= c.cfg.Most
 		if !full {
@@ -218,36 +232,36 @@
 			return
 		}
 		defer func() {
-			c.router.Cancel(k, req.ID) // does nothing once there was a final answer
+			c.router.Cancel(k, req.ID) // has no effect after the final answer
 			c.mu.Lock()
 			delete(c.calls, req.ID)
 			c.mu.Unlock()
 		}()
 		c.router.Arrive(k, req)
-		var last *recorder
+		var failed *recorder
 		for {
 			select {
 			case <-r.Context().Done():
 				return
-			case v := <-k.verdicts:
+			case v := <-k.events:
 				switch {
 				case v.attempt != nil:
-					if last != nil && r.ContentLength != 0 {
-						last.finish() // its body is spent: what the first attempt said is final
+					if failed != nil && r.ContentLength != 0 {
+						failed.finalize() // its body has been read: the first attempt's response is final
 						return
 					}
-					last = c.attempt(k, v.attempt, w, r, next)
-					if last == nil {
+					failed = c.attempt(k, v.attempt, w, r, next)
+					if failed == nil {
 						return
 					}
 				case v.refused:
 					w.Header().Set("Retry-After", strconv.Itoa(max(1, int((v.retryAfter+time.Second-1)/time.Second))))
 					http.Error(w, "refused", http.StatusServiceUnavailable)
 					return
-				case last != nil && last.status >= 500:
-					last.finish()
+				case failed != nil && failed.status >= 500:
+					failed.finalize()
 					return
-				case v.why == router.DeadlineExceeded:
+				case v.reason == router.DeadlineExceeded:
 					http.Error(w, "no server answered in time", http.StatusGatewayTimeout)
 					return
 				default:
@@ -259,18 +273,19 @@
 	})
 }
 
-// attempt runs the handler once; nil if its response was final.
-func (c *Core) attempt(k *call, a *router.Attempt, w http.ResponseWriter, r *http.Request, next http.Handler) *recorder {
+// attempt calls the handler once. It returns the failed attempt's response, or nil if the response was final.
+func (c *Core) attempt(k *call, a *router.Attempt, w http.ResponseWriter, r *http.Request,
+	next http.Handler) *recorder {
 	ctx, cancel := context.WithCancel(context.WithValue(r.Context(), serverKey{}, a.Server))
 	defer cancel()
 	k.mu.Lock()
 	k.cancel = cancel
-	if k.given[a.Index] {
+	if k.withdrawn[a.Index] {
 		cancel()
 	}
 	k.mu.Unlock()
-	rec := &recorder{w: w, header: http.Header{}, answered: func() bool {
-		if ctx.Err() != nil { // given up: what comes now is nobody's answer
+	rec := &recorder{writer: w, header: http.Header{}, reportAnswer: func() bool {
+		if ctx.Err() != nil { // withdrawn: the response is discarded
 			return false
 		}
 		c.router.Answered(a.ID, a.Index, nil)
@@ -278,7 +293,7 @@
 	}}
 	clean := false
 	defer func() {
-		if !clean { // a panic goes on to the server, the core hears of it
+		if !clean { // a panic propagates to the HTTP server; the attempt counts as faulted
 			c.router.Ended(a.ID, a.Index, threadglade.Faulted, threadglade.CauseNone)
 		}
 	}()
@@ -290,7 +305,7 @@
 	}
 	clean = true
 	switch {
-	case rec.passed:
+	case rec.committed:
 		c.router.Ended(a.ID, a.Index, threadglade.Concluded, threadglade.CauseNone)
 		return nil
 	case rec.status == http.StatusBadGateway:
@@ -305,66 +320,71 @@
 	return rec
 }
 
+// newID returns a random request ID.
 func newID() string {
 	var b [8]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// recorder passes a good response on as it comes and holds a failed one back until its fate is known.
+// recorder is the http.ResponseWriter of one attempt. It passes a successful response on as it is written and buffers
+// a failed one until it is known whether another attempt follows.
 type recorder struct {
-	w        http.ResponseWriter
-	header   http.Header
-	status   int
-	passed   bool
-	held     bytes.Buffer
-	answered func() bool
+	writer       http.ResponseWriter
+	header       http.Header
+	status       int          // 0: not written yet
+	committed    bool         // the response goes to writer
+	body         bytes.Buffer // of a response that is not committed
+	reportAnswer func() bool  // notifies the router; false if the attempt was withdrawn
 }
 
+// Header implements http.ResponseWriter.
 func (r *recorder) Header() http.Header { return r.header }
 
+// WriteHeader implements http.ResponseWriter. A status below 500 commits the response.
 func (r *recorder) WriteHeader(status int) {
 	if r.status != 0 || status < 200 {
 		return
 	}
-	if r.status = status; status < 500 && r.answered() {
-		r.release()
+	if r.status = status; status < 500 && r.reportAnswer() {
+		r.commit()
 	}
 }
 
+// Write implements http.ResponseWriter.
 func (r *recorder) Write(b []byte) (int, error) {
 	if r.status == 0 {
 		r.WriteHeader(http.StatusOK)
 	}
-	if r.passed {
-		return r.w.Write(b)
+	if r.committed {
+		return r.writer.Write(b)
 	}
-	r.held.Write(b[:min(len(b), holdMost-r.held.Len())])
+	r.body.Write(b[:min(len(b), maxHeldBytes-r.body.Len())])
 	return len(b), nil
 }
 
-// Flush passes on what a streaming handler has written so far.
+// Flush implements http.Flusher for streaming handlers.
 func (r *recorder) Flush() {
-	if f, ok := r.w.(http.Flusher); ok && r.passed {
+	if f, ok := r.writer.(http.Flusher); ok && r.committed {
 		f.Flush()
 	}
 }
 
-// finish makes a held response final; 504 where the handler made none that counts.
-func (r *recorder) finish() {
+// finalize sends a buffered response as the final one, or 504 if the handler wrote no failure.
+func (r *recorder) finalize() {
 	if r.status < 500 {
-		http.Error(r.w, "no server answered in time", http.StatusGatewayTimeout)
+		http.Error(r.writer, "no server answered in time", http.StatusGatewayTimeout)
 		return
 	}
-	r.release()
+	r.commit()
 }
 
-// release writes out the response.
-func (r *recorder) release() {
-	r.passed = true
+// commit sends the status, the header and the buffered body.
+func (r *recorder) commit() {
+	r.committed = true
 	for name, values := range r.header {
-		r.w.Header()[name] = values
+		r.writer.Header()[name] = values
 	}
-	r.w.WriteHeader(r.status)
-	r.w.Write(r.held.Bytes())
+	r.writer.WriteHeader(r.status)
+	r.writer.Write(r.body.Bytes())
 }
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -17,15 +17,16 @@
 	"threadglade.example/threadglade/router"
 )
 
-// start puts a core with two servers before a handler, under chi. The clock only moves by tick.
+// start serves a handler, wrapped by a core with two servers and mounted in chi. The clock only advances by tick.
 func start(t *testing.T, handler http.HandlerFunc) (url string, tick func(time.Duration), core *Core) {
 	var clock atomic.Int64
 	clock.Store(int64(time.Hour))
 	core, err := New(Config{
-		Settings: threadglade.Settings{Proxies: 1, Limits: threadglade.Limits{MaxAttempts: 6, RetryAfter: true, MaxRetryAfter: time.Second},
-			Rules: threadglade.Rules{ReleaseWait: 200 * time.Millisecond, DrainGrace: time.Second},
-			Classes: []threadglade.Class{{Name: "page", Aim: time.Second, Deadline: 5 * time.Second, HoldingTime: time.Second,
-				Worth: 1, Servers: []int{0, 1}}}},
+		Settings: threadglade.Settings{Proxies: 1,
+			Limits: threadglade.Limits{MaxAttempts: 6, RetryAfter: true, MaxRetryAfter: time.Second},
+			Rules:  threadglade.Rules{ReleaseWait: 200 * time.Millisecond, DrainGrace: time.Second},
+			Classes: []threadglade.Class{{Name: "page", Aim: time.Second, Deadline: 5 * time.Second,
+				HoldingTime: time.Second, Worth: 1, Servers: []int{0, 1}}}},
 		Clock: func() time.Duration { return time.Duration(clock.Load()) },
 		Describe: func(r *http.Request, now time.Duration) router.Request {
 			return router.Request{Class: "page", Number: r.URL.Path, Deadline: now + 2*time.Second}
@@ -38,9 +39,13 @@
 	mux.HandleFunc("/*", handler)
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
-	return server.URL, func(d time.Duration) { clock.Add(int64(d)); core.Wake() }, core
+	return server.URL, func(d time.Duration) {
+		clock.Add(int64(d))
+		core.Wake()
+	}, core
 }
 
+// fetch sends a request and returns the response's status, body and header.
 func fetch(t *testing.T, method, url, body string) (int, string, http.Header) {
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	require.NoError(t, err)
@@ -52,7 +57,7 @@
 	return res.StatusCode, string(text), res.Header
 }
 
-// The chosen server is in the context and the response goes through as the handler made it.
+// The chosen server is in the request's context, and the response reaches the client as the handler wrote it.
 func TestChosenServer(t *testing.T) {
 	url, _, core := start(t, func(w http.ResponseWriter, r *http.Request) {
 		id, ok := Server(r.Context())
@@ -66,8 +71,8 @@
 	require.EqualValues(t, 1, core.Counters().Ends[threadglade.Concluded])
 }
 
-// A fault moves the request to the other server; nothing of the first response is seen. A body cannot be sent
-// twice: its first failure is final.
+// A faulted attempt is retried at the other server, and nothing of its response reaches the client. A request with a
+// body can't be sent twice: its first failure is final.
 func TestFaultMovesOn(t *testing.T) {
 	url, _, core := start(t, func(w http.ResponseWriter, r *http.Request) {
 		id, _ := Server(r.Context())
@@ -81,21 +86,25 @@
 	status, text, header := fetch(t, "GET", url+"/a", "")
 	require.Equal(t, []any{200, "s1", ""}, []any{status, text, header.Get("X-s0")})
 	require.EqualValues(t, 2, core.Counters().Attempts)
-	url, _, core = start(t, func(w http.ResponseWriter, r *http.Request) { http.Error(w, "broken", http.StatusBadGateway) })
+	url, _, core = start(t, func(w http.ResponseWriter, r *http.Request) {
+		http.Error(w, "broken", http.StatusBadGateway)
+	})
 	status, text, _ = fetch(t, "POST", url+"/a", "body")
 	require.Equal(t, []any{502, "broken\n"}, []any{status, text})
 	require.Eventually(t, func() bool { return core.Counters().Left == 1 }, 5*time.Second, time.Millisecond)
 }
 
-// A full server is a refusal: 503 with Retry-After, in place of what the handler wrote.
+// An overloaded server leads to a refusal: 503 with Retry-After, instead of the handler's response.
 func TestRefused(t *testing.T) {
-	url, _, _ := start(t, func(w http.ResponseWriter, r *http.Request) { http.Error(w, "full", http.StatusServiceUnavailable) })
+	url, _, _ := start(t, func(w http.ResponseWriter, r *http.Request) {
+		http.Error(w, "full", http.StatusServiceUnavailable)
+	})
 	status, text, header := fetch(t, "GET", url+"/a", "")
 	require.Equal(t, []any{503, "refused\n", "1"}, []any{status, text, header.Get("Retry-After")})
 }
 
-// The attempt's end at its deadline reaches the handler through the context, and the caller gets a 504. A caller
-// that leaves cancels it too.
+// At the attempt's deadline the handler's context is cancelled and the client gets a 504. A client that disconnects
+// cancels the context, too.
 func TestContext(t *testing.T) {
 	running, left := make(chan bool, 9), make(chan bool, 9)
 	url, tick, core := start(t, func(w http.ResponseWriter, r *http.Request) {
@@ -104,7 +113,10 @@
 		io.WriteString(w, "late")
 		left <- true
 	})
-	go func() { <-running; tick(2 * time.Second) }()
+	go func() {
+		<-running
+		tick(2 * time.Second)
+	}()
 	status, text, _ := fetch(t, "GET", url+"/a", "")
 	require.Equal(t, 504, status)
 	require.NotContains(t, text, "late")
@@ -115,15 +127,19 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, "GET", url+"/b", nil)
 	require.NoError(t, err)
-	go func() { <-running; cancel() }()
+	go func() {
+		<-running
+		cancel()
+	}()
 	_, err = http.DefaultClient.Do(req)
 	require.ErrorIs(t, err, context.Canceled)
 	<-left
-	require.Eventually(t, func() bool { return core.Counters().Left+core.Counters().Failed == 2 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return core.Counters().Left+core.Counters().Failed == 2 },
+		5*time.Second, time.Millisecond)
 }
 
-// What the core holds is bounded: beyond Most requests are refused at once, a class that does not exist is no
-// request, and nobody waits longer than the class goes on trying.
+// The requests in progress are bounded: those beyond MaxRequests are refused at once, a request of an unknown class is
+// rejected, and no request waits longer than its class's deadline.
 func TestBounds(t *testing.T) {
 	in, out := make(chan bool), make(chan bool)
 	_, _, core := start(t, func(http.ResponseWriter, *http.Request) {})
@@ -132,7 +148,10 @@
 	core.cfg.Describe = func(_ *http.Request, now time.Duration) router.Request {
 		return router.Request{Class: class, Deadline: now + wait}
 	}
-	handler := core.Handler(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { in <- true; <-out }))
+	handler := core.Handler(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+		in <- true
+		<-out
+	}))
 	ask := func() *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequest("GET", "/", nil))
