--- a/internal/callcontrol/callcontrol.go
+++ b/internal/callcontrol/callcontrol.go
@@ -71,23 +71,23 @@
 	Origins     []string `toml:"origins"`      // origins of web pages that may connect
 	TrustDomain string   `toml:"trust_domain"` // SPIFFE trust domain of the callers
 	Audience    string   `toml:"audience"`     // audience that tokens must name
-	Allowed     []string `toml:"allowed_ids"`  // as in identity.Config
+	AllowedIDs  []string `toml:"allowed_ids"`  // as in identity.Config
 	WorkloadAPI string   `toml:"workload_api"` // address of the SPIFFE Workload API
 	GraceMs     int      `toml:"grace_ms"`     // how long a call without a socket waits for call.attach
-	Sockets     int      `toml:"sockets"`      // most connections at once
+	MaxSockets  int      `toml:"sockets"`      // most connections at once
 
 	Addr netip.AddrPort `toml:"-"` // Listen, parsed
 }
 
 // Identity returns the part of the configuration that decides which callers are authorized.
 func (c Config) Identity() identity.Config {
-	return identity.Config{TrustDomain: c.TrustDomain, Audience: c.Audience, Allowed: c.Allowed,
+	return identity.Config{TrustDomain: c.TrustDomain, Audience: c.Audience, AllowedIDs: c.AllowedIDs,
 		WorkloadAPI: c.WorkloadAPI}
 }
 
 // Load reads the configuration from a TOML file. An error names the file and the invalid or unknown key.
 func Load(path string) (Config, error) {
-	c := Config{GraceMs: 5000, Sockets: 64}
+	c := Config{GraceMs: 5000, MaxSockets: 64}
 	meta, err := toml.DecodeFile(path, &c)
 	if err != nil {
 		return c, fmt.Errorf("%s: %w", path, err)
@@ -104,15 +104,15 @@
 // Read reads a (callcontrol ...) section of the settings. Errors are recorded in the section and returned by its
 // Finish.
 func Read(s *settings.Section) Config {
-	c := Config{GraceMs: 5000, Sockets: 64}
+	c := Config{GraceMs: 5000, MaxSockets: 64}
 	s.String("listen", &c.Listen)
 	c.Origins = s.Strings("origins")
 	s.String("trust-domain", &c.TrustDomain)
 	s.String("audience", &c.Audience)
-	c.Allowed = s.Strings("allowed-ids")
+	c.AllowedIDs = s.Strings("allowed-ids")
 	s.String("workload-api", &c.WorkloadAPI)
 	s.Int("grace-ms", &c.GraceMs, 1, 60_000)
-	s.Int("sockets", &c.Sockets, 1, 1<<20)
+	s.Int("sockets", &c.MaxSockets, 1, 1<<20)
 	if field, err := c.validate(); err != nil {
 		s.Errorf(strings.ReplaceAll(field, "_", "-"), "%v", err)
 	}
@@ -130,8 +130,8 @@
 	if c.GraceMs < 1 || c.GraceMs > 60_000 {
 		return "grace_ms", fmt.Errorf("grace_ms: %d is not between 1 and 60000", c.GraceMs)
 	}
-	if c.Sockets < 1 {
-		return "sockets", fmt.Errorf("sockets: %d is not positive", c.Sockets)
+	if c.MaxSockets < 1 {
+		return "sockets", fmt.Errorf("sockets: %d is not positive", c.MaxSockets)
 	}
 	if _, err := identity.New(c.Identity(), zerolog.Nop()); err != nil {
 		field, _, _ = strings.Cut(err.Error(), ":")
@@ -141,7 +141,7 @@
 }
 
 // VerifyFunc verifies a token and returns the caller it identifies, as identity.Verifier.Verify does.
-type Verify func(token string) (identity.Caller, error)
+type VerifyFunc func(token string) (identity.Caller, error)
 
 // Front serves the call control API. All its methods, and those of its sockets, run on the event loop.
 type Front struct {
@@ -149,7 +149,7 @@
 	classes      map[string]threadglade.Class
 	router       *router.Router
 	clock        router.Clock
-	verify       Verify
+	verify       VerifyFunc
 	log          zerolog.Logger
 	sockets      map[*socket]bool
 	calls        map[string]*call // by call ID
@@ -193,17 +193,17 @@
 }
 
 // New returns a front for calls of the given classes. It schedules its periodic checks with the router.
-func New(cfg Config, classes []threadglade.Class, r *router.Router, clock router.Clock, verify Verify,
+func New(cfg Config, classes []threadglade.Class, r *router.Router, clock router.Clock, verify VerifyFunc,
 	log zerolog.Logger) *Front {
 	f := &Front{cfg: cfg, router: r, clock: clock, verify: verify, log: log,
 		sockets: map[*socket]bool{}, calls: map[string]*call{}, callCounts: map[string]int{}}
-	f.Change(classes)
+	f.SetClasses(classes)
 	f.sweep()
 	return f
 }
 
 // SetClasses replaces the classes against which further calls are checked.
-func (f *Front) Change(classes []threadglade.Class) {
+func (f *Front) SetClasses(classes []threadglade.Class) {
 	f.classes = make(map[string]threadglade.Class, len(classes))
 	for _, c := range classes {
 		f.classes[c.Name] = c
@@ -253,7 +253,7 @@
 // Accept accepts a connection, or returns nil if there are too many or the front is closing. At the limit, the
 // connection whose handshake has been pending longest is closed to make room.
 func (f *Front) Accept(c *loop.Conn) loop.Handler {
-	if len(f.sockets) >= f.cfg.Sockets && !f.closing {
+	if len(f.sockets) >= f.cfg.MaxSockets && !f.closing {
 		var oldest *socket
 		for s := range f.sockets {
 			if s.caller.ID == "" && (oldest == nil || s.deadline < oldest.deadline) {
@@ -265,7 +265,7 @@
 			oldest.conn.Close(errHandshake)
 		}
 	}
-	if len(f.sockets) >= f.cfg.Sockets || f.closing {
+	if len(f.sockets) >= f.cfg.MaxSockets || f.closing {
 		f.counters.Turned++
 		return nil
 	}
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -36,7 +36,7 @@
 type Config struct {
 	TrustDomain string   // of all accepted identities
 	Audience    string   // that a token must name
-	Allowed     []string // SPIFFE IDs; one that ends in /* allows all IDs below it
+	AllowedIDs  []string // SPIFFE IDs; one that ends in /* allows all IDs below it
 	WorkloadAPI string   // address of the Workload API
 }
 
@@ -82,10 +82,10 @@
 	if c.Audience == "" {
 		return nil, errors.New("audience: is empty")
 	}
-	if len(c.Allowed) == 0 {
+	if len(c.AllowedIDs) == 0 {
 		return nil, errors.New("allowed_ids: is empty")
 	}
-	for _, pattern := range c.Allowed {
+	for _, pattern := range c.AllowedIDs {
 		base, prefix := strings.CutSuffix(pattern, "/*")
 		id, err := spiffeid.FromString(base)
 		if err != nil {
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -18,7 +18,7 @@
 	address := api.Address
 	updated := make(chan bool, 9)
 	v, err := New(Config{TrustDomain: "branch.example", Audience: "threadglade", WorkloadAPI: address,
-		Allowed: []string{"spiffe://branch.example/desk/*", "spiffe://branch.example/ops"}},
+		AllowedIDs: []string{"spiffe://branch.example/desk/*", "spiffe://branch.example/ops"}},
 		zerolog.New(writeNotifier(updated)))
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -56,11 +56,11 @@
 
 	// A new configuration takes effect at once; an invalid one changes nothing.
 	ops := Config{TrustDomain: "branch.example", Audience: "threadglade", WorkloadAPI: address,
-		Allowed: []string{"spiffe://other.example/x"}}
+		AllowedIDs: []string{"spiffe://other.example/x"}}
 	require.ErrorContains(t, v.Reconfigure(ops), "allowed_ids")
 	_, err = v.Verify(good)
 	require.NoError(t, err)
-	ops.Allowed = []string{"spiffe://branch.example/ops"}
+	ops.AllowedIDs = []string{"spiffe://branch.example/ops"}
 	require.NoError(t, v.Reconfigure(ops))
 	_, err = v.Verify(good)
 	require.ErrorIs(t, err, ErrNotAllowed)
@@ -74,13 +74,13 @@
 // TestConfig checks that the error for an invalid configuration names the field.
 func TestConfig(t *testing.T) {
 	good := Config{TrustDomain: "branch.example", Audience: "a", WorkloadAPI: "unix:///run/x.sock",
-		Allowed: []string{"spiffe://branch.example/desk/*"}}
+		AllowedIDs: []string{"spiffe://branch.example/desk/*"}}
 	_, err := New(good, zerolog.Nop())
 	require.NoError(t, err)
 	for field, change := range map[string]func(*Config){
 		"trust_domain": func(c *Config) { c.TrustDomain = "A B" },
 		"audience":     func(c *Config) { c.Audience = "" },
-		"allowed_ids":  func(c *Config) { c.Allowed = []string{"spiffe://other.example/x"} },
+		"allowed_ids":  func(c *Config) { c.AllowedIDs = []string{"spiffe://other.example/x"} },
 		"workload_api": func(c *Config) { c.WorkloadAPI = "/run/x.sock" },
 	} {
 		bad := good
--- a/internal/identity/identitytest/identitytest.go
+++ b/internal/identity/identitytest/identitytest.go
@@ -23,17 +23,17 @@
 const Domain = "branch.example"
 
 // WorkloadAPI is a fake Workload API that sends each trust bundle put into Bundles to a watching client.
-type API struct {
+type WorkloadAPI struct {
 	workload.UnimplementedSpiffeWorkloadAPIServer
 	Bundles chan []byte
 	Address string // for workloadapi.WithAddr
 }
 
 // New starts a fake Workload API on loopback, which stops when the test ends.
-func New(t *testing.T) *API {
+func New(t *testing.T) *WorkloadAPI {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	a := &API{Bundles: make(chan []byte), Address: "tcp://" + listener.Addr().String()}
+	a := &WorkloadAPI{Bundles: make(chan []byte), Address: "tcp://" + listener.Addr().String()}
 	server := grpc.NewServer()
 	workload.RegisterSpiffeWorkloadAPIServer(server, a)
 	go server.Serve(listener)
@@ -42,7 +42,7 @@
 }
 
 // FetchJWTBundles implements the Workload API: it streams the bundles as they are put into Bundles.
-func (a *API) FetchJWTBundles(_ *workload.JWTBundlesRequest,
+func (a *WorkloadAPI) FetchJWTBundles(_ *workload.JWTBundlesRequest,
 	s grpc.ServerStreamingServer[workload.JWTBundlesResponse]) error {
 	for {
 		select {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -80,7 +80,7 @@
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
 	cfg := Config{Name: raw.Name, MemoryMB: int(raw.Limits.MemoryMB), Sockets: raw.Limits.Sockets,
-		ConnectTimeout: wire.Span(ownSettings.Limits.Connect), keyTree: tree}
+		ConnectTimeout: wire.Duration(ownSettings.Limits.Connect), keyTree: tree}
 	if cfg.MemoryMB <= 0 || cfg.Sockets <= 0 {
 		return cfg, fmt.Errorf("limits: memory_mb %v and sockets %d must be above 0",
 			raw.Limits.MemoryMB, raw.Limits.Sockets)
@@ -114,7 +114,7 @@
 	if cfg.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
 		return cfg, fmt.Errorf("seed: %w", err)
 	}
-	if cfg.Settings, err = wire.Settings(raw.Settings); err != nil {
+	if cfg.Settings, err = wire.ParseSettings(raw.Settings); err != nil {
 		return cfg, fmt.Errorf("settings: %w", err)
 	}
 	if cfg.Cursor, cfg.Servers, err = registry.ReadKnownList(raw.Known); err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -251,9 +251,9 @@
 
 // OpenCallControl opens the call control front and returns the address that it listens on.
 func (n *Node) OpenCallControl(
-	cfg callcontrol.Config, classes []threadglade.Class, verify callcontrol.Verify,
+	cfg callcontrol.Config, classes []threadglade.Class, verify callcontrol.VerifyFunc,
 ) (netip.AddrPort, error) {
-	if err := n.front.ReserveForFront(cfg.Sockets); err != nil {
+	if err := n.front.ReserveForFront(cfg.MaxSockets); err != nil {
 		return netip.AddrPort{}, fmt.Errorf("call control: sockets: %w", err)
 	}
 	n.callControl = callcontrol.New(cfg, classes, n.Router, n.clock, verify, n.log)
@@ -421,7 +421,7 @@
 	}
 	n.front.UpdateSettings(settings)
 	if n.callControl != nil {
-		n.callControl.Change(settings.Classes)
+		n.callControl.SetClasses(settings.Classes)
 	}
 	if n.ledger != nil {
 		n.ledger.SetClasses(ledger.ConvertClasses(settings.Classes))
--- a/internal/node/subsystems.go
+++ b/internal/node/subsystems.go
@@ -126,7 +126,7 @@
 	if c := p.CallControl; c != nil {
 		fmt.Fprintf(w, "\n  (callcontrol (listen %q) (origins%s) (trust-domain %q) (audience %q)\n"+
 			"    (allowed-ids%s) (workload-api %q) (grace-ms %d) (sockets %d))",
-			c.Listen, quote(c.Origins), c.TrustDomain, c.Audience, quote(c.Allowed), c.WorkloadAPI, c.GraceMs, c.Sockets)
+			c.Listen, quote(c.Origins), c.TrustDomain, c.Audience, quote(c.AllowedIDs), c.WorkloadAPI, c.GraceMs, c.MaxSockets)
 	}
 	if o := p.Ledger; o != nil {
 		when := "go-on"
--- a/internal/scenario/callcontrol_test.go
+++ b/internal/scenario/callcontrol_test.go
@@ -362,7 +362,7 @@
 	api, k, updated := identitytest.New(t), identitytest.Key(t), make(chan bool, 9)
 	id := "spiffe://" + identitytest.Domain + "/desk/7"
 	v, err := identity.New(identity.Config{TrustDomain: identitytest.Domain, Audience: "threadglade", WorkloadAPI: api.Address,
-		Allowed: []string{id}}, zerolog.New(notice(updated)))
+		AllowedIDs: []string{id}}, zerolog.New(notice(updated)))
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -89,7 +89,7 @@
 	disk     *durabletest.FS
 	full     atomic.Bool
 	back     func()
-	check    callcontrol.Verify
+	check    callcontrol.VerifyFunc
 	settings string    // of the router; empty: those above
 	halted   chan bool // closed to have the loop go on; nil: it does
 }
@@ -420,7 +420,7 @@
 	}
 	if strings.Contains(flags, "callcontrol") {
 		w.second, err = w.node.OpenCallControl(callcontrol.Config{Addr: netip.MustParseAddrPort("127.0.0.1:0"), GraceMs: 1000,
-			Sockets: 9, Origins: []string{"https://desk.example"}}, c.Settings.Classes, w.check)
+			MaxSockets: 9, Origins: []string{"https://desk.example"}}, c.Settings.Classes, w.check)
 	}
 	w.config = config
 	w.names.Set(w.names.Serial(), w.entries())
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -39,7 +39,7 @@
 		if len(text) == 0 {
 			continue
 		}
-		line, err := Parse(text)
+		line, err := ParseLine(text)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
@@ -60,7 +60,7 @@
 func (h *Host) handle(l Line) error {
 	switch l.Cmd {
 	case "Mark":
-		h.now = Span(l.Clock)
+		h.now = Duration(l.Clock)
 		return nil
 	case "EofBatch":
 		return h.replies.Encode(Reply{Cmd: "End"})
@@ -90,7 +90,7 @@
 
 // startInstance creates the controller of a proxy.
 func (h *Host) startInstance(l Line) error {
-	settings, err := Settings(l.Params)
+	settings, err := ParseSettings(l.Params)
 	if err != nil {
 		return fmt.Errorf("params: %w", err)
 	}
@@ -104,13 +104,13 @@
 
 // writeException reports that an instance has failed.
 func (h *Host) writeException(proxy string, err error) error {
-	return h.replies.Encode(Reply{Cmd: "Exception", Proxy: proxy, What: err.Error()})
+	return h.replies.Encode(Reply{Cmd: "Exception", Proxy: proxy, Error: err.Error()})
 }
 
 // writeActions appends a controller's actions to the reply.
 func (h *Host) writeActions(proxy string, actions []threadglade.Action) error {
 	for _, a := range actions {
-		r, err := Action(proxy, a)
+		r, err := EncodeAction(proxy, a)
 		if err != nil {
 			return err
 		}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -56,7 +56,7 @@
 	"free": threadglade.RepeatFree, "guarded": threadglade.RepeatGuarded, "single_shot": threadglade.RepeatNever}
 
 // ParseSettings parses an instance's settings. Unknown keys are ignored.
-func Settings(raw json.RawMessage) (threadglade.Settings, error) {
+func ParseSettings(raw json.RawMessage) (threadglade.Settings, error) {
 	var p settingsJSON
 	if err := json.Unmarshal(raw, &p); err != nil {
 		return threadglade.Settings{}, err
@@ -64,18 +64,18 @@
 	s := threadglade.Settings{
 		Index: p.Index, Proxies: p.Proxies, OverQuotaFactor: p.OverShareWorth,
 		Network: p.Domain.Form == "network", SubscribeList: p.Discovery == "on_request",
-		Limits: threadglade.Limits{MaxAttempts: p.Limits.MaxAttempts, MaxRetryAfter: Span(p.Limits.MaxPause),
+		Limits: threadglade.Limits{MaxAttempts: p.Limits.MaxAttempts, MaxRetryAfter: Duration(p.Limits.MaxPause),
 			RetryAfter: p.Limits.RetryAfter, Cancel: p.Limits.Cancel},
-		Rules: threadglade.Rules{ReleaseWait: Span(p.Domain.Release), DrainGrace: Span(p.Rules.DrainGrace),
-			ColdCapacity: p.Rules.ColdFrom, WarmUpTime: Span(p.Rules.WarmWithin),
-			CollapseMultiple: p.Rules.Multiple, CollapseWindow: Span(p.Rules.Window)},
+		Rules: threadglade.Rules{ReleaseWait: Duration(p.Domain.Release), DrainGrace: Duration(p.Rules.DrainGrace),
+			ColdCapacity: p.Rules.ColdFrom, WarmUpTime: Duration(p.Rules.WarmWithin),
+			CollapseMultiple: p.Rules.Multiple, CollapseWindow: Duration(p.Rules.Window)},
 		Callers: threadglade.Callers{MarkRetries: p.Callers.Marks},
 	}
 	for i, c := range p.Classes {
 		if _, known := repeatsByName[c.Repeat]; !known {
 			return s, fmt.Errorf("classes[%d].repeat: %q is unknown", i, c.Repeat)
 		}
-		class := threadglade.Class{Name: c.Name, Aim: Span(c.Aim), Deadline: Span(c.Deadline), Worth: c.Gain,
+		class := threadglade.Class{Name: c.Name, Aim: Duration(c.Aim), Deadline: Duration(c.Deadline), Worth: c.Gain,
 			LateFactor: c.Late, Repeat: repeatsByName[c.Repeat]}
 		if i < len(p.Domain.Pools) {
 			class.Servers = p.Domain.Pools[i]
@@ -84,7 +84,7 @@
 			class.Circuits = p.Domain.Width[i]
 		}
 		if i < len(p.Domain.Holding) {
-			class.HoldingTime = Span(p.Domain.Holding[i])
+			class.HoldingTime = Duration(p.Domain.Holding[i])
 		}
 		s.Classes = append(s.Classes, class)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -32,8 +32,8 @@
 	Attempt     int                `json:"seqNo"`
 	Server      string             `json:"server"`
 	Wait        float64            `json:"waitTimeMs"`
-	Ending      string             `json:"ending"`
-	Settled     bool               `json:"settled"`
+	Outcome     string             `json:"ending"`
+	Final       bool               `json:"settled"`
 	Code        int                `json:"clearCode"`
 	Pressure    map[string]float64 `json:"pressure"`
 	Token       int64              `json:"handle"`
@@ -48,7 +48,7 @@
 }
 
 // ParseLine parses one line, which must have a cmd field.
-func Parse(b []byte) (Line, error) {
+func ParseLine(b []byte) (Line, error) {
 	var l Line
 	if err := json.Unmarshal(b, &l); err != nil {
 		return l, err
@@ -61,7 +61,7 @@
 
 // Duration converts fractional milliseconds, as on the wire, to a duration, rounded to microseconds and clamped to
 // ±2⁶² nanoseconds.
-func Span(ms float64) time.Duration {
+func Duration(ms float64) time.Duration {
 	const maxMs = float64(1<<62) / 1e6
 	return time.Duration(math.Round(max(-maxMs, min(maxMs, ms))*1000)) * time.Microsecond
 }
@@ -97,25 +97,25 @@
 		return ev, err == nil, err
 	case "JobIn":
 		return threadglade.Arrival{
-			Call: l.Call, Class: l.Class, Tenant: l.Tenant, Number: l.Number, TimeLeft: Span(l.TimeLeft),
+			Call: l.Call, Class: l.Class, Tenant: l.Tenant, Number: l.Number, TimeLeft: Duration(l.TimeLeft),
 			Destination: l.Destination, Retry: l.Retry, InTransit: l.InTransit,
 		}, true, nil
 	case "FirstByte":
-		return threadglade.Stood{Call: l.Call, Attempt: l.Attempt, Server: l.Server, Latency: Span(l.Wait)}, true, nil
+		return threadglade.Stood{Call: l.Call, Attempt: l.Attempt, Server: l.Server, Latency: Duration(l.Wait)}, true, nil
 	case "ClosedAttempt":
-		outcome, ok := outcomesByStatus[l.Ending]
+		outcome, ok := outcomesByStatus[l.Outcome]
 		if !ok {
-			return nil, false, fmt.Errorf("unknown ending %q", l.Ending)
+			return nil, false, fmt.Errorf("unknown ending %q", l.Outcome)
 		}
 		return threadglade.Ended{
 			Call: l.Call, Attempt: l.Attempt, Server: l.Server, Outcome: outcome, Cause: causesByCode[l.Code&15],
-			Elapsed: Span(l.Wait), Final: l.Settled,
+			Elapsed: Duration(l.Wait), Final: l.Final,
 		}, true, nil
 	case "CheckResult":
 		free, hasIdle := l.Pressure["idle"]
 		total, hasTotal := l.Pressure["circuits"]
 		agents := threadglade.Agents{Server: l.Server, Free: int(free), Total: int(total)}
-		return agents, hasIdle && hasTotal && l.Ending == "OK", nil
+		return agents, hasIdle && hasTotal && l.Outcome == "OK", nil
 	case "CancelledByClient":
 		return threadglade.CallerGone{Call: l.Call}, true, nil
 	case "Due":
@@ -137,34 +137,34 @@
 			return nil, fmt.Errorf("unknown state %q of server %s", r.State, r.Server)
 		}
 		ev.Servers = append(ev.Servers, threadglade.Server{ID: r.Server, Number: r.Number, State: state,
-			Started: Span(r.Started)})
+			Started: Duration(r.Started)})
 	}
 	return ev, nil
 }
 
 // Reply is one outgoing line. Cmd decides which of the other fields are set.
 type Reply struct {
-	Cmd     string   `json:"cmd"`
-	Proxy   string   `json:"proxyId,omitempty"`
-	Call    string   `json:"txn,omitempty"`
-	Server  string   `json:"server,omitempty"`
-	Timeout float64  `json:"capMs,omitempty"`
-	Pause   float64  `json:"pauseMs,omitempty"`
-	At      *float64 `json:"atMs,omitempty"`
-	Token   *int64   `json:"handle,omitempty"`
-	Attempt *int     `json:"seqNo,omitempty"`
-	Enable  bool     `json:"enable,omitempty"`
-	What    string   `json:"what,omitempty"`
+	Cmd        string   `json:"cmd"`
+	Proxy      string   `json:"proxyId,omitempty"`
+	Call       string   `json:"txn,omitempty"`
+	Server     string   `json:"server,omitempty"`
+	Timeout    float64  `json:"capMs,omitempty"`
+	RetryAfter float64  `json:"pauseMs,omitempty"`
+	At         *float64 `json:"atMs,omitempty"`
+	Token      *int64   `json:"handle,omitempty"`
+	Attempt    *int     `json:"seqNo,omitempty"`
+	Enable     bool     `json:"enable,omitempty"`
+	Error      string   `json:"what,omitempty"`
 }
 
 // EncodeAction translates an action of a proxy's controller to a line.
-func Action(proxy string, a threadglade.Action) (Reply, error) {
+func EncodeAction(proxy string, a threadglade.Action) (Reply, error) {
 	switch a := a.(type) {
 	case threadglade.Send:
 		return Reply{Cmd: "SubmitTo", Proxy: proxy, Call: a.Call, Server: a.Server,
 			Timeout: milliseconds(a.Timeout)}, nil
 	case threadglade.Refuse:
-		return Reply{Cmd: "Shed", Proxy: proxy, Call: a.Call, Pause: milliseconds(a.RetryAfter)}, nil
+		return Reply{Cmd: "Shed", Proxy: proxy, Call: a.Call, RetryAfter: milliseconds(a.RetryAfter)}, nil
 	case threadglade.Fail:
 		return Reply{Cmd: "DropRequest", Proxy: proxy, Call: a.Call}, nil
 	case threadglade.GiveUp:
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -42,7 +42,7 @@
 	// Observer receives the router's events; nil: none. It is called on various goroutines, but never concurrently.
 	Observer router.Observer
 	// MaxRequests bounds the requests in progress, 10,000 if 0. Further requests are refused at once.
-	Most int
+	MaxRequests int
 }
 
 // Core is a router whose attempts are calls of an http.Handler. Its methods may be called concurrently.
@@ -62,8 +62,8 @@
 	if cfg.Clock == nil {
 		cfg.Clock = router.SystemClock()
 	}
-	if cfg.Most == 0 {
-		cfg.Most = defaultMaxRequests
+	if cfg.MaxRequests == 0 {
+		cfg.MaxRequests = defaultMaxRequests
 	}
 	c := &Core{cfg: cfg, wake: make(chan struct{}, 1), done: make(chan struct{}), calls: map[string]*call{}}
 	c.classDeadlines.Store(classDeadlines(cfg.Settings))
@@ -123,10 +123,10 @@
 func (c *Core) Close() { c.closeOnce.Do(func() { close(c.done) }) }
 
 // UpdateServers passes a server list to the router.
-func (c *Core) List(list threadglade.ServerList) { c.router.UpdateServers(list) }
+func (c *Core) UpdateServers(list threadglade.ServerList) { c.router.UpdateServers(list) }
 
 // ReportAgents passes a report of a server's free agents to the router.
-func (c *Core) Agents(a threadglade.Agents) { c.router.ReportAgents(a) }
+func (c *Core) ReportAgents(a threadglade.Agents) { c.router.ReportAgents(a) }
 
 // Counters returns the router's counters.
 func (c *Core) Counters() router.Counters { return c.router.Counters() }
@@ -221,7 +221,7 @@
 		}
 		k := &call{events: make(chan callEvent, 4+c.cfg.Settings.Limits.MaxAttempts), withdrawn: map[int]bool{}}
 		c.mu.Lock()
-		full := len(c.calls) >= c.cfg.Most
+		full := len(c.calls) >= c.cfg.MaxRequests
 		if !full {
 			c.calls[req.ID] = k
 		}
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -33,7 +33,7 @@
 		}})
 	require.NoError(t, err)
 	t.Cleanup(core.Close)
-	core.List(threadglade.ServerList{Servers: []threadglade.Server{{ID: "s0", Number: 0}, {ID: "s1", Number: 1}}})
+	core.UpdateServers(threadglade.ServerList{Servers: []threadglade.Server{{ID: "s0", Number: 0}, {ID: "s1", Number: 1}}})
 	mux := chi.NewRouter()
 	mux.Use(core.Handler)
 	mux.HandleFunc("/*", handler)
@@ -143,7 +143,7 @@
 func TestBounds(t *testing.T) {
 	in, out := make(chan bool), make(chan bool)
 	_, _, core := start(t, func(http.ResponseWriter, *http.Request) {})
-	core.cfg.Most = 1
+	core.cfg.MaxRequests = 1
 	class, wait := "page", time.Hour
 	core.cfg.Describe = func(_ *http.Request, now time.Duration) router.Request {
 		return router.Request{Class: class, Deadline: now + wait}
