--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -13,55 +13,57 @@
 	"threadglade.example/threadglade/internal/durable/durabletest"
 )
 
-// book is a log's owner: it counts, and its checkpoint is the list of what it has counted.
-type book struct{ seen []string }
+// recordOwner owns a log: its state is the list of records, and its checkpoint writes them all again.
+type recordOwner struct{ records []string }
 
-func (b *book) load(f durable.FS) (durable.Scan, error) {
-	b.seen = nil
+func (b *recordOwner) load(f durable.FS) (durable.Scan, error) {
+	b.records = nil
 	return durable.Read(f, "d", "x", 1, 0, func(_ durable.Place, _ *durable.Reader, kind uint16, p []byte) error {
-		if kind == 1 { // the checkpoint begins anew
-			b.seen = nil
+		if kind == 1 { // a checkpoint starts
+			b.records = nil
 			return nil
 		}
-		b.seen = append(b.seen, string(p))
+		b.records = append(b.records, string(p))
 		return nil
 	})
 }
 
-func (b *book) open(t *testing.T, f durable.FS) *durable.Log {
+func (b *recordOwner) open(t *testing.T, f durable.FS) *durable.Log {
 	s, err := b.load(f)
 	require.NoError(t, err)
-	l, err := durable.Continue(durable.LogConfig{FS: f, Dir: "d", Name: "x", Kind: 1, Roll: 300, Checkpoint: func() []durable.Frame {
-		list := []durable.Frame{{Kind: 1}}
-		for _, s := range b.seen {
-			list = append(list, durable.Frame{Kind: 2, Payload: []byte(s)})
-		}
-		return list
-	}}, s)
+	l, err := durable.Continue(durable.LogConfig{FS: f, Dir: "d", Name: "x", Kind: 1, Roll: 300,
+		Checkpoint: func() []durable.Frame {
+			list := []durable.Frame{{Kind: 1}}
+			for _, s := range b.records {
+				list = append(list, durable.Frame{Kind: 2, Payload: []byte(s)})
+			}
+			return list
+		}}, s)
 	if err != nil {
 		return nil
 	}
 	return l
 }
 
-// work appends, syncs and drops; it returns what was appended for certain, and what was tried.
-func work(t *testing.T, f *durabletest.FS, from, n int) (sure, synced, tried []string) {
-	b := &book{}
+// runLog appends, syncs and removes segments. It returns the records appended without an error, those of them that
+// were synced, and all that were attempted.
+func runLog(t *testing.T, f *durabletest.FS, from, n int) (appended, synced, attempted []string) {
+	b := &recordOwner{}
 	l := b.open(t, f)
 	if l == nil {
 		return
 	}
-	sure = append(sure, b.seen...)
-	tried = append(tried, b.seen...)
+	appended = append(appended, b.records...)
+	attempted = append(attempted, b.records...)
 	for i := from; i < from+n; i++ {
 		text := fmt.Sprintf("entry %d", i)
-		tried = append(tried, text)
+		attempted = append(attempted, text)
 		if l.Append(durable.Frame{Kind: 2, Payload: []byte(text)}) == nil {
-			b.seen = append(b.seen, text)
-			sure = append(sure, text)
+			b.records = append(b.records, text)
+			appended = append(appended, text)
 		}
-		if i%3 == 0 && l.Sync() == nil && len(sure) > 0 && sure[len(sure)-1] == text {
-			synced = append([]string(nil), sure...)
+		if i%3 == 0 && l.Sync() == nil && len(appended) > 0 && appended[len(appended)-1] == text {
+			synced = append([]string(nil), appended...)
 		}
 		if i%9 == 0 {
 			l.Drop(l.Segment())
@@ -71,12 +73,12 @@
 	return
 }
 
-// TestEveryStep has each single step of a run fail, tear and crash in turn: what was appended is there afterwards, nothing
-// is there twice, and what was not appended is either whole or absent. After a loss of power this holds for what was
-// synced.
-func TestEveryStep(t *testing.T) {
+// TestFaultAtEveryStep injects each fault at each step of a run. Appended records must survive, none may appear
+// twice, and a record whose append failed must be complete or absent. After a power failure this holds for synced
+// records.
+func TestFaultAtEveryStep(t *testing.T) {
 	plain := durabletest.New(1)
-	work(t, plain, 0, 20)
+	runLog(t, plain, 0, 20)
 	steps := len(plain.Steps())
 	require.Greater(t, steps, 60)
 	for _, fault := range durabletest.Faults {
@@ -89,44 +91,44 @@
 				return durabletest.None
 			}
 			name := fmt.Sprintf("%v at step %d", fault, at)
-			sure, synced, tried := work(t, f, 0, 20)
+			appended, synced, attempted := runLog(t, f, 0, 20)
 			f.Kill(fault == durabletest.PowerOff)
 			f.Restart()
-			var b book
-			_, err := b.load(f)
+			var owner recordOwner
+			_, err := owner.load(f)
 			require.NoError(t, err, name)
-			want := sure
+			want := appended
 			if fault == durabletest.PowerOff {
 				want = synced
 			}
-			// All that is sure is there, in order, and nothing but what was tried.
+			// All appended records are present in order, and only attempted ones.
 			i := 0
-			for _, s := range b.seen {
-				for i < len(tried) && tried[i] != s {
+			for _, s := range owner.records {
+				for i < len(attempted) && attempted[i] != s {
 					i++
 				}
-				require.Less(t, i, len(tried), "%s: %q is out of order or there twice: %q", name, s, b.seen)
+				require.Less(t, i, len(attempted), "%s: %q is out of order or duplicated: %q", name, s, owner.records)
 				i++
 			}
-			require.Subset(t, b.seen, want, name)
-			more, _, _ := work(t, f, 100, 5) // and it goes on
-			require.Len(t, more, len(b.seen)+5, name)
-			_, err = b.load(f)
+			require.Subset(t, owner.records, want, name)
+			more, _, _ := runLog(t, f, 100, 5) // the log can be continued
+			require.Len(t, more, len(owner.records)+5, name)
+			_, err = owner.load(f)
 			require.NoError(t, err, name)
-			require.Equal(t, more, b.seen, name)
+			require.Equal(t, more, owner.records, name)
 		}
 	}
 }
 
-// TestFlip flips every bit of a log in turn: the file and the offset are named, or the bit stood in what a later segment
-// says was cut off.
-func TestFlip(t *testing.T) {
+// TestBitFlips flips each bit of a log in turn: reading must fail with an error that names the file, and the offset
+// unless the version was changed.
+func TestBitFlips(t *testing.T) {
 	f := durabletest.New(1)
-	b := &book{}
+	b := &recordOwner{}
 	l := b.open(t, f)
 	for i := range 6 {
 		require.NoError(t, l.Append(durable.Frame{Kind: 2, Payload: fmt.Appendf(nil, "entry %d %0100d", i, 0)}))
-		b.seen = append(b.seen, "")
+		b.records = append(b.records, "")
 	}
 	names, _ := f.List("d")
 	require.Greater(t, len(names), 1)
@@ -145,10 +147,10 @@
 	require.NoError(t, err)
 }
 
-// TestCut cuts the last segment off at every byte: whole frames before the cut are read, the rest is noted as torn.
-func TestCut(t *testing.T) {
+// TestTruncation truncates the last segment at each byte: complete frames are read, and the rest is reported as torn.
+func TestTruncation(t *testing.T) {
 	f := durabletest.New(1)
-	b := &book{}
+	b := &recordOwner{}
 	l := b.open(t, f)
 	for i := range 5 {
 		require.NoError(t, l.Append(durable.Frame{Kind: 2, Payload: fmt.Appendf(nil, "entry %d", i)}))
@@ -159,28 +161,30 @@
 		s, err := b.load(f)
 		require.NoError(t, err)
 		frame := (size - 64) / (16 + 7)
-		require.Len(t, b.seen, frame)
+		require.Len(t, b.records, frame)
 		require.Equal(t, (size-64)%(16+7) != 0, len(s.Torn) == 1)
 	}
 }
 
-// TestNewer: a file of a later version is refused by name, and no other process may write beside this one.
-func TestNewer(t *testing.T) {
+// TestNewerVersionAndLock checks that a file of another kind is rejected, that a lock is exclusive until it is
+// closed, and that WriteFile fails in a missing directory.
+func TestNewerVersionAndLock(t *testing.T) {
 	f := durabletest.New(1)
-	l := (&book{}).open(t, f)
+	l := (&recordOwner{}).open(t, f)
 	require.NoError(t, l.Append(durable.Frame{Kind: 2}))
 	_, err := durable.Open(f, "d/x-00000001.tgl", 2)
-	require.ErrorContains(t, err, "kind 1 stands where kind 2 is wanted")
+	require.ErrorContains(t, err, "file is of kind 1, want kind 2")
 	lock, err := f.Lock("d/lock")
 	require.NoError(t, err)
 	_, err = f.Lock("d/lock")
 	require.ErrorIs(t, err, durable.ErrLocked)
 	require.NoError(t, lock.Close())
 	dir := t.TempDir()
-	real, err := durable.OS{}.Lock(filepath.Join(dir, "lock"))
+	osLock, err := durable.OS{}.Lock(filepath.Join(dir, "lock"))
 	require.NoError(t, err)
 	_, err = durable.OS{}.Lock(filepath.Join(dir, "lock"))
 	require.ErrorIs(t, err, durable.ErrLocked)
-	require.NoError(t, real.Close())
-	require.Error(t, durable.WriteFile(durable.OS{}, filepath.Join(dir, "none", "f"), func(io.Writer) error { return nil }))
+	require.NoError(t, osLock.Close())
+	require.Error(t, durable.WriteFile(durable.OS{}, filepath.Join(dir, "none", "f"),
+		func(io.Writer) error { return nil }))
 }
--- a/internal/durable/durabletest/durabletest.go
+++ b/internal/durable/durabletest/durabletest.go
@@ -1,5 +1,5 @@
-// Package durabletest is a file system in memory that fails, tears or loses any single step of what is asked of it, and
-// that can be cut off like a machine that loses its power. It must never be imported by anything but tests.
+// Package durabletest provides an in-memory file system that can fail, tear or lose any single operation and simulate
+// crashes of the process and power failures of the machine. It must be imported by tests only.
 package durabletest
 
 import (
@@ -20,99 +20,107 @@
 	"threadglade.example/threadglade/internal/durable"
 )
 
-// Errors that steps fail with.
+// Errors of operations that fault injection affects: ErrFault for one that fails, ErrCrashed for all after a crash.
 var (
 	ErrFault = errors.New("injected fault")
-	ErrDead  = errors.New("the machine is off")
+	ErrDead  = errors.New("the process or machine has crashed")
 )
 
-// Fault is what happens to a step.
+// Fault is what happens to an operation of the file system.
 type Fault int
 
-// Faults. Whatever Crash stops, and all after it, fails with ErrDead until Restart.
+// Kinds of faults. The operation at which a crash occurs, and all later ones, fail with ErrCrashed until Restart.
 const (
 	None     Fault = iota
-	Fail           // the step does nothing and fails
-	Tear           // a write takes half of its bytes and fails; any other step is done and fails all the same
-	Crash          // the process dies before the step; what the system was given stays
-	TearDie        // the process dies in the middle of a write
-	PowerOff       // the machine dies before the step; Restart keeps what was synced and part of the rest
+	Fail           // the operation does nothing and fails
+	Tear           // a write stores half of its bytes and fails; other operations are done but return an error
+	Crash          // the process ends before the operation; earlier writes are kept
+	TearDie        // the process ends in the middle of a write
+	PowerOff       // the machine stops before the operation; Restart keeps what was synced and part of the rest
 )
 
-// Faults that a test injects one at a time.
+// Faults lists the faults that a test injects one at a time.
 var Faults = []Fault{Fail, Tear, Crash, TearDie, PowerOff}
 
+// String returns the name of the fault.
 func (f Fault) String() string {
 	return [...]string{"none", "fail", "tear", "crash", "tear and die", "power off"}[f]
 }
 
-// Step is one step asked of the file system: create, write, sync, rename, remove or syncdir.
+// Step is one operation of the file system: create, write, sync, rename, remove or syncdir.
 type Step struct {
-	N    int
+	N    int // counts from 0
 	What string
 	Path string
 }
 
-// FS is the file system. Plan is asked for every step; nil: none fails.
+// FS is an in-memory durable.FS. It is safe for concurrent use.
 type FS struct {
+	// Plan returns the fault of each step; nil: no step fails. It is called with the file system's lock held.
 	Plan func(Step) Fault
 
-	mu     sync.Mutex
-	files  map[string]*file // as processes see them
-	disk   map[string]*file // as after a loss of power: names last synced
-	locks  map[string]bool
-	steps  []Step
-	dead   bool
-	power  bool
-	random *rand.Rand
-	slow   chan struct{} // if not nil, steps wait until it is closed
+	mu        sync.Mutex
+	files     map[string]*file // by path, as processes see them
+	persisted map[string]*file // by path, as after a power failure: names as last synced
+	locks     map[string]bool
+	steps     []Step
+	crashed   bool
+	powerLost bool
+	random    *rand.Rand
+	stalled   chan struct{} // unless nil, steps wait until it is closed
 }
 
+// file is the content of a file.
 type file struct {
 	data   []byte
-	synced int // bytes that outlast a loss of power
+	synced int // bytes that survive a power failure
 	whole  []byte
 }
 
-// New makes an empty file system; the seed decides what a loss of power leaves of what was not synced.
+// New returns an empty file system. The seed determines what a power failure leaves of unsynced data.
 func New(seed uint64) *FS {
-	return &FS{files: map[string]*file{}, disk: map[string]*file{}, locks: map[string]bool{}, random: rand.New(rand.NewPCG(seed, 7))}
+	return &FS{
+		files:     map[string]*file{},
+		persisted: map[string]*file{},
+		locks:     map[string]bool{},
+		random:    rand.New(rand.NewPCG(seed, 7)),
+	}
 }
 
-// Steps lists the steps so far.
+// Steps returns the steps so far.
 func (f *FS) Steps() []Step {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.steps)
 }
 
-// Slow has every step wait from now on until the returned function is called.
-func (f *FS) Slow() (again func()) {
+// Stall makes every step wait until the returned function is called.
+func (f *FS) Slow() (resume func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	slow := make(chan struct{})
-	f.slow = slow
+	stalled := make(chan struct{})
+	f.stalled = stalled
 	return func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.slow = nil
-		close(slow)
+		f.stalled = nil
+		close(stalled)
 	}
 }
 
-// step notes a step and says what is to happen to it. The lock is held on return.
-func (f *FS) step(what, path string) (Fault, error) {
+// step records a step and returns the fault planned for it. It returns with the lock held, also with an error.
+func (f *FS) step(operation, path string) (Fault, error) {
 	f.mu.Lock()
-	for f.slow != nil {
-		slow := f.slow
+	for f.stalled != nil {
+		stalled := f.stalled
 		f.mu.Unlock()
-		<-slow
+		<-stalled
 		f.mu.Lock()
 	}
-	if f.dead {
+	if f.crashed {
 		return Fail, ErrDead
 	}
-	s := Step{len(f.steps), what, path}
+	s := Step{len(f.steps), operation, path}
 	f.steps = append(f.steps, s)
 	fault := None
 	if f.Plan != nil {
@@ -120,21 +128,21 @@
 	}
 	switch fault {
 	case Fail:
-		return fault, fmt.Errorf("%s %s: %w", what, path, ErrFault)
+		return fault, fmt.Errorf("%s %s: %w", operation, path, ErrFault)
 	case Crash, PowerOff:
-		f.dead, f.power = true, fault == PowerOff
+		f.crashed, f.powerLost = true, fault == PowerOff
 		return fault, ErrDead
 	case TearDie:
-		f.dead = true
-		if what != "write" {
+		f.crashed = true
+		if operation != "write" {
 			return fault, ErrDead
 		}
 	}
 	return fault, nil
 }
 
-// done is what a step returns that was carried out.
-func done(fault Fault) error {
+// stepResult returns the error of a step that was carried out in spite of the fault.
+func stepResult(fault Fault) error {
 	switch fault {
 	case Tear:
 		return ErrFault
@@ -144,57 +152,59 @@
 	return nil
 }
 
-// Dead says whether the process has died.
+// Crashed reports whether the process or the machine has crashed and was not restarted.
 func (f *FS) Dead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.dead
+	return f.crashed
 }
 
-// Kill has the process die now; with power, the machine.
+// Kill crashes the process, or with power set the machine.
 func (f *FS) Kill(power bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dead, f.power = true, power
+	f.crashed, f.powerLost = true, power
 }
 
-// Restart brings the process, or the machine, up again without a plan. After a loss of power, a file holds what was synced
-// and a random part of the rest, of which whole sectors may be zero; names that were not synced may be as before.
+// Restart restarts the process or the machine, without locks and without a plan. After a power failure a file holds
+// what was synced and a random part of the rest, in which whole sectors may be zero; changes of names that were not
+// synced may be lost.
 func (f *FS) Restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dead, f.Plan, f.locks = false, nil, map[string]bool{}
-	if !f.power {
+	f.crashed, f.Plan, f.locks = false, nil, map[string]bool{}
+	if !f.powerLost {
 		return
 	}
-	f.power = false
+	f.powerLost = false
 	names := map[string]*file{}
-	for _, name := range sorted(f.files, f.disk) {
-		now, was := f.files[name], f.disk[name]
-		if now != was && f.random.IntN(2) == 0 {
-			now = was // the change of the name was lost
+	for _, name := range sortedNames(f.files, f.persisted) {
+		current, previous := f.files[name], f.persisted[name]
+		if current != previous && f.random.IntN(2) == 0 {
+			current = previous // the change of the name is lost
 		}
-		if now != nil {
-			names[name] = now
+		if current != nil {
+			names[name] = current
 		}
 	}
 	f.files = names
-	f.disk = map[string]*file{}
-	for name, one := range names {
-		f.disk[name] = one
-		rest := one.data[one.synced:]
-		rest = rest[:f.random.IntN(len(rest)+1)]
-		kept := append(bytes.Clone(one.data[:one.synced]), rest...)
-		for at := (one.synced + 511) &^ 511; at+512 <= len(kept); at += 512 {
+	f.persisted = map[string]*file{}
+	for name, content := range names {
+		f.persisted[name] = content
+		unsynced := content.data[content.synced:]
+		unsynced = unsynced[:f.random.IntN(len(unsynced)+1)]
+		kept := append(bytes.Clone(content.data[:content.synced]), unsynced...)
+		for at := (content.synced + 511) &^ 511; at+512 <= len(kept); at += 512 {
 			if f.random.IntN(4) == 0 {
 				clear(kept[at : at+512])
 			}
 		}
-		one.data, one.synced = kept, len(kept)
+		content.data, content.synced = kept, len(kept)
 	}
 }
 
-func sorted(maps ...map[string]*file) []string {
+// sortedNames returns the names in all maps, sorted and without duplicates.
+func sortedNames(maps ...map[string]*file) []string {
 	var names []string
 	for _, m := range maps {
 		for n := range m {
@@ -205,31 +215,31 @@
 	return slices.Compact(names)
 }
 
-// Flip changes one bit of a file.
+// FlipBit inverts one bit of a file.
 func (f *FS) Flip(path string, bit int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.files[path].data[bit/8] ^= 1 << (bit % 8)
 }
 
-// Cut shortens a file.
+// Truncate shortens a file to size bytes.
 func (f *FS) Cut(path string, size int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.files[path].data = f.files[path].data[:size]
 }
 
-// Size is a file's length in bytes; -1 if there is none.
+// Size returns a file's length in bytes, or -1 if it does not exist.
 func (f *FS) Size(path string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if one := f.files[path]; one != nil {
-		return len(one.data)
+	if content := f.files[path]; content != nil {
+		return len(content.data)
 	}
 	return -1
 }
 
-// Bytes is what a file holds.
+// Bytes returns the content of a file.
 func (f *FS) Bytes(path string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -243,26 +253,26 @@
 	if err != nil {
 		return nil, err
 	}
-	one := &file{}
-	f.files[path] = one
-	if err := done(fault); err != nil {
+	content := &file{}
+	f.files[path] = content
+	if err := stepResult(fault); err != nil {
 		return nil, err
 	}
-	return &handle{f, path, one}, nil
+	return &handle{f, path, content}, nil
 }
 
 // Open implements durable.FS.
 func (f *FS) Open(path string) (durable.Source, int64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	one := f.files[path]
+	content := f.files[path]
 	switch {
-	case f.dead:
+	case f.crashed:
 		return nil, 0, ErrDead
-	case one == nil:
+	case content == nil:
 		return nil, 0, &fs.PathError{Op: "open", Path: path, Err: fs.ErrNotExist}
 	}
-	return source{bytes.NewReader(bytes.Clone(one.data))}, int64(len(one.data)), nil
+	return source{bytes.NewReader(bytes.Clone(content.data))}, int64(len(content.data)), nil
 }
 
 // Rename implements durable.FS.
@@ -277,7 +287,7 @@
 	}
 	f.files[to] = f.files[from]
 	delete(f.files, from)
-	return done(fault)
+	return stepResult(fault)
 }
 
 // Remove implements durable.FS.
@@ -291,18 +301,18 @@
 		return &fs.PathError{Op: "remove", Path: path, Err: fs.ErrNotExist}
 	}
 	delete(f.files, path)
-	return done(fault)
+	return stepResult(fault)
 }
 
 // List implements durable.FS.
 func (f *FS) List(dir string) ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.dead {
+	if f.crashed {
 		return nil, ErrDead
 	}
 	var names []string
-	for _, name := range sorted(f.files) {
+	for _, name := range sortedNames(f.files) {
 		if filepath.Dir(name) == filepath.Clean(dir) {
 			names = append(names, strings.TrimPrefix(name, filepath.Clean(dir)+"/"))
 		}
@@ -310,7 +320,7 @@
 	return names, nil
 }
 
-// MakeDir implements durable.FS; folders need no making here.
+// MakeDir implements durable.FS; it does nothing, since directories are implicit.
 func (f *FS) MakeDir(string) error { return nil }
 
 // SyncDir implements durable.FS.
@@ -320,25 +330,27 @@
 	if err != nil {
 		return err
 	}
-	for _, name := range sorted(f.files, f.disk) {
+	for _, name := range sortedNames(f.files, f.persisted) {
 		if filepath.Dir(name) == filepath.Clean(dir) {
-			if f.disk[name] = f.files[name]; f.files[name] == nil {
-				delete(f.disk, name)
+			if f.persisted[name] = f.files[name]; f.files[name] == nil {
+				delete(f.persisted, name)
 			}
 		}
 	}
-	return done(fault)
+	return stepResult(fault)
 }
 
+// lock is a held lock; closing it releases it.
 type lock struct {
-	f    *FS
+	fs   *FS
 	path string
 }
 
+// Close releases the lock.
 func (l lock) Close() error {
-	l.f.mu.Lock()
-	defer l.f.mu.Unlock()
-	delete(l.f.locks, l.path)
+	l.fs.mu.Lock()
+	defer l.fs.mu.Unlock()
+	delete(l.fs.locks, l.path)
 	return nil
 }
 
@@ -346,7 +358,7 @@
 func (f *FS) Lock(path string) (io.Closer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.dead {
+	if f.crashed {
 		return nil, ErrDead
 	}
 	if f.locks[path] {
@@ -356,63 +368,69 @@
 	return lock{f, path}, nil
 }
 
+// source is a file opened for reading.
 type source struct{ *bytes.Reader }
 
+// Close implements durable.Source.
 func (source) Close() error { return nil }
 
-// handle is an open file.
+// handle is a file opened for writing.
 type handle struct {
-	f    *FS
+	fs   *FS
 	path string
-	one  *file
+	file *file
 }
 
+// Write implements durable.File.
 func (h *handle) Write(b []byte) (int, error) {
-	fault, err := h.f.step("write", h.path)
-	defer h.f.mu.Unlock()
+	fault, err := h.fs.step("write", h.path)
+	defer h.fs.mu.Unlock()
 	if err != nil {
 		return 0, err
 	}
 	if fault == Tear || fault == TearDie {
-		h.one.data = append(h.one.data, b[:len(b)/2]...)
-		return len(b) / 2, done(fault)
+		h.file.data = append(h.file.data, b[:len(b)/2]...)
+		return len(b) / 2, stepResult(fault)
 	}
-	h.one.data = append(h.one.data, b...)
+	h.file.data = append(h.file.data, b...)
 	return len(b), nil
 }
 
+// Sync implements durable.File.
 func (h *handle) Sync() error {
-	fault, err := h.f.step("sync", h.path)
-	defer h.f.mu.Unlock()
+	fault, err := h.fs.step("sync", h.path)
+	defer h.fs.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	h.one.synced = len(h.one.data)
-	return done(fault)
+	h.file.synced = len(h.file.data)
+	return stepResult(fault)
 }
 
+// Close implements durable.File.
 func (h *handle) Close() error { return nil }
 
-// Log keeps what is logged to it.
+// LogBuffer is a writer that keeps what is logged to it. It is safe for concurrent use.
 type Log struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
+// Write implements io.Writer.
 func (l *Log) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-// Has says whether it holds a text.
+// Contains reports whether the log contains a text.
 func (l *Log) Has(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.text.String(), text)
 }
 
-// Newer makes a durable file one of the next version, whole in itself.
+// WithNextVersion returns the content b of a durable file with the next format version and a valid header checksum.
 func Newer(b []byte) []byte {
 	b = bytes.Clone(b)
 	binary.LittleEndian.PutUint16(b[8:], binary.LittleEndian.Uint16(b[8:])+1)
@@ -420,7 +438,7 @@
 	return b
 }
 
-// Wait calls f until it holds, for a while; false if it never does.
+// WaitFor polls f until it returns true, for at least five seconds; it returns false if f never does.
 func Wait(f func() bool) bool {
 	for range 5000 {
 		if f() {
--- a/internal/durable/frame.go
+++ b/internal/durable/frame.go
@@ -10,303 +10,316 @@
 	"io"
 )
 
-// A file is a header and frames; docs/formats/durable.md has every byte. All figures are little-endian.
+// A file consists of a header and frames; docs/formats/durable.md specifies every byte. Integers are little-endian,
+// checksums are CRC-32C. Sizes are in bytes:
 //
-//	header  8 magic "TGLDFILE", 2 version, 2 kind of file, 4 zero, 8 number, 8 previous number, 8 previous end, 4 previous
-//	        chain, 4 CRC of the 44 bytes before
-//	frame   4 length of the payload, 2 kind, 2 zero, 4 CRC of the payload, 4 CRC of file number, offset and the 12 bytes
-//	        before; then the payload
+//	header  8 magic "TGLDFILE", 2 version, 2 kind of file, 4 zero, 8 file number, 8 previous file number,
+//	        8 previous end, 4 previous chain, 4 CRC of the 44 bytes before
+//	frame   4 length of the payload, 2 kind, 2 zero, 4 CRC of the payload, 4 CRC of file number, offset and the
+//	        12 bytes before; then the payload
 const (
-	magic      = "TGLDFILE"
-	version    = 1
-	headerSize = 48
-	frameSize  = 16
-	// PayloadMost bytes may stand in one frame.
+	magic           = "TGLDFILE"
+	formatVersion   = 1
+	fileHeaderSize  = 48
+	frameHeaderSize = 16
+	// MaxPayloadBytes limits the payload of one frame.
 	PayloadMost = 4 << 20
-	sector      = 512
+	sectorSize  = 512
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Header says what a file is and what it follows.
+// Header is the header of a file: its kind and number, and the end of the file that it continues.
 type Header struct {
-	Kind      uint16 // of file, as its owner counts them
+	Kind      uint16 // of file, as defined by its owner
 	Number    uint64
-	Previous  uint64 // number of the file that it follows; 0: none
-	PrevEnd   int64  // how much of that file counts, in bytes: what follows there was cut off by a crash
-	PrevChain uint32 // checksum of checksums up to there
+	Previous  uint64 // number of the file that it continues; 0: none
+	PrevEnd   int64  // valid length of that file in bytes; what follows there was cut off by a crash
+	PrevChain uint32 // cumulative checksum of that file's frames up to PrevEnd
 }
 
-// Damage is why a file cannot be trusted: something in it is not what was written.
+// DamageError reports that the content of a file differs from what was written to it.
 type Damage struct {
-	File   string
-	Offset int64
-	What   string
+	File   string // path
+	Offset int64  // in bytes
+	What   string // what is wrong there
 }
 
+// Error implements error.
 func (d *Damage) Error() string { return fmt.Sprintf("%s: offset %d: %s", d.File, d.Offset, d.What) }
 
-// ErrNewer is wrapped by the error for a file of a later version.
+// ErrNewerVersion is wrapped by the error for a file whose format version is newer than this program's.
 var ErrNewer = errors.New("file of a newer version")
 
-// ErrTorn is wrapped by the error of a Reader at a place where a crash cut the file off.
+// ErrTorn is wrapped by a Reader's error at the offset where a crash cut the file off.
 var ErrTorn = errors.New("cut off by a crash")
 
-// appendHeader writes a header.
+// appendHeader appends an encoded header.
 func appendHeader(b []byte, h Header) []byte {
 	start := len(b)
 	b = append(b, magic...)
-	b = binary.LittleEndian.AppendUint16(b, version)
+	b = binary.LittleEndian.AppendUint16(b, formatVersion)
 	b = binary.LittleEndian.AppendUint16(b, h.Kind)
 	b = append(b, 0, 0, 0, 0)
 	b = binary.LittleEndian.AppendUint64(b, h.Number)
 	b = binary.LittleEndian.AppendUint64(b, h.Previous)
 	b = binary.LittleEndian.AppendUint64(b, uint64(h.PrevEnd))
 	b = binary.LittleEndian.AppendUint32(b, h.PrevChain)
-	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[start:], table))
+	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[start:], crcTable))
 }
 
+// readHeader decodes and checks the header b of the file name.
 func readHeader(name string, b []byte, kind uint16) (Header, error) {
-	bad := func(at int64, what string) (Header, error) { return Header{}, &Damage{name, at, what} }
+	damaged := func(at int64, what string) (Header, error) { return Header{}, &Damage{name, at, what} }
 	switch {
-	case len(b) < headerSize:
-		return bad(0, "the file is shorter than its header")
+	case len(b) < fileHeaderSize:
+		return damaged(0, "the file is shorter than its header")
 	case string(b[:8]) != magic:
-		return bad(0, "this is no file of threadglade's")
+		return damaged(0, "this is not a threadglade file")
 	}
-	if v := binary.LittleEndian.Uint16(b[8:]); v > version && crc32.Checksum(b[:44], table) == binary.LittleEndian.Uint32(b[44:]) {
-		return Header{}, fmt.Errorf("%s: version %d, this program reads up to %d: %w", name, v, version, ErrNewer)
+	if v := binary.LittleEndian.Uint16(b[8:]); v > formatVersion &&
+		crc32.Checksum(b[:44], crcTable) == binary.LittleEndian.Uint32(b[44:]) {
+		return Header{}, fmt.Errorf("%s: version %d, this program reads up to %d: %w",
+			name, v, formatVersion, ErrNewer)
 	}
-	if crc32.Checksum(b[:44], table) != binary.LittleEndian.Uint32(b[44:]) {
-		return bad(0, "the header's checksum is wrong")
+	if crc32.Checksum(b[:44], crcTable) != binary.LittleEndian.Uint32(b[44:]) {
+		return damaged(0, "file header checksum mismatch")
 	}
 	h := Header{Kind: binary.LittleEndian.Uint16(b[10:]), Number: binary.LittleEndian.Uint64(b[16:]),
 		Previous: binary.LittleEndian.Uint64(b[24:]), PrevEnd: int64(binary.LittleEndian.Uint64(b[32:])),
 		PrevChain: binary.LittleEndian.Uint32(b[40:])}
 	if h.Kind != kind {
-		return bad(10, fmt.Sprintf("a file of kind %d stands where kind %d is wanted", h.Kind, kind))
+		return damaged(10, fmt.Sprintf("file is of kind %d, want kind %d", h.Kind, kind))
 	}
 	return h, nil
 }
 
-// frames writes frames to one file and keeps count of where it is.
-type frames struct {
-	number uint64
-	end    int64
-	chain  uint32
+// framePosition tracks the offset and the cumulative checksum in a file while its frames are read or written in
+// order.
+type framePosition struct {
+	fileNumber uint64
+	offset     int64
+	chain      uint32
 }
 
-func (f *frames) append(b []byte, kind uint16, payload []byte) []byte {
+// appendFrame appends an encoded frame to b and advances the position.
+func (f *framePosition) appendFrame(b []byte, kind uint16, payload []byte) []byte {
 	start := len(b)
-	sum := crc32.Checksum(payload, table)
+	sum := crc32.Checksum(payload, crcTable)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
 	b = binary.LittleEndian.AppendUint16(b, kind)
 	b = append(b, 0, 0)
 	b = binary.LittleEndian.AppendUint32(b, sum)
-	b = binary.LittleEndian.AppendUint32(b, headSum(f.number, f.end, b[start:start+12]))
+	b = binary.LittleEndian.AppendUint32(b, headChecksum(f.fileNumber, f.offset, b[start:start+12]))
 	b = append(b, payload...)
-	f.end += int64(frameSize + len(payload))
-	f.chain = link(f.chain, sum)
+	f.offset += int64(frameHeaderSize + len(payload))
+	f.chain = chainChecksum(f.chain, sum)
 	return b
 }
 
-// headSum covers a frame's head and its place, so that a frame that has come to stand elsewhere is found out.
-func headSum(number uint64, at int64, head []byte) uint32 {
+// headChecksum covers a frame's header and its position, so that a frame copied to another position is detected.
+func headChecksum(number uint64, at int64, head []byte) uint32 {
 	var place [16]byte
 	binary.LittleEndian.PutUint64(place[:], number)
 	binary.LittleEndian.PutUint64(place[8:], uint64(at))
-	return crc32.Update(crc32.Checksum(place[:], table), table, head)
+	return crc32.Update(crc32.Checksum(place[:], crcTable), crcTable, head)
 }
 
-func link(chain, sum uint32) uint32 {
+// chainChecksum adds a payload checksum to the cumulative checksum.
+func chainChecksum(chain, sum uint32) uint32 {
 	var b [8]byte
 	binary.LittleEndian.PutUint32(b[:], chain)
 	binary.LittleEndian.PutUint32(b[4:], sum)
-	return crc32.Checksum(b[:], table)
+	return crc32.Checksum(b[:], crcTable)
 }
 
-// Reader reads the frames of one file in order.
+// Reader reads the frames of one file. It is not safe for concurrent use.
 type Reader struct {
 	Header
-	name   string
-	size   int64
-	src    Source
-	r      *bufio.Reader
-	buf    []byte
-	frames // where the next frame begins
+	name          string
+	size          int64
+	src           Source
+	buffered      *bufio.Reader
+	buf           []byte
+	framePosition // of the next frame
 }
 
-// Open opens a file of a kind. Its errors are those of the file system, Damage, or wrap ErrNewer.
-func Open(f FS, path string, kind uint16) (*Reader, error) {
-	return OpenBuffered(f, path, kind, 64<<10)
+// Open opens a file and checks that it is of that kind. Its error is one of the file system, a *DamageError, or wraps
+// ErrNewerVersion.
+func Open(fsys FS, path string, kind uint16) (*Reader, error) {
+	return OpenBuffered(fsys, path, kind, 64<<10)
 }
 
-// OpenBuffered is Open with a buffer of a size, for those who have many files open at once.
-func OpenBuffered(f FS, path string, kind uint16, buffer int) (*Reader, error) {
-	src, size, err := f.Open(path)
+// OpenBuffered is Open with a buffer of that many bytes, for callers that have many files open at once.
+func OpenBuffered(fsys FS, path string, kind uint16, buffer int) (*Reader, error) {
+	src, size, err := fsys.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	r := &Reader{name: path, size: size, src: src, r: bufio.NewReaderSize(src, buffer)}
-	head := make([]byte, min(size, headerSize))
-	if _, err = io.ReadFull(r.r, head); err == nil {
-		r.Header, err = readHeader(path, head, kind)
+	reader := &Reader{name: path, size: size, src: src, buffered: bufio.NewReaderSize(src, buffer)}
+	head := make([]byte, min(size, fileHeaderSize))
+	if _, err = io.ReadFull(reader.buffered, head); err == nil {
+		reader.Header, err = readHeader(path, head, kind)
 	}
 	if err != nil {
 		src.Close()
 		return nil, err
 	}
-	r.frames = frames{number: r.Number, end: headerSize}
-	return r, nil
+	reader.framePosition = framePosition{fileNumber: reader.Number, offset: fileHeaderSize}
+	return reader, nil
 }
 
 // Close closes the file.
 func (r *Reader) Close() error { return r.src.Close() }
 
-// Offset is where the next frame begins.
-func (r *Reader) Offset() int64 { return r.end }
+// Offset returns the offset of the next frame.
+func (r *Reader) Offset() int64 { return r.offset }
 
-// Name is the file's path.
+// Name returns the file's path.
 func (r *Reader) Name() string { return r.name }
 
-// Damaged is the error for content that its owner cannot make sense of at the frame that was read last.
+// Damagef returns a *DamageError for a frame at an offset whose payload its owner cannot decode.
 func (r *Reader) Damaged(at int64, format string, args ...any) error {
 	return &Damage{r.name, at, fmt.Sprintf(format, args...)}
 }
 
-// Next returns the next frame; the payload is valid until the next call. At the end it returns io.EOF, at one that a
-// crash has cut off an error that wraps ErrTorn, and at anything else that was not written so a *Damage.
+// Next returns the next frame; the payload is valid until the next call. It returns io.EOF at the end of the file, an
+// error that wraps ErrTorn at a frame that a crash has cut off, and a *DamageError at any other invalid frame.
 func (r *Reader) Next() (kind uint16, payload []byte, err error) {
-	rest := r.size - r.end
-	if rest == 0 {
+	remaining := r.size - r.offset
+	if remaining == 0 {
 		return 0, nil, io.EOF
 	}
-	torn := func() error { return fmt.Errorf("%s: offset %d: %w", r.name, r.end, ErrTorn) }
-	var head [frameSize]byte
-	if rest < frameSize {
+	torn := func() error { return fmt.Errorf("%s: offset %d: %w", r.name, r.offset, ErrTorn) }
+	var head [frameHeaderSize]byte
+	if remaining < frameHeaderSize {
 		return 0, nil, torn()
 	}
-	if _, err := io.ReadFull(r.r, head[:]); err != nil {
-		return 0, nil, fmt.Errorf("%s: offset %d: %w", r.name, r.end, err)
+	if _, err := io.ReadFull(r.buffered, head[:]); err != nil {
+		return 0, nil, fmt.Errorf("%s: offset %d: %w", r.name, r.offset, err)
 	}
 	size := int64(binary.LittleEndian.Uint32(head[:]))
-	if headSum(r.number, r.end, head[:12]) != binary.LittleEndian.Uint32(head[12:]) {
-		if zeros, err := r.zeros(head[:]); err != nil || zeros {
+	if headChecksum(r.fileNumber, r.offset, head[:12]) != binary.LittleEndian.Uint32(head[12:]) {
+		if zeros, err := r.onlyZeros(head[:]); err != nil || zeros {
 			return 0, nil, errors.Join(err, torn())
 		}
-		return 0, nil, &Damage{r.name, r.end, "a frame's head does not match its checksum"}
+		return 0, nil, &Damage{r.name, r.offset, "frame header checksum mismatch"}
 	}
 	if size > PayloadMost {
-		return 0, nil, &Damage{r.name, r.end, fmt.Sprintf("a frame of %d bytes", size)}
+		return 0, nil, &Damage{r.name, r.offset, fmt.Sprintf("frame payload of %d bytes exceeds the maximum", size)}
 	}
-	if size > rest-frameSize {
+	if size > remaining-frameHeaderSize {
 		return 0, nil, torn()
 	}
 	if int64(cap(r.buf)) < size {
 		r.buf = make([]byte, size)
 	}
 	payload = r.buf[:size]
-	if _, err := io.ReadFull(r.r, payload); err != nil {
-		return 0, nil, fmt.Errorf("%s: offset %d: %w", r.name, r.end, err)
+	if _, err := io.ReadFull(r.buffered, payload); err != nil {
+		return 0, nil, fmt.Errorf("%s: offset %d: %w", r.name, r.offset, err)
 	}
-	sum := crc32.Checksum(payload, table)
+	sum := crc32.Checksum(payload, crcTable)
 	if sum != binary.LittleEndian.Uint32(head[8:]) {
-		// A crash of the machine leaves sectors that never reached the disk as zeros; what follows them was not
+		// After a crash of the machine, sectors that did not reach the disk read as zeros; nothing after them was
 		// synced either.
-		if hollow(r.end+frameSize, payload) {
+		if hasZeroSector(r.offset+frameHeaderSize, payload) {
 			return 0, nil, torn()
 		}
-		return 0, nil, &Damage{r.name, r.end, "a frame does not match its checksum"}
+		return 0, nil, &Damage{r.name, r.offset, "frame payload checksum mismatch"}
 	}
-	r.end += frameSize + size
-	r.chain = link(r.chain, sum)
+	r.offset += frameHeaderSize + size
+	r.chain = chainChecksum(r.chain, sum)
 	return binary.LittleEndian.Uint16(head[4:]), payload, nil
 }
 
-// zeros says whether head and all that follows in the file is zero: room that a file system had made for bytes that
-// never came.
-func (r *Reader) zeros(head []byte) (bool, error) {
-	zero := len(bytes.Trim(head[min(len(head)-1, int((sector-r.end%sector)%sector)):], "\x00")) == 0
+// onlyZeros reports whether head, from the next sector boundary on, and the rest of the file are zero: space that the
+// file system had allocated for bytes that were never written.
+func (r *Reader) onlyZeros(head []byte) (bool, error) {
+	allZero := len(bytes.Trim(head[min(len(head)-1, int((sectorSize-r.offset%sectorSize)%sectorSize)):], "\x00")) == 0
 	b := make([]byte, 64<<10)
-	for at := r.end + frameSize; zero && at < r.size; {
+	for at := r.offset + frameHeaderSize; allZero && at < r.size; {
 		n, err := r.src.ReadAt(b[:min(int64(len(b)), r.size-at)], at)
 		if n == 0 && err != nil {
 			return false, err
 		}
-		zero = len(bytes.Trim(b[:n], "\x00")) == 0
+		allZero = len(bytes.Trim(b[:n], "\x00")) == 0
 		at += int64(n)
 	}
-	return zero, nil
+	return allZero, nil
 }
 
-// hollow says whether a whole sector of what stands at an offset, or its last part, is zero.
-func hollow(at int64, b []byte) bool {
-	skip := int((sector - at%sector) % sector)
+// hasZeroSector reports whether b, which starts at offset at of a file, covers a sector, or part of one at its end,
+// that is all zero.
+func hasZeroSector(at int64, b []byte) bool {
+	skip := int((sectorSize - at%sectorSize) % sectorSize)
 	if skip >= len(b) {
 		return len(bytes.Trim(b, "\x00")) == 0
 	}
-	for b = b[skip:]; len(b) > 0; b = b[min(sector, len(b)):] {
-		if len(bytes.Trim(b[:min(sector, len(b))], "\x00")) == 0 {
+	for b = b[skip:]; len(b) > 0; b = b[min(sectorSize, len(b)):] {
+		if len(bytes.Trim(b[:min(sectorSize, len(b))], "\x00")) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Writer writes one file frame by frame; it is for files that are written in one go, by WriteFile.
+// Writer writes one file frame by frame, for files that are written as a whole with WriteFile. It is not safe for
+// concurrent use.
 type Writer struct {
 	w   io.Writer
 	buf []byte
-	frames
+	framePosition
 }
 
-// NewWriter begins a file.
+// NewWriter writes the header h to w and returns a Writer for the frames.
 func NewWriter(w io.Writer, h Header) (*Writer, error) {
 	_, err := w.Write(appendHeader(nil, h))
-	return &Writer{w: w, frames: frames{number: h.Number, end: headerSize}}, err
+	return &Writer{w: w, framePosition: framePosition{fileNumber: h.Number, offset: fileHeaderSize}}, err
 }
 
-// Frame writes one frame.
+// WriteFrame writes one frame. It fails if the payload is longer than MaxPayloadBytes.
 func (w *Writer) Frame(kind uint16, payload []byte) error {
 	if len(payload) > PayloadMost {
-		return fmt.Errorf("durable: a frame of %d bytes", len(payload))
+		return fmt.Errorf("durable: frame payload of %d bytes exceeds the maximum", len(payload))
 	}
-	w.buf = w.frames.append(w.buf[:0], kind, payload)
+	w.buf = w.framePosition.appendFrame(w.buf[:0], kind, payload)
 	_, err := w.w.Write(w.buf)
 	return err
 }
 
-// Offset is where the next frame will stand.
-func (w *Writer) Offset() int64 { return w.end }
+// Offset returns the offset that the next frame will have.
+func (w *Writer) Offset() int64 { return w.offset }
 
-// FrameSize is how many bytes a frame takes beside its payload.
-const FrameSize = frameSize
+// FrameHeaderSize is the number of bytes that a frame takes in addition to its payload.
+const FrameSize = frameHeaderSize
 
-// Size is the file's length as it was opened.
+// Size returns the file's length in bytes when it was opened.
 func (r *Reader) Size() int64 { return r.size }
 
-// At reads the frame at an offset, wherever Next stands; the payload is the caller's if buf is nil, and else uses its room.
+// FrameAt reads the frame at an offset, independently of Next. The payload is stored in buf if that is large
+// enough, and otherwise newly allocated; it stays valid after further calls unless buf is reused.
 func (r *Reader) At(offset int64, buf []byte) (kind uint16, payload []byte, err error) {
-	var head [frameSize]byte
-	if offset < headerSize || offset > r.size-frameSize {
-		return 0, nil, &Damage{r.name, offset, "no frame can stand there"}
+	var head [frameHeaderSize]byte
+	if offset < fileHeaderSize || offset > r.size-frameHeaderSize {
+		return 0, nil, &Damage{r.name, offset, "no frame can start at this offset"}
 	}
 	if _, err := r.src.ReadAt(head[:], offset); err != nil {
 		return 0, nil, fmt.Errorf("%s: offset %d: %w", r.name, offset, err)
 	}
 	size := int64(binary.LittleEndian.Uint32(head[:]))
-	if headSum(r.number, offset, head[:12]) != binary.LittleEndian.Uint32(head[12:]) || size > PayloadMost || size > r.size-frameSize-offset {
-		return 0, nil, &Damage{r.name, offset, "a frame's head does not match its checksum"}
+	if headChecksum(r.fileNumber, offset, head[:12]) != binary.LittleEndian.Uint32(head[12:]) ||
+		size > PayloadMost || size > r.size-frameHeaderSize-offset {
+		return 0, nil, &Damage{r.name, offset, "frame header checksum mismatch"}
 	}
 	if int64(cap(buf)) < size {
 		buf = make([]byte, size)
 	}
 	payload = buf[:size]
-	if _, err := r.src.ReadAt(payload, offset+frameSize); err != nil {
+	if _, err := r.src.ReadAt(payload, offset+frameHeaderSize); err != nil {
 		return 0, nil, fmt.Errorf("%s: offset %d: %w", r.name, offset, err)
 	}
-	if crc32.Checksum(payload, table) != binary.LittleEndian.Uint32(head[8:]) {
-		return 0, nil, &Damage{r.name, offset, "a frame does not match its checksum"}
+	if crc32.Checksum(payload, crcTable) != binary.LittleEndian.Uint32(head[8:]) {
+		return 0, nil, &Damage{r.name, offset, "frame payload checksum mismatch"}
 	}
 	return binary.LittleEndian.Uint16(head[4:]), payload, nil
 }
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -1,7 +1,7 @@
-// Package durable owns files that last: their framing and checksums, writes in groups, syncs, atomic replacement, the
-// recovery of what a crash cut off, and the file-system interface behind which a test double fails, tears or loses any
-// single step. It must never know what a record means, change a byte that was written, or take a damaged record for
-// a good one. Nobody else in the product opens a file for writing.
+// Package durable writes crash-safe files: framing and checksums, grouped writes, syncs, atomic replacement,
+// recovery from torn writes, and the file-system interface that lets a test double fail, tear or lose any single
+// operation. It must never interpret a record, modify bytes that were written, or accept a damaged record as valid.
+// No other package of the program opens files for writing.
 package durable
 
 import (
@@ -19,38 +19,44 @@
 // ErrLocked is returned by FS.Lock while another process holds the lock.
 var ErrLocked = errors.New("locked by another process")
 
-// File is a file being written.
+// File is a file opened for writing.
 type File interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// Source is a file being read.
+// Source is a file opened for reading.
 type Source interface {
 	io.Reader
 	io.ReaderAt
 	io.Closer
 }
 
-// FS is the part of a file system that durable files need. Paths are slash-separated; errors satisfy errors.Is with those of
-// package io/fs.
+// FS is the part of a file system that durable files need. Paths are slash-separated; errors satisfy errors.Is with
+// those of package io/fs. Its methods are safe for concurrent use.
 type FS interface {
-	// Create makes a new file, or empties one that is there.
+	// Create creates a file, or truncates an existing one.
 	Create(path string) (File, error)
-	Open(path string) (Source, int64, error) // and its length in bytes
-	Rename(from, to string) error            // replaces to, at once
+	// Open opens a file for reading and returns its length in bytes.
+	Open(path string) (Source, int64, error)
+	// Rename atomically replaces to.
+	Rename(from, to string) error
 	Remove(path string) error
-	List(dir string) ([]string, error) // names of the files in it, sorted
-	MakeDir(dir string) error          // and those above it
-	SyncDir(dir string) error          // makes creations, renames and removals in it last
+	// List returns the names of the files in a directory, sorted.
+	List(dir string) ([]string, error)
+	// MakeDir creates a directory and its parents.
+	MakeDir(dir string) error
+	// SyncDir makes creations, renames and removals in a directory survive a crash of the machine.
+	SyncDir(dir string) error
+	// Lock takes an exclusive lock, which Close releases. It returns ErrLocked if another process holds the lock.
 	Lock(path string) (io.Closer, error)
 }
 
 // OS is the operating system's file system.
 type OS struct{}
 
-// Create implements FS; files are for the owner only, since what lasts may name callers.
+// Create implements FS. Only the owner can access the files, since they may contain callers' numbers.
 func (OS) Create(path string) (File, error) {
 	return os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 }
@@ -63,7 +69,7 @@
 	}
 	info, err := f.Stat()
 	if err == nil && info.IsDir() {
-		err = fmt.Errorf("%s: is a folder", path)
+		err = fmt.Errorf("%s: is a directory", path)
 	}
 	if err != nil {
 		f.Close()
@@ -105,7 +111,7 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// Lock implements FS: the lock ends with the process, however it dies.
+// Lock implements FS; the operating system releases the lock when the process ends, also after a crash.
 func (OS) Lock(path string) (io.Closer, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -121,49 +127,50 @@
 	return f, nil
 }
 
-// temporary is what the name of a file ends in until it is whole.
-const temporary = ".tmp"
+// temporarySuffix ends the name of a file until it is complete.
+const temporarySuffix = ".tmp"
 
-// WriteFile makes a file appear at path whole or not at all: it is written under another name, synced, and renamed.
-func WriteFile(f FS, path string, write func(io.Writer) error) error {
-	_, err := writeOpen(f, path, write, true)
+// WriteFile writes a file atomically: it is written under a temporary name, synced, and renamed to path.
+func WriteFile(fsys FS, path string, write func(io.Writer) error) error {
+	_, err := writeAtomic(fsys, path, write, true)
 	return err
 }
 
-// writeOpen is WriteFile; without shut, it returns the file still open for more.
-func writeOpen(f FS, path string, write func(io.Writer) error, shut bool) (File, error) {
-	part := path + temporary
-	file, err := f.Create(part)
+// writeAtomic is WriteFile; unless closeFile is set, it returns the file still open for writing.
+func writeAtomic(fsys FS, path string, write func(io.Writer) error, closeFile bool) (File, error) {
+	temporaryPath := path + temporarySuffix
+	file, err := fsys.Create(temporaryPath)
 	if err != nil {
 		return nil, err
 	}
 	if err = write(file); err == nil {
 		err = file.Sync()
 	}
-	if err == nil && shut {
+	if err == nil && closeFile {
 		err = file.Close()
 	} else if err != nil {
 		file.Close()
 	}
 	if err == nil {
-		err = f.Rename(part, path)
+		err = fsys.Rename(temporaryPath, path)
 	}
 	if err == nil {
-		err = f.SyncDir(filepath.Dir(path))
+		err = fsys.SyncDir(filepath.Dir(path))
 	}
 	if err != nil {
-		f.Remove(part)
+		fsys.Remove(temporaryPath)
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return file, nil
 }
 
-// Clean removes what interrupted writes left in a folder.
-func Clean(f FS, dir string) error {
-	names, err := f.List(dir)
+// RemoveTemporaryFiles removes the files that interrupted writes left in a directory. A missing directory is no
+// error.
+func Clean(fsys FS, dir string) error {
+	names, err := fsys.List(dir)
 	for _, name := range names {
-		if strings.HasSuffix(name, temporary) {
-			err = errors.Join(err, f.Remove(filepath.Join(dir, name)))
+		if strings.HasSuffix(name, temporarySuffix) {
+			err = errors.Join(err, fsys.Remove(filepath.Join(dir, name)))
 		}
 	}
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/durable/log.go
+++ b/internal/durable/log.go
@@ -12,62 +12,63 @@
 	"time"
 )
 
-// Segments are the files of one log, in order: NAME-NNNNNNNN.tgl. Each begins with a checkpoint of its owner's, so that
-// the ones before it can be removed, and names the place where the one before it ended: bytes that stand after it
-// there were cut off by a crash or a failed write and do not count.
-
-const suffix = ".tgl"
+// segmentSuffix ends the name of a segment's file.
+const segmentSuffix = ".tgl"
 
+// segmentName returns the file name of a segment: NAME-NNNNNNNN.tgl.
 func segmentName(name string, number uint64) string {
-	return fmt.Sprintf("%s-%08d%s", name, number, suffix)
+	return fmt.Sprintf("%s-%08d%s", name, number, segmentSuffix)
 }
 
-// Segments lists the numbers of a log's segments, ascending.
-func Segments(f FS, dir, name string) ([]uint64, error) {
-	names, err := f.List(dir)
+// ListSegments returns the numbers of a log's segments, ascending. A missing directory has none.
+func Segments(fsys FS, dir, name string) ([]uint64, error) {
+	names, err := fsys.List(dir)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	var numbers []uint64
-	for _, n := range names {
-		digits, ok := strings.CutPrefix(strings.TrimSuffix(n, suffix), name+"-")
-		if number, bad := strconv.ParseUint(digits, 10, 64); ok && bad == nil && n == segmentName(name, number) {
+	for _, file := range names {
+		digits, ok := strings.CutPrefix(strings.TrimSuffix(file, segmentSuffix), name+"-")
+		if number, parseErr := strconv.ParseUint(digits, 10, 64); ok && parseErr == nil &&
+			file == segmentName(name, number) {
 			numbers = append(numbers, number)
 		}
 	}
 	return numbers, err
 }
 
-// Place is where a frame stands.
+// Position is the position of a frame in a log.
 type Place struct {
 	Segment uint64
 	Offset  int64
 }
 
-// Scan is what reading a log has found.
+// Scan is the result of reading a log; ContinueLog continues the log at its end.
 type Scan struct {
 	Segments, Frames int
 	Bytes            int64
-	Torn             []string // where crashes cut the log off, as file and offset
-	last             Header
-	end              int64
-	chain            uint32
+	Torn             []string // tails cut off by crashes, as file, offset and length
+	lastHeader       Header
+	lastEnd          int64
+	lastChain        uint32
 }
 
 // errStop ends a scan early without an error.
 var errStop = errors.New("stop")
 
-// Stop is returned by a scan's function that has seen enough.
+// StopScan returns the error by which the callback of ReadLog ends the scan early; ReadLog then returns nil.
 func Stop() error { return errStop }
 
-// Read reads a log's segments from number first on (0: from the oldest there) and calls each with every frame: first is true for
-// those of a segment's checkpoint as counted by the owner's kinds. What is missing or damaged is an error that names file
-// and offset; what a crash cut off is noted and left out.
-func Read(f FS, dir, name string, kind uint16, first uint64, each func(at Place, r *Reader, kind uint16, payload []byte) error) (Scan, error) {
-	var s Scan
-	numbers, err := Segments(f, dir, name)
+// ReadLog reads a log's segments from number first on (0: from the oldest) and calls each with every frame, those
+// of checkpoints included; the owner tells them apart by their kind. The payload is valid until each returns, and
+// an error of each ends the scan. Missing or damaged data is a *DamageError; tails cut off by crashes are skipped
+// and listed in Scan.Torn.
+func Read(fsys FS, dir, name string, kind uint16, first uint64,
+	each func(at Place, reader *Reader, kind uint16, payload []byte) error) (Scan, error) {
+	var scan Scan
+	numbers, err := Segments(fsys, dir, name)
 	if err != nil {
-		return s, err
+		return scan, err
 	}
 	for len(numbers) > 0 && numbers[0] < first {
 		numbers = numbers[1:]
@@ -75,146 +76,164 @@
 	for i, number := range numbers {
 		var next *Header
 		if i+1 < len(numbers) {
-			r, err := Open(f, filepath.Join(dir, segmentName(name, numbers[i+1])), kind)
+			reader, err := Open(fsys, filepath.Join(dir, segmentName(name, numbers[i+1])), kind)
 			if err != nil {
-				return s, err
+				return scan, err
 			}
-			next = &r.Header
-			r.Close()
+			next = &reader.Header
+			reader.Close()
 		}
-		if err := s.segment(f, dir, name, kind, number, next, i == 0, each); err != nil {
+		if err := scan.readSegment(fsys, dir, name, kind, number, next, i == 0, each); err != nil {
 			if err == errStop {
 				err = nil
 			}
-			return s, err
+			return scan, err
 		}
 	}
-	return s, nil
+	return scan, nil
 }
 
-func (s *Scan) segment(f FS, dir, name string, kind uint16, number uint64, next *Header, oldest bool,
+// readSegment reads one segment. next is the header of the segment after it, or nil for the last segment; oldest is
+// set for the first segment read.
+func (s *Scan) readSegment(fsys FS, dir, name string, kind uint16, number uint64, next *Header, oldest bool,
 	each func(Place, *Reader, uint16, []byte) error) error {
-	r, err := Open(f, filepath.Join(dir, segmentName(name, number)), kind)
+	reader, err := Open(fsys, filepath.Join(dir, segmentName(name, number)), kind)
 	if err != nil {
 		return err
 	}
-	defer r.Close()
-	if r.Number != number {
-		return &Damage{r.name, 16, fmt.Sprintf("segment %d stands under the name of %d", r.Number, number)}
+	defer reader.Close()
+	if reader.Number != number {
+		return &Damage{reader.name, 16,
+			fmt.Sprintf("the file holds segment %d but is named as segment %d", reader.Number, number)}
 	}
-	if !oldest && r.Previous != s.last.Number {
-		return &Damage{r.name, 24, fmt.Sprintf("it follows segment %d, which is not there", r.Previous)}
+	if !oldest && reader.Previous != s.lastHeader.Number {
+		return &Damage{reader.name, 24, fmt.Sprintf("it follows segment %d, which is missing", reader.Previous)}
 	}
 	s.Segments++
-	for next == nil || r.end < next.PrevEnd {
-		at := Place{number, r.end}
-		kind, payload, err := r.Next()
+	for next == nil || reader.offset < next.PrevEnd {
+		at := Place{number, reader.offset}
+		kind, payload, err := reader.Next()
 		if err == io.EOF && next == nil {
 			break
 		}
 		if errors.Is(err, ErrTorn) && next == nil {
-			s.Torn = append(s.Torn, fmt.Sprintf("%s: offset %d: %d bytes", r.name, r.end, r.size-r.end))
+			s.Torn = append(s.Torn, fmt.Sprintf("%s: offset %d: %d bytes",
+				reader.name, reader.offset, reader.size-reader.offset))
 			break
 		}
 		if err == io.EOF || errors.Is(err, ErrTorn) {
-			return &Damage{r.name, r.end, fmt.Sprintf("it ends here, but %d bytes were written", next.PrevEnd)}
+			return &Damage{reader.name, reader.offset,
+				fmt.Sprintf("the segment ends here, but %d bytes were written", next.PrevEnd)}
 		}
 		if err != nil {
 			return err
 		}
 		s.Frames++
-		if err := each(at, r, kind, payload); err != nil {
+		if err := each(at, reader, kind, payload); err != nil {
 			return err
 		}
 	}
 	if next != nil {
-		if r.end != next.PrevEnd || r.chain != next.PrevChain {
-			return &Damage{r.name, r.end, "the segment is not the one that the next one follows"}
+		if reader.offset != next.PrevEnd || reader.chain != next.PrevChain {
+			return &Damage{reader.name, reader.offset, "the segment is not the one that the next segment continues"}
 		}
-		if r.size > r.end {
-			s.Torn = append(s.Torn, fmt.Sprintf("%s: offset %d: %d bytes", r.name, r.end, r.size-r.end))
+		if reader.size > reader.offset {
+			s.Torn = append(s.Torn, fmt.Sprintf("%s: offset %d: %d bytes",
+				reader.name, reader.offset, reader.size-reader.offset))
 		}
 	}
-	s.Bytes += r.end
-	s.last, s.end, s.chain = r.Header, r.end, r.chain
+	s.Bytes += reader.offset
+	s.lastHeader, s.lastEnd, s.lastChain = reader.Header, reader.offset, reader.chain
 	return nil
 }
 
-// LogConfig is what a Log needs.
+// LogConfig holds the parameters of a Log.
 type LogConfig struct {
 	FS   FS
 	Dir  string
-	Name string // of the log: what its files' names begin with
-	Kind uint16 // of its files
-	// Roll is the size in bytes at which a new segment begins.
+	Name string // prefix of the segments' file names
+	Kind uint16 // of the files
+	// MaxSegmentBytes is the size at which a new segment is started; a single write may exceed it.
 	Roll int64
-	// Checkpoint returns the frames that a new segment begins with: the owner's state as of then.
+	// Checkpoint returns the frames that a new segment begins with: the owner's current state.
 	Checkpoint func() []Frame
 }
 
-// Frame is one frame to be written.
+// Frame is a frame to be written.
 type Frame struct {
 	Kind    uint16
 	Payload []byte
 }
 
-// Log is a log being written. Its methods are for one goroutine; only Sync may be called from another.
+// Log is a log opened for writing. Its files are segments, each of which begins with a checkpoint of the owner's
+// state, so that earlier segments can be removed. A segment's header records where the one before it ends: bytes
+// after that were cut off by a crash or a failed write and are ignored. The methods are for one goroutine, except
+// that Sync may be called concurrently.
 type Log struct {
-	cfg  LogConfig
-	last Header // of the present segment, or the one before while there is none
-	open bool
-	size int64
-	frames
+	cfg         LogConfig
+	header      Header // of the current segment, or of the previous one while none is open
+	segmentOpen bool
+	size        int64
+	framePosition
 	buf []byte
 
-	syncing sync.Mutex // held during a sync, so that roll cannot overtake one
+	syncMu sync.Mutex // held during a sync, so that startSegment waits for one that is running
 
 	mu    sync.Mutex // guards file and dirty
 	file  File
 	dirty bool
 }
 
-// Continue opens a log for writing after a Scan has read it. The first Append begins a new segment, so that nothing
-// that was written is ever changed.
-func Continue(cfg LogConfig, s Scan) (*Log, error) {
+// ContinueLog opens a log for writing at the end that scan has found. The first Append starts a new segment, so that
+// existing segments are never modified. Temporary files in the directory are removed.
+func Continue(cfg LogConfig, scan Scan) (*Log, error) {
 	if err := cfg.FS.MakeDir(cfg.Dir); err != nil {
 		return nil, err
 	}
 	if err := Clean(cfg.FS, cfg.Dir); err != nil {
 		return nil, err
 	}
-	return &Log{cfg: cfg, last: s.last, frames: frames{number: s.last.Number, end: s.end, chain: s.chain}}, nil
+	return &Log{
+		cfg:    cfg,
+		header: scan.lastHeader,
+		framePosition: framePosition{
+			fileNumber: scan.lastHeader.Number,
+			offset:     scan.lastEnd,
+			chain:      scan.lastChain,
+		},
+	}, nil
 }
 
-// Segment is the number of the present segment.
-func (l *Log) Segment() uint64 { return l.last.Number }
+// Segment returns the number of the current segment.
+func (l *Log) Segment() uint64 { return l.header.Number }
 
-// Append writes frames in one write; without any, it only makes sure that there is a segment. After an error nothing of them counts, and the next Append begins a new segment.
+// Append writes frames in one write; without frames, it only ensures that a segment is open. After an error none of
+// the frames is part of the log, and the next Append starts a new segment.
 func (l *Log) Append(list ...Frame) error {
-	if !l.open || l.end >= l.cfg.Roll {
-		if err := l.roll(); err != nil {
+	if !l.segmentOpen || l.offset >= l.cfg.Roll {
+		if err := l.startSegment(); err != nil {
 			return err
 		}
 	}
 	if len(list) == 0 {
 		return nil
 	}
-	before := l.frames
+	before := l.framePosition
 	l.buf = l.buf[:0]
 	for _, f := range list {
 		if len(f.Payload) > PayloadMost {
-			l.frames = before
-			return fmt.Errorf("durable: a frame of %d bytes", len(f.Payload))
+			l.framePosition = before
+			return fmt.Errorf("durable: frame payload of %d bytes exceeds the maximum", len(f.Payload))
 		}
-		l.buf = l.frames.append(l.buf, f.Kind, f.Payload)
+		l.buf = l.framePosition.appendFrame(l.buf, f.Kind, f.Payload)
 	}
 	l.mu.Lock()
 	file := l.file
 	l.mu.Unlock()
 	if _, err := file.Write(l.buf); err != nil {
-		l.frames = before
-		l.shut()
-		return fmt.Errorf("%s: %w", segmentName(l.cfg.Name, l.number), err)
+		l.framePosition = before
+		l.closeSegment()
+		return fmt.Errorf("%s: %w", segmentName(l.cfg.Name, l.fileNumber), err)
 	}
 	l.mu.Lock()
 	l.dirty = true
@@ -222,51 +241,62 @@
 	return nil
 }
 
-// roll begins a new segment, whole with its checkpoint or not at all.
-func (l *Log) roll() error {
-	h := Header{Kind: l.cfg.Kind, Number: l.last.Number + 1, Previous: l.last.Number, PrevEnd: l.end, PrevChain: l.chain}
-	w := frames{number: h.Number, end: headerSize}
-	b := appendHeader(nil, h)
+// startSegment atomically creates the next segment with its checkpoint and makes it the current one.
+func (l *Log) startSegment() error {
+	header := Header{
+		Kind:      l.cfg.Kind,
+		Number:    l.header.Number + 1,
+		Previous:  l.header.Number,
+		PrevEnd:   l.offset,
+		PrevChain: l.chain,
+	}
+	position := framePosition{fileNumber: header.Number, offset: fileHeaderSize}
+	content := appendHeader(nil, header)
 	for _, f := range l.cfg.Checkpoint() {
-		b = w.append(b, f.Kind, f.Payload)
+		content = position.appendFrame(content, f.Kind, f.Payload)
 	}
-	if l.open { // what stands in the present segment must not be lost while the next one lasts
+	if l.segmentOpen { // the current segment must not lose frames that the next one builds on
 		if err := l.Sync(); err != nil {
 			return err
 		}
 	}
-	file, err := writeOpen(l.cfg.FS, filepath.Join(l.cfg.Dir, segmentName(l.cfg.Name, h.Number)),
-		func(w io.Writer) error { _, err := w.Write(b); return err }, false)
+	file, err := writeAtomic(l.cfg.FS, filepath.Join(l.cfg.Dir, segmentName(l.cfg.Name, header.Number)),
+		func(w io.Writer) error {
+			_, err := w.Write(content)
+			return err
+		}, false)
 	if err != nil {
-		// Where the rename was done and only the sync of the folder failed, the number is used up.
-		if r, bad := Open(l.cfg.FS, filepath.Join(l.cfg.Dir, segmentName(l.cfg.Name, h.Number)), l.cfg.Kind); bad == nil {
+		// If the rename succeeded and only syncing the directory failed, the segment exists: remove it, since its
+		// number is used again.
+		if r, openErr := Open(l.cfg.FS, filepath.Join(l.cfg.Dir, segmentName(l.cfg.Name, header.Number)),
+			l.cfg.Kind); openErr == nil {
 			r.Close()
-			l.cfg.FS.Remove(filepath.Join(l.cfg.Dir, segmentName(l.cfg.Name, h.Number)))
+			l.cfg.FS.Remove(filepath.Join(l.cfg.Dir, segmentName(l.cfg.Name, header.Number)))
 		}
 		return err
 	}
-	l.shut()
+	l.closeSegment()
 	l.mu.Lock()
 	l.file, l.dirty = file, false
 	l.mu.Unlock()
-	l.open, l.last, l.frames = true, h, w
+	l.segmentOpen, l.header, l.framePosition = true, header, position
 	return nil
 }
 
-// shut closes the present segment; what it holds stays as it is.
-func (l *Log) shut() {
+// closeSegment closes the current segment without syncing it.
+func (l *Log) closeSegment() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.file != nil {
 		l.file.Close()
 	}
-	l.file, l.open = nil, false
+	l.file, l.segmentOpen = nil, false
 }
 
-// Sync makes what was appended outlast a crash of the machine. It may run beside Append.
+// Sync makes appended frames survive a crash of the machine. It may be called concurrently with Append.
 func (l *Log) Sync() error {
-	l.syncing.Lock()
-	defer l.syncing.Unlock()
+	l.syncMu.Lock()
+	defer l.syncMu.Unlock()
 	l.mu.Lock()
 	file, dirty := l.file, l.dirty
 	l.dirty = false
@@ -283,22 +313,24 @@
 	return nil
 }
 
-// Drop removes the segments before a number. What was removed already is no error.
+// RemoveSegments removes the segments before a number, but never the current one, and returns how many it has
+// removed.
 func (l *Log) Drop(before uint64) (removed int, err error) {
-	return Drop(l.cfg.FS, l.cfg.Dir, l.cfg.Name, min(before, l.last.Number))
+	return Drop(l.cfg.FS, l.cfg.Dir, l.cfg.Name, min(before, l.header.Number))
 }
 
-// Drop removes a log's segments before a number, oldest first and each for good before the next, so that whatever remains
-// after a crash of the machine has no hole.
-func Drop(f FS, dir, name string, before uint64) (removed int, err error) {
-	numbers, err := Segments(f, dir, name)
-	for _, n := range numbers {
-		if err != nil || n >= before {
+// RemoveSegments removes a log's segments before a number and returns how many it has removed. It removes the
+// oldest first and syncs each removal before the next, so that the remaining segments are contiguous after a crash
+// of the machine.
+func Drop(fsys FS, dir, name string, before uint64) (removed int, err error) {
+	numbers, err := Segments(fsys, dir, name)
+	for _, number := range numbers {
+		if err != nil || number >= before {
 			break
 		}
-		if err = f.Remove(filepath.Join(dir, segmentName(name, n))); err == nil {
+		if err = fsys.Remove(filepath.Join(dir, segmentName(name, number))); err == nil {
 			removed++
-			err = f.SyncDir(dir)
+			err = fsys.SyncDir(dir)
 		}
 	}
 	return removed, err
@@ -307,9 +339,9 @@
 // Close syncs and closes the log.
 func (l *Log) Close() error {
 	err := l.Sync()
-	l.shut()
+	l.closeSegment()
 	return err
 }
 
-// Stamp is a time as files hold it: milliseconds since the Unix epoch.
+// UnixMillis returns a time as it is stored in files: milliseconds since the Unix epoch.
 func Stamp(t time.Time) int64 { return t.UnixMilli() }
--- a/internal/ledgerio/export.go
+++ b/internal/ledgerio/export.go
@@ -13,7 +13,7 @@
 	"threadglade.example/threadglade/ledger"
 )
 
-// Exported is one export that was made.
+// ExportedFile describes an export that was written. From and To are milliseconds since the Unix epoch.
 type Exported struct {
 	Path     string `json:"path"`
 	ID       string `json:"id"`
@@ -22,153 +22,169 @@
 	To       int64  `json:"to_ms"`
 }
 
-// Export states every closed period that has not been exported, in order, each as one file in the folder out. Run again after
-// an interruption at any point, it makes the same bytes. One process at a time exports a ledger.
-func Export(f durable.FS, dir, out string) (list []Exported, err error) {
-	lock, err := f.Lock(filepath.Join(dir, exportLock))
+// Export writes every closed period that has not been exported yet, in order, each as one file in the directory
+// out, and returns the files it has written, also with an error. After an interruption at any point, another run
+// produces the same bytes. Only one process at a time can export a ledger; another gets durable.ErrLocked.
+func Export(fsys durable.FS, dir, out string) (list []Exported, err error) {
+	lock, err := fsys.Lock(filepath.Join(dir, exportLockName))
 	if err != nil {
 		return nil, err
 	}
 	defer lock.Close()
-	st, scan, err := readState(f, dir)
+	state, scan, err := readExportState(fsys, dir)
 	if err != nil {
 		return nil, err
 	}
-	first, err := startFor(f, dir, st.To)
+	first, err := findStartSegment(fsys, dir, state.LastEnd)
 	if err != nil {
 		return nil, err
 	}
-	if err := errors.Join(f.MakeDir(out), durable.Clean(f, out)); err != nil {
+	if err := errors.Join(fsys.MakeDir(out), durable.Clean(fsys, out)); err != nil {
 		return nil, err
 	}
-	w := &exporter{f: f, dir: dir, out: out, st: st, scan: scan}
-	var c *ledger.Collector
-	c = ledger.NewCollector(func(s *ledger.Statement) error {
-		if s.Sequence <= w.st.Done {
+	exports := &exporter{fsys: fsys, dir: dir, out: out, state: state, scan: scan}
+	var collector *ledger.Collector
+	collector = ledger.NewCollector(func(s *ledger.Statement) error {
+		if s.Sequence <= exports.state.LastSequence {
 			return nil
 		}
-		if s.Sequence != w.st.Done+1 || w.st.To != 0 && s.From != w.st.To {
-			return fmt.Errorf("%w: statement %d from %s follows export %d up to %s", errHere, s.Sequence, stamp(s.From), w.st.Done, stamp(w.st.To))
+		if s.Sequence != exports.state.LastSequence+1 || exports.state.LastEnd != 0 && s.From != exports.state.LastEnd {
+			return fmt.Errorf("%w: statement %d from %s follows export %d up to %s",
+				errExport, s.Sequence, formatTime(s.From), exports.state.LastSequence, formatTime(exports.state.LastEnd))
 		}
-		done, err := w.state(c.State.Settings, s)
+		done, err := exports.exportStatement(collector.State.Settings, s)
 		if err != nil {
-			return fmt.Errorf("%w of statement %d: %w", errHere, s.Sequence, err)
+			return fmt.Errorf("%w of statement %d: %w", errExport, s.Sequence, err)
 		}
 		list = append(list, done)
 		return nil
 	})
-	_, err = readJournal(f, dir, first, c.Add)
-	if w.log != nil {
-		err = errors.Join(err, w.log.Close())
+	_, err = readJournal(fsys, dir, first, collector.Add)
+	if exports.log != nil {
+		err = errors.Join(err, exports.log.Close())
 	}
 	return list, err
 }
 
-// exporter makes exports one after the other.
+// exporter writes exports one after the other.
 type exporter struct {
-	f        durable.FS
+	fsys     durable.FS
 	dir, out string
-	st       exportState
+	state    exportState
 	scan     durable.Scan
 	log      *durable.Log
 }
 
-// note writes the state down for good.
-func (w *exporter) note(st exportState) error {
+// saveState appends the state to the exports log and syncs it.
+func (w *exporter) saveState(state exportState) error {
 	if w.log == nil {
-		l, err := durable.Continue(durable.LogConfig{FS: w.f, Dir: w.dir, Name: exports, Kind: kindExports, Roll: smallRoll,
-			Checkpoint: func() []durable.Frame { return []durable.Frame{w.frame(w.st)} }}, w.scan)
+		log, err := durable.Continue(durable.LogConfig{
+			FS:         w.fsys,
+			Dir:        w.dir,
+			Name:       exportsName,
+			Kind:       kindExports,
+			Roll:       smallSegmentBytes,
+			Checkpoint: func() []durable.Frame { return []durable.Frame{w.encodeState(w.state)} },
+		}, w.scan)
 		if err != nil {
 			return err
 		}
-		w.log = l
+		w.log = log
 	}
-	if err := w.log.Append(w.frame(st)); err != nil {
+	if err := w.log.Append(w.encodeState(state)); err != nil {
 		return err
 	}
 	if err := w.log.Sync(); err != nil {
 		return err
 	}
-	w.st = st
+	w.state = state
 	return nil
 }
 
-func (w *exporter) frame(st exportState) durable.Frame {
-	b, err := json.Marshal(st)
+// encodeState returns the state as a frame of the exports log.
+func (w *exporter) encodeState(state exportState) durable.Frame {
+	b, err := json.Marshal(state)
 	if err != nil {
-		panic(err) // of figures and strings: it cannot fail
+		panic(err) // cannot fail: the state consists of numbers and strings
 	}
 	return durable.Frame{Kind: frameEntries, Payload: b}
 }
 
-// state exports one statement: what goes into it is settled and written down first, then the file appears, then it counts
-// as done.
-func (w *exporter) state(t ledger.Settings, s *ledger.Statement) (Exported, error) {
-	mends, _, err := readCorrections(w.f, w.dir)
+// exportStatement exports one statement: it saves the plan that fixes the export's content, writes the file, and then
+// saves the export as done.
+func (w *exporter) exportStatement(settings ledger.Settings, statement *ledger.Statement) (Exported, error) {
+	corrections, _, err := readCorrections(w.fsys, w.dir)
 	if err != nil {
 		return Exported{}, err
 	}
-	if w.st.Plan == nil || w.st.Plan.Sequence != s.Sequence {
-		next := w.st
-		next.Plan = &plan{s.Sequence, uint64(len(mends))}
-		if err := w.note(next); err != nil {
+	if w.state.Plan == nil || w.state.Plan.Sequence != statement.Sequence {
+		next := w.state
+		next.Plan = &exportPlan{statement.Sequence, uint64(len(corrections))}
+		if err := w.saveState(next); err != nil {
 			return Exported{}, err
 		}
 	}
-	if uint64(len(mends)) < w.st.Plan.Corrections {
-		return Exported{}, fmt.Errorf("%s: of %d corrections that belong to it %d are there", w.dir, w.st.Plan.Corrections, len(mends))
+	if uint64(len(corrections)) < w.state.Plan.Corrections {
+		return Exported{}, fmt.Errorf("%s: the export includes %d corrections, but only %d exist",
+			w.dir, w.state.Plan.Corrections, len(corrections))
 	}
-	e, calls := ledger.NewExport(t, s, mends[w.st.Corrections:w.st.Plan.Corrections])
-	path := filepath.Join(w.out, e.FileName())
-	if err := WriteExport(w.f, path, e, calls); err != nil {
+	export, calls := ledger.NewExport(settings, statement, corrections[w.state.Corrections:w.state.Plan.Corrections])
+	path := filepath.Join(w.out, export.FileName())
+	if err := WriteExport(w.fsys, path, export, calls); err != nil {
 		return Exported{}, err
 	}
-	next := exportState{Done: s.Sequence, To: s.To, ID: e.ID, Corrections: w.st.Plan.Corrections}
-	if err := w.note(next); err != nil {
+	next := exportState{
+		LastSequence: statement.Sequence,
+		LastEnd:      statement.To,
+		LastID:       export.ID,
+		Corrections:  w.state.Plan.Corrections,
+	}
+	if err := w.saveState(next); err != nil {
 		return Exported{}, err
 	}
-	return Exported{path, e.ID, e.Sequence, e.From, e.To}, nil
+	return Exported{path, export.ID, export.Sequence, export.From, export.To}, nil
 }
 
-// WriteExport makes an export appear whole. One that is there already with the same bytes stays; with others, it is an error:
-// no export is ever changed.
-func WriteExport(f durable.FS, path string, e *ledger.Export, calls []uint64) error {
+// WriteExport writes an export file atomically. If the file already exists with the same bytes, it is left alone;
+// with other bytes, an error is returned, since an export is never changed.
+func WriteExport(fsys durable.FS, path string, export *ledger.Export, calls []uint64) error {
 	encode := func(to io.Writer) error {
-		w, err := durable.NewWriter(to, durable.Header{Kind: kindExport, Number: e.Sequence})
+		writer, err := durable.NewWriter(to, durable.Header{Kind: kindExport, Number: export.Sequence})
 		if err != nil {
 			return err
 		}
-		return e.Encode(calls, w.Frame)
+		return export.Encode(calls, writer.Frame)
 	}
-	src, size, err := f.Open(path)
-	if missing(err) {
-		return durable.WriteFile(f, path, encode)
+	src, size, err := fsys.Open(path)
+	if isNotExist(err) {
+		return durable.WriteFile(fsys, path, encode)
 	}
 	if err != nil {
 		return err
 	}
 	defer src.Close()
-	same := &comparer{src: src, left: size}
-	if err := encode(same); err != nil {
+	comparison := &comparer{src: src, remaining: size}
+	if err := encode(comparison); err != nil {
 		return err
 	}
-	if same.differs || same.left != 0 {
-		return fmt.Errorf("%s is there with other content", path)
+	if comparison.differs || comparison.remaining != 0 {
+		return fmt.Errorf("%s already exists with different content", path)
 	}
 	return nil
 }
 
-// comparer compares what is written to it with a file.
+// comparer is a writer that compares what is written to it with a file.
 type comparer struct {
-	src     io.Reader
-	left    int64
-	buf     []byte
-	differs bool
+	src       io.Reader // the file
+	remaining int64     // bytes of the file not compared yet; below 0: the file is shorter
+	buf       []byte
+	differs   bool
 }
 
+// Write implements io.Writer; it never fails.
 func (c *comparer) Write(b []byte) (int, error) {
-	c.left -= int64(len(b))
-	if c.left < 0 {
+	c.remaining -= int64(len(b))
+	if c.remaining < 0 {
 		c.differs = true
 	}
 	if !c.differs {
@@ -180,10 +196,10 @@
 	return len(b), nil
 }
 
-// CloseDue closes what is due in the ledger of a router that is not running, and returns whether that could be looked at: where
-// a router runs, it does so itself.
-func CloseDue(f durable.FS, dir string, wall func() int64) (bool, error) {
-	lock, err := f.Lock(filepath.Join(dir, lockName))
+// CloseDuePeriods closes the periods and calls that are due in the ledger of a router that is not running. It returns
+// false if a running router holds the ledger's lock, since the router does this itself.
+func CloseDue(fsys durable.FS, dir string, wallClock func() int64) (bool, error) {
+	lock, err := fsys.Lock(filepath.Join(dir, lockName))
 	if errors.Is(err, durable.ErrLocked) {
 		return false, nil
 	}
@@ -191,63 +207,70 @@
 		return false, err
 	}
 	defer lock.Close()
-	book, scan, err := Recover(f, dir)
+	state, scan, err := Recover(fsys, dir)
 	if err != nil {
 		return false, err
 	}
-	if book == nil {
+	if state == nil {
 		return false, fmt.Errorf("%s: %w", dir, ErrNoLedger)
 	}
-	k := ledger.NewKeeper(ledger.KeeperConfig{WallClock: wall}, book)
-	k.Tick()
-	if !k.HasEntries() {
+	keeper := ledger.NewKeeper(ledger.KeeperConfig{WallClock: wallClock}, state)
+	keeper.Tick()
+	if !keeper.HasEntries() {
 		return true, nil
 	}
-	l, err := durable.Continue(journalConfig(f, dir, smallRoll, book), scan)
+	log, err := durable.Continue(journalConfig(fsys, dir, smallSegmentBytes, state), scan)
 	if err != nil {
 		return false, err
 	}
-	if err := l.Append(frames(frameEntries, k.Take(nil))...); err != nil {
+	if err := log.Append(packEntries(frameEntries, keeper.Take(nil))...); err != nil {
 		return false, err
 	}
-	return true, l.Close()
+	return true, log.Close()
 }
 
-// journalConfig is the journal of a book: its segments begin with what the book holds then.
-func journalConfig(f durable.FS, dir string, roll int64, book *ledger.State) durable.LogConfig {
-	return durable.LogConfig{FS: f, Dir: dir, Name: journal, Kind: kindJournal, Roll: roll,
-		Checkpoint: func() []durable.Frame { return frames(frameCheckpoint, book.Checkpoint()) }}
+// journalConfig returns the configuration of a journal whose segments begin with a checkpoint of state.
+func journalConfig(fsys durable.FS, dir string, maxSegmentBytes int64, state *ledger.State) durable.LogConfig {
+	return durable.LogConfig{
+		FS:         fsys,
+		Dir:        dir,
+		Name:       journalName,
+		Kind:       kindJournal,
+		Roll:       maxSegmentBytes,
+		Checkpoint: func() []durable.Frame { return packEntries(frameCheckpoint, state.Checkpoint()) },
+	}
 }
 
-// Compact removes the journal's segments that no export needs any more and whose last entry is older than keep.
-func Compact(f durable.FS, dir string, keep time.Duration, now int64) (removed int, err error) {
-	lock, err := f.Lock(filepath.Join(dir, exportLock))
+// Compact removes the journal's segments that no future export needs and whose last entry is older than retention. It
+// returns how many were removed; now is in milliseconds since the Unix epoch.
+func Compact(fsys durable.FS, dir string, retention time.Duration, now int64) (removed int, err error) {
+	lock, err := fsys.Lock(filepath.Join(dir, exportLockName))
 	if err != nil {
 		return 0, err
 	}
 	defer lock.Close()
-	st, _, err := readState(f, dir)
-	if err != nil || st.To == 0 {
+	exported, _, err := readExportState(fsys, dir)
+	if err != nil || exported.LastEnd == 0 {
 		return 0, err
 	}
-	need, err := startFor(f, dir, st.To)
+	firstNeeded, err := findStartSegment(fsys, dir, exported.LastEnd)
 	if err != nil {
 		return 0, err
 	}
-	numbers, err := durable.Segments(f, dir, journal)
+	numbers, err := durable.Segments(fsys, dir, journalName)
 	if err != nil {
 		return 0, err
 	}
 	before := numbers[0]
-	for _, n := range numbers[1:] {
-		m, err := mark(f, dir, n) // as it began, the one before it ended
+	for _, number := range numbers[1:] {
+		checkpointEnd, err := readCheckpointEnd(fsys, dir, number) // a segment starts when the one before it ends
 		if err != nil {
 			return 0, err
 		}
-		if n > need || now-m.At <= keep.Milliseconds() {
+		if number > firstNeeded || now-checkpointEnd.At <= retention.Milliseconds() {
 			break
 		}
-		before = n
+		before = number
 	}
-	return durable.Drop(f, dir, journal, before)
+	return durable.Drop(fsys, dir, journalName, before)
 }
--- a/internal/ledgerio/settings.go
+++ b/internal/ledgerio/settings.go
@@ -8,63 +8,67 @@
 	"threadglade.example/threadglade/ledger"
 )
 
-// Read reads a (ledger ...) section for a router of that name; docs/operators/ledger.md has every field. What is wrong is
-// noted with the section and reported by its Finish.
-func Read(s *settings.Section, routerName string) Options {
-	o := Defaults()
-	o.Terms.Router = routerName
-	if s == nil {
-		return o
+// ReadSettings reads a (ledger ...) section for a router of that name; docs/operators/ledger.md describes every
+// field. A nil section yields the defaults. Errors are recorded in the section and reported by its Finish.
+func Read(section *settings.Section, routerName string) Options {
+	options := Defaults()
+	options.Terms.Router = routerName
+	if section == nil {
+		return options
 	}
-	ms := func(field string, v *int64, low, high time.Duration) {
+	readMillis := func(field string, v *int64, low, high time.Duration) {
 		d := time.Duration(*v) * time.Millisecond
-		s.Duration(field, &d, low, high)
+		section.Duration(field, &d, low, high)
 		*v = d.Milliseconds()
 	}
-	shortest := ledger.MinPeriod
+	minPeriod := ledger.MinPeriod
 	if ledger.MinPeriodForTests > 0 {
-		shortest = ledger.MinPeriodForTests
+		minPeriod = ledger.MinPeriodForTests
 	}
-	if !s.String("directory", &o.Dir) || o.Dir == "" {
-		s.Errorf("directory", "is missing")
+	if !section.String("directory", &options.Dir) || options.Dir == "" {
+		section.Errorf("directory", "is missing")
 	}
-	ms("period", &o.Terms.Length, shortest, ledger.MaxPeriod)
-	if o.Terms.Length < o.Terms.Grace {
-		o.Terms.Grace = o.Terms.Length
+	readMillis("period", &options.Terms.Length, minPeriod, ledger.MaxPeriod)
+	if options.Terms.Length < options.Terms.Grace {
+		options.Terms.Grace = options.Terms.Length
 	}
-	ms("grace", &o.Terms.Grace, 0, time.Duration(o.Terms.Length)*time.Millisecond)
-	ms("unknown-after", &o.Terms.UnknownTimeout, time.Second, 24*time.Hour)
-	s.Duration("sync", &o.Sync, 0, time.Minute)
-	s.Duration("keep", &o.Keep, 0, 10*366*24*time.Hour)
-	s.Duration("patience", &o.Patience, time.Millisecond, time.Second)
-	s.String("export", &o.Export)
-	segment := int(o.Roll >> 10)
-	s.Int("segment-kb", &segment, 64, 1<<20)
-	o.Roll = int64(segment) << 10
-	when := "go-on"
-	s.Choice("when-unwritable", &when, "go-on", "refuse")
-	o.Refuse = when == "refuse"
-	if err := o.Terms.Validate(); err != nil {
-		s.Errorf("period", "%v", err)
+	readMillis("grace", &options.Terms.Grace, 0, time.Duration(options.Terms.Length)*time.Millisecond)
+	readMillis("unknown-after", &options.Terms.UnknownTimeout, time.Second, 24*time.Hour)
+	section.Duration("sync", &options.Sync, 0, time.Minute)
+	section.Duration("keep", &options.Keep, 0, 10*366*24*time.Hour)
+	section.Duration("patience", &options.Patience, time.Millisecond, time.Second)
+	section.String("export", &options.Export)
+	segmentKB := int(options.Roll >> 10)
+	section.Int("segment-kb", &segmentKB, 64, 1<<20)
+	options.Roll = int64(segmentKB) << 10
+	whenUnwritable := "go-on"
+	section.Choice("when-unwritable", &whenUnwritable, "go-on", "refuse")
+	options.Refuse = whenUnwritable == "refuse"
+	if err := options.Terms.Validate(); err != nil {
+		section.Errorf("period", "%v", err)
 	}
-	o.Tenants = tenants(s)
-	return o
+	options.Tenants = readTenants(section)
+	return options
 }
 
-// tenants reads the tenants' rules and their precedence.
-func tenants(s *settings.Section) *ledger.Directory {
+// readTenants reads the tenants' rules and the precedence of their sources.
+func readTenants(section *settings.Section) *ledger.Directory {
 	var order []ledger.Source
-	for _, w := range s.Strings("precedence") {
-		order = append(order, ledger.Source(w))
+	for _, source := range section.Strings("precedence") {
+		order = append(order, ledger.Source(source))
 	}
 	var rules []ledger.Rule
 	var sections []*settings.Section
-	s.EachSection("tenant", func(t *settings.Section) {
-		rules = append(rules, ledger.Rule{Tenant: t.Label(), Networks: t.Strings("networks"), Identities: t.Strings("identities"),
-			Numbers: t.Strings("numbers")})
-		sections = append(sections, t)
+	section.EachSection("tenant", func(tenant *settings.Section) {
+		rules = append(rules, ledger.Rule{
+			Tenant:     tenant.Label(),
+			Networks:   tenant.Strings("networks"),
+			Identities: tenant.Strings("identities"),
+			Numbers:    tenant.Strings("numbers"),
+		})
+		sections = append(sections, tenant)
 	})
-	d, err := ledger.NewDirectory(order, rules)
+	directory, err := ledger.NewDirectory(order, rules)
 	var rule *ledger.RuleError
 	switch {
 	case errors.As(err, &rule):
@@ -74,7 +78,7 @@
 		}
 		sections[rule.Rule].Errorf(field, "%s", rule.Text)
 	case err != nil:
-		s.Errorf("precedence", "%v", err)
+		section.Errorf("precedence", "%v", err)
 	}
-	return d
+	return directory
 }
--- a/internal/ledgerio/store.go
+++ b/internal/ledgerio/store.go
@@ -1,7 +1,7 @@
-// Package ledgerio carries the ledger to files: store.go reads and checks a ledger's folder, carrier.go writes what a running
-// router counts and lets nothing leave before it is written, export.go states closed periods, settings.go reads the
-// (ledger ...) section. It owns the folder's files, its locks and the writer's goroutines. It must never count, decide
-// about a call, or have the loop wait for a disk.
+// Package ledgerio stores the ledger in files. store.go reads and checks a ledger's directory, recorder.go writes the
+// entries of a running router and holds its output back until they are written, export.go exports closed periods, and
+// settings.go reads the (ledger ...) section. The package owns the directory's files, its locks and the writer's
+// goroutines. It must never count usage, decide about a call, or let the event loop wait for a disk.
 package ledgerio
 
 import (
@@ -17,106 +17,116 @@
 	"threadglade.example/threadglade/ledger"
 )
 
-// Kinds of files, and the names of the logs in a ledger's folder.
+// Kinds of files, and the names of the logs and locks in a ledger's directory.
 const (
 	kindJournal uint16 = iota + 1
 	kindExports
 	kindCorrections
 	kindExport
 
-	journal     = "journal"
-	exports     = "exports"
-	corrections = "corrections"
-	lockName    = "lock"
-	exportLock  = "export.lock"
-	correctLock = "corrections.lock"
+	journalName         = "journal"
+	exportsName         = "exports"
+	correctionsName     = "corrections"
+	lockName            = "lock"
+	exportLockName      = "export.lock"
+	correctionsLockName = "corrections.lock"
 )
 
-// Kinds of frames in the logs; those of an export are package ledger's.
+// Kinds of frames in the logs; package ledger defines those of an export file.
 const (
 	frameCheckpoint uint16 = iota + 1
 	frameEntries
 )
 
 const (
-	// frameBytes is where a frame of entries ends and the next begins.
-	frameBytes = 256 << 10
-	// smallRoll is when the small logs begin a new segment.
-	smallRoll = 1 << 20
-	// correctionsMost corrections a ledger may have.
-	correctionsMost = 100_000
+	// targetFrameBytes is the payload size at which a frame of entries is closed.
+	targetFrameBytes = 256 << 10
+	// smallSegmentBytes is the segment size of the exports and corrections logs.
+	smallSegmentBytes = 1 << 20
+	// maxCorrections limits the corrections of one ledger.
+	maxCorrections = 100_000
 )
 
-// ErrNoLedger is wrapped by errors for a folder without one.
-var ErrNoLedger = errors.New("is no ledger: no journal is in it")
+// ErrNoLedger is wrapped by errors for a directory without a ledger.
+var ErrNoLedger = errors.New("is no ledger: it contains no journal")
 
-// frames packs entries.
-func frames(kind uint16, list []ledger.Entry) (out []durable.Frame) {
-	var b []byte
+// packEntries encodes entries into frames of a kind.
+func packEntries(kind uint16, list []ledger.Entry) (out []durable.Frame) {
+	var payload []byte
 	for i := range list {
-		b = list[i].Append(b)
-		if len(b) >= frameBytes {
-			out = append(out, durable.Frame{Kind: kind, Payload: b})
-			b = nil
+		payload = list[i].Append(payload)
+		if len(payload) >= targetFrameBytes {
+			out = append(out, durable.Frame{Kind: kind, Payload: payload})
+			payload = nil
 		}
 	}
-	if len(b) > 0 {
-		out = append(out, durable.Frame{Kind: kind, Payload: b})
+	if len(payload) > 0 {
+		out = append(out, durable.Frame{Kind: kind, Payload: payload})
 	}
 	return out
 }
 
-// readJournal calls each with every entry of the journal's segments from first on (0: all). An entry that its reader cannot make
-// sense of is damage at the frame that it stands in.
-func readJournal(f durable.FS, dir string, first uint64, each func(*ledger.Entry) error) (durable.Scan, error) {
-	return durable.Read(f, dir, journal, kindJournal, first, func(at durable.Place, r *durable.Reader, _ uint16, payload []byte) error {
-		err := ledger.Decode(payload, each)
-		var damage *durable.Damage
-		if err == nil || err == durable.Stop() || errors.As(err, &damage) || errors.Is(err, errHere) {
-			return err
-		}
-		return r.Damaged(at.Offset, "%v", err)
-	})
+// readJournal calls each with every entry of the journal's segments from first on (0: all). An error of the decoder
+// or of each is reported as damage of the frame that holds the entry, unless it is damage already or wraps
+// errExport.
+func readJournal(fsys durable.FS, dir string, first uint64, each func(*ledger.Entry) error) (durable.Scan, error) {
+	return durable.Read(fsys, dir, journalName, kindJournal, first,
+		func(at durable.Place, r *durable.Reader, _ uint16, payload []byte) error {
+			err := ledger.Decode(payload, each)
+			var damage *durable.Damage
+			if err == nil || err == durable.Stop() || errors.As(err, &damage) || errors.Is(err, errExport) {
+				return err
+			}
+			return r.Damaged(at.Offset, "%v", err)
+		})
 }
 
-// errHere is wrapped by errors that are not the journal's fault.
-var errHere = errors.New("export")
+// errExport is wrapped by errors of exporting, which are not damage of the journal.
+var errExport = errors.New("export")
 
-// Recover reads a ledger's book as of its last entry; that takes its last segment alone.
-func Recover(f durable.FS, dir string) (*ledger.State, durable.Scan, error) {
-	numbers, err := durable.Segments(f, dir, journal)
+// Recover returns a ledger's state as of its last entry, or nil if the directory has no journal. It reads only the
+// last segment, which begins with a checkpoint.
+func Recover(fsys durable.FS, dir string) (*ledger.State, durable.Scan, error) {
+	numbers, err := durable.Segments(fsys, dir, journalName)
 	if err != nil || len(numbers) == 0 {
 		return nil, durable.Scan{}, err
 	}
-	book := ledger.NewState()
-	s, err := readJournal(f, dir, numbers[len(numbers)-1], book.Apply)
-	if err == nil && !book.HasCheckpoint() {
-		err = &durable.Damage{File: filepath.Join(dir, fmt.Sprintf("%s-%08d.tgl", journal, numbers[len(numbers)-1])), Offset: 0, What: "its checkpoint is not whole"}
+	state := ledger.NewState()
+	scan, err := readJournal(fsys, dir, numbers[len(numbers)-1], state.Apply)
+	if err == nil && !state.HasCheckpoint() {
+		err = &durable.Damage{
+			File:   filepath.Join(dir, fmt.Sprintf("%s-%08d.tgl", journalName, numbers[len(numbers)-1])),
+			Offset: 0,
+			What:   "the checkpoint is incomplete",
+		}
 	}
-	return book, s, err
+	return state, scan, err
 }
 
-// mark reads the end of a segment's checkpoint: its time and how many statements there were.
-func mark(f durable.FS, dir string, number uint64) (m ledger.Entry, err error) {
+// readCheckpointEnd returns the last entry of a segment's checkpoint, which holds its time and the number of
+// statements up to it.
+func readCheckpointEnd(fsys durable.FS, dir string, number uint64) (checkpointEnd ledger.Entry, err error) {
 	err = errors.New("no checkpoint")
-	_, bad := durable.Read(f, dir, journal, kindJournal, number, func(at durable.Place, r *durable.Reader, _ uint16, payload []byte) error {
-		if at.Segment != number {
-			return durable.Stop()
-		}
-		return ledger.Decode(payload, func(e *ledger.Entry) error {
-			if e.Kind != ledger.KindCheckpointEnd {
-				return nil
+	_, readErr := durable.Read(fsys, dir, journalName, kindJournal, number,
+		func(at durable.Place, r *durable.Reader, _ uint16, payload []byte) error {
+			if at.Segment != number {
+				return durable.Stop()
 			}
-			m, err = *e, nil
-			return durable.Stop()
+			return ledger.Decode(payload, func(e *ledger.Entry) error {
+				if e.Kind != ledger.KindCheckpointEnd {
+					return nil
+				}
+				checkpointEnd, err = *e, nil
+				return durable.Stop()
+			})
 		})
-	})
-	return m, errors.Join(bad, err)
+	return checkpointEnd, errors.Join(readErr, err)
 }
 
-// startFor is the segment from which the journal must be read to state what begins at a time: the last that was begun before it.
-func startFor(f durable.FS, dir string, from int64) (uint64, error) {
-	numbers, err := durable.Segments(f, dir, journal)
+// findStartSegment returns the segment from which the journal must be read to obtain all periods that begin at or
+// after from (milliseconds since the Unix epoch): the last one that was started before it.
+func findStartSegment(fsys durable.FS, dir string, from int64) (uint64, error) {
+	numbers, err := durable.Segments(fsys, dir, journalName)
 	if err != nil {
 		return 0, err
 	}
@@ -124,253 +134,276 @@
 		return 0, fmt.Errorf("%s: %w", dir, ErrNoLedger)
 	}
 	start := uint64(0)
-	for _, n := range numbers {
-		m, err := mark(f, dir, n)
+	for _, number := range numbers {
+		checkpointEnd, err := readCheckpointEnd(fsys, dir, number)
 		if err != nil {
 			return 0, err
 		}
-		if start == 0 && m.Sequence == 0 || m.At < from {
-			start = n
+		if start == 0 && checkpointEnd.Sequence == 0 || checkpointEnd.At < from {
+			start = number
 		}
-		if m.At >= from {
+		if checkpointEnd.At >= from {
 			break
 		}
 	}
 	if start == 0 {
-		return 0, fmt.Errorf("%s: the journal's oldest segment is %d; what came before it is not there", dir, numbers[0])
+		return 0, fmt.Errorf("%s: the journal's oldest segment is %d; the segments before it are missing", dir, numbers[0])
 	}
 	return start, nil
 }
 
-// exportState is what the log of exports comes to.
+// exportState is the content of an entry of the exports log; the last entry is the current state.
 type exportState struct {
-	Done        uint64 `json:"done"`        // sequence of the last export
-	To          int64  `json:"to_ms"`       // and the end of its time
-	ID          string `json:"id"`          // and its content
-	Corrections uint64 `json:"corrections"` // entries of the corrections' log that are in exports
-	Plan        *plan  `json:"plan,omitempty"`
+	LastSequence uint64      `json:"done"`        // sequence number of the last export
+	LastEnd      int64       `json:"to_ms"`       // end of its period, in milliseconds since the Unix epoch
+	LastID       string      `json:"id"`          // its content id
+	Corrections  uint64      `json:"corrections"` // entries of the corrections log that are included in exports
+	Plan         *exportPlan `json:"plan,omitempty"`
 }
 
-// plan is an export that has begun: whoever goes on with it makes the same bytes.
-type plan struct {
+// exportPlan fixes the content of an export that has begun, so that resuming it produces the same bytes.
+type exportPlan struct {
 	Sequence    uint64 `json:"sequence"`
-	Corrections uint64 `json:"corrections"` // entries up to which it takes in
+	Corrections uint64 `json:"corrections"` // number of the last corrections entry that it includes
 }
 
-// readState reads the log of exports; every frame in it holds the state as of then.
-func readState(f durable.FS, dir string) (st exportState, s durable.Scan, err error) {
-	s, err = durable.Read(f, dir, exports, kindExports, 0, func(at durable.Place, r *durable.Reader, _ uint16, payload []byte) error {
-		var next exportState
-		if err := json.Unmarshal(payload, &next); err != nil {
-			return r.Damaged(at.Offset, "%v", err)
-		}
-		if next.Done < st.Done || next.Done > st.Done+1 && s.Frames > 0 {
-			return r.Damaged(at.Offset, "export %d follows %d", next.Done, st.Done)
-		}
-		st = next
-		return nil
-	})
-	return st, s, err
+// readExportState reads the exports log; each of its frames holds the complete state.
+func readExportState(fsys durable.FS, dir string) (state exportState, scan durable.Scan, err error) {
+	scan, err = durable.Read(fsys, dir, exportsName, kindExports, 0,
+		func(at durable.Place, r *durable.Reader, _ uint16, payload []byte) error {
+			var next exportState
+			if err := json.Unmarshal(payload, &next); err != nil {
+				return r.Damaged(at.Offset, "%v", err)
+			}
+			if next.LastSequence < state.LastSequence || next.LastSequence > state.LastSequence+1 && scan.Frames > 0 {
+				return r.Damaged(at.Offset, "export %d follows %d", next.LastSequence, state.LastSequence)
+			}
+			state = next
+			return nil
+		})
+	return state, scan, err
 }
 
-// readCorrections reads the operators' corrections.
-func readCorrections(f durable.FS, dir string) (list []ledger.Correction, s durable.Scan, err error) {
-	s, err = durable.Read(f, dir, corrections, kindCorrections, 0, func(at durable.Place, r *durable.Reader, kind uint16, payload []byte) error {
-		if kind == frameCheckpoint {
+// readCorrections reads the operators' corrections in the order they were made.
+func readCorrections(fsys durable.FS, dir string) (list []ledger.Correction, scan durable.Scan, err error) {
+	scan, err = durable.Read(fsys, dir, correctionsName, kindCorrections, 0,
+		func(at durable.Place, r *durable.Reader, kind uint16, payload []byte) error {
+			if kind == frameCheckpoint {
+				return nil
+			}
+			var correction ledger.Correction
+			if err := json.Unmarshal(payload, &correction); err != nil {
+				return r.Damaged(at.Offset, "%v", err)
+			}
+			if err := correction.Validate(); err != nil || correction.Entry != uint64(len(list)+1) {
+				return r.Damaged(at.Offset, "correction %d follows %d: %v", correction.Entry, len(list), err)
+			}
+			list = append(list, correction)
 			return nil
-		}
-		var c ledger.Correction
-		if err := json.Unmarshal(payload, &c); err != nil {
-			return r.Damaged(at.Offset, "%v", err)
-		}
-		if err := c.Validate(); err != nil || c.Entry != uint64(len(list)+1) {
-			return r.Damaged(at.Offset, "correction %d follows %d: %v", c.Entry, len(list), err)
-		}
-		list = append(list, c)
-		return nil
-	})
-	return list, s, err
+		})
+	return list, scan, err
 }
 
-// Correct notes an operator's correction of a period that has been exported; it goes out with the next export. The
-// error says why it cannot be taken.
-func Correct(f durable.FS, dir string, c ledger.Correction) (entry uint64, err error) {
-	lock, err := f.Lock(filepath.Join(dir, correctLock))
+// AddCorrection records an operator's correction of a period that has been exported, and returns its entry number.
+// The correction is included in the next export. It is rejected if it is invalid or its period is not exported yet.
+func Correct(fsys durable.FS, dir string, correction ledger.Correction) (entry uint64, err error) {
+	lock, err := fsys.Lock(filepath.Join(dir, correctionsLockName))
 	if err != nil {
 		return 0, err
 	}
 	defer lock.Close()
-	book, _, err := Recover(f, dir)
+	state, _, err := Recover(fsys, dir)
 	if err != nil {
 		return 0, err
 	}
-	if book == nil {
+	if state == nil {
 		return 0, fmt.Errorf("%s: %w", dir, ErrNoLedger)
 	}
-	st, _, err := readState(f, dir)
+	exported, _, err := readExportState(fsys, dir)
 	if err != nil {
 		return 0, err
 	}
-	if c.Period%book.Length != 0 {
-		return 0, fmt.Errorf("period: %s begins no period of %v", stamp(c.Period), time.Duration(book.Length)*time.Millisecond)
+	if correction.Period%state.Length != 0 {
+		return 0, fmt.Errorf("period: %s is not the start of a period of %v", formatTime(correction.Period),
+			time.Duration(state.Length)*time.Millisecond)
 	}
-	if c.Period >= st.To {
-		return 0, fmt.Errorf("period: %s is not exported yet; exports go up to %s", stamp(c.Period), stamp(st.To))
+	if correction.Period >= exported.LastEnd {
+		return 0, fmt.Errorf("period: %s is not exported yet; exports go up to %s",
+			formatTime(correction.Period), formatTime(exported.LastEnd))
 	}
-	if err := c.Validate(); err != nil {
+	if err := correction.Validate(); err != nil {
 		return 0, err
 	}
-	list, scan, err := readCorrections(f, dir)
+	list, scan, err := readCorrections(fsys, dir)
 	if err != nil {
 		return 0, err
 	}
-	if len(list) >= correctionsMost {
-		return 0, fmt.Errorf("%s: there are %d corrections, no more are taken", dir, len(list))
+	if len(list) >= maxCorrections {
+		return 0, fmt.Errorf("%s: there are already %d corrections, which is the maximum", dir, len(list))
 	}
-	c.Entry = uint64(len(list) + 1)
-	text, err := json.Marshal(c)
+	correction.Entry = uint64(len(list) + 1)
+	text, err := json.Marshal(correction)
 	if err != nil {
 		return 0, err
 	}
-	l, err := durable.Continue(durable.LogConfig{FS: f, Dir: dir, Name: corrections, Kind: kindCorrections, Roll: smallRoll,
-		Checkpoint: func() []durable.Frame { return []durable.Frame{{Kind: frameCheckpoint}} }}, scan)
+	log, err := durable.Continue(durable.LogConfig{
+		FS:         fsys,
+		Dir:        dir,
+		Name:       correctionsName,
+		Kind:       kindCorrections,
+		Roll:       smallSegmentBytes,
+		Checkpoint: func() []durable.Frame { return []durable.Frame{{Kind: frameCheckpoint}} },
+	}, scan)
 	if err != nil {
 		return 0, err
 	}
-	if err := l.Append(durable.Frame{Kind: frameEntries, Payload: text}); err != nil {
+	if err := log.Append(durable.Frame{Kind: frameEntries, Payload: text}); err != nil {
 		return 0, err
 	}
-	return c.Entry, l.Close()
+	return correction.Entry, log.Close()
 }
 
-func stamp(ms int64) string {
+// formatTime formats milliseconds since the Unix epoch for messages; 0 means that there is nothing yet.
+func formatTime(ms int64) string {
 	if ms == 0 {
 		return "(nothing)"
 	}
 	return time.UnixMilli(ms).UTC().Format(time.RFC3339)
 }
 
-// View is what a ledger's folder holds.
+// View is the content of a ledger's directory, as read by Inspect.
 type View struct {
-	Terms       ledger.Settings
-	Book        *ledger.State
-	Statements  []*ledger.Statement // of the segments that are there
-	Unstated    []*ledger.Statement // periods that are not closed
+	Terms      ledger.Settings
+	Book       *ledger.State
+	Statements []*ledger.Statement // closed periods, as far back as segments are kept
+	Unstated   []*ledger.Statement // periods that are not closed yet
+	// Late is usage that belongs to closed periods and will be stated with a later one, by the start of its period.
 	Late        map[int64]map[ledger.Key]*ledger.Usage
 	Corrections []ledger.Correction
-	Exported    uint64 // sequence of the last export
-	ExportedTo  int64
-	Planned     bool     // an export was interrupted
-	Torn        []string // what crashes cut off
-	Segments    int
-	Bytes       int64
+	Exported    uint64   // sequence number of the last export
+	ExportedTo  int64    // end of its period, in milliseconds since the Unix epoch
+	Planned     bool     // an export has begun and is not finished
+	Torn        []string // tails cut off by crashes, as file, offset and length
+	Segments    int      // of the journal
+	Bytes       int64    // of the journal
 }
 
-// Inspect reads all of a ledger and checks it; nothing is changed, and a router may be writing meanwhile. Damage is an
-// error that names file and offset.
-func Inspect(f durable.FS, dir string) (*View, error) {
-	numbers, err := durable.Segments(f, dir, journal)
+// Inspect reads and checks a whole ledger. It changes nothing, and a router may be writing to the ledger meanwhile.
+// Damage is reported as a *durable.DamageError with file and offset.
+func Inspect(fsys durable.FS, dir string) (*View, error) {
+	numbers, err := durable.Segments(fsys, dir, journalName)
 	if err != nil {
 		return nil, err
 	}
 	if len(numbers) == 0 {
 		return nil, fmt.Errorf("%s: %w", dir, ErrNoLedger)
 	}
-	v := &View{}
-	c := ledger.NewCollector(func(s *ledger.Statement) error { v.Statements = append(v.Statements, s); return nil })
-	s, err := readJournal(f, dir, 0, c.Add)
+	view := &View{}
+	collector := ledger.NewCollector(func(s *ledger.Statement) error {
+		view.Statements = append(view.Statements, s)
+		return nil
+	})
+	scan, err := readJournal(fsys, dir, 0, collector.Add)
 	if err != nil {
 		return nil, err
 	}
-	v.Terms, v.Book, v.Torn, v.Segments, v.Bytes = c.State.Settings, c.State, s.Torn, s.Segments, s.Bytes
-	v.Unstated, v.Late = c.Pending()
-	list, s, err := readCorrections(f, dir)
+	view.Terms, view.Book, view.Torn, view.Segments, view.Bytes =
+		collector.State.Settings, collector.State, scan.Torn, scan.Segments, scan.Bytes
+	view.Unstated, view.Late = collector.Pending()
+	list, scan, err := readCorrections(fsys, dir)
 	if err != nil {
 		return nil, err
 	}
-	v.Corrections, v.Torn = list, append(v.Torn, s.Torn...)
-	st, s, err := readState(f, dir)
+	view.Corrections, view.Torn = list, append(view.Torn, scan.Torn...)
+	exported, scan, err := readExportState(fsys, dir)
 	if err != nil {
 		return nil, err
 	}
-	v.Exported, v.ExportedTo, v.Planned, v.Torn = st.Done, st.To, st.Plan != nil, append(v.Torn, s.Torn...)
-	if st.Done > c.State.Sequence || st.Corrections > uint64(len(list)) {
-		return nil, fmt.Errorf("%s: %d periods were exported, but the journal has closed %d: a part of it is not there", dir, st.Done, c.State.Sequence)
+	view.Exported, view.ExportedTo, view.Planned, view.Torn =
+		exported.LastSequence, exported.LastEnd, exported.Plan != nil, append(view.Torn, scan.Torn...)
+	if exported.LastSequence > collector.State.Sequence || exported.Corrections > uint64(len(list)) {
+		return nil, fmt.Errorf(
+			"%s: %d periods were exported, but the journal has closed %d: part of the journal is missing",
+			dir, exported.LastSequence, collector.State.Sequence)
 	}
-	return v, nil
+	return view, nil
 }
 
-// Standing is what a folder's journal says of calls: which have stood and are counted, stated or not yet, which ended as unknown, and which are open. It needs no lock: nobody writes any more.
-func Standing(f durable.FS, dir string) (counted, unknown, open map[uint64]bool, err error) {
+// ReadCallStates returns the calls in a directory's journal by state: counted as established, whether their period
+// is closed or not, ended with unknown outcome, and still open. It takes no lock; no process may be writing to the
+// ledger.
+func Standing(fsys durable.FS, dir string) (counted, unknown, open map[uint64]bool, err error) {
 	counted, unknown, open = map[uint64]bool{}, map[uint64]bool{}, map[uint64]bool{}
-	take := func(s *ledger.Statement) error {
-		for _, c := range s.Calls {
-			counted[c] = true
+	add := func(s *ledger.Statement) error {
+		for _, collector := range s.Calls {
+			counted[collector] = true
 		}
-		for _, c := range s.Unknown {
-			unknown[ledger.CallKey(c.Call)] = true
+		for _, collector := range s.Unknown {
+			unknown[ledger.CallKey(collector.Call)] = true
 		}
 		return nil
 	}
-	c := ledger.NewCollector(take)
-	if _, err = readJournal(f, dir, 0, c.Add); err != nil {
+	collector := ledger.NewCollector(add)
+	if _, err = readJournal(fsys, dir, 0, collector.Add); err != nil {
 		return nil, nil, nil, err
 	}
-	list, _ := c.Pending()
+	list, _ := collector.Pending()
 	for _, s := range list {
-		take(s)
+		add(s)
 	}
-	for call := range c.State.Calls {
+	for call := range collector.State.Calls {
 		open[call] = true
 	}
 	return counted, unknown, open, nil
 }
 
-// ReadExport reads an export file; calls, unless nil, gets the calls that stood.
-func ReadExport(f durable.FS, path string, calls func([]uint64) error) (*ledger.Export, error) {
-	r, err := durable.Open(f, path, kindExport)
+// ReadExport reads and checks an export file. Unless nil, calls receives the keys of established calls, in parts.
+func ReadExport(fsys durable.FS, path string, calls func([]uint64) error) (*ledger.Export, error) {
+	reader, err := durable.Open(fsys, path, kindExport)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
+	defer reader.Close()
 	at := int64(0)
-	e, err := ledger.DecodeExport(func() (uint16, []byte, error) {
-		at = r.Offset()
-		kind, payload, err := r.Next()
+	export, err := ledger.DecodeExport(func() (uint16, []byte, error) {
+		at = reader.Offset()
+		kind, payload, err := reader.Next()
 		if errors.Is(err, io.EOF) || errors.Is(err, durable.ErrTorn) {
-			err = r.Damaged(at, "the file ends before the export does")
+			err = reader.Damaged(at, "the file ends before the export does")
 		}
 		return kind, payload, err
 	}, calls)
 	if errors.Is(err, ledger.ErrInvalidExport) {
-		return nil, r.Damaged(at, "%v", err)
+		return nil, reader.Damaged(at, "%v", err)
 	}
 	if err == nil {
-		if _, _, more := r.Next(); more != io.EOF {
-			return nil, r.Damaged(r.Offset(), "something follows the export")
+		if _, _, more := reader.Next(); more != io.EOF {
+			return nil, reader.Damaged(reader.Offset(), "unexpected data follows the export")
 		}
 	}
-	return e, err
+	return export, err
 }
 
-// CallsOf opens the list of calls of an export file, to be read part by part.
-func CallsOf(f durable.FS, path string, buffer int) (ledger.CallSource, io.Closer, error) {
-	r, err := durable.OpenBuffered(f, path, kindExport, buffer)
+// OpenCallList opens the list of calls of an export file for reading part by part, with a buffer of that many
+// bytes. The caller closes the closer.
+func CallsOf(fsys durable.FS, path string, buffer int) (ledger.CallSource, io.Closer, error) {
+	reader, err := durable.OpenBuffered(fsys, path, kindExport, buffer)
 	if err != nil {
 		return nil, nil, err
 	}
-	return &callFile{r: r}, r, nil
+	return &callReader{reader: reader}, reader, nil
 }
 
-type callFile struct {
-	r    *durable.Reader
-	list ledger.CallList
+// callReader reads the call list of an export file.
+type callReader struct {
+	reader *durable.Reader
+	list   ledger.CallList
 }
 
-// Next implements ledger.CallSource.
-func (c *callFile) Next() ([]uint64, error) {
+// Next implements ledger.CallSource; it returns nil at the end.
+func (c *callReader) Next() ([]uint64, error) {
 	for {
-		kind, payload, err := c.r.Next()
+		kind, payload, err := c.reader.Next()
 		if err == io.EOF {
 			return nil, nil
 		}
@@ -383,5 +416,5 @@
 	}
 }
 
-// missing says whether a file is not there.
-func missing(err error) bool { return errors.Is(err, fs.ErrNotExist) }
+// isNotExist reports whether err says that a file does not exist.
+func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
