--- a/cmd/threadglade/ledger.go
+++ b/cmd/threadglade/ledger.go
@@ -50,7 +50,7 @@
 			return export(cmd.OutOrStdout(), args[0], to, keep, *asJSON)
 		})
 	export.Flags().StringVar(&to, "to", "", "folder for the exports")
-	export.Flags().DurationVar(&keep, "keep", ledgerio.Defaults().Keep, "how long what was exported is kept in the ledger")
+	export.Flags().DurationVar(&keep, "keep", ledgerio.Defaults().Retention, "how long what was exported is kept in the ledger")
 	export.MarkFlagRequired("to")
 
 	var c ledger.Correction
@@ -65,7 +65,7 @@
 			if err := c.Validate(); err != nil {
 				return usage(err)
 			}
-			entry, err := ledgerio.Correct(durable.OS{}, args[0], c)
+			entry, err := ledgerio.AddCorrection(durable.OS{}, args[0], c)
 			if err != nil {
 				return err
 			}
@@ -152,10 +152,10 @@
 		}
 		return err
 	}
-	r := verdict{Good: true, Router: v.Terms.Router, PeriodMs: v.Terms.Length, Segments: v.Segments, Bytes: v.Bytes, Entries: v.Book.Entries,
-		Open: len(v.Book.Calls), Statements: v.Book.Sequence, Exported: v.Exported, Interrupt: v.Planned, Corrected: len(v.Corrections), Notes: []string{}}
-	if v.Book.Closed > 0 {
-		r.ClosedTo = utc(v.Book.Closed)
+	r := verdict{Good: true, Router: v.Settings.Router, PeriodMs: v.Settings.Length, Segments: v.Segments, Bytes: v.Bytes, Entries: v.State.Entries,
+		Open: len(v.State.Calls), Statements: v.State.Sequence, Exported: v.Exported, Interrupt: v.ExportInterrupted, Corrected: len(v.Corrections), Notes: []string{}}
+	if v.State.Closed > 0 {
+		r.ClosedTo = utc(v.State.Closed)
 	}
 	if v.ExportedTo > 0 {
 		r.ExportedTo = utc(v.ExportedTo)
@@ -163,7 +163,7 @@
 	for _, t := range v.Torn {
 		r.Notes = append(r.Notes, "cut off by a crash, does not count: "+t)
 	}
-	if v.Planned {
+	if v.ExportInterrupted {
 		r.Notes = append(r.Notes, "an export was interrupted; the next goes on with it")
 	}
 	return put(w, asJSON, r, func(w io.Writer) {
@@ -204,7 +204,7 @@
 		if err != nil {
 			return usage(err)
 		}
-		only = v.Terms.PeriodStart(t.UnixMilli())
+		only = v.Settings.PeriodStart(t.UnixMilli())
 	}
 	list := []shown{}
 	add := func(from int64, state string, key ledger.Key, u ledger.Usage) {
@@ -233,7 +233,7 @@
 		totals(s.From, state, s.Totals)
 		late(s.Late)
 	}
-	for _, s := range v.Unstated {
+	for _, s := range v.Pending {
 		totals(s.From, "open", s.Totals)
 	}
 	late(v.Late)
@@ -258,12 +258,12 @@
 
 func export(w io.Writer, dir, to string, keep time.Duration, asJSON bool) error {
 	wall := func() int64 { return time.Now().UnixMilli() }
-	if _, err := ledgerio.CloseDue(durable.OS{}, dir, wall); err != nil {
+	if _, err := ledgerio.CloseDuePeriods(durable.OS{}, dir, wall); err != nil {
 		return err
 	}
 	list, err := ledgerio.Export(durable.OS{}, dir, to)
 	if list == nil {
-		list = []ledgerio.Exported{}
+		list = []ledgerio.ExportedFile{}
 	}
 	put(w, asJSON, list, func(w io.Writer) {
 		for _, e := range list {
@@ -312,9 +312,9 @@
 			path = files[i]
 		}
 		e, err := ledgerio.ReadExport(f, path, nil)
-		var damage *durable.Damage
+		var damage *durable.DamageError
 		switch {
-		case errors.Is(err, durable.ErrNewer):
+		case errors.Is(err, durable.ErrNewerVersion):
 			findings = append(findings, ledger.Finding{Kind: "newer", Text: err.Error()})
 			continue
 		case errors.As(err, &damage):
@@ -333,7 +333,7 @@
 	var sources []ledger.CallSource
 	buffer := min(64<<10, max(4<<10, (16<<20)/max(1, len(paths))))
 	for _, path := range paths {
-		src, file, err := ledgerio.CallsOf(f, path, buffer)
+		src, file, err := ledgerio.OpenCallList(f, path, buffer)
 		if err != nil {
 			return ledger.Report{}, 0, err
 		}
--- a/cmd/threadglade/ledger_test.go
+++ b/cmd/threadglade/ledger_test.go
@@ -465,7 +465,7 @@
 	}
 	v, err := ledgerio.Inspect(durable.OS{}, dir)
 	require.NoError(t, err)
-	one, two := v.Unstated[0].Totals[ledger.Key{Tenant: "one", Class: "voice"}], v.Unstated[0].Totals[ledger.Key{Tenant: "two", Class: "voice"}]
+	one, two := v.Pending[0].Totals[ledger.Key{Tenant: "one", Class: "voice"}], v.Pending[0].Totals[ledger.Key{Tenant: "two", Class: "voice"}]
 	require.EqualValues(t, n.Offered, one[ledger.Offered]+two[ledger.Offered])
 	require.NotZero(t, one[ledger.Offered])
 	require.NotZero(t, two[ledger.Offered])
@@ -509,7 +509,7 @@
 	files, _ := filepath.Glob(filepath.Join(dir, "*.tgx"))
 	b, err := os.ReadFile(files[0])
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(files[0], durabletest.Newer(b), 0o600))
+	require.NoError(t, os.WriteFile(files[0], durabletest.WithNextVersion(b), 0o600))
 	text, code = tool(t, "ledger", "merge", dir)
 	require.Equal(t, exitFinding, code)
 	require.Contains(t, text, "newer: ")
--- a/internal/drill/books.go
+++ b/internal/drill/books.go
@@ -34,7 +34,7 @@
 	counted, unknown, open := map[uint64][]string{}, map[uint64][]string{}, map[uint64][]string{}
 	dirs, _ := filepath.Glob(filepath.Join(s.opt.Dir, "r*", "ledger"))
 	for _, dir := range dirs {
-		c, u, o, err := ledgerio.Standing(durable.OS{}, dir)
+		c, u, o, err := ledgerio.ReadCallStates(durable.OS{}, dir)
 		if err != nil {
 			return err.Error(), nil
 		}
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -18,7 +18,7 @@
 
 func (b *recordOwner) load(f durable.FS) (durable.Scan, error) {
 	b.records = nil
-	return durable.Read(f, "d", "x", 1, 0, func(_ durable.Place, _ *durable.Reader, kind uint16, p []byte) error {
+	return durable.ReadLog(f, "d", "x", 1, 0, func(_ durable.Position, _ *durable.Reader, kind uint16, p []byte) error {
 		if kind == 1 { // a checkpoint starts
 			b.records = nil
 			return nil
@@ -31,7 +31,7 @@
 func (b *recordOwner) open(t *testing.T, f durable.FS) *durable.Log {
 	s, err := b.load(f)
 	require.NoError(t, err)
-	l, err := durable.Continue(durable.LogConfig{FS: f, Dir: "d", Name: "x", Kind: 1, Roll: 300,
+	l, err := durable.ContinueLog(durable.LogConfig{FS: f, Dir: "d", Name: "x", Kind: 1, MaxSegmentBytes: 300,
 		Checkpoint: func() []durable.Frame {
 			list := []durable.Frame{{Kind: 1}}
 			for _, s := range b.records {
@@ -66,7 +66,7 @@
 			synced = append([]string(nil), appended...)
 		}
 		if i%9 == 0 {
-			l.Drop(l.Segment())
+			l.RemoveSegments(l.Segment())
 		}
 	}
 	l.Close()
@@ -85,7 +85,7 @@
 		for at := range steps {
 			f := durabletest.New(uint64(at))
 			f.Plan = func(s durabletest.Step) durabletest.Fault {
-				if s.N == at {
+				if s.Index == at {
 					return fault
 				}
 				return durabletest.None
@@ -135,12 +135,12 @@
 	for _, name := range names {
 		path := filepath.Join("d", name)
 		for bit := range 8 * f.Size(path) {
-			f.Flip(path, bit)
+			f.FlipBit(path, bit)
 			_, err := b.load(f)
-			var damage *durable.Damage
-			require.True(t, errors.As(err, &damage) || errors.Is(err, durable.ErrNewer), "%s bit %d: %v", path, bit, err)
+			var damage *durable.DamageError
+			require.True(t, errors.As(err, &damage) || errors.Is(err, durable.ErrNewerVersion), "%s bit %d: %v", path, bit, err)
 			require.ErrorContains(t, err, "d/x-0000000")
-			f.Flip(path, bit)
+			f.FlipBit(path, bit)
 		}
 	}
 	_, err := b.load(f)
@@ -157,7 +157,7 @@
 	}
 	path := "d/x-00000001.tgl"
 	for size := f.Size(path) - 1; size > 64; size-- {
-		f.Cut(path, size)
+		f.Truncate(path, size)
 		s, err := b.load(f)
 		require.NoError(t, err)
 		frame := (size - 64) / (16 + 7)
--- a/internal/durable/durabletest/durabletest.go
+++ b/internal/durable/durabletest/durabletest.go
@@ -22,8 +22,8 @@
 
 // Errors of operations that fault injection affects: ErrFault for one that fails, ErrCrashed for all after a crash.
 var (
-	ErrFault = errors.New("injected fault")
-	ErrDead  = errors.New("the process or machine has crashed")
+	ErrFault   = errors.New("injected fault")
+	ErrCrashed = errors.New("the process or machine has crashed")
 )
 
 // Fault is what happens to an operation of the file system.
@@ -31,16 +31,16 @@
 
 // Kinds of faults. The operation at which a crash occurs, and all later ones, fail with ErrCrashed until Restart.
 const (
-	None     Fault = iota
-	Fail           // the operation does nothing and fails
-	Tear           // a write stores half of its bytes and fails; other operations are done but return an error
-	Crash          // the process ends before the operation; earlier writes are kept
-	TearDie        // the process ends in the middle of a write
-	PowerOff       // the machine stops before the operation; Restart keeps what was synced and part of the rest
+	None         Fault = iota
+	Fail               // the operation does nothing and fails
+	Tear               // a write stores half of its bytes and fails; other operations are done but return an error
+	Crash              // the process ends before the operation; earlier writes are kept
+	TearAndCrash       // the process ends in the middle of a write
+	PowerOff           // the machine stops before the operation; Restart keeps what was synced and part of the rest
 )
 
 // Faults lists the faults that a test injects one at a time.
-var Faults = []Fault{Fail, Tear, Crash, TearDie, PowerOff}
+var Faults = []Fault{Fail, Tear, Crash, TearAndCrash, PowerOff}
 
 // String returns the name of the fault.
 func (f Fault) String() string {
@@ -49,9 +49,9 @@
 
 // Step is one operation of the file system: create, write, sync, rename, remove or syncdir.
 type Step struct {
-	N    int // counts from 0
-	What string
-	Path string
+	Index     int // counts from 0
+	Operation string
+	Path      string
 }
 
 // FS is an in-memory durable.FS. It is safe for concurrent use.
@@ -95,7 +95,7 @@
 }
 
 // Stall makes every step wait until the returned function is called.
-func (f *FS) Slow() (resume func()) {
+func (f *FS) Stall() (resume func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	stalled := make(chan struct{})
@@ -118,7 +118,7 @@
 		f.mu.Lock()
 	}
 	if f.crashed {
-		return Fail, ErrDead
+		return Fail, ErrCrashed
 	}
 	s := Step{len(f.steps), operation, path}
 	f.steps = append(f.steps, s)
@@ -131,11 +131,11 @@
 		return fault, fmt.Errorf("%s %s: %w", operation, path, ErrFault)
 	case Crash, PowerOff:
 		f.crashed, f.powerLost = true, fault == PowerOff
-		return fault, ErrDead
-	case TearDie:
+		return fault, ErrCrashed
+	case TearAndCrash:
 		f.crashed = true
 		if operation != "write" {
-			return fault, ErrDead
+			return fault, ErrCrashed
 		}
 	}
 	return fault, nil
@@ -146,14 +146,14 @@
 	switch fault {
 	case Tear:
 		return ErrFault
-	case TearDie:
-		return ErrDead
+	case TearAndCrash:
+		return ErrCrashed
 	}
 	return nil
 }
 
 // Crashed reports whether the process or the machine has crashed and was not restarted.
-func (f *FS) Dead() bool {
+func (f *FS) Crashed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crashed
@@ -216,14 +216,14 @@
 }
 
 // FlipBit inverts one bit of a file.
-func (f *FS) Flip(path string, bit int) {
+func (f *FS) FlipBit(path string, bit int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.files[path].data[bit/8] ^= 1 << (bit % 8)
 }
 
 // Truncate shortens a file to size bytes.
-func (f *FS) Cut(path string, size int) {
+func (f *FS) Truncate(path string, size int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.files[path].data = f.files[path].data[:size]
@@ -268,7 +268,7 @@
 	content := f.files[path]
 	switch {
 	case f.crashed:
-		return nil, 0, ErrDead
+		return nil, 0, ErrCrashed
 	case content == nil:
 		return nil, 0, &fs.PathError{Op: "open", Path: path, Err: fs.ErrNotExist}
 	}
@@ -309,7 +309,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.crashed {
-		return nil, ErrDead
+		return nil, ErrCrashed
 	}
 	var names []string
 	for _, name := range sortedNames(f.files) {
@@ -359,7 +359,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.crashed {
-		return nil, ErrDead
+		return nil, ErrCrashed
 	}
 	if f.locks[path] {
 		return nil, fmt.Errorf("%s: %w", path, durable.ErrLocked)
@@ -388,7 +388,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if fault == Tear || fault == TearDie {
+	if fault == Tear || fault == TearAndCrash {
 		h.file.data = append(h.file.data, b[:len(b)/2]...)
 		return len(b) / 2, stepResult(fault)
 	}
@@ -411,27 +411,27 @@
 func (h *handle) Close() error { return nil }
 
 // LogBuffer is a writer that keeps what is logged to it. It is safe for concurrent use.
-type Log struct {
+type LogBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
 // Write implements io.Writer.
-func (l *Log) Write(b []byte) (int, error) {
+func (l *LogBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
 // Contains reports whether the log contains a text.
-func (l *Log) Has(text string) bool {
+func (l *LogBuffer) Contains(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.text.String(), text)
 }
 
 // WithNextVersion returns the content b of a durable file with the next format version and a valid header checksum.
-func Newer(b []byte) []byte {
+func WithNextVersion(b []byte) []byte {
 	b = bytes.Clone(b)
 	binary.LittleEndian.PutUint16(b[8:], binary.LittleEndian.Uint16(b[8:])+1)
 	binary.LittleEndian.PutUint32(b[44:], crc32.Checksum(b[:44], crc32.MakeTable(crc32.Castagnoli)))
@@ -439,7 +439,7 @@
 }
 
 // WaitFor polls f until it returns true, for at least five seconds; it returns false if f never does.
-func Wait(f func() bool) bool {
+func WaitFor(f func() bool) bool {
 	for range 5000 {
 		if f() {
 			return true
--- a/internal/durable/frame.go
+++ b/internal/durable/frame.go
@@ -23,8 +23,8 @@
 	fileHeaderSize  = 48
 	frameHeaderSize = 16
 	// MaxPayloadBytes limits the payload of one frame.
-	PayloadMost = 4 << 20
-	sectorSize  = 512
+	MaxPayloadBytes = 4 << 20
+	sectorSize      = 512
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
@@ -39,17 +39,19 @@
 }
 
 // DamageError reports that the content of a file differs from what was written to it.
-type Damage struct {
-	File   string // path
-	Offset int64  // in bytes
-	What   string // what is wrong there
+type DamageError struct {
+	File    string // path
+	Offset  int64  // in bytes
+	Problem string // what is wrong there
 }
 
 // Error implements error.
-func (d *Damage) Error() string { return fmt.Sprintf("%s: offset %d: %s", d.File, d.Offset, d.What) }
+func (d *DamageError) Error() string {
+	return fmt.Sprintf("%s: offset %d: %s", d.File, d.Offset, d.Problem)
+}
 
 // ErrNewerVersion is wrapped by the error for a file whose format version is newer than this program's.
-var ErrNewer = errors.New("file of a newer version")
+var ErrNewerVersion = errors.New("file of a newer version")
 
 // ErrTorn is wrapped by a Reader's error at the offset where a crash cut the file off.
 var ErrTorn = errors.New("cut off by a crash")
@@ -70,7 +72,7 @@
 
 // readHeader decodes and checks the header b of the file name.
 func readHeader(name string, b []byte, kind uint16) (Header, error) {
-	damaged := func(at int64, what string) (Header, error) { return Header{}, &Damage{name, at, what} }
+	damaged := func(at int64, what string) (Header, error) { return Header{}, &DamageError{name, at, what} }
 	switch {
 	case len(b) < fileHeaderSize:
 		return damaged(0, "the file is shorter than its header")
@@ -80,7 +82,7 @@
 	if v := binary.LittleEndian.Uint16(b[8:]); v > formatVersion &&
 		crc32.Checksum(b[:44], crcTable) == binary.LittleEndian.Uint32(b[44:]) {
 		return Header{}, fmt.Errorf("%s: version %d, this program reads up to %d: %w",
-			name, v, formatVersion, ErrNewer)
+			name, v, formatVersion, ErrNewerVersion)
 	}
 	if crc32.Checksum(b[:44], crcTable) != binary.LittleEndian.Uint32(b[44:]) {
 		return damaged(0, "file header checksum mismatch")
@@ -179,8 +181,8 @@
 func (r *Reader) Name() string { return r.name }
 
 // Damagef returns a *DamageError for a frame at an offset whose payload its owner cannot decode.
-func (r *Reader) Damaged(at int64, format string, args ...any) error {
-	return &Damage{r.name, at, fmt.Sprintf(format, args...)}
+func (r *Reader) Damagef(at int64, format string, args ...any) error {
+	return &DamageError{r.name, at, fmt.Sprintf(format, args...)}
 }
 
 // Next returns the next frame; the payload is valid until the next call. It returns io.EOF at the end of the file, an
@@ -203,10 +205,10 @@
 		if zeros, err := r.onlyZeros(head[:]); err != nil || zeros {
 			return 0, nil, errors.Join(err, torn())
 		}
-		return 0, nil, &Damage{r.name, r.offset, "frame header checksum mismatch"}
+		return 0, nil, &DamageError{r.name, r.offset, "frame header checksum mismatch"}
 	}
-	if size > PayloadMost {
-		return 0, nil, &Damage{r.name, r.offset, fmt.Sprintf("frame payload of %d bytes exceeds the maximum", size)}
+	if size > MaxPayloadBytes {
+		return 0, nil, &DamageError{r.name, r.offset, fmt.Sprintf("frame payload of %d bytes exceeds the maximum", size)}
 	}
 	if size > remaining-frameHeaderSize {
 		return 0, nil, torn()
@@ -225,7 +227,7 @@
 		if hasZeroSector(r.offset+frameHeaderSize, payload) {
 			return 0, nil, torn()
 		}
-		return 0, nil, &Damage{r.name, r.offset, "frame payload checksum mismatch"}
+		return 0, nil, &DamageError{r.name, r.offset, "frame payload checksum mismatch"}
 	}
 	r.offset += frameHeaderSize + size
 	r.chain = chainChecksum(r.chain, sum)
@@ -278,8 +280,8 @@
 }
 
 // WriteFrame writes one frame. It fails if the payload is longer than MaxPayloadBytes.
-func (w *Writer) Frame(kind uint16, payload []byte) error {
-	if len(payload) > PayloadMost {
+func (w *Writer) WriteFrame(kind uint16, payload []byte) error {
+	if len(payload) > MaxPayloadBytes {
 		return fmt.Errorf("durable: frame payload of %d bytes exceeds the maximum", len(payload))
 	}
 	w.buf = w.framePosition.appendFrame(w.buf[:0], kind, payload)
@@ -291,25 +293,25 @@
 func (w *Writer) Offset() int64 { return w.offset }
 
 // FrameHeaderSize is the number of bytes that a frame takes in addition to its payload.
-const FrameSize = frameHeaderSize
+const FrameHeaderSize = frameHeaderSize
 
 // Size returns the file's length in bytes when it was opened.
 func (r *Reader) Size() int64 { return r.size }
 
 // FrameAt reads the frame at an offset, independently of Next. The payload is stored in buf if that is large
 // enough, and otherwise newly allocated; it stays valid after further calls unless buf is reused.
-func (r *Reader) At(offset int64, buf []byte) (kind uint16, payload []byte, err error) {
+func (r *Reader) FrameAt(offset int64, buf []byte) (kind uint16, payload []byte, err error) {
 	var head [frameHeaderSize]byte
 	if offset < fileHeaderSize || offset > r.size-frameHeaderSize {
-		return 0, nil, &Damage{r.name, offset, "no frame can start at this offset"}
+		return 0, nil, &DamageError{r.name, offset, "no frame can start at this offset"}
 	}
 	if _, err := r.src.ReadAt(head[:], offset); err != nil {
 		return 0, nil, fmt.Errorf("%s: offset %d: %w", r.name, offset, err)
 	}
 	size := int64(binary.LittleEndian.Uint32(head[:]))
 	if headChecksum(r.fileNumber, offset, head[:12]) != binary.LittleEndian.Uint32(head[12:]) ||
-		size > PayloadMost || size > r.size-frameHeaderSize-offset {
-		return 0, nil, &Damage{r.name, offset, "frame header checksum mismatch"}
+		size > MaxPayloadBytes || size > r.size-frameHeaderSize-offset {
+		return 0, nil, &DamageError{r.name, offset, "frame header checksum mismatch"}
 	}
 	if int64(cap(buf)) < size {
 		buf = make([]byte, size)
@@ -319,7 +321,7 @@
 		return 0, nil, fmt.Errorf("%s: offset %d: %w", r.name, offset, err)
 	}
 	if crc32.Checksum(payload, crcTable) != binary.LittleEndian.Uint32(head[8:]) {
-		return 0, nil, &Damage{r.name, offset, "frame payload checksum mismatch"}
+		return 0, nil, &DamageError{r.name, offset, "frame payload checksum mismatch"}
 	}
 	return binary.LittleEndian.Uint16(head[4:]), payload, nil
 }
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -166,7 +166,7 @@
 
 // RemoveTemporaryFiles removes the files that interrupted writes left in a directory. A missing directory is no
 // error.
-func Clean(fsys FS, dir string) error {
+func RemoveTemporaryFiles(fsys FS, dir string) error {
 	names, err := fsys.List(dir)
 	for _, name := range names {
 		if strings.HasSuffix(name, temporarySuffix) {
--- a/internal/durable/log.go
+++ b/internal/durable/log.go
@@ -21,7 +21,7 @@
 }
 
 // ListSegments returns the numbers of a log's segments, ascending. A missing directory has none.
-func Segments(fsys FS, dir, name string) ([]uint64, error) {
+func ListSegments(fsys FS, dir, name string) ([]uint64, error) {
 	names, err := fsys.List(dir)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -38,7 +38,7 @@
 }
 
 // Position is the position of a frame in a log.
-type Place struct {
+type Position struct {
 	Segment uint64
 	Offset  int64
 }
@@ -57,16 +57,16 @@
 var errStop = errors.New("stop")
 
 // StopScan returns the error by which the callback of ReadLog ends the scan early; ReadLog then returns nil.
-func Stop() error { return errStop }
+func StopScan() error { return errStop }
 
 // ReadLog reads a log's segments from number first on (0: from the oldest) and calls each with every frame, those
 // of checkpoints included; the owner tells them apart by their kind. The payload is valid until each returns, and
 // an error of each ends the scan. Missing or damaged data is a *DamageError; tails cut off by crashes are skipped
 // and listed in Scan.Torn.
-func Read(fsys FS, dir, name string, kind uint16, first uint64,
-	each func(at Place, reader *Reader, kind uint16, payload []byte) error) (Scan, error) {
+func ReadLog(fsys FS, dir, name string, kind uint16, first uint64,
+	each func(at Position, reader *Reader, kind uint16, payload []byte) error) (Scan, error) {
 	var scan Scan
-	numbers, err := Segments(fsys, dir, name)
+	numbers, err := ListSegments(fsys, dir, name)
 	if err != nil {
 		return scan, err
 	}
@@ -96,22 +96,22 @@
 // readSegment reads one segment. next is the header of the segment after it, or nil for the last segment; oldest is
 // set for the first segment read.
 func (s *Scan) readSegment(fsys FS, dir, name string, kind uint16, number uint64, next *Header, oldest bool,
-	each func(Place, *Reader, uint16, []byte) error) error {
+	each func(Position, *Reader, uint16, []byte) error) error {
 	reader, err := Open(fsys, filepath.Join(dir, segmentName(name, number)), kind)
 	if err != nil {
 		return err
 	}
 	defer reader.Close()
 	if reader.Number != number {
-		return &Damage{reader.name, 16,
+		return &DamageError{reader.name, 16,
 			fmt.Sprintf("the file holds segment %d but is named as segment %d", reader.Number, number)}
 	}
 	if !oldest && reader.Previous != s.lastHeader.Number {
-		return &Damage{reader.name, 24, fmt.Sprintf("it follows segment %d, which is missing", reader.Previous)}
+		return &DamageError{reader.name, 24, fmt.Sprintf("it follows segment %d, which is missing", reader.Previous)}
 	}
 	s.Segments++
 	for next == nil || reader.offset < next.PrevEnd {
-		at := Place{number, reader.offset}
+		at := Position{number, reader.offset}
 		kind, payload, err := reader.Next()
 		if err == io.EOF && next == nil {
 			break
@@ -122,7 +122,7 @@
 			break
 		}
 		if err == io.EOF || errors.Is(err, ErrTorn) {
-			return &Damage{reader.name, reader.offset,
+			return &DamageError{reader.name, reader.offset,
 				fmt.Sprintf("the segment ends here, but %d bytes were written", next.PrevEnd)}
 		}
 		if err != nil {
@@ -135,7 +135,7 @@
 	}
 	if next != nil {
 		if reader.offset != next.PrevEnd || reader.chain != next.PrevChain {
-			return &Damage{reader.name, reader.offset, "the segment is not the one that the next segment continues"}
+			return &DamageError{reader.name, reader.offset, "the segment is not the one that the next segment continues"}
 		}
 		if reader.size > reader.offset {
 			s.Torn = append(s.Torn, fmt.Sprintf("%s: offset %d: %d bytes",
@@ -154,7 +154,7 @@
 	Name string // prefix of the segments' file names
 	Kind uint16 // of the files
 	// MaxSegmentBytes is the size at which a new segment is started; a single write may exceed it.
-	Roll int64
+	MaxSegmentBytes int64
 	// Checkpoint returns the frames that a new segment begins with: the owner's current state.
 	Checkpoint func() []Frame
 }
@@ -186,11 +186,11 @@
 
 // ContinueLog opens a log for writing at the end that scan has found. The first Append starts a new segment, so that
 // existing segments are never modified. Temporary files in the directory are removed.
-func Continue(cfg LogConfig, scan Scan) (*Log, error) {
+func ContinueLog(cfg LogConfig, scan Scan) (*Log, error) {
 	if err := cfg.FS.MakeDir(cfg.Dir); err != nil {
 		return nil, err
 	}
-	if err := Clean(cfg.FS, cfg.Dir); err != nil {
+	if err := RemoveTemporaryFiles(cfg.FS, cfg.Dir); err != nil {
 		return nil, err
 	}
 	return &Log{
@@ -210,7 +210,7 @@
 // Append writes frames in one write; without frames, it only ensures that a segment is open. After an error none of
 // the frames is part of the log, and the next Append starts a new segment.
 func (l *Log) Append(list ...Frame) error {
-	if !l.segmentOpen || l.offset >= l.cfg.Roll {
+	if !l.segmentOpen || l.offset >= l.cfg.MaxSegmentBytes {
 		if err := l.startSegment(); err != nil {
 			return err
 		}
@@ -221,7 +221,7 @@
 	before := l.framePosition
 	l.buf = l.buf[:0]
 	for _, f := range list {
-		if len(f.Payload) > PayloadMost {
+		if len(f.Payload) > MaxPayloadBytes {
 			l.framePosition = before
 			return fmt.Errorf("durable: frame payload of %d bytes exceeds the maximum", len(f.Payload))
 		}
@@ -315,15 +315,15 @@
 
 // RemoveSegments removes the segments before a number, but never the current one, and returns how many it has
 // removed.
-func (l *Log) Drop(before uint64) (removed int, err error) {
-	return Drop(l.cfg.FS, l.cfg.Dir, l.cfg.Name, min(before, l.header.Number))
+func (l *Log) RemoveSegments(before uint64) (removed int, err error) {
+	return RemoveSegments(l.cfg.FS, l.cfg.Dir, l.cfg.Name, min(before, l.header.Number))
 }
 
 // RemoveSegments removes a log's segments before a number and returns how many it has removed. It removes the
 // oldest first and syncs each removal before the next, so that the remaining segments are contiguous after a crash
 // of the machine.
-func Drop(fsys FS, dir, name string, before uint64) (removed int, err error) {
-	numbers, err := Segments(fsys, dir, name)
+func RemoveSegments(fsys FS, dir, name string, before uint64) (removed int, err error) {
+	numbers, err := ListSegments(fsys, dir, name)
 	for _, number := range numbers {
 		if err != nil || number >= before {
 			break
@@ -344,4 +344,4 @@
 }
 
 // UnixMillis returns a time as it is stored in files: milliseconds since the Unix epoch.
-func Stamp(t time.Time) int64 { return t.UnixMilli() }
+func UnixMillis(t time.Time) int64 { return t.UnixMilli() }
--- a/internal/fleetio/store.go
+++ b/internal/fleetio/store.go
@@ -42,8 +42,8 @@
 // Load reads a keeper's directory without locking or changing it. If it is damaged, the error names the segment and
 // the offset; if the state is missing or incomplete, the error wraps ErrNoFiles.
 func Load(fs durable.FS, dir string) (c Contents, err error) {
-	c.Scan, err = durable.Read(fs, dir, logName, kindFleet, 0, func(
-		at durable.Place, _ *durable.Reader, kind uint16, b []byte,
+	c.Scan, err = durable.ReadLog(fs, dir, logName, kindFleet, 0, func(
+		at durable.Position, _ *durable.Reader, kind uint16, b []byte,
 	) error {
 		if err := c.addFrame(kind, b); err != nil {
 			return fmt.Errorf("%s: segment %d, offset %d: %w", dir, at.Segment, at.Offset, err)
@@ -114,7 +114,7 @@
 	if err := fs.MakeDir(dir); err != nil {
 		return err
 	}
-	numbers, err := durable.Segments(fs, dir, logName)
+	numbers, err := durable.ListSegments(fs, dir, logName)
 	if err == nil && len(numbers) > 0 {
 		err = fmt.Errorf("%s: already contains a keeper's files", dir)
 	}
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	l, err := durable.Continue(durable.LogConfig{FS: fs, Dir: dir, Name: logName, Kind: kindFleet, Roll: 1 << 20,
+	l, err := durable.ContinueLog(durable.LogConfig{FS: fs, Dir: dir, Name: logName, Kind: kindFleet, MaxSegmentBytes: 1 << 20,
 		Checkpoint: func() []durable.Frame { return list }}, durable.Scan{})
 	if err != nil {
 		return err
@@ -162,7 +162,7 @@
 
 // openLog opens the log for writing, with checkpoints from the keeper; a new segment begins at roll bytes.
 func (s *store) openLog(k *fleet.Keeper, scan durable.Scan, roll int64) (err error) {
-	s.log, err = durable.Continue(durable.LogConfig{FS: s.fs, Dir: s.dir, Name: logName, Kind: kindFleet, Roll: roll,
+	s.log, err = durable.ContinueLog(durable.LogConfig{FS: s.fs, Dir: s.dir, Name: logName, Kind: kindFleet, MaxSegmentBytes: roll,
 		Checkpoint: func() []durable.Frame {
 			var list []durable.Frame
 			c, err := k.Checkpoint()
@@ -195,7 +195,7 @@
 	}
 	if now := s.log.Segment(); now != s.lastSegment {
 		s.lastSegment = now
-		if _, err := s.log.Drop(now); err != nil {
+		if _, err := s.log.RemoveSegments(now); err != nil {
 			return err
 		}
 	}
--- a/internal/fleetio/store_test.go
+++ b/internal/fleetio/store_test.go
@@ -110,7 +110,7 @@
 // checkDiskFault injects a fault at the n-th disk operation and checks that everything acknowledged was stored.
 func checkDiskFault(t *testing.T, fs *durabletest.FS, fault durabletest.Fault, n int) {
 	fs.Plan = func(s durabletest.Step) durabletest.Fault {
-		if s.N == n {
+		if s.Index == n {
 			return fault
 		}
 		return durabletest.None
@@ -149,10 +149,10 @@
 	require.ErrorContains(t, CreateKeeperFiles(fs, "k1", founded[0]), "already")
 	name := filepath.Join("k1", "fleet-00000001.tgl")
 	for bit := 0; bit < fs.Size(name)*8; bit += 13 {
-		fs.Flip(name, bit)
+		fs.FlipBit(name, bit)
 		_, err := Load(fs, "k1")
 		require.Error(t, err, "bit %d", bit)
-		fs.Flip(name, bit)
+		fs.FlipBit(name, bit)
 	}
 	other := testTerms()
 	other.Fleet = "g"
--- a/internal/ledgerio/bench_test.go
+++ b/internal/ledgerio/bench_test.go
@@ -15,7 +15,7 @@
 // returns the time of the appends and the size of the journal.
 func writeCalls(b *testing.B, dir string, calls int, maxSegmentBytes int64) (took time.Duration, bytes int64) {
 	state := ledger.NewInitializedState(ledger.Settings{Router: "n0", Length: 60_000, Grace: 1000, UnknownTimeout: 60_000})
-	log, err := durable.Continue(journalConfig(durable.OS{}, dir, maxSegmentBytes, state), durable.Scan{})
+	log, err := durable.ContinueLog(journalConfig(durable.OS{}, dir, maxSegmentBytes, state), durable.Scan{})
 	require.NoError(b, err)
 	entries := []ledger.Entry{
 		{Kind: ledger.KindName, Index: 1, Text: "lda"},
@@ -69,8 +69,8 @@
 				require.NoError(b, err)
 				require.Empty(b, book.Calls)
 				b.ReportMetric(time.Since(began).Seconds(), "s-recovery")
-				b.ReportMetric(float64(v.Book.Entries)/took.Seconds(), "appended/s")
-				b.ReportMetric(float64(v.Book.Entries)/read.Seconds(), "checked/s")
+				b.ReportMetric(float64(v.State.Entries)/took.Seconds(), "appended/s")
+				b.ReportMetric(float64(v.State.Entries)/read.Seconds(), "checked/s")
 				b.ReportMetric(float64(bytes)/calls, "bytes/call")
 			}
 		})
--- a/internal/ledgerio/export.go
+++ b/internal/ledgerio/export.go
@@ -14,7 +14,7 @@
 )
 
 // ExportedFile describes an export that was written. From and To are milliseconds since the Unix epoch.
-type Exported struct {
+type ExportedFile struct {
 	Path     string `json:"path"`
 	ID       string `json:"id"`
 	Sequence uint64 `json:"sequence"`
@@ -25,7 +25,7 @@
 // Export writes every closed period that has not been exported yet, in order, each as one file in the directory
 // out, and returns the files it has written, also with an error. After an interruption at any point, another run
 // produces the same bytes. Only one process at a time can export a ledger; another gets durable.ErrLocked.
-func Export(fsys durable.FS, dir, out string) (list []Exported, err error) {
+func Export(fsys durable.FS, dir, out string) (list []ExportedFile, err error) {
 	lock, err := fsys.Lock(filepath.Join(dir, exportLockName))
 	if err != nil {
 		return nil, err
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := errors.Join(fsys.MakeDir(out), durable.Clean(fsys, out)); err != nil {
+	if err := errors.Join(fsys.MakeDir(out), durable.RemoveTemporaryFiles(fsys, out)); err != nil {
 		return nil, err
 	}
 	exports := &exporter{fsys: fsys, dir: dir, out: out, state: state, scan: scan}
@@ -78,13 +78,13 @@
 // saveState appends the state to the exports log and syncs it.
 func (w *exporter) saveState(state exportState) error {
 	if w.log == nil {
-		log, err := durable.Continue(durable.LogConfig{
-			FS:         w.fsys,
-			Dir:        w.dir,
-			Name:       exportsName,
-			Kind:       kindExports,
-			Roll:       smallSegmentBytes,
-			Checkpoint: func() []durable.Frame { return []durable.Frame{w.encodeState(w.state)} },
+		log, err := durable.ContinueLog(durable.LogConfig{
+			FS:              w.fsys,
+			Dir:             w.dir,
+			Name:            exportsName,
+			Kind:            kindExports,
+			MaxSegmentBytes: smallSegmentBytes,
+			Checkpoint:      func() []durable.Frame { return []durable.Frame{w.encodeState(w.state)} },
 		}, w.scan)
 		if err != nil {
 			return err
@@ -112,26 +112,26 @@
 
 // exportStatement exports one statement: it saves the plan that fixes the export's content, writes the file, and then
 // saves the export as done.
-func (w *exporter) exportStatement(settings ledger.Settings, statement *ledger.Statement) (Exported, error) {
+func (w *exporter) exportStatement(settings ledger.Settings, statement *ledger.Statement) (ExportedFile, error) {
 	corrections, _, err := readCorrections(w.fsys, w.dir)
 	if err != nil {
-		return Exported{}, err
+		return ExportedFile{}, err
 	}
 	if w.state.Plan == nil || w.state.Plan.Sequence != statement.Sequence {
 		next := w.state
 		next.Plan = &exportPlan{statement.Sequence, uint64(len(corrections))}
 		if err := w.saveState(next); err != nil {
-			return Exported{}, err
+			return ExportedFile{}, err
 		}
 	}
 	if uint64(len(corrections)) < w.state.Plan.Corrections {
-		return Exported{}, fmt.Errorf("%s: the export includes %d corrections, but only %d exist",
+		return ExportedFile{}, fmt.Errorf("%s: the export includes %d corrections, but only %d exist",
 			w.dir, w.state.Plan.Corrections, len(corrections))
 	}
 	export, calls := ledger.NewExport(settings, statement, corrections[w.state.Corrections:w.state.Plan.Corrections])
 	path := filepath.Join(w.out, export.FileName())
 	if err := WriteExport(w.fsys, path, export, calls); err != nil {
-		return Exported{}, err
+		return ExportedFile{}, err
 	}
 	next := exportState{
 		LastSequence: statement.Sequence,
@@ -140,9 +140,9 @@
 		Corrections:  w.state.Plan.Corrections,
 	}
 	if err := w.saveState(next); err != nil {
-		return Exported{}, err
+		return ExportedFile{}, err
 	}
-	return Exported{path, export.ID, export.Sequence, export.From, export.To}, nil
+	return ExportedFile{path, export.ID, export.Sequence, export.From, export.To}, nil
 }
 
 // WriteExport writes an export file atomically. If the file already exists with the same bytes, it is left alone;
@@ -153,7 +153,7 @@
 		if err != nil {
 			return err
 		}
-		return export.Encode(calls, writer.Frame)
+		return export.Encode(calls, writer.WriteFrame)
 	}
 	src, size, err := fsys.Open(path)
 	if isNotExist(err) {
@@ -198,7 +198,7 @@
 
 // CloseDuePeriods closes the periods and calls that are due in the ledger of a router that is not running. It returns
 // false if a running router holds the ledger's lock, since the router does this itself.
-func CloseDue(fsys durable.FS, dir string, wallClock func() int64) (bool, error) {
+func CloseDuePeriods(fsys durable.FS, dir string, wallClock func() int64) (bool, error) {
 	lock, err := fsys.Lock(filepath.Join(dir, lockName))
 	if errors.Is(err, durable.ErrLocked) {
 		return false, nil
@@ -219,7 +219,7 @@
 	if !keeper.HasEntries() {
 		return true, nil
 	}
-	log, err := durable.Continue(journalConfig(fsys, dir, smallSegmentBytes, state), scan)
+	log, err := durable.ContinueLog(journalConfig(fsys, dir, smallSegmentBytes, state), scan)
 	if err != nil {
 		return false, err
 	}
@@ -232,12 +232,12 @@
 // journalConfig returns the configuration of a journal whose segments begin with a checkpoint of state.
 func journalConfig(fsys durable.FS, dir string, maxSegmentBytes int64, state *ledger.State) durable.LogConfig {
 	return durable.LogConfig{
-		FS:         fsys,
-		Dir:        dir,
-		Name:       journalName,
-		Kind:       kindJournal,
-		Roll:       maxSegmentBytes,
-		Checkpoint: func() []durable.Frame { return packEntries(frameCheckpoint, state.Checkpoint()) },
+		FS:              fsys,
+		Dir:             dir,
+		Name:            journalName,
+		Kind:            kindJournal,
+		MaxSegmentBytes: maxSegmentBytes,
+		Checkpoint:      func() []durable.Frame { return packEntries(frameCheckpoint, state.Checkpoint()) },
 	}
 }
 
@@ -257,7 +257,7 @@
 	if err != nil {
 		return 0, err
 	}
-	numbers, err := durable.Segments(fsys, dir, journalName)
+	numbers, err := durable.ListSegments(fsys, dir, journalName)
 	if err != nil {
 		return 0, err
 	}
@@ -272,5 +272,5 @@
 		}
 		before = number
 	}
-	return durable.Drop(fsys, dir, journalName, before)
+	return durable.RemoveSegments(fsys, dir, journalName, before)
 }
--- a/internal/ledgerio/recorder.go
+++ b/internal/ledgerio/recorder.go
@@ -37,48 +37,48 @@
 
 // Options are the ledger's settings.
 type Options struct {
-	Dir      string // the ledger's directory
-	Terms    ledger.Settings
-	Sync     time.Duration // interval between fsyncs of the journal; 0: after every write
-	Export   string        // directory that periods are exported to as they close; empty: only by command
-	Keep     time.Duration // how long exported segments are kept
-	Refuse   bool          // whether calls are refused while they cannot be recorded
-	Patience time.Duration // longest wait for the disk before calls proceed without it
-	Roll     int64         // segment size in bytes at which a new segment is started
-	Tenants  *ledger.Directory
+	Dir              string // the ledger's directory
+	Settings         ledger.Settings
+	SyncInterval     time.Duration // interval between fsyncs of the journal; 0: after every write
+	ExportDir        string        // directory that periods are exported to as they close; empty: only by command
+	Retention        time.Duration // how long exported segments are kept
+	RefuseUnbillable bool          // whether calls are refused while they cannot be recorded
+	DiskTimeout      time.Duration // longest wait for the disk before calls proceed without it
+	MaxSegmentBytes  int64         // segment size in bytes at which a new segment is started
+	Tenants          *ledger.Directory
 }
 
 // Defaults returns the default Options; the router's name is left empty.
 func Defaults() Options {
 	return Options{
-		Terms: ledger.Settings{
+		Settings: ledger.Settings{
 			Length:         time.Hour.Milliseconds(),
 			Grace:          (30 * time.Second).Milliseconds(),
 			UnknownTimeout: (15 * time.Minute).Milliseconds(),
 		},
-		Sync:     200 * time.Millisecond,
-		Keep:     35 * 24 * time.Hour,
-		Patience: 20 * time.Millisecond,
-		Roll:     16 << 20,
+		SyncInterval:    200 * time.Millisecond,
+		Retention:       35 * 24 * time.Hour,
+		DiskTimeout:     20 * time.Millisecond,
+		MaxSegmentBytes: 16 << 20,
 	}
 }
 
 // Config holds the settings and dependencies of a Recorder.
 type Config struct {
 	Options
-	FS      durable.FS
-	Classes map[string]ledger.Class
-	Wall    func() int64 // time of day in milliseconds since the Unix epoch
-	Clock   router.Clock
-	Nudge   func() // makes the event loop call Released again; called from any goroutine
-	Log     zerolog.Logger
+	FS        durable.FS
+	Classes   map[string]ledger.Class
+	WallClock func() int64 // time of day in milliseconds since the Unix epoch
+	Clock     router.Clock
+	WakeLoop  func() // makes the event loop call Released again; called from any goroutine
+	Log       zerolog.Logger
 }
 
 // Recorder records a running router's ledger. As the router's observer it counts events; as the event loop's output
 // gate it holds back the output of a loop iteration until the iteration's entries have been handed to the operating
 // system. The loop never blocks on the disk: if a write takes longer than DiskTimeout, calls proceed without it and
 // totals are kept in memory. Its methods are for the loop's goroutine; Close is called after the loop has ended.
-type Carrier struct {
+type Recorder struct {
 	cfg    Config
 	keeper *ledger.Keeper
 	lock   io.Closer
@@ -131,12 +131,12 @@
 // Open continues the ledger in cfg.Dir, or creates one there. It fails if a file in the directory is damaged (the
 // error names it), if the ledger belongs to another router or has another period length, or if another process has
 // it open.
-func Open(cfg Config) (*Carrier, error) {
-	if err := cfg.Terms.Validate(); err != nil {
+func Open(cfg Config) (*Recorder, error) {
+	if err := cfg.Settings.Validate(); err != nil {
 		return nil, err
 	}
-	if cfg.Nudge == nil {
-		cfg.Nudge = func() {}
+	if cfg.WakeLoop == nil {
+		cfg.WakeLoop = func() {}
 	}
 	if err := cfg.FS.MakeDir(cfg.Dir); err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
@@ -159,26 +159,26 @@
 }
 
 // openRecorder recovers the ledger's state and returns a Recorder whose goroutines are not started yet.
-func openRecorder(cfg Config) (*Carrier, error) {
+func openRecorder(cfg Config) (*Recorder, error) {
 	state, scan, err := Recover(cfg.FS, cfg.Dir)
 	if err != nil {
 		return nil, err
 	}
 	if state == nil {
-		state = ledger.NewInitializedState(cfg.Terms)
+		state = ledger.NewInitializedState(cfg.Settings)
 	}
 	for _, torn := range scan.Torn {
 		cfg.Log.Warn().Str("event", "ledger_torn").Str("where", torn).
 			Msgf("ledger: a crash has cut off %s; it does not count", torn)
 	}
-	if state.Router != cfg.Terms.Router || state.Length != cfg.Terms.Length {
+	if state.Router != cfg.Settings.Router || state.Length != cfg.Settings.Length {
 		return nil, fmt.Errorf("%s: is the ledger of %s with periods of %v, not of %s with %v; use another directory",
 			cfg.Dir, state.Router, time.Duration(state.Length)*time.Millisecond,
-			cfg.Terms.Router, time.Duration(cfg.Terms.Length)*time.Millisecond)
+			cfg.Settings.Router, time.Duration(cfg.Settings.Length)*time.Millisecond)
 	}
-	state.Settings = cfg.Terms
+	state.Settings = cfg.Settings
 	state.CompactNames()
-	recorder := &Carrier{
+	recorder := &Recorder{
 		cfg:          cfg,
 		state:        state,
 		queue:        xsync.NewSPSCQueue[batch](maxQueuedBatches),
@@ -190,10 +190,10 @@
 	recorder.keeper = ledger.NewKeeper(ledger.KeeperConfig{
 		Classes:   cfg.Classes,
 		Tenants:   cfg.Tenants,
-		WallClock: cfg.Wall,
+		WallClock: cfg.WallClock,
 	}, state)
-	if recorder.log, err = durable.Continue(
-		journalConfig(cfg.FS, cfg.Dir, cfg.Roll, state), scan); err != nil {
+	if recorder.log, err = durable.ContinueLog(
+		journalConfig(cfg.FS, cfg.Dir, cfg.MaxSegmentBytes, state), scan); err != nil {
 		return nil, err
 	}
 	cfg.Log.Info().Str("event", "ledger_open").Str("dir", cfg.Dir).Int("open", len(state.Calls)).
@@ -205,33 +205,33 @@
 // Methods of the loop's goroutine.
 
 // Observe implements router.Observer.
-func (r *Carrier) Observe(e router.Event) { r.keeper.Observe(e) }
+func (r *Recorder) Observe(e router.Event) { r.keeper.Observe(e) }
 
 // Tick closes periods and calls that are due. The loop calls it a few times a second.
-func (r *Carrier) Tick() { r.keeper.Tick() }
+func (r *Recorder) Tick() { r.keeper.Tick() }
 
 // SetTenants replaces the tenant directory for calls that arrive from now on.
-func (r *Carrier) SetTenants(d *ledger.Directory) { r.keeper.SetTenants(d) }
+func (r *Recorder) SetTenants(d *ledger.Directory) { r.keeper.SetTenants(d) }
 
 // SetClasses replaces the classes by which calls that arrive from now on are valued.
-func (r *Carrier) SetClasses(classes map[string]ledger.Class) { r.keeper.SetClasses(classes) }
+func (r *Recorder) SetClasses(classes map[string]ledger.Class) { r.keeper.SetClasses(classes) }
 
 // Adopt records an established call taken over from another router. It returns false if the ledger already has the
 // call.
-func (r *Carrier) Adopt(t ledger.TakenOverCall) bool { return r.keeper.Adopt(t) }
+func (r *Recorder) Adopt(t ledger.TakenOverCall) bool { return r.keeper.Adopt(t) }
 
 // RemoveCall removes a call that another router has taken over and now records.
-func (r *Carrier) Drop(id string) { r.keeper.RemoveCall(ledger.CallKey(id)) }
+func (r *Recorder) RemoveCall(id string) { r.keeper.RemoveCall(ledger.CallKey(id)) }
 
 // SuspendOpenCalls suspends the calls left open by an earlier process until ResumeOpenCalls, and returns their ids.
-func (r *Carrier) Sleep() []string { return r.keeper.SuspendOpenCalls() }
+func (r *Recorder) SuspendOpenCalls() []string { return r.keeper.SuspendOpenCalls() }
 
 // ResumeOpenCalls ends the suspension; taken names the calls that other routers have taken over.
-func (r *Carrier) Wake(taken []string) { r.keeper.ResumeOpenCalls(taken) }
+func (r *Recorder) ResumeOpenCalls(taken []string) { r.keeper.ResumeOpenCalls(taken) }
 
 // Admit refuses a request, with retry advice, if it cannot be recorded now and Options.RefuseUnbillable is set.
-func (r *Carrier) Admit(router.Request) (threadglade.Reason, time.Duration) {
-	if !r.cfg.Refuse || !r.bypassed {
+func (r *Recorder) Admit(router.Request) (threadglade.Reason, time.Duration) {
+	if !r.cfg.RefuseUnbillable || !r.bypassed {
 		return threadglade.NoReason, 0
 	}
 	r.refusedCount++
@@ -241,7 +241,7 @@
 // Commit implements loop.OutputGate: it queues the iteration's entries for the writer and returns their ticket. It
 // yields the processor, so that on one core the writer runs at once and, with a fast disk, is done when Commit
 // returns.
-func (r *Carrier) Commit() uint64 {
+func (r *Recorder) Commit() uint64 {
 	if !r.keeper.HasEntries() {
 		return r.ticket
 	}
@@ -265,7 +265,7 @@
 }
 
 // startWait starts the timer of DiskTimeout unless it is running.
-func (r *Carrier) startWait() {
+func (r *Recorder) startWait() {
 	if r.waitingSince == 0 {
 		r.waitingSince = r.cfg.Clock()
 	}
@@ -273,7 +273,7 @@
 
 // Released implements loop.OutputGate: it returns the last written ticket, or math.MaxUint64 while the disk is
 // bypassed.
-func (r *Carrier) Released() uint64 {
+func (r *Recorder) Released() uint64 {
 	written := r.writtenTicket.Load()
 	if written < r.ticket {
 		r.loopWaiting.Store(true)
@@ -293,11 +293,11 @@
 			r.cfg.Log.Warn().Str("event", "ledger_back").Msg("ledger: the disk has caught up, all totals are written")
 		}
 	}
-	if !r.bypassed && (r.writeFailed.Load() || r.waitingSince > 0 && r.cfg.Clock()-r.waitingSince > r.cfg.Patience) {
+	if !r.bypassed && (r.writeFailed.Load() || r.waitingSince > 0 && r.cfg.Clock()-r.waitingSince > r.cfg.DiskTimeout) {
 		r.bypassed = true
 		r.bypassCount++
 		consequence := "calls go on without"
-		if r.cfg.Refuse {
+		if r.cfg.RefuseUnbillable {
 			consequence = "calls are refused"
 		}
 		r.cfg.Log.Error().Str("event", "ledger_trouble").
@@ -310,13 +310,13 @@
 }
 
 // Flushed implements loop.OutputGate; it does nothing.
-func (r *Carrier) Flushed() {}
+func (r *Recorder) Flushed() {}
 
 // PollInterval implements loop.OutputGate.
-func (r *Carrier) PollInterval() time.Duration { return r.cfg.Patience }
+func (r *Recorder) PollInterval() time.Duration { return r.cfg.DiskTimeout }
 
 // Counters returns the current counters.
-func (r *Carrier) Counters() Counters {
+func (r *Recorder) Counters() Counters {
 	return Counters{r.keeper.Counters(), r.writes.Load(), r.writtenBytes.Load(), r.writeErrors.Load(),
 		r.syncErrors.Load(), r.bypassCount, r.refusedCount, r.exported.Load(), r.exportErrors.Load(),
 		r.removedSegments.Load(), r.queuedEntries.Load(), r.bypassed}
@@ -325,7 +325,7 @@
 // Close writes and syncs the remaining entries and releases the directory's lock. It is called after the loop has
 // ended, waits up to a second for queue space and up to another for the writer, and returns an error if entries may
 // be lost.
-func (r *Carrier) Close() error {
+func (r *Recorder) Close() error {
 	for attempts := 100; ; attempts-- {
 		if r.Commit(); !r.keeper.HasEntries() || attempts == 0 {
 			break
@@ -362,7 +362,7 @@
 // Methods of the writer's goroutine.
 
 // runWriter is the writer's goroutine: it writes all queued batches in one append, and retries failed appends.
-func (r *Carrier) runWriter() {
+func (r *Recorder) runWriter() {
 	defer r.writerDone.Done()
 	// Creates the first segment, so that the ledger exists from the start; if that fails, the first entry retries it.
 	if err := r.log.Append(); err != nil {
@@ -424,7 +424,7 @@
 }
 
 // appendFrames appends frames to the journal, and syncs it if SyncInterval is 0.
-func (r *Carrier) appendFrames(frames []durable.Frame) error {
+func (r *Recorder) appendFrames(frames []durable.Frame) error {
 	if err := r.log.Append(frames...); err != nil {
 		return err
 	}
@@ -432,7 +432,7 @@
 	for _, f := range frames {
 		r.writtenBytes.Add(uint64(len(f.Payload)))
 	}
-	if r.cfg.Sync == 0 {
+	if r.cfg.SyncInterval == 0 {
 		if err := r.log.Sync(); err != nil {
 			r.syncErrors.Add(1)
 			r.logError("ledger_sync", err)
@@ -442,7 +442,7 @@
 }
 
 // markWritten applies written batches to the state and releases their output.
-func (r *Carrier) markWritten(batches []batch) {
+func (r *Recorder) markWritten(batches []batch) {
 	hasClose := false
 	for _, b := range batches {
 		for i := range b.entries {
@@ -457,7 +457,7 @@
 	}
 	r.writtenTicket.Store(batches[len(batches)-1].ticket)
 	if r.loopWaiting.Swap(false) {
-		r.cfg.Nudge()
+		r.cfg.WakeLoop()
 	}
 	if hasClose {
 		select {
@@ -468,16 +468,16 @@
 }
 
 // recordFailure notes a failed write and wakes the loop, which then bypasses the disk.
-func (r *Carrier) recordFailure(err error) {
+func (r *Recorder) recordFailure(err error) {
 	r.writeErrors.Add(1)
 	if !r.writeFailed.Swap(true) && r.loopWaiting.Swap(false) {
-		r.cfg.Nudge()
+		r.cfg.WakeLoop()
 	}
 	r.logError("ledger_write", err)
 }
 
 // logError logs a file error, at most once per errorLogInterval.
-func (r *Carrier) logError(event string, err error) {
+func (r *Recorder) logError(event string, err error) {
 	if now := time.Now(); now.Sub(r.lastErrorLog) >= errorLogInterval {
 		r.lastErrorLog = now
 		r.cfg.Log.Error().Str("event", event).Msgf("ledger: %v", err)
@@ -485,16 +485,16 @@
 }
 
 // runMaintenance is the goroutine that syncs, exports and compacts, concurrently with the writer.
-func (r *Carrier) runMaintenance() {
+func (r *Recorder) runMaintenance() {
 	defer r.maintenanceDone.Done()
-	interval := r.cfg.Sync
+	interval := r.cfg.SyncInterval
 	if interval <= 0 {
 		interval = time.Hour
 	}
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	var lastErrorLog time.Time
-	if r.cfg.Export != "" { // periods closed before the start
+	if r.cfg.ExportDir != "" { // periods closed before the start
 		r.exportPeriods()
 	}
 	for {
@@ -502,7 +502,7 @@
 		case <-r.stop:
 			return
 		case <-ticker.C:
-			if r.cfg.Sync <= 0 {
+			if r.cfg.SyncInterval <= 0 {
 				continue
 			}
 			if err := r.log.Sync(); err != nil {
@@ -513,7 +513,7 @@
 				}
 			}
 		case <-r.periodClosed:
-			if r.cfg.Export != "" {
+			if r.cfg.ExportDir != "" {
 				r.exportPeriods()
 			}
 		}
@@ -521,8 +521,8 @@
 }
 
 // exportPeriods exports closed periods and then removes segments that are no longer needed.
-func (r *Carrier) exportPeriods() {
-	list, err := Export(r.cfg.FS, r.cfg.Dir, r.cfg.Export)
+func (r *Recorder) exportPeriods() {
+	list, err := Export(r.cfg.FS, r.cfg.Dir, r.cfg.ExportDir)
 	for _, e := range list {
 		r.exported.Add(1)
 		r.cfg.Log.Info().Str("event", "ledger_exported").Str("file", e.Path).Str("id", e.ID).
@@ -537,7 +537,7 @@
 			Msgf("ledger: export: %v; it is tried again when the next period closes", err)
 		return
 	}
-	n, err := Compact(r.cfg.FS, r.cfg.Dir, r.cfg.Keep, r.cfg.Wall())
+	n, err := Compact(r.cfg.FS, r.cfg.Dir, r.cfg.Retention, r.cfg.WallClock())
 	r.removedSegments.Add(uint64(n))
 	if err != nil {
 		r.exportErrors.Add(1)
--- a/internal/ledgerio/recorder_test.go
+++ b/internal/ledgerio/recorder_test.go
@@ -30,11 +30,11 @@
 type harness struct {
 	t           testing.TB
 	disk        *durabletest.FS
-	recorder    *Carrier
+	recorder    *Recorder
 	options     Options
 	wall        atomic.Int64
 	clock       time.Duration
-	log         durabletest.Log
+	log         durabletest.LogBuffer
 	nextCall    int
 	offered     map[string]bool // calls reported to the ledger
 	sent        map[string]bool // calls whose set-up was sent
@@ -52,21 +52,21 @@
 		ended:   map[string]bool{},
 	}
 	h.wall.Store(1000 * minute)
-	h.options.Dir, h.options.Export, h.options.Roll, h.options.Sync = "ledger", "out", 2000, 0
-	h.options.Terms = ledger.Settings{Router: "n0", Length: minute, Grace: 1000, UnknownTimeout: 10 * minute}
-	h.options.Keep = 0
+	h.options.Dir, h.options.ExportDir, h.options.MaxSegmentBytes, h.options.SyncInterval = "ledger", "out", 2000, 0
+	h.options.Settings = ledger.Settings{Router: "n0", Length: minute, Grace: 1000, UnknownTimeout: 10 * minute}
+	h.options.Retention = 0
 	return h
 }
 
 func (h *harness) open() error {
 	var err error
 	h.recorder, err = Open(Config{
-		Options: h.options,
-		FS:      h.disk,
-		Classes: map[string]ledger.Class{"voice": {Aim: time.Second, WorthMilli: 1000}},
-		Wall:    h.wall.Load,
-		Clock:   func() time.Duration { return h.clock },
-		Log:     zerolog.New(&h.log),
+		Options:   h.options,
+		FS:        h.disk,
+		Classes:   map[string]ledger.Class{"voice": {Aim: time.Second, WorthMilli: 1000}},
+		WallClock: h.wall.Load,
+		Clock:     func() time.Duration { return h.clock },
+		Log:       zerolog.New(&h.log),
 	})
 	return err
 }
@@ -80,9 +80,9 @@
 // was only released because the disk is bypassed.
 func (h *harness) commit() bool {
 	ticket := h.recorder.Commit()
-	return durabletest.Wait(func() bool {
+	return durabletest.WaitFor(func() bool {
 		p := h.recorder.Released()
-		return p == math.MaxUint64 || p >= ticket || h.disk.Dead()
+		return p == math.MaxUint64 || p >= ticket || h.disk.Crashed()
 	}) && h.recorder.writtenTicket.Load() >= ticket
 }
 
@@ -114,7 +114,7 @@
 	h.wall.Add(n * minute)
 	h.recorder.Tick()
 	h.commit()
-	durabletest.Wait(func() bool { return h.disk.Dead() || len(h.recorder.periodClosed) == 0 })
+	durabletest.WaitFor(func() bool { return h.disk.Crashed() || len(h.recorder.periodClosed) == 0 })
 }
 
 // runSession runs a short session with calls, closed periods, exports and compaction.
@@ -148,7 +148,7 @@
 	h.advanceMinutes(11) // calls still open are closed as unknown
 	h.advanceMinutes(2)
 	require.NoError(h.t, h.recorder.Close(), name)
-	_, err := CloseDue(h.disk, "ledger", func() int64 { return h.wall.Load() + 12*minute })
+	_, err := CloseDuePeriods(h.disk, "ledger", func() int64 { return h.wall.Load() + 12*minute })
 	require.NoError(h.t, err, name)
 	_, err = Export(h.disk, "ledger", "out")
 	require.NoError(h.t, err, name)
@@ -201,7 +201,7 @@
 			h := newHarness(t, uint64(at))
 			hit := false
 			h.disk.Plan = func(s durabletest.Step) durabletest.Fault {
-				if s.N == at && !hit {
+				if s.Index == at && !hit {
 					hit = true
 					return fault
 				}
@@ -222,7 +222,7 @@
 func TestPowerLossWindow(t *testing.T) {
 	for seed := range uint64(20) {
 		h := newHarness(t, seed)
-		h.options.Roll = 1 << 20
+		h.options.MaxSegmentBytes = 1 << 20
 		require.NoError(t, h.open())
 		for range 10 {
 			h.call()
@@ -237,7 +237,7 @@
 	lost := 0
 	for seed := range uint64(20) {
 		h := newHarness(t, seed)
-		h.options.Roll, h.options.Sync = 1<<20, time.Hour
+		h.options.MaxSegmentBytes, h.options.SyncInterval = 1<<20, time.Hour
 		require.NoError(t, h.open())
 		for range 10 {
 			h.call()
@@ -276,7 +276,7 @@
 			h.disk.Plan = func(s durabletest.Step) durabletest.Fault {
 				mu.Lock()
 				defer mu.Unlock()
-				if full && (s.What == "write" || s.What == "create") {
+				if full && (s.Operation == "write" || s.Operation == "create") {
 					return durabletest.Tear
 				}
 				return durabletest.None
@@ -287,11 +287,11 @@
 				mu.Unlock()
 			}
 		},
-		"slow": func(h *harness) func() { return h.disk.Slow() },
+		"slow": func(h *harness) func() { return h.disk.Stall() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 1)
-			h.options.Refuse, h.options.Export = true, ""
+			h.options.RefuseUnbillable, h.options.ExportDir = true, ""
 			require.NoError(t, h.open())
 			h.call()
 			repair := injectFault(h)
@@ -318,34 +318,34 @@
 			ok := why == threadglade.NoReason
 			require.False(t, ok)
 			require.Equal(t, time.Second, after)
-			require.True(t, h.log.Has(`"ledger_trouble"`))
+			require.True(t, h.log.Contains(`"ledger_trouble"`))
 			repair()
-			require.True(t, durabletest.Wait(func() bool {
+			require.True(t, durabletest.WaitFor(func() bool {
 				h.recorder.Commit()
 				h.recorder.Released()
 				why, _ := h.recorder.Admit(router.Request{})
 				ok := why == threadglade.NoReason
 				return ok
 			}), "the disk must be used again without intervention")
-			require.True(t, h.log.Has(`"ledger_back"`))
+			require.True(t, h.log.Contains(`"ledger_back"`))
 			require.NoError(t, h.recorder.Close())
 			v, err := Inspect(h.disk, "ledger")
 			require.NoError(t, err)
 			total := int64(0)
-			for _, s := range v.Unstated {
+			for _, s := range v.Pending {
 				for _, u := range s.Totals {
 					total += u[ledger.Offered]
 				}
 			}
 			require.EqualValues(t, 30_000, total)
-			require.Len(t, v.Book.Calls, 1)
+			require.Len(t, v.State.Calls, 1)
 		})
 	}
 	h := newHarness(t, 1)
 	h.disk.Plan = func(durabletest.Step) durabletest.Fault { return durabletest.Fail }
 	require.NoError(t, h.open(), "a failing disk must not prevent a router from starting")
 	h.call()
-	require.True(t, h.log.Has(`"ledger_trouble"`))
+	require.True(t, h.log.Contains(`"ledger_trouble"`))
 	require.Error(t, h.recorder.Close(), "the loss must be reported")
 }
 
@@ -355,7 +355,7 @@
 	exports := map[string][]byte{}
 	for at := 0; ; at++ {
 		h := newHarness(t, 1)
-		h.options.Export = ""
+		h.options.ExportDir = ""
 		require.NoError(t, h.open())
 		for range 3 {
 			h.call()
@@ -364,13 +364,13 @@
 		require.NoError(t, h.recorder.Close())
 		first := len(h.disk.Steps())
 		h.disk.Plan = func(s durabletest.Step) durabletest.Fault {
-			if s.N == first+at {
-				return durabletest.TearDie
+			if s.Index == first+at {
+				return durabletest.TearAndCrash
 			}
 			return durabletest.None
 		}
 		_, err := Export(h.disk, "ledger", "out")
-		died := h.disk.Dead()
+		died := h.disk.Crashed()
 		h.disk.Restart()
 		if died {
 			require.Error(t, err)
@@ -379,7 +379,7 @@
 		state, _, err := readExportState(h.disk, "ledger")
 		require.NoError(t, err)
 		if state.LastSequence > 0 {
-			_, err = Correct(h.disk, "ledger", ledger.Correction{
+			_, err = AddCorrection(h.disk, "ledger", ledger.Correction{
 				Period: state.LastEnd - minute,
 				Tenant: "x",
 				Class:  "voice",
@@ -421,16 +421,16 @@
 		for _, name := range names {
 			path := dir + "/" + name
 			for bit := 0; bit < 8*h.disk.Size(path); bit += 13 {
-				h.disk.Flip(path, bit)
+				h.disk.FlipBit(path, bit)
 				var err error
 				if dir == "ledger" {
 					_, err = Inspect(h.disk, "ledger")
 				} else {
 					_, err = ReadExport(h.disk, path, nil)
 				}
-				h.disk.Flip(path, bit)
-				var damage *durable.Damage
-				require.True(t, errors.As(err, &damage) && damage.File != "" || errors.Is(err, durable.ErrNewer),
+				h.disk.FlipBit(path, bit)
+				var damage *durable.DamageError
+				require.True(t, errors.As(err, &damage) && damage.File != "" || errors.Is(err, durable.ErrNewerVersion),
 					"%s bit %d: %v", path, bit, err)
 			}
 		}
@@ -455,9 +455,9 @@
 	write("out/x.tgx", func(b []byte) []byte { return b })
 	_, err := ReadExport(h.disk, "out/x.tgx", nil)
 	require.ErrorContains(t, err, "out/x.tgx: offset 48: the file ends before the export does")
-	write("out/y.tgx", durabletest.Newer)
+	write("out/y.tgx", durabletest.WithNextVersion)
 	_, err = ReadExport(h.disk, "out/y.tgx", nil)
-	require.ErrorIs(t, err, durable.ErrNewer)
+	require.ErrorIs(t, err, durable.ErrNewerVersion)
 	require.ErrorContains(t, err, "out/y.tgx: version 2")
 }
 
@@ -465,13 +465,13 @@
 	read := func(text string) (Options, error) {
 		s, err := settings.Parse("f", "(threadglade (ledger "+text+"))")
 		require.NoError(t, err)
-		o := Read(s.Sub("ledger"), "n0")
+		o := ReadSettings(s.Sub("ledger"), "n0")
 		return o, s.Finish()
 	}
 	o, err := read(`(directory "d") (period 1m) ` +
 		`(tenant "lda" (networks "10.4.0.0/16") (identities "spiffe://b.example/lda/*"))`)
 	require.NoError(t, err)
-	require.Equal(t, minute, o.Terms.Length)
+	require.Equal(t, minute, o.Settings.Length)
 	tenants, networks := o.Tenants.Size()
 	require.Equal(t, []int{1, 1}, []int{tenants, networks})
 	for text, want := range map[string]string{
@@ -493,7 +493,7 @@
 
 func TestCompactKeepsNeededSegments(t *testing.T) {
 	h := newHarness(t, 1)
-	h.options.Export = ""
+	h.options.ExportDir = ""
 	require.NoError(t, h.open())
 	for range 10 {
 		for range 5 {
@@ -502,7 +502,7 @@
 		h.advanceMinutes(1)
 	}
 	require.NoError(t, h.recorder.Close())
-	all, _ := durable.Segments(h.disk, "ledger", journalName)
+	all, _ := durable.ListSegments(h.disk, "ledger", journalName)
 	require.Greater(t, len(all), 3)
 	n, err := Compact(h.disk, "ledger", 0, h.wall.Load())
 	require.NoError(t, err)
@@ -521,5 +521,5 @@
 	more, err := Export(h.disk, "ledger", "out")
 	require.NoError(t, err)
 	require.Equal(t, first[len(first)-1].Sequence+1, more[0].Sequence)
-	require.True(t, slices.IsSortedFunc(more, func(a, b Exported) int { return int(a.Sequence) - int(b.Sequence) }))
+	require.True(t, slices.IsSortedFunc(more, func(a, b ExportedFile) int { return int(a.Sequence) - int(b.Sequence) }))
 }
--- a/internal/ledgerio/settings.go
+++ b/internal/ledgerio/settings.go
@@ -10,9 +10,9 @@
 
 // ReadSettings reads a (ledger ...) section for a router of that name; docs/operators/ledger.md describes every
 // field. A nil section yields the defaults. Errors are recorded in the section and reported by its Finish.
-func Read(section *settings.Section, routerName string) Options {
+func ReadSettings(section *settings.Section, routerName string) Options {
 	options := Defaults()
-	options.Terms.Router = routerName
+	options.Settings.Router = routerName
 	if section == nil {
 		return options
 	}
@@ -28,23 +28,23 @@
 	if !section.String("directory", &options.Dir) || options.Dir == "" {
 		section.Errorf("directory", "is missing")
 	}
-	readMillis("period", &options.Terms.Length, minPeriod, ledger.MaxPeriod)
-	if options.Terms.Length < options.Terms.Grace {
-		options.Terms.Grace = options.Terms.Length
+	readMillis("period", &options.Settings.Length, minPeriod, ledger.MaxPeriod)
+	if options.Settings.Length < options.Settings.Grace {
+		options.Settings.Grace = options.Settings.Length
 	}
-	readMillis("grace", &options.Terms.Grace, 0, time.Duration(options.Terms.Length)*time.Millisecond)
-	readMillis("unknown-after", &options.Terms.UnknownTimeout, time.Second, 24*time.Hour)
-	section.Duration("sync", &options.Sync, 0, time.Minute)
-	section.Duration("keep", &options.Keep, 0, 10*366*24*time.Hour)
-	section.Duration("patience", &options.Patience, time.Millisecond, time.Second)
-	section.String("export", &options.Export)
-	segmentKB := int(options.Roll >> 10)
+	readMillis("grace", &options.Settings.Grace, 0, time.Duration(options.Settings.Length)*time.Millisecond)
+	readMillis("unknown-after", &options.Settings.UnknownTimeout, time.Second, 24*time.Hour)
+	section.Duration("sync", &options.SyncInterval, 0, time.Minute)
+	section.Duration("keep", &options.Retention, 0, 10*366*24*time.Hour)
+	section.Duration("patience", &options.DiskTimeout, time.Millisecond, time.Second)
+	section.String("export", &options.ExportDir)
+	segmentKB := int(options.MaxSegmentBytes >> 10)
 	section.Int("segment-kb", &segmentKB, 64, 1<<20)
-	options.Roll = int64(segmentKB) << 10
+	options.MaxSegmentBytes = int64(segmentKB) << 10
 	whenUnwritable := "go-on"
 	section.Choice("when-unwritable", &whenUnwritable, "go-on", "refuse")
-	options.Refuse = whenUnwritable == "refuse"
-	if err := options.Terms.Validate(); err != nil {
+	options.RefuseUnbillable = whenUnwritable == "refuse"
+	if err := options.Settings.Validate(); err != nil {
 		section.Errorf("period", "%v", err)
 	}
 	options.Tenants = readTenants(section)
--- a/internal/ledgerio/store.go
+++ b/internal/ledgerio/store.go
@@ -70,14 +70,14 @@
 // or of each is reported as damage of the frame that holds the entry, unless it is damage already or wraps
 // errExport.
 func readJournal(fsys durable.FS, dir string, first uint64, each func(*ledger.Entry) error) (durable.Scan, error) {
-	return durable.Read(fsys, dir, journalName, kindJournal, first,
-		func(at durable.Place, r *durable.Reader, _ uint16, payload []byte) error {
+	return durable.ReadLog(fsys, dir, journalName, kindJournal, first,
+		func(at durable.Position, r *durable.Reader, _ uint16, payload []byte) error {
 			err := ledger.Decode(payload, each)
-			var damage *durable.Damage
-			if err == nil || err == durable.Stop() || errors.As(err, &damage) || errors.Is(err, errExport) {
+			var damage *durable.DamageError
+			if err == nil || err == durable.StopScan() || errors.As(err, &damage) || errors.Is(err, errExport) {
 				return err
 			}
-			return r.Damaged(at.Offset, "%v", err)
+			return r.Damagef(at.Offset, "%v", err)
 		})
 }
 
@@ -87,17 +87,17 @@
 // Recover returns a ledger's state as of its last entry, or nil if the directory has no journal. It reads only the
 // last segment, which begins with a checkpoint.
 func Recover(fsys durable.FS, dir string) (*ledger.State, durable.Scan, error) {
-	numbers, err := durable.Segments(fsys, dir, journalName)
+	numbers, err := durable.ListSegments(fsys, dir, journalName)
 	if err != nil || len(numbers) == 0 {
 		return nil, durable.Scan{}, err
 	}
 	state := ledger.NewState()
 	scan, err := readJournal(fsys, dir, numbers[len(numbers)-1], state.Apply)
 	if err == nil && !state.HasCheckpoint() {
-		err = &durable.Damage{
-			File:   filepath.Join(dir, fmt.Sprintf("%s-%08d.tgl", journalName, numbers[len(numbers)-1])),
-			Offset: 0,
-			What:   "the checkpoint is incomplete",
+		err = &durable.DamageError{
+			File:    filepath.Join(dir, fmt.Sprintf("%s-%08d.tgl", journalName, numbers[len(numbers)-1])),
+			Offset:  0,
+			Problem: "the checkpoint is incomplete",
 		}
 	}
 	return state, scan, err
@@ -107,17 +107,17 @@
 // statements up to it.
 func readCheckpointEnd(fsys durable.FS, dir string, number uint64) (checkpointEnd ledger.Entry, err error) {
 	err = errors.New("no checkpoint")
-	_, readErr := durable.Read(fsys, dir, journalName, kindJournal, number,
-		func(at durable.Place, r *durable.Reader, _ uint16, payload []byte) error {
+	_, readErr := durable.ReadLog(fsys, dir, journalName, kindJournal, number,
+		func(at durable.Position, r *durable.Reader, _ uint16, payload []byte) error {
 			if at.Segment != number {
-				return durable.Stop()
+				return durable.StopScan()
 			}
 			return ledger.Decode(payload, func(e *ledger.Entry) error {
 				if e.Kind != ledger.KindCheckpointEnd {
 					return nil
 				}
 				checkpointEnd, err = *e, nil
-				return durable.Stop()
+				return durable.StopScan()
 			})
 		})
 	return checkpointEnd, errors.Join(readErr, err)
@@ -126,7 +126,7 @@
 // findStartSegment returns the segment from which the journal must be read to obtain all periods that begin at or
 // after from (milliseconds since the Unix epoch): the last one that was started before it.
 func findStartSegment(fsys durable.FS, dir string, from int64) (uint64, error) {
-	numbers, err := durable.Segments(fsys, dir, journalName)
+	numbers, err := durable.ListSegments(fsys, dir, journalName)
 	if err != nil {
 		return 0, err
 	}
@@ -169,14 +169,14 @@
 
 // readExportState reads the exports log; each of its frames holds the complete state.
 func readExportState(fsys durable.FS, dir string) (state exportState, scan durable.Scan, err error) {
-	scan, err = durable.Read(fsys, dir, exportsName, kindExports, 0,
-		func(at durable.Place, r *durable.Reader, _ uint16, payload []byte) error {
+	scan, err = durable.ReadLog(fsys, dir, exportsName, kindExports, 0,
+		func(at durable.Position, r *durable.Reader, _ uint16, payload []byte) error {
 			var next exportState
 			if err := json.Unmarshal(payload, &next); err != nil {
-				return r.Damaged(at.Offset, "%v", err)
+				return r.Damagef(at.Offset, "%v", err)
 			}
 			if next.LastSequence < state.LastSequence || next.LastSequence > state.LastSequence+1 && scan.Frames > 0 {
-				return r.Damaged(at.Offset, "export %d follows %d", next.LastSequence, state.LastSequence)
+				return r.Damagef(at.Offset, "export %d follows %d", next.LastSequence, state.LastSequence)
 			}
 			state = next
 			return nil
@@ -186,17 +186,17 @@
 
 // readCorrections reads the operators' corrections in the order they were made.
 func readCorrections(fsys durable.FS, dir string) (list []ledger.Correction, scan durable.Scan, err error) {
-	scan, err = durable.Read(fsys, dir, correctionsName, kindCorrections, 0,
-		func(at durable.Place, r *durable.Reader, kind uint16, payload []byte) error {
+	scan, err = durable.ReadLog(fsys, dir, correctionsName, kindCorrections, 0,
+		func(at durable.Position, r *durable.Reader, kind uint16, payload []byte) error {
 			if kind == frameCheckpoint {
 				return nil
 			}
 			var correction ledger.Correction
 			if err := json.Unmarshal(payload, &correction); err != nil {
-				return r.Damaged(at.Offset, "%v", err)
+				return r.Damagef(at.Offset, "%v", err)
 			}
 			if err := correction.Validate(); err != nil || correction.Entry != uint64(len(list)+1) {
-				return r.Damaged(at.Offset, "correction %d follows %d: %v", correction.Entry, len(list), err)
+				return r.Damagef(at.Offset, "correction %d follows %d: %v", correction.Entry, len(list), err)
 			}
 			list = append(list, correction)
 			return nil
@@ -206,7 +206,7 @@
 
 // AddCorrection records an operator's correction of a period that has been exported, and returns its entry number.
 // The correction is included in the next export. It is rejected if it is invalid or its period is not exported yet.
-func Correct(fsys durable.FS, dir string, correction ledger.Correction) (entry uint64, err error) {
+func AddCorrection(fsys durable.FS, dir string, correction ledger.Correction) (entry uint64, err error) {
 	lock, err := fsys.Lock(filepath.Join(dir, correctionsLockName))
 	if err != nil {
 		return 0, err
@@ -246,13 +246,13 @@
 	if err != nil {
 		return 0, err
 	}
-	log, err := durable.Continue(durable.LogConfig{
-		FS:         fsys,
-		Dir:        dir,
-		Name:       correctionsName,
-		Kind:       kindCorrections,
-		Roll:       smallSegmentBytes,
-		Checkpoint: func() []durable.Frame { return []durable.Frame{{Kind: frameCheckpoint}} },
+	log, err := durable.ContinueLog(durable.LogConfig{
+		FS:              fsys,
+		Dir:             dir,
+		Name:            correctionsName,
+		Kind:            kindCorrections,
+		MaxSegmentBytes: smallSegmentBytes,
+		Checkpoint:      func() []durable.Frame { return []durable.Frame{{Kind: frameCheckpoint}} },
 	}, scan)
 	if err != nil {
 		return 0, err
@@ -273,25 +273,25 @@
 
 // View is the content of a ledger's directory, as read by Inspect.
 type View struct {
-	Terms      ledger.Settings
-	Book       *ledger.State
+	Settings   ledger.Settings
+	State      *ledger.State
 	Statements []*ledger.Statement // closed periods, as far back as segments are kept
-	Unstated   []*ledger.Statement // periods that are not closed yet
+	Pending    []*ledger.Statement // periods that are not closed yet
 	// Late is usage that belongs to closed periods and will be stated with a later one, by the start of its period.
-	Late        map[int64]map[ledger.Key]*ledger.Usage
-	Corrections []ledger.Correction
-	Exported    uint64   // sequence number of the last export
-	ExportedTo  int64    // end of its period, in milliseconds since the Unix epoch
-	Planned     bool     // an export has begun and is not finished
-	Torn        []string // tails cut off by crashes, as file, offset and length
-	Segments    int      // of the journal
-	Bytes       int64    // of the journal
+	Late              map[int64]map[ledger.Key]*ledger.Usage
+	Corrections       []ledger.Correction
+	Exported          uint64   // sequence number of the last export
+	ExportedTo        int64    // end of its period, in milliseconds since the Unix epoch
+	ExportInterrupted bool     // an export has begun and is not finished
+	Torn              []string // tails cut off by crashes, as file, offset and length
+	Segments          int      // of the journal
+	Bytes             int64    // of the journal
 }
 
 // Inspect reads and checks a whole ledger. It changes nothing, and a router may be writing to the ledger meanwhile.
 // Damage is reported as a *durable.DamageError with file and offset.
 func Inspect(fsys durable.FS, dir string) (*View, error) {
-	numbers, err := durable.Segments(fsys, dir, journalName)
+	numbers, err := durable.ListSegments(fsys, dir, journalName)
 	if err != nil {
 		return nil, err
 	}
@@ -307,9 +307,9 @@
 	if err != nil {
 		return nil, err
 	}
-	view.Terms, view.Book, view.Torn, view.Segments, view.Bytes =
+	view.Settings, view.State, view.Torn, view.Segments, view.Bytes =
 		collector.State.Settings, collector.State, scan.Torn, scan.Segments, scan.Bytes
-	view.Unstated, view.Late = collector.Pending()
+	view.Pending, view.Late = collector.Pending()
 	list, scan, err := readCorrections(fsys, dir)
 	if err != nil {
 		return nil, err
@@ -319,7 +319,7 @@
 	if err != nil {
 		return nil, err
 	}
-	view.Exported, view.ExportedTo, view.Planned, view.Torn =
+	view.Exported, view.ExportedTo, view.ExportInterrupted, view.Torn =
 		exported.LastSequence, exported.LastEnd, exported.Plan != nil, append(view.Torn, scan.Torn...)
 	if exported.LastSequence > collector.State.Sequence || exported.Corrections > uint64(len(list)) {
 		return nil, fmt.Errorf(
@@ -332,7 +332,7 @@
 // ReadCallStates returns the calls in a directory's journal by state: counted as established, whether their period
 // is closed or not, ended with unknown outcome, and still open. It takes no lock; no process may be writing to the
 // ledger.
-func Standing(fsys durable.FS, dir string) (counted, unknown, open map[uint64]bool, err error) {
+func ReadCallStates(fsys durable.FS, dir string) (counted, unknown, open map[uint64]bool, err error) {
 	counted, unknown, open = map[uint64]bool{}, map[uint64]bool{}, map[uint64]bool{}
 	add := func(s *ledger.Statement) error {
 		for _, collector := range s.Calls {
@@ -369,16 +369,16 @@
 		at = reader.Offset()
 		kind, payload, err := reader.Next()
 		if errors.Is(err, io.EOF) || errors.Is(err, durable.ErrTorn) {
-			err = reader.Damaged(at, "the file ends before the export does")
+			err = reader.Damagef(at, "the file ends before the export does")
 		}
 		return kind, payload, err
 	}, calls)
 	if errors.Is(err, ledger.ErrInvalidExport) {
-		return nil, reader.Damaged(at, "%v", err)
+		return nil, reader.Damagef(at, "%v", err)
 	}
 	if err == nil {
 		if _, _, more := reader.Next(); more != io.EOF {
-			return nil, reader.Damaged(reader.Offset(), "unexpected data follows the export")
+			return nil, reader.Damagef(reader.Offset(), "unexpected data follows the export")
 		}
 	}
 	return export, err
@@ -386,7 +386,7 @@
 
 // OpenCallList opens the list of calls of an export file for reading part by part, with a buffer of that many
 // bytes. The caller closes the closer.
-func CallsOf(fsys durable.FS, path string, buffer int) (ledger.CallSource, io.Closer, error) {
+func OpenCallList(fsys durable.FS, path string, buffer int) (ledger.CallSource, io.Closer, error) {
 	reader, err := durable.OpenBuffered(fsys, path, kindExport, buffer)
 	if err != nil {
 		return nil, nil, err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -68,10 +68,10 @@
 	callControlListener *loop.Listener // nil if disabled
 	handover            handoverState
 	process             *lifecycle.Process
-	management          *mgmt.Server      // nil if disabled
-	ledger              *ledgerio.Carrier // nil if disabled
-	trace               *traceio.Recorder // nil if disabled
-	fleet               *fleetio.Fleet    // nil if disabled
+	management          *mgmt.Server       // nil if disabled
+	ledger              *ledgerio.Recorder // nil if disabled
+	trace               *traceio.Recorder  // nil if disabled
+	fleet               *fleetio.Fleet     // nil if disabled
 }
 
 // NewLogger returns a logger that writes one event a line with the time, the level and the router's name: as plain
--- a/internal/node/subsystems.go
+++ b/internal/node/subsystems.go
@@ -70,7 +70,7 @@
 		p.CallControl = &c
 	}
 	if sub := s.Sub("ledger"); sub != nil {
-		o := ledgerio.Read(sub, router)
+		o := ledgerio.ReadSettings(sub, router)
 		p.Ledger = &o
 	}
 	if sub := s.Sub("trace"); sub != nil {
@@ -130,16 +130,16 @@
 	}
 	if o := p.Ledger; o != nil {
 		when := "go-on"
-		if o.Refuse {
+		if o.RefuseUnbillable {
 			when = "refuse"
 		}
 		ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 		fmt.Fprintf(w, "\n  (ledger (directory %q) (period %q) (grace %q) (unknown-after %q)\n"+
 			"    (sync %q) (patience %q) (keep %q) (segment-kb %d) (when-unwritable %s)",
-			o.Dir, ms(o.Terms.Length), ms(o.Terms.Grace), ms(o.Terms.UnknownTimeout),
-			o.Sync, o.Patience, o.Keep, o.Roll>>10, when)
-		if o.Export != "" {
-			fmt.Fprintf(w, " (export %q)", o.Export)
+			o.Dir, ms(o.Settings.Length), ms(o.Settings.Grace), ms(o.Settings.UnknownTimeout),
+			o.SyncInterval, o.DiskTimeout, o.Retention, o.MaxSegmentBytes>>10, when)
+		if o.ExportDir != "" {
+			fmt.Fprintf(w, " (export %q)", o.ExportDir)
 		}
 		tenants, networks := o.Tenants.Size()
 		fmt.Fprintf(w, ")\n  ; %d tenants, %d networks, precedence %s\n",
@@ -336,7 +336,7 @@
 // others.
 func (n *Node) configureTakeover(c *fleetio.Config) {
 	if n.ledger != nil {
-		c.OpenCalls = n.ledger.Sleep()
+		c.OpenCalls = n.ledger.SuspendOpenCalls()
 	}
 	c.CallHandler = takeoverHandler{n}
 	if o := n.config.Product.Ledger; o != nil {
@@ -414,7 +414,7 @@
 // Drop implements takeover.CallHandler: it removes a call from the ledger that is in another router's.
 func (h takeoverHandler) Drop(id string) {
 	if h.n.ledger != nil {
-		h.n.ledger.Drop(id)
+		h.n.ledger.RemoveCall(id)
 	}
 }
 
@@ -459,7 +459,7 @@
 // router has taken over.
 func (h takeoverHandler) ReclaimRemaining() {
 	if h.n.ledger != nil {
-		h.n.ledger.Wake(nil)
+		h.n.ledger.ResumeOpenCalls(nil)
 	}
 }
 
@@ -516,19 +516,19 @@
 // openLedger opens the ledger and registers it as observer of the router and as output gate of the loop.
 func (n *Node) openLedger(routerConfig *router.Config) (err error) {
 	n.ledger, err = ledgerio.Open(ledgerio.Config{
-		Options: *n.config.Product.Ledger,
-		FS:      n.fileSystem(),
-		Classes: ledger.ConvertClasses(n.config.Settings.Classes),
-		Wall:    func() int64 { return time.Now().UnixMilli() },
-		Clock:   n.clock,
-		Nudge:   n.Loop.Wake,
-		Log:     n.log,
+		Options:   *n.config.Product.Ledger,
+		FS:        n.fileSystem(),
+		Classes:   ledger.ConvertClasses(n.config.Settings.Classes),
+		WallClock: func() int64 { return time.Now().UnixMilli() },
+		Clock:     n.clock,
+		WakeLoop:  n.Loop.Wake,
+		Log:       n.log,
 	})
 	if err != nil {
 		return err
 	}
 	routerConfig.Observer = joinObservers(routerConfig.Observer, n.ledger)
-	if n.config.Product.Ledger.Refuse {
+	if n.config.Product.Ledger.RefuseUnbillable {
 		routerConfig.Admit = n.ledger.Admit
 	}
 	n.Loop.SetOutputGate(n.ledger)
--- a/internal/scenario/ledger_test.go
+++ b/internal/scenario/ledger_test.go
@@ -77,9 +77,9 @@
 	require.NoError(t, w.do("wait 300ms"))
 	v, err := ledgerio.Inspect(w.disk, "ledger")
 	require.NoError(t, err)
-	require.Len(t, v.Book.Calls, 1)
-	for _, c := range v.Book.Calls {
-		require.Equal(t, "lda", v.Book.Name(c.Tenant))
+	require.Len(t, v.State.Calls, 1)
+	for _, c := range v.State.Calls {
+		require.Equal(t, "lda", v.State.Name(c.Tenant))
 	}
-	require.Equal(t, ledger.Usage{ledger.Offered: 1, ledger.Abandoned: 1, ledger.Cancelled: 1}, *v.Unstated[0].Totals[ledger.Key{Tenant: "kda", Class: "voice"}])
+	require.Equal(t, ledger.Usage{ledger.Offered: 1, ledger.Abandoned: 1, ledger.Cancelled: 1}, *v.Pending[0].Totals[ledger.Key{Tenant: "kda", Class: "voice"}])
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -190,7 +190,7 @@
 		w.back = nil
 		w.full.Store(rest == "full")
 		if rest == "slow" {
-			w.back = w.disk.Slow()
+			w.back = w.disk.Stall()
 		}
 		return nil
 	case "quiet":
@@ -401,14 +401,14 @@
 	clock := func() time.Duration { return time.Duration(w.clock.Load()) }
 	if strings.Contains(flags, "ledger") {
 		o := ledgerio.Defaults()
-		o.Dir, o.Terms.Router, o.Refuse = "ledger", "n0", strings.Contains(flags, "refuse")
+		o.Dir, o.Settings.Router, o.RefuseUnbillable = "ledger", "n0", strings.Contains(flags, "refuse")
 		if o.Tenants, err = ledger.NewDirectory(nil, []ledger.Rule{{Tenant: "lda", Identities: []string{"spiffe://b.example/*"}},
 			{Tenant: "kda", Networks: []string{"127.0.0.0/8"}}}); err != nil {
 			return err
 		}
 		w.disk = durabletest.New(1)
 		w.disk.Plan = func(s durabletest.Step) durabletest.Fault {
-			if w.full.Load() && s.What == "write" {
+			if w.full.Load() && s.Operation == "write" {
 				return durabletest.Fail
 			}
 			return durabletest.None
--- a/internal/traceio/file.go
+++ b/internal/traceio/file.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Writer{w: w, enc: trace.NewEncoder(), began: map[string]int{}}, w.Frame(frameMeta, b)
+	return &Writer{w: w, enc: trace.NewEncoder(), began: map[string]int{}}, w.WriteFrame(frameMeta, b)
 }
 
 // Add takes a record; a full block is written. Slots are as in trace.Encoder.Add.
@@ -148,11 +148,11 @@
 // Block writes a block that was made elsewhere; its place is set here.
 func (w *Writer) Block(b trace.Block) error {
 	b.Info.Offset = w.w.Offset()
-	if err := w.w.Frame(frameStrings, b.Strings); err != nil {
+	if err := w.w.WriteFrame(frameStrings, b.Strings); err != nil {
 		return err
 	}
 	b.Info.Columns = w.w.Offset()
-	if err := w.w.Frame(frameColumns, b.Columns); err != nil {
+	if err := w.w.WriteFrame(frameColumns, b.Columns); err != nil {
 		return err
 	}
 	w.index.Add(b.Info)
@@ -173,10 +173,10 @@
 		return err
 	}
 	at := w.w.Offset()
-	if err := w.w.Frame(frameIndex, zip.EncodeAll(text, nil)); err != nil {
+	if err := w.w.WriteFrame(frameIndex, zip.EncodeAll(text, nil)); err != nil {
 		return err
 	}
-	return w.w.Frame(frameTail, binary.LittleEndian.AppendUint64(nil, uint64(at)))
+	return w.w.WriteFrame(frameTail, binary.LittleEndian.AppendUint64(nil, uint64(at)))
 }
 
 // File is a trace file open for reading. It is for one goroutine.
@@ -209,20 +209,20 @@
 func (t *File) open() error {
 	kind, payload, err := t.r.Next()
 	if errors.Is(err, durable.ErrTorn) || err == io.EOF {
-		return t.r.Damaged(t.r.Offset(), "a crash has cut it off before its first block")
+		return t.r.Damagef(t.r.Offset(), "a crash has cut it off before its first block")
 	}
 	if err != nil {
 		return err
 	}
 	if kind != frameMeta {
-		return t.r.Damaged(t.r.Offset(), "it begins with a frame of kind %d", kind)
+		return t.r.Damagef(t.r.Offset(), "it begins with a frame of kind %d", kind)
 	}
 	dec := json.NewDecoder(bytes.NewReader(payload))
 	if err := dec.Decode(&t.Meta); err != nil {
-		return t.r.Damaged(48, "%v", err)
+		return t.r.Damagef(48, "%v", err)
 	}
-	tail := t.r.Size() - durable.FrameSize - 8
-	if kind, payload, err := t.r.At(tail, nil); err == nil && kind == frameTail {
+	tail := t.r.Size() - durable.FrameHeaderSize - 8
+	if kind, payload, err := t.r.FrameAt(tail, nil); err == nil && kind == frameTail {
 		at := int64(binary.LittleEndian.Uint64(payload))
 		return t.readIndex(at)
 	}
@@ -230,12 +230,12 @@
 }
 
 func (t *File) readIndex(at int64) error {
-	kind, payload, err := t.r.At(at, nil)
+	kind, payload, err := t.r.FrameAt(at, nil)
 	if err != nil {
 		return err
 	}
 	if kind != frameIndex {
-		return t.r.Damaged(at, "a frame of kind %d stands where the index is wanted", kind)
+		return t.r.Damagef(at, "a frame of kind %d stands where the index is wanted", kind)
 	}
 	unzip, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(256<<20))
 	if err != nil {
@@ -244,10 +244,10 @@
 	defer unzip.Close()
 	text, err := unzip.DecodeAll(payload, nil)
 	if err != nil {
-		return t.r.Damaged(at, "the index: %v", err)
+		return t.r.Damagef(at, "the index: %v", err)
 	}
 	if t.Index, err = trace.ReadIndex(text); err != nil {
-		return t.r.Damaged(at, "%v", err)
+		return t.r.Damagef(at, "%v", err)
 	}
 	return nil
 }
@@ -272,13 +272,13 @@
 		}
 		if kind == frameIndex { // whole, but its tail is not
 			if _, _, err := t.r.Next(); err != io.EOF && !errors.Is(err, durable.ErrTorn) {
-				return cmp.Or(err, t.r.Damaged(at, "what follows the index is not its end"))
+				return cmp.Or(err, t.r.Damagef(at, "what follows the index is not its end"))
 			}
 			t.Torn = fmt.Sprintf("%s: offset %d: the index's end is missing", t.r.Name(), at)
 			break
 		}
 		if kind != frameStrings {
-			return t.r.Damaged(at, "a frame of kind %d stands where a block is wanted", kind)
+			return t.r.Damagef(at, "a frame of kind %d stands where a block is wanted", kind)
 		}
 		t.strs = append(t.strs[:0], strs...)
 		columns := t.r.Offset()
@@ -291,11 +291,11 @@
 			return err
 		}
 		if kind != frameColumns {
-			return t.r.Damaged(columns, "a frame of kind %d stands where columns are wanted", kind)
+			return t.r.Damagef(columns, "a frame of kind %d stands where columns are wanted", kind)
 		}
 		list, err := t.dec.Decode(t.strs, cols)
 		if err != nil {
-			return t.r.Damaged(at, "%v", err)
+			return t.r.Damagef(at, "%v", err)
 		}
 		info := trace.Inform(list)
 		info.Offset, info.Columns, info.Reach = at, columns, w.reachAll(list)
@@ -317,18 +317,18 @@
 // Raw reads the two parts of a block as they stand, until the next call.
 func (t *File) Raw(n int) (trace.Block, error) {
 	info := t.Index.Blocks[n]
-	kind, strs, err := t.r.At(info.Offset, t.strs)
+	kind, strs, err := t.r.FrameAt(info.Offset, t.strs)
 	if err != nil {
 		return trace.Block{}, err
 	}
 	t.strs = strs
-	kind2, cols, err := t.r.At(info.Columns, t.cols)
+	kind2, cols, err := t.r.FrameAt(info.Columns, t.cols)
 	if err != nil {
 		return trace.Block{}, err
 	}
 	t.cols = cols
 	if kind != frameStrings || kind2 != frameColumns {
-		return trace.Block{}, t.r.Damaged(info.Offset, "no block stands where the index says")
+		return trace.Block{}, t.r.Damagef(info.Offset, "no block stands where the index says")
 	}
 	return trace.Block{Strings: strs, Columns: cols, Info: info}, nil
 }
@@ -341,7 +341,7 @@
 	}
 	list, err := t.dec.Decode(b.Strings, b.Columns)
 	if err != nil {
-		return nil, t.r.Damaged(b.Info.Offset, "%v", err)
+		return nil, t.r.Damagef(b.Info.Offset, "%v", err)
 	}
 	return list, nil
 }
--- a/internal/traceio/tools.go
+++ b/internal/traceio/tools.go
@@ -126,7 +126,7 @@
 			}
 			list, err := t.dec.Decode(b.Strings, b.Columns) // checked, and followed
 			if err != nil {
-				return t.r.Damaged(b.Info.Offset, "%v", err)
+				return t.r.Damagef(b.Info.Offset, "%v", err)
 			}
 			info := trace.Inform(list)
 			info.Reach = w.reachAll(list)
@@ -268,11 +268,11 @@
 				return err
 			}
 			if b.Strings, err = h.Strings(dec, enc, b.Strings); err != nil {
-				return t.r.Damaged(b.Info.Offset, "%v", err)
+				return t.r.Damagef(b.Info.Offset, "%v", err)
 			}
 			list, err := dec.Decode(b.Strings, b.Columns)
 			if err != nil {
-				return t.r.Damaged(b.Info.Offset, "%v", err)
+				return t.r.Damagef(b.Info.Offset, "%v", err)
 			}
 			info := trace.Inform(list)
 			info.Reach = b.Info.Reach
@@ -300,7 +300,7 @@
 		}
 		have := trace.Inform(list)
 		if have.Count != info.Count || have.From != info.From || have.To != info.To {
-			return nil, 0, t.r.Damaged(info.Offset, "the index does not agree with the block")
+			return nil, 0, t.r.Damagef(info.Offset, "the index does not agree with the block")
 		}
 		records += int64(len(list))
 	}
@@ -311,7 +311,7 @@
 			break
 		}
 		if errors.Is(err, durable.ErrTorn) {
-			return nil, 0, t.r.Damaged(t.r.Offset(), "it goes on after its index")
+			return nil, 0, t.r.Damagef(t.r.Offset(), "it goes on after its index")
 		}
 		if err != nil {
 			return nil, 0, err
--- a/internal/traceio/traceio_test.go
+++ b/internal/traceio/traceio_test.go
@@ -114,7 +114,7 @@
 	require.Len(t, blocks, 4)
 	ends := make([]int, len(blocks))
 	for i, b := range blocks {
-		ends[i] = int(b.Columns) + durable.FrameSize + columnsSize(t, f, b)
+		ends[i] = int(b.Columns) + durable.FrameHeaderSize + columnsSize(t, f, b)
 	}
 	for size := len(text) - 1; size > int(blocks[2].Offset); size-- {
 		g := durabletest.New(1)
@@ -139,7 +139,7 @@
 	r, err := durable.Open(f, "x.tgt", kindTrace)
 	require.NoError(t, err)
 	defer r.Close()
-	_, payload, err := r.At(b.Columns, nil)
+	_, payload, err := r.FrameAt(b.Columns, nil)
 	require.NoError(t, err)
 	return len(payload)
 }
@@ -149,11 +149,11 @@
 	f := durabletest.New(1)
 	write(t, f, "x.tgt", trace.Meta{Router: "n0"}, 1100)
 	for bit := 0; bit < 8*f.Size("x.tgt"); bit += 997 {
-		f.Flip("x.tgt", bit)
+		f.FlipBit("x.tgt", bit)
 		_, _, err := Verify(f, "x.tgt")
-		f.Flip("x.tgt", bit)
-		var damage *durable.Damage
-		require.True(t, errors.As(err, &damage) || errors.Is(err, durable.ErrNewer), "bit %d: %v", bit, err)
+		f.FlipBit("x.tgt", bit)
+		var damage *durable.DamageError
+		require.True(t, errors.As(err, &damage) || errors.Is(err, durable.ErrNewerVersion), "bit %d: %v", bit, err)
 	}
 	_, n, err := Verify(f, "x.tgt")
 	require.NoError(t, err)
@@ -273,7 +273,7 @@
 	f   *durabletest.FS
 	r   *Recorder
 	now atomic.Int64
-	log durabletest.Log
+	log durabletest.LogBuffer
 }
 
 func (g *rig) clock() time.Duration { return time.Duration(g.now.Load()) }
@@ -324,8 +324,8 @@
 func TestFlood(t *testing.T) {
 	g := record(t, func(*Options) {})
 	g.call("first", router.Established)
-	require.True(t, durabletest.Wait(func() bool { return g.r.Counters().Written > 0 }))
-	again := g.f.Slow()
+	require.True(t, durabletest.WaitFor(func() bool { return g.r.Counters().Written > 0 }))
+	again := g.f.Stall()
 	began := time.Now()
 	for i := range 10 * queueMost / 4 {
 		g.call(fmt.Sprintf("%016x", i), router.Established)
@@ -334,7 +334,7 @@
 	dropped := g.r.Counters().Dropped
 	require.Greater(t, int(dropped), 5*queueMost)
 	again()
-	require.True(t, durabletest.Wait(func() bool { g.call("last", router.Established); return g.r.gap == 0 }))
+	require.True(t, durabletest.WaitFor(func() bool { g.call("last", router.Established); return g.r.gap == 0 }))
 	require.NoError(t, g.r.Close())
 	list, _ := g.files(t, "trace")
 	gaps := int64(0)
@@ -362,19 +362,19 @@
 	g := record(t, func(*Options) {}, func(s durabletest.Step) durabletest.Fault {
 		mu.Lock()
 		defer mu.Unlock()
-		if full && s.What != "remove" {
+		if full && s.Operation != "remove" {
 			return durabletest.Tear
 		}
 		return durabletest.None
 	})
 	set := func(v bool) { mu.Lock(); full = v; mu.Unlock() }
 	g.call("a", router.Established)
-	require.True(t, durabletest.Wait(func() bool { return g.r.Counters().Written >= 4 }))
+	require.True(t, durabletest.WaitFor(func() bool { return g.r.Counters().Written >= 4 }))
 	set(true)
 	g.call("b", router.Established)
-	require.True(t, durabletest.Wait(func() bool { return g.log.Has("trace_failed") }))
+	require.True(t, durabletest.WaitFor(func() bool { return g.log.Contains("trace_failed") }))
 	set(false)
-	require.True(t, durabletest.Wait(func() bool {
+	require.True(t, durabletest.WaitFor(func() bool {
 		g.call("c", router.Established)
 		time.Sleep(10 * time.Millisecond)
 		return g.r.Counters().Written > 20
@@ -394,7 +394,7 @@
 			g.call(mixed(i*40+j+1), router.Established)
 		}
 		want := g.r.Counters().Records - g.r.Counters().Dropped
-		require.True(t, durabletest.Wait(func() bool { return g.r.Counters().Written >= want }))
+		require.True(t, durabletest.WaitFor(func() bool { return g.r.Counters().Written >= want }))
 	}
 	require.NoError(t, g.r.Close())
 	c := g.r.Counters()
@@ -421,22 +421,22 @@
 		g.call(fmt.Sprintf("%016x", i), router.Established)
 	}
 	g.r.Dump("SIGUSR2")
-	require.True(t, durabletest.Wait(func() bool { return g.r.Counters().Flights == 1 }))
+	require.True(t, durabletest.WaitFor(func() bool { return g.r.Counters().Flights == 1 }))
 	list, _ := g.files(t, "flight")
 	require.Len(t, list, 1000, "no more than the ring holds")
 	require.Equal(t, fmt.Sprintf("%016x", 499), list[999].S[trace.Call])
 	for i := range 60 {
 		g.call(fmt.Sprintf("%016x", 1000+i), router.Refused)
 	}
-	require.True(t, durabletest.Wait(func() bool { return g.r.Counters().Flights == 2 }))
-	require.True(t, g.log.Has(`"why":"losses"`))
+	require.True(t, durabletest.WaitFor(func() bool { return g.r.Counters().Flights == 2 }))
+	require.True(t, g.log.Contains(`"why":"losses"`))
 	for i := range 60 {
 		g.call(fmt.Sprintf("%016x", 2000+i), router.Refused)
 	}
 	g.now.Add(int64(2 * time.Minute))
 	g.r.Observe(router.Event{Kind: router.Arrived, At: g.clock(), Call: "x", Slot: 1, Class: "voice"})
 	g.r.Observe(router.Event{Kind: router.AttemptEnded, At: g.clock(), Call: "x", Slot: 1, Outcome: threadglade.NotSent})
-	require.True(t, durabletest.Wait(func() bool { return g.log.Has(`"why":"backstop"`) }))
+	require.True(t, durabletest.WaitFor(func() bool { return g.log.Contains(`"why":"backstop"`) }))
 	require.NoError(t, g.r.Close())
 	require.EqualValues(t, 3, g.r.Counters().Flights, "not again within a minute")
 }
@@ -557,6 +557,6 @@
 	f := durabletest.New(1)
 	require.NoError(t, durable.WriteFile(f, "new.tgt", func(w io.Writer) error { _, err := w.Write(next); return err }))
 	_, err = Open(f, "new.tgt")
-	require.ErrorIs(t, err, durable.ErrNewer)
+	require.ErrorIs(t, err, durable.ErrNewerVersion)
 	require.ErrorContains(t, err, "new.tgt: version 2, this program reads up to 1")
 }
