--- a/trace/block.go
+++ b/trace/block.go
@@ -11,96 +11,100 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// A block is two parts, so that one can be changed without the other: its strings, and its columns, which name strings by their
-// place. docs/formats/trace.md has both.
+// A block has two parts that can be rewritten independently: a string table, and columns that refer to strings by
+// index. docs/formats/trace.md specifies both.
 
 const (
-	// BlockRecords is how many records a full block holds.
+	// BlockRecords is the number of records in a full block.
 	BlockRecords = 4096
-	// recordsMost and partMost (bytes unpacked) bound what a reader makes room for.
-	recordsMost = 1 << 17
-	partMost    = 32 << 20
+	// maxBlockRecords and maxPartBytes (uncompressed) bound the memory that a decoder allocates for untrusted input.
+	maxBlockRecords = 1 << 17
+	maxPartBytes    = 32 << 20
 )
 
-// ErrBlock is wrapped by errors for a block that cannot be read.
-var ErrBlock = errors.New("a block that cannot be read")
+// ErrInvalidBlock is wrapped by every error about a block or an index that cannot be decoded.
+var ErrBlock = errors.New("invalid trace block")
 
-func bad(format string, args ...any) error {
+// blockErrorf formats an error that wraps ErrInvalidBlock.
+func blockErrorf(format string, args ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{ErrBlock}, args...)...)
 }
 
-// Block is records as they stand in a file.
+// Block is a group of records in the encoding of a trace file.
 type Block struct {
-	Strings, Columns []byte // compressed
-	Info             BlockInfo
+	Strings []byte // compressed string table
+	Columns []byte // compressed columns
+	Info    BlockInfo
 }
 
-// Encoder makes blocks: each record goes straight into the columns of its kind. It keeps its buffers and is for one goroutine.
+// Encoder encodes records into blocks, appending each record directly to the columns of its kind. It reuses its
+// buffers and isn't safe for concurrent use.
 type Encoder struct {
-	zip   *zstd.Encoder
-	index [texts]map[string]int64
-	list  [texts][]string
-	slots []place // by slot of a call
-	block uint32  // counts blocks, for slots
-	kinds []byte
-	times deltas
-	rows  [kinds]struct {
-		texts   [textsMost]textColumn
-		figures [FiguresMost]deltas
-	}
-	raw      []byte
-	from, to int64
-	outcomes uint64 // by place in OutcomeNames; the highest bit is any other
-	reasons  [256]bool
-	strange  map[int64]bool // reasons beyond
+	compressor  *zstd.Encoder
+	textIndexes [textCount]map[string]int64
+	textLists   [textCount][]string
+	slots       []slotEntry // indexed by the slot of a call
+	blockNumber uint32      // number of the current block; tells whether a slot entry is valid
+	kinds       []byte
+	times       deltaColumn
+	columns     [kindCount]struct {
+		texts   [maxTexts]textColumn
+		figures [FiguresMost]deltaColumn
+	}
+	buffer       []byte
+	from, to     int64  // earliest and latest time of the current block
+	outcomes     uint64 // bit set by index in OutcomeNames, final answers from bit 16, bit 63 for any other outcome
+	reasons      [256]bool
+	otherReasons map[int64]bool // numbers that don't fit into reasons
 }
 
-// textsMost and FiguresMost are how many columns one kind has at most.
+// maxTexts and MaxFigures are the largest numbers of string and number columns of one kind.
 const (
-	textsMost   = 8
+	maxTexts    = 8
 	FiguresMost = 12
 )
 
-// place is where a call's id stands in the list of a block.
-type place struct {
-	block uint32
-	at    int64
+// slotEntry caches the index of a call's ID in the string table of one block.
+type slotEntry struct {
+	blockNumber uint32
+	index       int64
 }
 
-// deltas is a column of numbers.
-type deltas struct {
-	b    []byte
+// deltaColumn is a column of numbers, each encoded as the varint difference from the one before.
+type deltaColumn struct {
+	data []byte
 	last int64
 }
 
-func (d *deltas) add(n int64) {
-	d.b = binary.AppendVarint(d.b, n-d.last)
+func (d *deltaColumn) add(n int64) {
+	d.data = binary.AppendVarint(d.data, n-d.last)
 	d.last = n
 }
 
-func (d *deltas) reset() { d.b, d.last = d.b[:0], 0 }
+func (d *deltaColumn) reset() { d.data, d.last = d.data[:0], 0 }
 
-// textColumn is a column of places of strings; most repeat themselves.
+// textColumn is a column of string indexes. Most values repeat the one before, so that one is compared first.
 type textColumn struct {
-	deltas
-	before string
-	known  bool
+	deltaColumn
+	previous    string
+	hasPrevious bool
 }
 
-// NewEncoder makes an encoder.
+// NewEncoder returns an Encoder with an empty block.
 func NewEncoder() *Encoder {
-	zip, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(1<<20))
+	compressor, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
+		zstd.WithWindowSize(1<<20))
 	if err != nil {
-		panic(err) // of constant options: it cannot fail
+		panic(err) // only fails for invalid options, and these are constant
 	}
-	e := &Encoder{zip: zip, block: 1, strange: map[int64]bool{}}
-	for t := range e.index {
-		e.index[t] = map[string]int64{}
+	e := &Encoder{compressor: compressor, blockNumber: 1, otherReasons: map[int64]bool{}}
+	for t := range e.textIndexes {
+		e.textIndexes[t] = map[string]int64{}
 	}
 	return e
 }
 
-// Encode makes a block of records; the slices of the block are the caller's.
+// Encode returns a block of the given records. The caller owns the slices of the block.
 func (e *Encoder) Encode(list []Record) Block {
 	for i := range list {
 		e.Add(&list[i], 0)
@@ -108,11 +112,11 @@
 	return e.Block()
 }
 
-// Len is how many records wait for Block.
+// Len returns the number of records in the current block.
 func (e *Encoder) Len() int { return len(e.kinds) }
 
-// Add puts a record into the next block. A slot, if not 0, is a number that no other open call has: it saves the look-up
-// of the call's id. Slots are small numbers used again.
+// Add appends a record to the current block. A slot other than 0 is a small number that no other open call has, and
+// that is reused after the call; it saves looking up the call's ID in the string table.
 func (e *Encoder) Add(r *Record, slot uint32) {
 	if len(e.kinds) == 0 || r.At < e.from {
 		e.from = r.At
@@ -126,41 +130,42 @@
 	}
 	e.kinds = append(e.kinds, kind)
 	e.times.add(r.At)
-	rows := &e.rows[r.Kind]
+	columns := &e.columns[r.Kind]
 	for i, t := range layout[r.Kind].texts {
-		c, text := &rows.texts[i], r.S[t]
+		column, text := &columns.texts[i], r.S[t]
 		switch {
-		case c.known && c.before == text:
-			c.add(c.last)
+		case column.hasPrevious && column.previous == text:
+			column.add(column.last)
 		case t == Call && slot > 0:
-			c.add(e.slot(text, slot))
-			c.before, c.known = text, true
+			column.add(e.slotIndex(text, slot))
+			column.previous, column.hasPrevious = text, true
 		default:
-			c.add(e.place(t, text))
-			c.before, c.known = text, true
+			column.add(e.textIndex(t, text))
+			column.previous, column.hasPrevious = text, true
 		}
 	}
 	for i, f := range layout[r.Kind].figures {
-		rows.figures[i].add(r.N[f])
+		columns.figures[i].add(r.N[f])
 	}
 	switch r.Kind {
 	case Answer:
-		e.note(r.N[Final], 0, 4)
+		e.noteOutcome(r.N[Final], 0, 4)
 	case AttemptEnd, Release:
-		e.note(r.N[Outcome], 4, int64(len(OutcomeNames)))
+		e.noteOutcome(r.N[Outcome], 4, int64(len(OutcomeNames)))
 	case Decision:
 		if n := r.N[Reason]; n >= 0 && n < int64(len(e.reasons)) {
 			e.reasons[n] = true
 		} else {
-			e.strange[n] = true
+			e.otherReasons[n] = true
 		}
 	}
 }
 
-// note keeps which outcomes are in the block: the names from low to below high, of which n counts, answers from 1 on.
-func (e *Encoder) note(n, low, high int64) {
+// noteOutcome marks an outcome as present in the block. Outcomes are numbered from 0 and stored at
+// OutcomeNames[low:high]; for final answers (low 0) n is an AnswerResult.
+func (e *Encoder) noteOutcome(n, low, high int64) {
 	if low == 0 {
-		e.outcomes |= 1 << (16 + uint(min(max(n, 0), high))) // as End.String has it
+		e.outcomes |= 1 << (16 + uint(min(max(n, 0), high))) // clamped as in AnswerResult.String
 	} else if n >= 0 && n < high-low {
 		e.outcomes |= 1 << uint(low+n)
 	} else {
@@ -168,78 +173,81 @@
 	}
 }
 
-func (e *Encoder) place(t Text, text string) int64 {
-	at, known := e.index[t][text]
+// textIndex returns the index of a string in the string table of its column, and adds the string if it is new.
+func (e *Encoder) textIndex(t Text, text string) int64 {
+	index, known := e.textIndexes[t][text]
 	if !known {
-		at = int64(len(e.list[t]))
-		e.index[t][text] = at
-		e.list[t] = append(e.list[t], text)
+		index = int64(len(e.textLists[t]))
+		e.textIndexes[t][text] = index
+		e.textLists[t] = append(e.textLists[t], text)
 	}
-	return at
+	return index
 }
 
-// slot finds the id of a call by its slot. The id is compared: what the slot's call before left there is not taken for it.
-func (e *Encoder) slot(id string, slot uint32) int64 {
+// slotIndex returns the index of a call's ID by its slot. The ID is compared, because the entry may belong to an
+// earlier call of the same slot.
+func (e *Encoder) slotIndex(id string, slot uint32) int64 {
 	if int(slot) >= len(e.slots) {
-		e.slots = append(e.slots, make([]place, int(slot)+1-len(e.slots))...)
+		e.slots = append(e.slots, make([]slotEntry, int(slot)+1-len(e.slots))...)
 	}
-	p := &e.slots[slot]
-	if p.block != e.block || e.list[Call][p.at] != id {
-		*p = place{e.block, int64(len(e.list[Call]))}
-		e.list[Call] = append(e.list[Call], id)
+	entry := &e.slots[slot]
+	if entry.blockNumber != e.blockNumber || e.textLists[Call][entry.index] != id {
+		*entry = slotEntry{e.blockNumber, int64(len(e.textLists[Call]))}
+		e.textLists[Call] = append(e.textLists[Call], id)
 	}
-	return p.at
+	return entry.index
 }
 
-// Block makes a block of what was added and begins the next; the slices of the block are the caller's.
+// Block returns a block of the records added since the last call and starts the next block. The caller owns the
+// slices of the block.
 func (e *Encoder) Block() Block {
-	b := binary.AppendUvarint(e.raw[:0], uint64(len(e.kinds)))
-	b = column(append(b, e.kinds...), e.times.b)
-	var have [kinds]bool
+	b := binary.AppendUvarint(e.buffer[:0], uint64(len(e.kinds)))
+	b = appendColumn(append(b, e.kinds...), e.times.data)
+	var present [kindCount]bool
 	for _, k := range e.kinds {
-		have[k&0x7f] = true
+		present[k&0x7f] = true
 	}
-	for kind := range e.rows {
-		if !have[kind] {
+	for kind := range e.columns {
+		if !present[kind] {
 			continue
 		}
-		rows := &e.rows[kind]
+		columns := &e.columns[kind]
 		for i := range layout[kind].texts {
-			b = column(b, rows.texts[i].b)
-			rows.texts[i].reset()
-			rows.texts[i].known = false
+			b = appendColumn(b, columns.texts[i].data)
+			columns.texts[i].reset()
+			columns.texts[i].hasPrevious = false
 		}
 		for i := range layout[kind].figures {
-			b = column(b, rows.figures[i].b)
-			rows.figures[i].reset()
+			b = appendColumn(b, columns.figures[i].data)
+			columns.figures[i].reset()
 		}
 	}
-	e.raw = b
-	block := Block{Columns: e.zip.EncodeAll(b, nil), Info: e.info()}
-	block.Strings = e.strings(&e.list)
-	for t := range e.index {
-		clear(e.index[t])
-		clear(e.list[t])
-		e.list[t] = e.list[t][:0]
+	e.buffer = b
+	block := Block{Columns: e.compressor.EncodeAll(b, nil), Info: e.blockInfo()}
+	block.Strings = e.encodeStrings(&e.textLists)
+	for t := range e.textIndexes {
+		clear(e.textIndexes[t])
+		clear(e.textLists[t])
+		e.textLists[t] = e.textLists[t][:0]
 	}
 	e.kinds = e.kinds[:0]
 	e.times.reset()
-	e.block++
+	e.blockNumber++
 	e.outcomes = 0
 	clear(e.reasons[:])
-	clear(e.strange)
+	clear(e.otherReasons)
 	return block
 }
 
-// info is what Inform tells, from what was noted on the way.
-func (e *Encoder) info() BlockInfo {
+// blockInfo returns what DescribeBlock would, from what Add has recorded.
+func (e *Encoder) blockInfo() BlockInfo {
 	info := BlockInfo{From: e.from, To: e.to, Count: len(e.kinds), Names: map[string][]string{}}
 	if info.Count == 0 {
 		info.From, info.To = 0, 0
 	}
 	seen := map[string]bool{}
 	for i, t := range []Text{Class, Tenant, Server} {
-		for _, name := range e.list[t] {
+		for _, name := range e.textLists[t] {
 			seen[name] = true
 		}
 		delete(seen, "")
@@ -266,7 +274,7 @@
 			seen[reasonName(int64(n))] = true
 		}
 	}
-	for n := range e.strange {
+	for n := range e.otherReasons {
 		seen[reasonName(n)] = true
 	}
 	delete(seen, "")
@@ -274,16 +282,19 @@
 	return info
 }
 
-func column(b, col []byte) []byte { return append(binary.AppendUvarint(b, uint64(len(col))), col...) }
+// appendColumn appends a column with its length in front.
+func appendColumn(b, col []byte) []byte {
+	return append(binary.AppendUvarint(b, uint64(len(col))), col...)
+}
 
-// strings packs the lists of strings; ids of 16 hex digits take 8 bytes.
-func (e *Encoder) strings(lists *[texts][]string) []byte {
-	b := e.raw[:0]
+// encodeStrings encodes and compresses the string tables; a table of IDs of 16 hex digits takes 8 bytes for each.
+func (e *Encoder) encodeStrings(lists *[textCount][]string) []byte {
+	b := e.buffer[:0]
 	for _, list := range lists {
 		b = binary.AppendUvarint(b, uint64(len(list)))
 		packed := len(list) > 0
 		for _, s := range list {
-			packed = packed && isHex(s)
+			packed = packed && isHexID(s)
 		}
 		if packed {
 			b = append(b, 1)
@@ -297,11 +308,12 @@
 			b = append(binary.AppendUvarint(b, uint64(len(s))), s...)
 		}
 	}
-	e.raw = b
-	return e.zip.EncodeAll(b, nil)
+	e.buffer = b
+	return e.compressor.EncodeAll(b, nil)
 }
 
-func isHex(s string) bool {
+// isHexID reports whether s is 16 lower-case hex digits.
+func isHexID(s string) bool {
 	if len(s) != 16 {
 		return false
 	}
@@ -313,43 +325,44 @@
 	return true
 }
 
-// Decoder reads blocks. It keeps its buffers and is for one goroutine.
+// Decoder decodes blocks. It reuses its buffers and isn't safe for concurrent use.
 type Decoder struct {
-	unzip   *zstd.Decoder
-	strs    []byte
-	cols    []byte
-	list    [texts][]string
-	records []Record
+	decompressor  *zstd.Decoder
+	stringsBuffer []byte
+	columnsBuffer []byte
+	textLists     [textCount][]string
+	records       []Record
 }
 
-// NewDecoder makes a decoder.
+// NewDecoder returns a Decoder.
 func NewDecoder() *Decoder {
-	unzip, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(partMost))
+	decompressor, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPartBytes))
 	if err != nil {
-		panic(err) // of constant options: it cannot fail
+		panic(err) // only fails for invalid options, and these are constant
 	}
-	return &Decoder{unzip: unzip}
+	return &Decoder{decompressor: decompressor}
 }
 
-// Strings reads the strings of a block, by column, until the next call.
-func (d *Decoder) Strings(part []byte) (*[texts][]string, error) {
-	b, err := d.unzip.DecodeAll(part, d.strs[:0])
+// Strings decodes the string table of a block, one list for each string column. The lists are valid until the next
+// call of Strings or Decode. Errors wrap ErrInvalidBlock.
+func (d *Decoder) Strings(part []byte) (*[textCount][]string, error) {
+	b, err := d.decompressor.DecodeAll(part, d.stringsBuffer[:0])
 	if err != nil {
-		return nil, bad("its strings: %v", err)
+		return nil, blockErrorf("string table: %v", err)
 	}
-	d.strs = b
-	for t := range d.list {
+	d.stringsBuffer = b
+	for t := range d.textLists {
 		n, size := binary.Uvarint(b)
-		if size <= 0 || n > recordsMost || len(b) < size+1 {
-			return nil, bad("its strings are cut off")
+		if size <= 0 || n > maxBlockRecords || len(b) < size+1 {
+			return nil, blockErrorf("string table is truncated")
 		}
 		packed := b[size]
 		b = b[size+1:]
-		list := d.list[t][:0]
-		// One string holds all of a column's: the parts of it cost nothing each.
+		list := d.textLists[t][:0]
+		// The IDs are substrings of one string, which saves an allocation for each.
 		if packed == 1 {
 			if uint64(len(b)) < 8*n {
-				return nil, bad("its ids are cut off")
+				return nil, blockErrorf("packed IDs are truncated")
 			}
 			all := hex.EncodeToString(b[:8*n])
 			b = b[8*n:]
@@ -358,38 +371,39 @@
 			}
 		} else if packed == 0 {
 			for range n {
-				long, size := binary.Uvarint(b)
-				if size <= 0 || long > uint64(len(b)-size) {
-					return nil, bad("a string is cut off")
+				length, size := binary.Uvarint(b)
+				if size <= 0 || length > uint64(len(b)-size) {
+					return nil, blockErrorf("string is truncated")
 				}
-				list = append(list, string(b[size:size+int(long)]))
-				b = b[size+int(long):]
+				list = append(list, string(b[size:size+int(length)]))
+				b = b[size+int(length):]
 			}
 		} else {
-			return nil, bad("its strings are of form %d", packed)
+			return nil, blockErrorf("string table has unknown encoding %d", packed)
 		}
-		d.list[t] = list
+		d.textLists[t] = list
 	}
 	if len(b) > 0 {
-		return nil, bad("%d bytes follow its strings", len(b))
+		return nil, blockErrorf("%d bytes after the string table", len(b))
 	}
-	return &d.list, nil
+	return &d.textLists, nil
 }
 
-// Decode reads a block; the records are valid until the next call, their strings stay.
+// Decode decodes a block. The records are valid until the next call; their strings may be kept. Errors wrap
+// ErrInvalidBlock.
 func (d *Decoder) Decode(strings, columns []byte) ([]Record, error) {
 	lists, err := d.Strings(strings)
 	if err != nil {
 		return nil, err
 	}
-	b, err := d.unzip.DecodeAll(columns, d.cols[:0])
+	b, err := d.decompressor.DecodeAll(columns, d.columnsBuffer[:0])
 	if err != nil {
-		return nil, bad("its columns: %v", err)
+		return nil, blockErrorf("columns: %v", err)
 	}
-	d.cols = b
+	d.columnsBuffer = b
 	n, size := binary.Uvarint(b)
-	if size <= 0 || n > recordsMost || uint64(len(b)-size) < n {
-		return nil, bad("it says that it holds %d records", n)
+	if size <= 0 || n > maxBlockRecords || uint64(len(b)-size) < n {
+		return nil, blockErrorf("invalid record count %d", n)
 	}
 	b = b[size:]
 	if uint64(cap(d.records)) < n {
@@ -397,85 +411,86 @@
 	}
 	list := d.records[:n]
 	clear(list)
-	var count [kinds]int
+	var count [kindCount]int
 	for i := range list {
 		kind := Kind(b[i] & 0x7f)
-		if kind == 0 || kind >= kinds {
-			return nil, bad("a record of kind %d", kind)
+		if kind == 0 || kind >= kindCount {
+			return nil, blockErrorf("unknown record kind %d", kind)
 		}
 		list[i].Kind, list[i].Carried = kind, b[i]&0x80 != 0
 		count[kind]++
 	}
-	kindsOf := b[:n]
+	kindBytes := b[:n]
 	b = b[n:]
-	col, b, err := cutColumn(b)
+	column, b, err := cutColumn(b)
 	if err != nil {
 		return nil, err
 	}
 	last := int64(0)
 	for i := range list {
-		delta, size := binary.Varint(col)
+		delta, size := binary.Varint(column)
 		if size <= 0 {
-			return nil, bad("its times are cut off")
+			return nil, blockErrorf("time column is truncated")
 		}
-		col = col[size:]
+		column = column[size:]
 		last += delta
 		list[i].At = last
 	}
 	rows := make([]int32, 0, n)
-	for kind := Kind(1); kind < kinds; kind++ {
+	for kind := Kind(1); kind < kindCount; kind++ {
 		if count[kind] == 0 {
 			continue
 		}
 		rows = rows[:0]
-		for i, k := range kindsOf {
+		for i, k := range kindBytes {
 			if Kind(k&0x7f) == kind {
 				rows = append(rows, int32(i))
 			}
 		}
 		for _, t := range layout[kind].texts {
-			if col, b, err = cutColumn(b); err != nil {
+			if column, b, err = cutColumn(b); err != nil {
 				return nil, err
 			}
 			names, last := lists[t], int64(0)
 			for _, i := range rows {
-				delta, size := binary.Varint(col)
+				delta, size := binary.Varint(column)
 				if size <= 0 {
-					return nil, bad("column %s of %s is cut off", t, kind)
+					return nil, blockErrorf("column %s of %s is truncated", t, kind)
 				}
-				col = col[size:]
+				column = column[size:]
 				if last += delta; last < 0 || last >= int64(len(names)) {
-					return nil, bad("column %s of %s names string %d of %d", t, kind, last, len(names))
+					return nil, blockErrorf("column %s of %s refers to string %d of %d", t, kind, last, len(names))
 				}
 				list[i].S[t] = names[last]
 			}
 		}
 		for _, f := range layout[kind].figures {
-			if col, b, err = cutColumn(b); err != nil {
+			if column, b, err = cutColumn(b); err != nil {
 				return nil, err
 			}
 			last := int64(0)
 			for _, i := range rows {
-				delta, size := binary.Varint(col)
+				delta, size := binary.Varint(column)
 				if size <= 0 {
-					return nil, bad("column %s of %s is cut off", f, kind)
+					return nil, blockErrorf("column %s of %s is truncated", f, kind)
 				}
-				col = col[size:]
+				column = column[size:]
 				last += delta
 				list[i].N[f] = last
 			}
 		}
 	}
 	if len(b) > 0 {
-		return nil, bad("%d bytes follow its columns", len(b))
+		return nil, blockErrorf("%d bytes after the columns", len(b))
 	}
 	return list, nil
 }
 
+// cutColumn splits a column off the front of b.
 func cutColumn(b []byte) (col, rest []byte, err error) {
 	n, size := binary.Uvarint(b)
 	if size <= 0 || n > uint64(len(b)-size) {
-		return nil, nil, bad("a column is cut off")
+		return nil, nil, blockErrorf("column is truncated")
 	}
 	return b[size : size+int(n)], b[size+int(n):], nil
 }
--- a/trace/clock.go
+++ b/trace/clock.go
@@ -9,318 +9,339 @@
 	"strings"
 )
 
-// Routers' clocks differ, by an offset and by drift. What several routers saw alike tells how much: numbered lists reach
-// all of them within a second or so, and a call that is tried again at another router cannot have come there before the
-// first has answered it. clock.go estimates one clock for each life of a router, and a further one after each step back.
+// Routers' clocks differ by an offset and a drift, which are estimated from events that several routers observed:
+// numbered server lists reach all routers within about a second, and a call that is retried at another router can't
+// arrive there before the first router has answered it. There is one estimate for each router incarnation, and
+// another after each backward step of its clock.
 
 const (
-	// stepBack in microseconds is more than any clock that is only read late can go back: a step.
-	stepBack = 1_000_000
-	// repeatWithin in microseconds is how long after an answer a caller's further try may come.
-	repeatWithin = 10_000_000
-	// driftMost is the largest drift that is believed, in parts of a million.
-	driftMost = 500.0
-	// spanLeast in microseconds is how far apart sightings must lie to tell a drift, and pairsMost bounds the work.
-	spanLeast = 30_000_000
-	pairsMost = 400
-	// numbersMost numbers are followed for causes.
-	numbersMost = 200_000
+	// minClockStep (microseconds) is the smallest backward jump that counts as a clock step; records that are only
+	// stamped late differ by less.
+	minClockStep = 1_000_000
+	// maxRetryDelay (microseconds) is the longest time between an answer and the caller's retry of the call.
+	maxRetryDelay = 10_000_000
+	// maxDriftPPM limits the estimated drift, in parts per million.
+	maxDriftPPM = 500.0
+	// minDriftSpan (microseconds) is the shortest time between two observations that drift is estimated from.
+	// maxPairs limits the observations compared, since the work grows with their square.
+	minDriftSpan = 30_000_000
+	maxPairs     = 400
+	// maxNumbers limits the called numbers that are tracked to match retries with answers.
+	maxNumbers = 200_000
 )
 
-// Clock corrects the times of one stretch of a router's records: true = at + Offset + Drift*(at - Zero).
+// Clock corrects the times of one segment of a router's records: corrected = at + Offset + Drift*(at - Start). A
+// segment is an incarnation of a router, or the part of it between two backward steps of its clock.
 type Clock struct {
 	Router   string  `json:"router"`
 	Life     int64   `json:"life"`
-	Step     int     `json:"step"`      // how often its clock had stepped back before
-	Zero     int64   `json:"zero_us"`   // first time in the stretch
-	Offset   int64   `json:"offset_us"` // what is added there
+	Step     int     `json:"step"`      // backward steps of the clock before this segment
+	Zero     int64   `json:"zero_us"`   // first time in the segment
+	Offset   int64   `json:"offset_us"` // correction at Start
 	Drift    float64 `json:"drift_ppm"`
-	Low      int64   `json:"low_us"` // bounds of the offset, by what was seen alike
+	Low      int64   `json:"low_us"` // bounds of the offset, from the shared observations
 	High     int64   `json:"high_us"`
-	Alike    int     `json:"alike"` // lists seen by it and by the reference
-	Causes   int     `json:"causes"`
-	Guess    bool    `json:"guess"` // nothing was seen alike: it is taken to go on from the stretch before, or to be right
+	Alike    int     `json:"alike"`  // server lists that it shares with the segment it was fitted to
+	Causes   int     `json:"causes"` // pairs of an answer and its retry at another router
+	Guess    bool    `json:"guess"`  // no shared observations: continues from the previous segment, or is uncorrected
 	last     int64
 	previous *Clock
 }
 
-// Correct is the time by the reference's clock.
+// Correct converts a time of this clock (microseconds since the Unix epoch) to the reference clock.
 func (c *Clock) Correct(at int64) int64 {
 	return at + c.Offset + int64(c.Drift*float64(at-c.Zero)/1e6)
 }
 
+// String describes the clock for operators.
 func (c *Clock) String() string {
 	text := fmt.Sprintf("%s life %d", c.Router, c.Life)
 	if c.Step > 0 {
 		text += fmt.Sprintf(" after step %d", c.Step)
 	}
-	return fmt.Sprintf("%s: offset %+.3f s (from %+.3f to %+.3f), drift %+.1f ppm, %d lists and %d causes seen alike", text,
+	return fmt.Sprintf("%s: offset %+.3f s (from %+.3f to %+.3f), drift %+.1f ppm, %d lists and %d causes seen alike",
+		text,
 		float64(c.Offset)/1e6, float64(c.Low)/1e6, float64(c.High)/1e6, c.Drift, c.Alike, c.Causes)
 }
 
-// stretch is what was seen in the records that one Clock is for.
-type stretch struct {
+// clockSegment holds the observations from the records of one Clock.
+type clockSegment struct {
 	Clock
-	lists map[int64]int64 // number to when it first came
+	listTimes map[int64]int64 // list number to the time of its first arrival
 }
 
-// event is the answer to a try, or a repeat of one.
-type event struct {
-	clock *stretch
-	at    int64
+// clockEvent is the time of an answer or of a retry, by the clock of its segment.
+type clockEvent struct {
+	segment *clockSegment
+	at      int64
 }
 
-// Sightings collects what routers saw alike. Records are fed file by file, each in order.
+// ClockEstimator collects what several routers observed and estimates their clocks from it. Files are added one after
+// another, each in order. It isn't safe for concurrent use.
 type Sightings struct {
-	all       map[string]*stretch // the latest of each life
-	ordered   []*stretch
-	refused   map[string][]event // by number called
-	repeated  map[string][]event
-	numbers   map[string]string // of calls that are open
-	exhausted bool
+	latest      map[string]*clockSegment // latest segment of each incarnation
+	segments    []*clockSegment
+	failures    map[string][]clockEvent // refusals and failures by called number
+	retries     map[string][]clockEvent // marked retries by called number
+	openNumbers map[string]string       // called number by ID of an open call
 }
 
-// NewSightings begins with none.
+// NewClockEstimator returns an empty ClockEstimator.
 func NewSightings() *Sightings {
-	return &Sightings{all: map[string]*stretch{}, refused: map[string][]event{}, repeated: map[string][]event{}, numbers: map[string]string{}}
+	return &Sightings{latest: map[string]*clockSegment{}, failures: map[string][]clockEvent{},
+		retries: map[string][]clockEvent{}, openNumbers: map[string]string{}}
 }
 
-func lifeKey(router string, life int64) string { return fmt.Sprintf("%s/%d", router, life) }
+func incarnationKey(router string, incarnation int64) string {
+	return fmt.Sprintf("%s/%d", router, incarnation)
+}
 
-// Take looks at a record of a router's life.
-func (s *Sightings) Take(life int64, r *Record) {
-	key := lifeKey(r.S[Router], life)
-	st := s.all[key]
-	if st == nil || r.At < st.last-stepBack {
-		next := &stretch{Clock: Clock{Router: r.S[Router], Life: life, Zero: r.At, last: r.At}, lists: map[int64]int64{}}
-		if st != nil {
-			next.Step, next.previous = st.Step+1, &st.Clock
+// Add adds a record of a router's incarnation.
+func (s *Sightings) Take(incarnation int64, r *Record) {
+	key := incarnationKey(r.S[Router], incarnation)
+	segment := s.latest[key]
+	if segment == nil || r.At < segment.last-minClockStep {
+		next := &clockSegment{Clock: Clock{Router: r.S[Router], Life: incarnation, Zero: r.At, last: r.At},
+			listTimes: map[int64]int64{}}
+		if segment != nil {
+			next.Step, next.previous = segment.Step+1, &segment.Clock
 		}
-		st = next
-		s.all[key] = st
-		s.ordered = append(s.ordered, st)
+		segment = next
+		s.latest[key] = segment
+		s.segments = append(s.segments, segment)
 	}
-	st.last = max(st.last, r.At)
+	segment.last = max(segment.last, r.At)
 	switch r.Kind {
 	case List:
-		if _, known := st.lists[r.N[Serial]]; !known {
-			st.lists[r.N[Serial]] = r.At
+		if _, known := segment.listTimes[r.N[Serial]]; !known {
+			segment.listTimes[r.N[Serial]] = r.At
 		}
 	case Request:
 		if r.S[Number] == "" {
 			return
 		}
 		if r.N[Retry] != 0 {
-			s.note(s.repeated, r.S[Number], event{st, r.At})
+			s.addEvent(s.retries, r.S[Number], clockEvent{segment, r.At})
 		}
-		if len(s.numbers) < numbersMost {
-			s.numbers[r.S[Call]] = r.S[Number]
+		if len(s.openNumbers) < maxNumbers {
+			s.openNumbers[r.S[Call]] = r.S[Number]
 		}
 	case Answer:
-		number, known := s.numbers[r.S[Call]]
-		delete(s.numbers, r.S[Call])
+		number, known := s.openNumbers[r.S[Call]]
+		delete(s.openNumbers, r.S[Call])
 		if end := End(r.N[Final]); known && (end == EndRefused || end == EndFailed) {
-			s.note(s.refused, number, event{st, r.At})
+			s.addEvent(s.failures, number, clockEvent{segment, r.At})
 		}
 	}
 }
 
-func (s *Sightings) note(m map[string][]event, number string, e event) {
-	if len(m) < numbersMost && len(m[number]) < 16 {
+// addEvent stores an event of a called number, within limits of memory.
+func (s *Sightings) addEvent(m map[string][]clockEvent, number string, e clockEvent) {
+	if len(m) < maxNumbers && len(m[number]) < 16 {
 		m[number] = append(m[number], e)
 	}
 }
 
-// Estimate tells the clocks: that of the router that saw most lists is right.
+// Estimate returns the clocks in the order in which their segments were added. The clock of the segment with the most
+// server lists is the reference. It is called once, after all records were added.
 func (s *Sightings) Estimate() []*Clock {
-	if len(s.ordered) == 0 {
+	if len(s.segments) == 0 {
 		return nil
 	}
-	reference := slices.MaxFunc(s.ordered, func(a, b *stretch) int {
-		return cmp.Or(cmp.Compare(len(a.lists), len(b.lists)), strings.Compare(b.Router, a.Router), cmp.Compare(b.Life, a.Life))
+	reference := slices.MaxFunc(s.segments, func(a, b *clockSegment) int {
+		return cmp.Or(cmp.Compare(len(a.listTimes), len(b.listTimes)), strings.Compare(b.Router, a.Router),
+			cmp.Compare(b.Life, a.Life))
 	})
-	// Those that share lists with the reference first, then those that share with one of these.
-	known := []*stretch{reference}
-	left := slices.DeleteFunc(slices.Clone(s.ordered), func(o *stretch) bool { return o == reference })
-	for again := true; again; {
-		again = false
-		for _, k := range known {
-			left = slices.DeleteFunc(left, func(o *stretch) bool {
-				if !o.fit(k) {
+	// Fit segments that share lists with the reference first, then those that share lists with a fitted one.
+	known := []*clockSegment{reference}
+	remaining := slices.DeleteFunc(slices.Clone(s.segments), func(o *clockSegment) bool { return o == reference })
+	for progress := true; progress; {
+		progress = false
+		for _, source := range known {
+			remaining = slices.DeleteFunc(remaining, func(o *clockSegment) bool {
+				if !o.fitTo(source) {
 					return false
 				}
-				known, again = append(known, o), true
+				known, progress = append(known, o), true
 				return true
 			})
 		}
 	}
-	for _, o := range left {
+	for _, o := range remaining {
 		o.Guess = true
 		if o.previous != nil {
 			o.Offset = o.previous.Correct(o.previous.last) - o.Zero
 		}
 		o.Low, o.High = o.Offset, o.Offset
 	}
-	s.causes(reference)
-	clocks := make([]*Clock, len(s.ordered))
-	for i, o := range s.ordered {
+	s.enforceCausality(reference)
+	clocks := make([]*Clock, len(s.segments))
+	for i, o := range s.segments {
 		clocks[i] = &o.Clock
 	}
 	return clocks
 }
 
-// fit estimates a clock from the lists that a known one has seen too; false if there are none.
-func (o *stretch) fit(k *stretch) bool {
-	type pair struct{ x, y float64 } // own time since Zero, and what is to be added there
+// fitTo estimates the clock from the lists that it shares with a known segment; it returns false if there are none.
+func (o *clockSegment) fitTo(known *clockSegment) bool {
+	type pair struct{ x, y float64 } // own time since Start, and the correction at that time
 	var pairs []pair
-	for _, serial := range slices.Sorted(maps.Keys(o.lists)) {
-		if at, both := k.lists[serial]; both {
-			pairs = append(pairs, pair{float64(o.lists[serial] - o.Zero), float64(k.Correct(at) - o.lists[serial])})
+	for _, serial := range slices.Sorted(maps.Keys(o.listTimes)) {
+		if at, both := known.listTimes[serial]; both {
+			pairs = append(pairs,
+				pair{float64(o.listTimes[serial] - o.Zero), float64(known.Correct(at) - o.listTimes[serial])})
 		}
 	}
 	if len(pairs) == 0 {
 		return false
 	}
 	o.Alike = len(pairs)
-	if len(pairs) > pairsMost { // spread over the whole
-		every := (len(pairs) + pairsMost - 1) / pairsMost
-		var some []pair
-		for i := 0; i < len(pairs); i += every {
-			some = append(some, pairs[i])
+	if len(pairs) > maxPairs { // sample evenly over the segment
+		stride := (len(pairs) + maxPairs - 1) / maxPairs
+		var sample []pair
+		for i := 0; i < len(pairs); i += stride {
+			sample = append(sample, pairs[i])
 		}
-		pairs = some
+		pairs = sample
 	}
-	// The median of the slopes between pairs (Theil and Sen): a list that came late here or there moves it little.
+	// The Theil-Sen estimator (median slope) is robust against lists that arrived late at one of the routers.
 	var slopes []float64
 	for i, a := range pairs {
 		for _, b := range pairs[i+1:] {
-			if span := b.x - a.x; span >= spanLeast || -span >= spanLeast {
+			if span := b.x - a.x; span >= minDriftSpan || -span >= minDriftSpan {
 				slopes = append(slopes, (b.y-a.y)/span)
 			}
 		}
 	}
 	if len(slopes) >= 3 {
 		slices.Sort(slopes)
-		o.Drift = min(max(1e6*slopes[len(slopes)/2], -driftMost), driftMost)
+		o.Drift = min(max(1e6*slopes[len(slopes)/2], -maxDriftPPM), maxDriftPPM)
 	}
-	rests := make([]float64, len(pairs))
+	residuals := make([]float64, len(pairs))
 	for i, p := range pairs {
-		rests[i] = p.y - o.Drift*p.x/1e6
+		residuals[i] = p.y - o.Drift*p.x/1e6
 	}
-	slices.Sort(rests)
-	o.Offset, o.Low, o.High = int64(rests[len(rests)/2]), int64(rests[0]), int64(rests[len(rests)-1])
+	slices.Sort(residuals)
+	o.Offset, o.Low, o.High =
+		int64(residuals[len(residuals)/2]), int64(residuals[0]), int64(residuals[len(residuals)-1])
 	return true
 }
 
-// causes moves clocks within their bounds, and beyond where it must be, so that no repeat comes before the answer that it
-// follows.
-func (s *Sightings) causes(reference *stretch) {
-	type cause struct{ answer, repeat event }
-	var list []cause
-	for _, number := range slices.Sorted(maps.Keys(s.repeated)) {
-		for _, r := range s.repeated[number] {
-			// The answer of another router that lies nearest before it, or, where clocks are off, nearest after it.
-			best, found := int64(0), cause{}
-			for _, a := range s.refused[number] {
-				if a.clock == r.clock {
+// enforceCausality shifts clocks so that no retry comes before the answer that it follows. It stays within their
+// bounds where it can and widens them otherwise.
+func (s *Sightings) enforceCausality(reference *clockSegment) {
+	type causalPair struct{ answer, retry clockEvent }
+	var pairs []causalPair
+	for _, number := range slices.Sorted(maps.Keys(s.retries)) {
+		for _, r := range s.retries[number] {
+			// Take the nearest answer of another router, which may come after the retry where clocks are wrong.
+			bestGap, found := int64(0), causalPair{}
+			for _, a := range s.failures[number] {
+				if a.segment == r.segment {
 					continue
 				}
-				gap := r.clock.Correct(r.at) - a.clock.Correct(a.at)
-				slack := max(2_000_000, a.clock.High-a.clock.Low, r.clock.High-r.clock.Low)
-				if gap > repeatWithin || gap < -slack {
+				gap := r.segment.Correct(r.at) - a.segment.Correct(a.at)
+				slack := max(2_000_000, a.segment.High-a.segment.Low, r.segment.High-r.segment.Low)
+				if gap > maxRetryDelay || gap < -slack {
 					continue
 				}
-				if found.answer.clock == nil || max(gap, -gap) < best {
-					best, found = max(gap, -gap), cause{a, r}
+				if found.answer.segment == nil || max(gap, -gap) < bestGap {
+					bestGap, found = max(gap, -gap), causalPair{a, r}
 				}
 			}
-			if found.answer.clock != nil {
-				list = append(list, found)
-				found.answer.clock.Causes++
-				found.repeat.clock.Causes++
+			if found.answer.segment != nil {
+				pairs = append(pairs, found)
+				found.answer.segment.Causes++
+				found.retry.segment.Causes++
 			}
 		}
 	}
 	for range 20 {
 		moved := false
-		for _, c := range list {
-			short := c.answer.clock.Correct(c.answer.at) + 1 - c.repeat.clock.Correct(c.repeat.at)
-			if short <= 0 {
+		for _, c := range pairs {
+			shortfall := c.answer.segment.Correct(c.answer.at) + 1 - c.retry.segment.Correct(c.retry.at)
+			if shortfall <= 0 {
 				continue
 			}
 			moved = true
-			if c.repeat.clock != reference {
-				room := short
-				if c.answer.clock != reference {
-					room = min(short, max(0, c.repeat.clock.High-c.repeat.clock.Offset))
-					if room == 0 {
-						room = (short + 1) / 2
+			if c.retry.segment != reference {
+				shift := shortfall
+				if c.answer.segment != reference {
+					shift = min(shortfall, max(0, c.retry.segment.High-c.retry.segment.Offset))
+					if shift == 0 {
+						shift = (shortfall + 1) / 2
 					}
 				}
-				c.repeat.clock.Offset += room
-				short -= room
+				c.retry.segment.Offset += shift
+				shortfall -= shift
 			}
-			if short > 0 && c.answer.clock != reference {
-				c.answer.clock.Offset -= short
+			if shortfall > 0 && c.answer.segment != reference {
+				c.answer.segment.Offset -= shortfall
 			}
 		}
 		if !moved {
 			break
 		}
 	}
-	for _, o := range s.ordered {
+	for _, o := range s.segments {
 		o.Low, o.High = min(o.Low, o.Offset), max(o.High, o.Offset)
 	}
 }
 
-// Source gives the records of one file in order; each is valid until the next call. io.EOF is the end.
+// Source returns the records of one file in order. A record is valid until the next call. After the last one, Next
+// returns an error of the caller's choice, usually io.EOF.
 type Source interface{ Next() (*Record, error) }
 
-// Merger brings sources together by corrected time. Within a life the order is that of the file.
+// Merger merges sources by corrected time and keeps the file order within an incarnation. It isn't safe for
+// concurrent use.
 type Merger struct {
-	h      cursors
-	clocks map[string][]*Clock // by life, in order of steps
+	queue  cursorHeap
+	clocks map[string][]*Clock // by incarnation, in order of steps
 }
 
+// cursor is the read position in one source.
 type cursor struct {
-	src    Source
-	life   int64
-	clocks []*Clock
-	step   int
-	last   int64 // latest own time, to find steps
-	key    int64 // corrected time; never goes back within a source
-	order  int
-	record *Record
+	source      Source
+	incarnation int64
+	clocks      []*Clock
+	segment     int
+	last        int64 // latest uncorrected time, to detect backward steps
+	sortTime    int64 // corrected time; never decreases within a source
+	order       int
+	record      *Record
 }
 
-type cursors []*cursor
+// cursorHeap is a heap of cursors by time, then by order of addition.
+type cursorHeap []*cursor
 
-func (c cursors) Len() int { return len(c) }
-func (c cursors) Less(i, j int) bool {
-	return c[i].key < c[j].key || c[i].key == c[j].key && c[i].order < c[j].order
+func (c cursorHeap) Len() int { return len(c) }
+func (c cursorHeap) Less(i, j int) bool {
+	return c[i].sortTime < c[j].sortTime || c[i].sortTime == c[j].sortTime && c[i].order < c[j].order
 }
-func (c cursors) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
-func (c *cursors) Push(x any)   { *c = append(*c, x.(*cursor)) }
-func (c *cursors) Pop() any {
+func (c cursorHeap) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
+func (c *cursorHeap) Push(x any)   { *c = append(*c, x.(*cursor)) }
+func (c *cursorHeap) Pop() any {
 	old := *c
 	last := old[len(old)-1]
 	*c = old[:len(old)-1]
 	return last
 }
 
-// NewMerger begins with clocks that were estimated of the same records.
+// NewMerger returns a Merger that uses clocks estimated from the same records.
 func NewMerger(clocks []*Clock) *Merger {
 	m := &Merger{clocks: map[string][]*Clock{}}
 	for _, c := range clocks {
-		key := lifeKey(c.Router, c.Life)
+		key := incarnationKey(c.Router, c.Life)
 		m.clocks[key] = append(m.clocks[key], c)
 	}
 	return m
 }
 
-// Add takes a source of a router's life. Files of one life are added in their order as one source.
-func (m *Merger) Add(router string, life int64, src Source, end error) error {
-	c := &cursor{src: src, life: life, clocks: m.clocks[lifeKey(router, life)], order: len(m.h), last: -1 << 62, key: -1 << 62}
+// Add adds a source of a router's incarnation. Files of one incarnation are added in order as one source. end is the
+// error by which the source reports its end; other errors of the source are returned.
+func (m *Merger) Add(router string, incarnation int64, src Source, end error) error {
+	c := &cursor{source: src, incarnation: incarnation, clocks: m.clocks[incarnationKey(router, incarnation)], order: len(m.queue),
+		last: -1 << 62, sortTime: -1 << 62}
 	if len(c.clocks) == 0 {
 		c.clocks = []*Clock{{}}
 	}
@@ -329,46 +350,47 @@
 		return nil
 	}
 	if err == nil {
-		m.h = append(m.h, c)
-		heap.Init(&m.h)
+		m.queue = append(m.queue, c)
+		heap.Init(&m.queue)
 	}
 	return err
 }
 
+// next reads the next record and computes its corrected time.
 func (c *cursor) next() (err error) {
-	if c.record, err = c.src.Next(); err != nil {
+	if c.record, err = c.source.Next(); err != nil {
 		return err
 	}
-	if at := c.record.At; at < c.last-stepBack && c.step+1 < len(c.clocks) {
-		c.step++
+	if at := c.record.At; at < c.last-minClockStep && c.segment+1 < len(c.clocks) {
+		c.segment++
 		c.last = at
 	} else {
 		c.last = max(c.last, at)
 	}
-	c.key = max(c.key, c.clocks[c.step].Correct(c.record.At))
+	c.sortTime = max(c.sortTime, c.clocks[c.segment].Correct(c.record.At))
 	return nil
 }
 
-// Next returns the next record with its time corrected, until the next call; end is the sources' word for their end, and this
-// one's.
+// Next returns the next record with its time corrected; it is valid until the next call. end is the error by which
+// the sources report their end, and which Next returns at the end of all.
 func (m *Merger) Next(end error) (*Record, error) {
-	if len(m.h) == 0 {
+	if len(m.queue) == 0 {
 		return nil, end
 	}
-	c := m.h[0]
-	if c.record == nil { // given out by the call before
+	c := m.queue[0]
+	if c.record == nil { // returned by the previous call
 		switch err := c.next(); {
 		case err == end:
-			heap.Pop(&m.h)
+			heap.Pop(&m.queue)
 			return m.Next(end)
 		case err != nil:
 			return nil, err
 		}
-		heap.Fix(&m.h, 0)
-		c = m.h[0]
+		heap.Fix(&m.queue, 0)
+		c = m.queue[0]
 	}
 	r := c.record
 	c.record = nil
-	r.At = c.key
+	r.At = c.sortTime
 	return r, nil
 }
--- a/trace/export.go
+++ b/trace/export.go
@@ -16,8 +16,8 @@
 	"threadglade.example/threadglade"
 )
 
-// line is a record as one JSON object.
-type line struct {
+// jsonRecord is the JSON form of a record.
+type jsonRecord struct {
 	Time    string            `json:"time"`
 	Kind    string            `json:"kind"`
 	Carried bool              `json:"carried,omitempty"`
@@ -28,10 +28,10 @@
 	Outcome string            `json:"outcome,omitempty"`
 }
 
-// JSON writes a record as one line of JSON.
+// WriteJSON writes a record as one line of JSON.
 func JSON(w io.Writer, r *Record) error {
-	l := line{Time: r.Time().Format("2006-01-02T15:04:05.000000Z"), Kind: r.Kind.String(), Carried: r.Carried, Outcome: r.outcome(),
-		Texts: map[string]string{}, Figures: map[string]int64{}}
+	l := jsonRecord{Time: r.Time().Format("2006-01-02T15:04:05.000000Z"), Kind: r.Kind.String(), Carried: r.Carried,
+		Outcome: r.outcomeLabel(), Texts: map[string]string{}, Figures: map[string]int64{}}
 	for _, t := range layout[r.Kind].texts {
 		if r.S[t] != "" {
 			l.Texts[t.String()] = r.S[t]
@@ -51,27 +51,29 @@
 	return err
 }
 
-// Spans writes calls as traces of the OpenTelemetry protocol in JSON, one object a line: a call is a span, each attempt one below
-// it, a decision an event.
+// SpanWriter writes calls as OpenTelemetry traces in OTLP JSON, one object per line: a call is a span, its attempts
+// are child spans and its decisions events. It isn't safe for concurrent use.
 type Spans struct {
-	w    io.Writer
-	open map[string]*callSpans
-	// Dropped counts calls that were not followed because too many were open.
+	w         io.Writer
+	openCalls map[string]*callSpans
+	// Dropped counts calls that were not exported because too many calls were open.
 	Dropped int
 }
 
+// callSpans holds the spans of an open call.
 type callSpans struct {
-	root    *spans.Span
-	attempt *spans.Span
-	done    []*spans.Span
-	router  string
-	stood   bool
+	root        *spans.Span
+	attempt     *spans.Span // in flight
+	finished    []*spans.Span
+	router      string
+	established bool
 }
 
-// NewSpans begins to write.
-func NewSpans(w io.Writer) *Spans { return &Spans{w: w, open: map[string]*callSpans{}} }
+// NewSpanWriter returns a SpanWriter that writes to w.
+func NewSpans(w io.Writer) *Spans { return &Spans{w: w, openCalls: map[string]*callSpans{}} }
 
-func id(parts ...string) []byte {
+// hashID returns an 8-byte ID that depends only on its parts.
+func hashID(parts ...string) []byte {
 	h := fnv.New64a()
 	for _, p := range parts {
 		io.WriteString(h, p)
@@ -80,54 +82,84 @@
 	return h.Sum(nil)
 }
 
-func text(key, value string) *common.KeyValue {
-	return &common.KeyValue{Key: key, Value: &common.AnyValue{Value: &common.AnyValue_StringValue{StringValue: value}}}
+func stringAttribute(key, value string) *common.KeyValue {
+	return &common.KeyValue{Key: key,
+		Value: &common.AnyValue{Value: &common.AnyValue_StringValue{StringValue: value}}}
 }
 
-func figure(key string, n int64) *common.KeyValue {
+func intAttribute(key string, n int64) *common.KeyValue {
 	return &common.KeyValue{Key: key, Value: &common.AnyValue{Value: &common.AnyValue_IntValue{IntValue: n}}}
 }
 
-// Take adds a record; calls that are over are written.
+// Add adds the next record. A call is written when it ends.
 func (s *Spans) Take(r *Record) error {
 	call := r.S[Call]
 	if call == "" || r.Kind == Stray {
 		return nil
 	}
 	nano := uint64(r.At) * 1000
-	c := s.open[call]
+	c := s.openCalls[call]
 	if c == nil {
 		if r.Kind != Request {
 			return nil
 		}
-		if len(s.open) >= openMost {
+		if len(s.openCalls) >= maxOpenCalls {
 			s.Dropped++
 			return nil
 		}
-		c = &callSpans{router: r.S[Router], root: &spans.Span{TraceId: append(id("trace", call), id(call)...), SpanId: id("call", call), Name: "call",
-			Kind: spans.Span_SPAN_KIND_SERVER, StartTimeUnixNano: nano, Attributes: []*common.KeyValue{text("call.id", call), text("call.class", r.S[Class]),
-				text("call.tenant", r.S[Tenant]), text("call.number", r.S[Number]), text("call.front", r.S[Front]), figure("call.destination", r.N[Destination])}}}
-		s.open[call] = c
+		c = &callSpans{router: r.S[Router], root: &spans.Span{
+			TraceId:           append(hashID("trace", call), hashID(call)...),
+			SpanId:            hashID("call", call),
+			Name:              "call",
+			Kind:              spans.Span_SPAN_KIND_SERVER,
+			StartTimeUnixNano: nano,
+			Attributes: []*common.KeyValue{
+				stringAttribute("call.id", call),
+				stringAttribute("call.class", r.S[Class]),
+				stringAttribute("call.tenant", r.S[Tenant]),
+				stringAttribute("call.number", r.S[Number]),
+				stringAttribute("call.front", r.S[Front]),
+				intAttribute("call.destination", r.N[Destination]),
+			},
+		}}
+		s.openCalls[call] = c
 		return nil
 	}
 	switch r.Kind {
 	case Decision:
-		event := &spans.Span_Event{TimeUnixNano: nano, Name: Action(r.N[Act]).String(), Attributes: []*common.KeyValue{
-			text("server", r.S[Server]), text("reason", reasonName(r.N[Reason])), figure("rate_milli", r.N[RateMilli]), figure("lambda_milli", r.N[LambdaMilli]),
-			figure("oldest_ms", r.N[OldestMs]), figure("free", r.N[Free]), figure("latency_us", r.N[LatencyUs])}}
+		event := &spans.Span_Event{TimeUnixNano: nano, Name: Action(r.N[Act]).String(),
+			Attributes: []*common.KeyValue{
+				stringAttribute("server", r.S[Server]),
+				stringAttribute("reason", reasonName(r.N[Reason])),
+				intAttribute("rate_milli", r.N[RateMilli]),
+				intAttribute("lambda_milli", r.N[LambdaMilli]),
+				intAttribute("oldest_ms", r.N[OldestMs]),
+				intAttribute("free", r.N[Free]),
+				intAttribute("latency_us", r.N[LatencyUs]),
+			}}
 		c.root.Events = append(c.root.Events, event)
 		if Action(r.N[Act]) == Sent {
-			c.attempt = &spans.Span{TraceId: c.root.TraceId, SpanId: id("attempt", call, fmt.Sprint(r.N[Attempt])), ParentSpanId: c.root.SpanId, Name: "attempt",
-				Kind: spans.Span_SPAN_KIND_CLIENT, StartTimeUnixNano: nano, Attributes: []*common.KeyValue{text("server", r.S[Server]), figure("attempt", r.N[Attempt])}}
+			c.attempt = &spans.Span{
+				TraceId:           c.root.TraceId,
+				SpanId:            hashID("attempt", call, fmt.Sprint(r.N[Attempt])),
+				ParentSpanId:      c.root.SpanId,
+				Name:              "attempt",
+				Kind:              spans.Span_SPAN_KIND_CLIENT,
+				StartTimeUnixNano: nano,
+				Attributes: []*common.KeyValue{
+					stringAttribute("server", r.S[Server]),
+					intAttribute("attempt", r.N[Attempt]),
+				},
+			}
 		}
 	case AttemptEnd:
-		c.end(nano, outcomeName(threadglade.Outcome(r.N[Outcome])), true)
+		c.endAttempt(nano, outcomeName(threadglade.Outcome(r.N[Outcome])), true)
 	case Answer:
 		end := End(r.N[Final])
-		c.root.Attributes = append(c.root.Attributes, text("call.answer", end.String()))
+		c.root.Attributes = append(c.root.Attributes, stringAttribute("call.answer", end.String()))
 		if end == EndStood {
-			c.stood = true
-			c.end(nano, "stood", false)
+			c.established = true
+			c.endAttempt(nano, "stood", false)
 			c.root.Events = append(c.root.Events, &spans.Span_Event{TimeUnixNano: nano, Name: "stood"})
 			return nil
 		}
@@ -144,30 +176,36 @@
 	return nil
 }
 
-func (c *callSpans) end(nano uint64, outcome string, bad bool) {
+// endAttempt ends the span of the attempt in flight, if there is one.
+func (c *callSpans) endAttempt(nano uint64, outcome string, failed bool) {
 	if c.attempt == nil {
 		return
 	}
 	c.attempt.EndTimeUnixNano = nano
-	c.attempt.Attributes = append(c.attempt.Attributes, text("outcome", outcome))
-	if bad {
+	c.attempt.Attributes = append(c.attempt.Attributes, stringAttribute("outcome", outcome))
+	if failed {
 		c.attempt.Status = &spans.Status{Code: spans.Status_STATUS_CODE_ERROR, Message: outcome}
 	}
-	c.done, c.attempt = append(c.done, c.attempt), nil
+	c.finished, c.attempt = append(c.finished, c.attempt), nil
 }
 
+// write writes an ended call as one line.
 func (s *Spans) write(call string, c *callSpans, nano uint64) error {
-	delete(s.open, call)
-	c.end(nano, "unknown", false)
+	delete(s.openCalls, call)
+	c.endAttempt(nano, "unknown", false)
 	c.root.EndTimeUnixNano = nano
 	data := &spans.TracesData{ResourceSpans: []*spans.ResourceSpans{{
-		Resource:   &resource.Resource{Attributes: []*common.KeyValue{text("service.name", "threadglade"), text("service.instance.id", c.router)}},
-		ScopeSpans: []*spans.ScopeSpans{{Scope: &common.InstrumentationScope{Name: "threadglade.trace"}, Spans: append([]*spans.Span{c.root}, c.done...)}}}}}
+		Resource: &resource.Resource{Attributes: []*common.KeyValue{
+			stringAttribute("service.name", "threadglade"),
+			stringAttribute("service.instance.id", c.router),
+		}},
+		ScopeSpans: []*spans.ScopeSpans{{Scope: &common.InstrumentationScope{Name: "threadglade.trace"},
+			Spans: append([]*spans.Span{c.root}, c.finished...)}}}}}
 	b, err := protojson.MarshalOptions{UseEnumNumbers: true}.Marshal(data)
 	if err != nil {
 		return err
 	}
-	// The protocol's JSON has ids in hexadecimal, where protocol buffers have base64.
+	// OTLP JSON encodes IDs in hexadecimal, unlike the standard JSON mapping of protocol buffers, which uses base64.
 	var v any
 	if err := json.Unmarshal(b, &v); err != nil {
 		return err
@@ -180,6 +218,7 @@
 	return err
 }
 
+// hexIDs converts the IDs of spans in decoded JSON from base64 to hexadecimal, in place.
 func hexIDs(v any) {
 	switch v := v.(type) {
 	case []any:
@@ -200,14 +239,14 @@
 	}
 }
 
-// Close writes the calls that were still open at the end, as far as they are known.
+// Close writes the calls that are still open, ending each at its last event.
 func (s *Spans) Close() error {
-	for call, c := range s.open {
+	for call, c := range s.openCalls {
 		end := c.root.StartTimeUnixNano
 		for _, e := range c.root.Events {
 			end = max(end, e.TimeUnixNano)
 		}
-		c.root.Attributes = append(c.root.Attributes, text("call.answer", "open"))
+		c.root.Attributes = append(c.root.Attributes, stringAttribute("call.answer", "open"))
 		if err := s.write(call, c, end); err != nil {
 			return err
 		}
--- a/trace/index.go
+++ b/trace/index.go
@@ -10,15 +10,17 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// BlockInfo is what the index knows of a block.
+// BlockInfo is the index entry of a block.
 type BlockInfo struct {
-	Offset  int64               `json:"offset"`  // of the frame of its strings
-	Columns int64               `json:"columns"` // of the frame of its columns
-	From    int64               `json:"from_us"` // earliest and latest time in it
-	To      int64               `json:"to_us"`
-	Count   int                 `json:"count"`
-	Reach   int                 `json:"reach"` // the block that holds the request of the oldest call in it; itself if none is older
-	Names   map[string][]string `json:"-"`     // what is in it, by dimension
+	Offset  int64 `json:"offset"`  // file offset of the string table's frame
+	Columns int64 `json:"columns"` // file offset of the columns' frame
+	From    int64 `json:"from_us"` // earliest and latest time in the block, microseconds since the Unix epoch
+	To      int64 `json:"to_us"`
+	Count   int   `json:"count"` // records
+	// OldestRequestBlock is the number of the block that holds the request of the oldest call in this block; its own
+	// number if no call is older.
+	Reach int                 `json:"reach"`
+	Names map[string][]string `json:"-"` // names that occur in the block, by dimension
 }
 
 // Dimensions of the index.
@@ -30,17 +32,17 @@
 	ByReason  = "reason"
 )
 
-// Dimensions lists them.
+// Dimensions lists all dimensions of the index.
 var Dimensions = []string{ByClass, ByTenant, ByServer, ByOutcome, ByReason}
 
-// Inform tells what records hold.
+// DescribeBlock returns the index entry for records, without offsets and OldestRequestBlock.
 func Inform(list []Record) BlockInfo {
 	b := BlockInfo{Count: len(list)}
 	var seen [5]map[string]bool
 	for i := range seen {
 		seen[i] = map[string]bool{}
 	}
-	var last [5]string // most records are like the one before
+	var last [5]string // skips the map where a name repeats, as in most records
 	note := func(i int, name string) {
 		if name != "" && name != last[i] {
 			seen[i][name], last[i] = true, name
@@ -57,7 +59,7 @@
 		note(0, r.S[Class])
 		note(1, r.S[Tenant])
 		note(2, r.S[Server])
-		note(3, r.outcome())
+		note(3, r.outcomeLabel())
 		if r.Kind == Decision {
 			note(4, reasonName(r.N[Reason]))
 		}
@@ -69,23 +71,23 @@
 	return b
 }
 
-// Index finds blocks by time and by what is in them.
+// Index finds blocks by time and by the names that occur in them. It isn't safe for concurrent use.
 type Index struct {
-	Blocks []BlockInfo
-	sets   map[string]map[string]*roaring.Bitmap
+	Blocks  []BlockInfo
+	bitmaps map[string]map[string]*roaring.Bitmap
 }
 
-// Add takes the next block.
+// Add adds the next block.
 func (x *Index) Add(b BlockInfo) {
-	if x.sets == nil {
-		x.sets = map[string]map[string]*roaring.Bitmap{}
+	if x.bitmaps == nil {
+		x.bitmaps = map[string]map[string]*roaring.Bitmap{}
 	}
 	n := uint32(len(x.Blocks))
 	for dimension, names := range b.Names {
-		m := x.sets[dimension]
+		m := x.bitmaps[dimension]
 		if m == nil {
 			m = map[string]*roaring.Bitmap{}
-			x.sets[dimension] = m
+			x.bitmaps[dimension] = m
 		}
 		for _, name := range names {
 			if m[name] == nil {
@@ -98,10 +100,12 @@
 	x.Blocks = append(x.Blocks, b)
 }
 
-// Names lists what stands in a dimension.
-func (x *Index) Names(dimension string) []string { return slices.Sorted(maps.Keys(x.sets[dimension])) }
+// Names returns the names of a dimension, sorted.
+func (x *Index) Names(dimension string) []string {
+	return slices.Sorted(maps.Keys(x.bitmaps[dimension]))
+}
 
-// Selection says which records are wanted; empty fields want all.
+// Selection is a filter on records. Empty fields match all.
 type Selection struct {
 	From, To int64 // microseconds since the Unix epoch, [From, To); To 0: no end
 	Class    string
@@ -111,33 +115,34 @@
 	Call     string
 }
 
-// Validate names the field that is wrong.
+// Validate returns an error that names the invalid field.
 func (s Selection) Validate() error {
 	if s.Outcome != "" && !slices.Contains(OutcomeNames, s.Outcome) {
-		return fmt.Errorf("outcome: %q is none of %s", s.Outcome, strings.Join(OutcomeNames, ", "))
+		return fmt.Errorf("outcome: %q is not one of %s", s.Outcome, strings.Join(OutcomeNames, ", "))
 	}
 	if s.To != 0 && s.To <= s.From {
-		return fmt.Errorf("to: is not after from")
+		return fmt.Errorf("to: must be after from")
 	}
 	return nil
 }
 
-// narrow says whether more than time is asked for.
-func (s Selection) narrow() bool {
+// hasFilter reports whether the selection restricts more than time.
+func (s Selection) hasFilter() bool {
 	return s.Class+s.Tenant+s.Server+s.Outcome+s.Call != ""
 }
 
-// within says whether a record's time is wanted.
-func (s Selection) within(at int64) bool { return at >= s.From && (s.To == 0 || at < s.To) }
+// containsTime reports whether a time is in the selected range.
+func (s Selection) containsTime(at int64) bool { return at >= s.From && (s.To == 0 || at < s.To) }
 
-// matches says whether a record itself is what is asked for, time aside.
+// matches reports whether a record matches the selection, regardless of time.
 func (s Selection) matches(r *Record) bool {
 	return (s.Class == "" || r.S[Class] == s.Class) && (s.Tenant == "" || r.S[Tenant] == s.Tenant) &&
-		(s.Server == "" || r.S[Server] == s.Server) && (s.Call == "" || r.S[Call] == s.Call) && (s.Outcome == "" || r.outcome() == s.Outcome)
+		(s.Server == "" || r.S[Server] == s.Server) && (s.Call == "" || r.S[Call] == s.Call) &&
+		(s.Outcome == "" || r.outcomeLabel() == s.Outcome)
 }
 
-// span is the blocks that a selection's time touches, as a set.
-func (x *Index) span(s Selection) *roaring.Bitmap {
+// blocksInTime returns the set of blocks that overlap the selected range of time.
+func (x *Index) blocksInTime(s Selection) *roaring.Bitmap {
 	set := roaring.New()
 	for i := range x.Blocks {
 		if b := &x.Blocks[i]; b.To >= s.From && (s.To == 0 || b.From < s.To) {
@@ -147,14 +152,15 @@
 	return set
 }
 
-// Find lists the blocks that may hold what is selected, ascending.
+// Find returns the numbers of the blocks that may hold matching records, in ascending order.
 func (x *Index) Find(s Selection) []uint32 {
-	set := x.span(s)
-	for dimension, name := range map[string]string{ByClass: s.Class, ByTenant: s.Tenant, ByServer: s.Server, ByOutcome: s.Outcome} {
+	set := x.blocksInTime(s)
+	for dimension, name := range map[string]string{ByClass: s.Class, ByTenant: s.Tenant, ByServer: s.Server,
+		ByOutcome: s.Outcome} {
 		if name == "" {
 			continue
 		}
-		have := x.sets[dimension][name]
+		have := x.bitmaps[dimension][name]
 		if have == nil {
 			return nil
 		}
@@ -163,16 +169,16 @@
 	return set.ToArray()
 }
 
-// footer is the index as it stands in a file.
+// footer is the JSON form of an index at the end of a file; Sets holds serialised Roaring bitmaps.
 type footer struct {
 	Blocks []BlockInfo                  `json:"blocks"`
 	Sets   map[string]map[string][]byte `json:"sets"`
 }
 
-// Append writes the index.
+// Encode returns the index as JSON.
 func (x *Index) Append() ([]byte, error) {
 	f := footer{Blocks: x.Blocks, Sets: map[string]map[string][]byte{}}
-	for dimension, m := range x.sets {
+	for dimension, m := range x.bitmaps {
 		f.Sets[dimension] = map[string][]byte{}
 		for name, set := range m {
 			set.RunOptimize()
@@ -186,29 +192,30 @@
 	return json.Marshal(f)
 }
 
-// ReadIndex reads an index.
+// DecodeIndex decodes and validates the output of Index.Encode. Errors wrap ErrInvalidBlock.
 func ReadIndex(b []byte) (*Index, error) {
 	var f footer
 	if err := json.Unmarshal(b, &f); err != nil {
-		return nil, bad("its index: %v", err)
+		return nil, blockErrorf("index: %v", err)
 	}
-	x := &Index{Blocks: f.Blocks, sets: map[string]map[string]*roaring.Bitmap{}}
+	x := &Index{Blocks: f.Blocks, bitmaps: map[string]map[string]*roaring.Bitmap{}}
 	for dimension, m := range f.Sets {
-		x.sets[dimension] = map[string]*roaring.Bitmap{}
+		x.bitmaps[dimension] = map[string]*roaring.Bitmap{}
 		for name, text := range m {
 			set := roaring.New()
 			if err := set.UnmarshalBinary(text); err != nil {
-				return nil, bad("its index of %s %q: %v", dimension, name, err)
+				return nil, blockErrorf("index of %s %q: %v", dimension, name, err)
 			}
 			if !set.IsEmpty() && int(set.Maximum()) >= len(f.Blocks) {
-				return nil, bad("its index of %s %q names block %d of %d", dimension, name, set.Maximum(), len(f.Blocks))
+				return nil, blockErrorf("index of %s %q refers to block %d of %d", dimension, name, set.Maximum(),
+					len(f.Blocks))
 			}
-			x.sets[dimension][name] = set
+			x.bitmaps[dimension][name] = set
 		}
 	}
 	for i, b := range x.Blocks {
 		if b.Reach < 0 || b.Reach > i || b.Count < 0 || b.Offset < 0 || b.Columns < b.Offset {
-			return nil, bad("its index of block %d", i)
+			return nil, blockErrorf("invalid index entry of block %d", i)
 		}
 	}
 	return x, nil
--- a/trace/record.go
+++ b/trace/record.go
@@ -1,7 +1,8 @@
-// Package trace is the record of what a router decided and why: records, blocks of columns, the index of blocks, and the work on
-// them: cutting, merging by estimated clocks, anonymising, summing up, explaining a call and finding what changed. It owns the
-// form of blocks and index. It must never do I/O, read a clock, start a goroutine, or trust a length that it reads.
-// internal/traceio records and keeps files.
+// Package trace defines the trace of a router's decisions: records, their encoding in blocks of columns, the index of
+// blocks, and the tools that work on them, which select, merge (by estimated clocks), anonymise, summarise, export
+// and report records, explain a call, and diagnose a drop in service. It owns the formats of blocks and index. It
+// must never do I/O on its own, read a clock, start a goroutine, or trust a length that it reads. internal/traceio
+// reads and writes the files.
 package trace
 
 import (
@@ -12,38 +13,40 @@
 	"threadglade.example/threadglade/router"
 )
 
-// Kind says what a Record tells. The numbers are part of the file format.
+// Kind is the type of a Record. The numbers are part of the file format.
 type Kind uint8
 
 // Kinds of records.
 const (
-	Request    Kind = iota + 1 // a request was taken
-	Decision                   // what was decided of a call, why, and what was known of the server
-	AttemptEnd                 // an attempt ended unanswered
+	Request    Kind = iota + 1 // a request arrived
+	Decision                   // a decision on a call, its reason, and the server's state as known then
+	AttemptEnd                 // an attempt ended without an established call
 	Answer                     // the final answer
-	Release                    // a standing call came to its end
-	Stray                      // a release of a call that the router never knew
-	List                       // a server list came, with its number
-	Listed                     // a server's entry in it
-	Report                     // what a server reported of itself
-	Turn                       // a server's control changed: it rests, climbs, was cut or is free
-	Reload                     // the configuration was read anew
-	Start                      // the recorder began
-	Gap                        // records were dropped here
-	Care                       // a server is left alone for a while for what all routers know of it, or no more
-	kinds
+	Release                    // an established call ended
+	Stray                      // a release of a call that is unknown to the router
+	List                       // a server list arrived
+	Listed                     // a server's entry in a list
+	Report                     // a server's load report
+	Turn                       // a server's admission control changed its phase
+	Reload                     // the configuration was reloaded
+	Start                      // the recorder started
+	Gap                        // records were dropped at this point
+	Care                       // a server is avoided for a while because of a shared verdict, or no longer is
+	kindCount
 )
 
-var kindNames = [kinds]string{"", "request", "decision", "attempt end", "answer", "release", "stray", "list", "listed", "report", "turn", "reload", "start", "gap", "care"}
+var kindNames = [kindCount]string{"", "request", "decision", "attempt end", "answer", "release", "stray", "list",
+	"listed", "report", "turn", "reload", "start", "gap", "care"}
 
+// String returns the name that is written to JSON and pages.
 func (k Kind) String() string {
-	if k >= kinds {
+	if k >= kindCount {
 		return fmt.Sprintf("kind %d", uint8(k))
 	}
 	return kindNames[k]
 }
 
-// Text is a string column. The numbers are part of the file format.
+// Text identifies a string column. The numbers are part of the file format.
 type Text uint8
 
 // String columns.
@@ -52,20 +55,22 @@
 	Server
 	Class
 	Tenant
-	Number   // the number called
-	Identity // SPIFFE id of the caller
-	Front
-	Caller // address
+	Number   // called number
+	Identity // SPIFFE ID of the caller
+	Front    // how the call arrived; in an Avoidance, the finding and its origin
+	Caller   // address of the caller
 	Router
-	texts
+	textCount
 )
 
-var textNames = [texts]string{"call", "server", "class", "tenant", "number", "identity", "front", "caller", "router"}
+var textNames = [textCount]string{"call", "server", "class", "tenant", "number", "identity", "front", "caller",
+	"router"}
 
+// String returns the name that is written to JSON.
 func (t Text) String() string { return textNames[t] }
 
-// personal says whether a column holds what tells a person.
-func (t Text) personal() bool {
+// isPersonal reports whether a column holds personal data, which anonymising replaces.
+func (t Text) isPersonal() bool {
 	switch t {
 	case Call, Number, Identity, Caller:
 		return true
@@ -73,93 +78,97 @@
 	return false
 }
 
-// Figure is a number column. The numbers are part of the file format; new ones go at the end.
+// Figure identifies a number column. The numbers are part of the file format; new ones are added at the end.
 type Figure uint8
 
-// Number columns. Ages are those at the decision; -1 is untold.
+// Number columns. Ages are measured at the decision; -1 means unknown.
 const (
-	Attempt     Figure = iota // from 0
-	DeadlineMs                // what was left until the deadline
-	Destination               // number of the server of first choice
-	Retry                     // 1: a marked repeat
-	Act                       // of a Decision: an Action
-	Reason                    // of a Decision: a threadglade.Reason
-	Outcome                   // threadglade.Outcome
-	Cause                     // threadglade.Cause
-	Final                     // of an Answer: an End
-	Why                       // of a failure: router.Failure
-	RetryAfterMs
-	State // threadglade.ServerState; of a Turn, a threadglade.Phase
-	Free  // agents
-	Total
-	FreeAgeMs
-	RateMilli   // r, thousandths of a call a second; -1: no control
-	LambdaMilli // λ
-	OldestMs    // age of the oldest unanswered set-up
-	Out         // set-ups unanswered
-	LatencyUs   // reported wait
-	QpsMilli    // reported room for set-ups
-	LoadAgeMs   // age of these two
-	TookUs      // from the set-up's leaving, or the request's coming
-	Serial      // of a list
-	Count
-	figures
+	Attempt      Figure = iota // number of the attempt, from 0
+	DeadlineMs                 // remaining time until the deadline
+	Destination                // number of the server that is the first choice
+	Retry                      // 1: the caller marked it as a retry
+	Act                        // of a Decision: an Action
+	Reason                     // of a Decision: a threadglade.Reason
+	Outcome                    // threadglade.Outcome
+	Cause                      // threadglade.Cause
+	Final                      // of an Answer: an AnswerResult
+	Why                        // of a failure: router.Failure
+	RetryAfterMs               // of a refusal: when the caller may retry
+	State                      // threadglade.ServerState; of a ControlChange: threadglade.Phase
+	Free                       // free agents
+	Total                      // all agents; of an Avoidance: all other routers
+	FreeAgeMs                  // age of Free
+	RateMilli                  // admission rate, thousandths of a call per second; -1: not controlled
+	LambdaMilli                // λ, thousandths of a call per second
+	OldestMs                   // age of the oldest pending set-up
+	Out                        // set-ups pending
+	LatencyUs                  // reported latency
+	QpsMilli                   // reported capacity, thousandths of a set-up per second
+	LoadAgeMs                  // age of LatencyUs and QPSMilli
+	TookUs                     // since the set-up was sent, the request arrived, or the call was established
+	Serial                     // number of a server list
+	Count                      // of a List: servers; of a Gap: records dropped; of an Avoidance: routers affected
+	figureCount
 )
 
-var figureNames = [figures]string{"attempt", "deadline_ms", "destination", "retry", "act", "reason", "outcome", "cause", "final", "why",
-	"retry_after_ms", "state", "free", "total", "free_age_ms", "rate_milli", "lambda_milli", "oldest_ms", "out", "latency_us", "qps_milli",
-	"load_age_ms", "took_us", "serial", "count"}
+var figureNames = [figureCount]string{"attempt", "deadline_ms", "destination", "retry", "act", "reason", "outcome",
+	"cause", "final", "why", "retry_after_ms", "state", "free", "total", "free_age_ms", "rate_milli", "lambda_milli",
+	"oldest_ms", "out", "latency_us", "qps_milli", "load_age_ms", "took_us", "serial", "count"}
 
+// String returns the name that is written to JSON.
 func (f Figure) String() string { return figureNames[f] }
 
-// Action is what a Decision did.
+// Action is what a Decision did with a call.
 type Action int64
 
-// Actions.
+// Actions of decisions.
 const (
 	Sent Action = iota + 1
 	Held
 	Refused
 	Failed
-	GivenUp // the attempt, not the call
+	GivenUp // the attempt was withdrawn, not the call
 )
 
 var actionNames = []string{"", "sent", "held", "refused", "failed", "given up"}
 
+// String returns the name that is written to JSON.
 func (a Action) String() string { return actionNames[min(max(int(a), 0), len(actionNames)-1)] }
 
-// End is a final answer.
+// AnswerResult is the result that a call ended its set-up with.
 type End int64
 
-// Final answers.
+// Results of the final answer.
 const (
 	EndStood End = iota + 1
 	EndRefused
 	EndFailed
-	EndLeft
+	EndLeft // the caller hung up first
 )
 
 var endNames = []string{"", "stood", "refused", "failed", "left"}
 
+// String returns the name that is written to JSON and indexes.
 func (e End) String() string { return endNames[min(max(int(e), 0), len(endNames)-1)] }
 
-// OutcomeNames names outcomes in selections and summaries, answers first.
-var OutcomeNames = []string{"stood", "refused", "failed", "left", "concluded", "faulted", "rejected", "timed_out", "unreachable", "cut", "cancelled", "not_sent"}
+// OutcomeNames are the names of outcomes in selections and indexes: final answers first, then outcomes of attempts.
+var OutcomeNames = []string{"stood", "refused", "failed", "left", "concluded", "faulted", "rejected", "timed_out",
+	"unreachable", "cut", "cancelled", "not_sent"}
 
-// Record is one thing that happened. Which columns count depends on Kind.
+// Record is one event in a trace. Kind determines which columns are used.
 type Record struct {
 	Kind    Kind
-	Carried bool  // of a call that began before a cut: this record stands in for what was cut off
-	At      int64 // microseconds since the Unix epoch, by its router's clock
-	S       [texts]string
-	N       [figures]int64
+	Carried bool  // a request from before the cut, kept because its call continues after it
+	At      int64 // microseconds since the Unix epoch by the router's clock
+	S       [textCount]string
+	N       [figureCount]int64
 }
 
-// Time is when it happened by its router's clock.
+// Time returns the time of the record by its router's clock, in UTC.
 func (r *Record) Time() time.Time { return time.UnixMicro(r.At).UTC() }
 
-// outcome is the record's place in the index of outcomes; empty if it has none.
-func (r *Record) outcome() string {
+// outcomeLabel returns the record's name in the index of outcomes; empty if it has none.
+func (r *Record) outcomeLabel() string {
 	switch r.Kind {
 	case Answer:
 		return End(r.N[Final]).String()
@@ -169,6 +178,7 @@
 	return ""
 }
 
+// outcomeName returns the name of an attempt's outcome in OutcomeNames.
 func outcomeName(o threadglade.Outcome) string {
 	if o < 0 || int(o) > int(threadglade.NotSent) {
 		return "unknown"
@@ -176,7 +186,8 @@
 	return OutcomeNames[4+int(o)]
 }
 
-func failureName(f router.Failure) string {
+// failureText returns the cause of a failure as a clause for DescribeCall.
+func failureText(f router.Failure) string {
 	switch f {
 	case router.GivenUp:
 		return "something may have run, and no attempt was left"
@@ -188,37 +199,42 @@
 	return "for an unknown reason"
 }
 
-// layout is the columns of each kind, in file order.
-var layout = [kinds]struct {
+// layout lists the columns of each kind in file order.
+var layout = [kindCount]struct {
 	texts   []Text
 	figures []Figure
 }{
-	Request:    {[]Text{Call, Class, Tenant, Number, Identity, Front, Caller, Router}, []Figure{DeadlineMs, Destination, Retry}},
-	Decision:   {[]Text{Call, Class, Tenant, Server, Router}, []Figure{Act, Reason, Attempt, Free, FreeAgeMs, RateMilli, LambdaMilli, OldestMs, Out, LatencyUs, QpsMilli, LoadAgeMs}},
+	Request: {[]Text{Call, Class, Tenant, Number, Identity, Front, Caller, Router},
+		[]Figure{DeadlineMs, Destination, Retry}},
+	Decision: {[]Text{Call, Class, Tenant, Server, Router}, []Figure{Act, Reason, Attempt, Free, FreeAgeMs,
+		RateMilli, LambdaMilli, OldestMs, Out, LatencyUs, QpsMilli, LoadAgeMs}},
 	AttemptEnd: {[]Text{Call, Class, Tenant, Server, Router}, []Figure{Attempt, Outcome, Cause, TookUs}},
-	Answer:     {[]Text{Call, Class, Tenant, Server, Router}, []Figure{Final, Why, RetryAfterMs, TookUs}},
-	Release:    {[]Text{Call, Class, Tenant, Server, Router}, []Figure{Outcome, Cause, TookUs}},
-	Stray:      {[]Text{Call, Router}, []Figure{Outcome}},
-	List:       {[]Text{Router}, []Figure{Serial, Count}},
-	Listed:     {[]Text{Server, Router}, []Figure{State}},
-	Report:     {[]Text{Server, Router}, []Figure{Free, Total, LatencyUs, QpsMilli}},
-	Turn:       {[]Text{Server, Router}, []Figure{State, RateMilli, LambdaMilli}},
-	Reload:     {[]Text{Router}, nil},
-	Start:      {[]Text{Router}, nil},
-	Gap:        {[]Text{Router}, []Figure{Count}},
-	Care:       {[]Text{Server, Front, Router}, []Figure{TookUs, DeadlineMs, Count, Total}}, // Front: what it is found to be, and by whom; TookUs: the age of that; for DeadlineMs; by Count of Total
+	Answer: {[]Text{Call, Class, Tenant, Server, Router}, []Figure{Final, Why, RetryAfterMs,
+		TookUs}},
+	Release: {[]Text{Call, Class, Tenant, Server, Router}, []Figure{Outcome, Cause, TookUs}},
+	Stray:   {[]Text{Call, Router}, []Figure{Outcome}},
+	List:    {[]Text{Router}, []Figure{Serial, Count}},
+	Listed:  {[]Text{Server, Router}, []Figure{State}},
+	Report:  {[]Text{Server, Router}, []Figure{Free, Total, LatencyUs, QpsMilli}},
+	Turn:    {[]Text{Server, Router}, []Figure{State, RateMilli, LambdaMilli}},
+	Reload:  {[]Text{Router}, nil},
+	Start:   {[]Text{Router}, nil},
+	Gap:     {[]Text{Router}, []Figure{Count}},
+	// Front holds the finding and its origin, ElapsedUs the age of its evidence, DeadlineMs how long it applies;
+	// Count of Total routers are affected.
+	Care: {[]Text{Server, Front, Router}, []Figure{TookUs, DeadlineMs, Count, Total}},
 }
 
-// Columns are the string and number columns that a kind of record has, in file order; nil for a kind that is none.
+// Columns returns the string and number columns of a kind of record in file order; nil for an unknown kind.
 func Columns(k Kind) ([]Text, []Figure) {
-	if k >= kinds {
+	if k >= kindCount {
 		return nil, nil
 	}
 	return layout[k].texts, layout[k].figures
 }
 
-// Kinds is one more than the highest Kind, Figures how many number columns there are.
+// KindLimit is one more than the highest Kind, FigureCount the number of number columns.
 const (
-	Kinds   = int(kinds)
-	Figures = int(figures)
+	Kinds   = int(kindCount)
+	Figures = int(figureCount)
 )
--- a/trace/select.go
+++ b/trace/select.go
@@ -12,94 +12,94 @@
 	"threadglade.example/threadglade"
 )
 
-// reasonName is a reason as summaries and the index name it.
+// reasonName returns the name of a reason in summaries and indexes.
 func reasonName(n int64) string { return threadglade.Reason(n).String() }
 
-// Picker finds which records of a range are wanted. Where more than time is asked for, whole calls are: a first pass over the range
-// notes the calls that match, a second takes all that they did in it.
+// Selector selects records in two passes over a range of time. A selection that restricts more than time selects
+// whole calls: the first pass (NoteMatch) collects the calls that match, the second (Selects) selects all of their
+// records. It isn't safe for concurrent use.
 type Picker struct {
 	Selection
-	calls map[string]bool
-	took  map[string]bool
+	matchedCalls map[string]bool
+	started      map[string]bool
 }
 
-// NewPicker begins a selection.
+// NewSelector returns a Selector for a selection.
 func NewPicker(s Selection) *Picker {
-	return &Picker{Selection: s, calls: map[string]bool{}, took: map[string]bool{}}
+	return &Picker{Selection: s, matchedCalls: map[string]bool{}, started: map[string]bool{}}
 }
 
-// Note is the first pass.
+// NoteMatch takes a record in the first pass.
 func (p *Picker) Note(r *Record) {
-	if p.narrow() && p.within(r.At) && r.S[Call] != "" && p.matches(r) {
-		p.calls[r.S[Call]] = true
+	if p.hasFilter() && p.containsTime(r.At) && r.S[Call] != "" && p.matches(r) {
+		p.matchedCalls[r.S[Call]] = true
 	}
 }
 
-// Take is the second pass: whether the record is wanted. Records of no call are wanted where calls are not singled out, or where they
-// are of the server that is.
+// Selects reports in the second pass whether a record is selected. Records that belong to no call are selected if the
+// selection restricts only time, or if they belong to the selected server.
 func (p *Picker) Take(r *Record) bool {
-	if !p.within(r.At) {
+	if !p.containsTime(r.At) {
 		return false
 	}
-	wanted := !p.narrow() || p.calls[r.S[Call]]
+	wanted := !p.hasFilter() || p.matchedCalls[r.S[Call]]
 	if r.S[Call] == "" {
-		wanted = !p.narrow() || p.Server != "" && r.S[Server] == p.Server
+		wanted = !p.hasFilter() || p.Server != "" && r.S[Server] == p.Server
 	}
 	if wanted && r.S[Call] != "" && r.Kind == Request {
-		p.took[r.S[Call]] = true
+		p.started[r.S[Call]] = true
 	}
 	return wanted
 }
 
-// Missing says whether the call of a wanted record began before the cut, and notes that it is looked for.
+// NeedsRequest reports whether the call of a selected record started before the cut, so that its request has to be
+// looked up. It returns true once for each call.
 func (p *Picker) Missing(r *Record) bool {
 	call := r.S[Call]
-	if call == "" || r.Kind == Request || r.Kind == Stray || p.took[call] {
+	if call == "" || r.Kind == Request || r.Kind == Stray || p.started[call] {
 		return false
 	}
-	p.took[call] = true
+	p.started[call] = true
 	return true
 }
 
-// ---- anonymising ----
-
-// Hider puts keyed hashes in the place of what tells a person: the same value becomes the same hash, with the same key in every
-// file.
+// Anonymizer replaces personal data with keyed hashes. With the same key, a value has the same hash in every file. It
+// isn't safe for concurrent use.
 type Hider struct {
 	key   []byte
 	cache map[string]string
 }
 
-// keyLeast bytes a key has at least.
-const keyLeast = 16
+// minKeyBytes is the shortest length of a key.
+const minKeyBytes = 16
 
-// NewHider takes a key.
+// NewAnonymizer returns an Anonymizer, or an error if the key is too short.
 func NewHider(key []byte) (*Hider, error) {
-	if len(key) < keyLeast {
-		return nil, fmt.Errorf("a key of %d bytes; at least %d are wanted", len(key), keyLeast)
+	if len(key) < minKeyBytes {
+		return nil, fmt.Errorf("key has %d bytes, needs at least %d", len(key), minKeyBytes)
 	}
 	return &Hider{key: key, cache: map[string]string{}}, nil
 }
 
-// hiddenMost values are remembered, which only saves work.
-const hiddenMost = 1 << 18
+// maxCachedHashes limits the cache of hashes.
+const maxCachedHashes = 1 << 18
 
-// Hide is what stands for a value of a column.
-func (h *Hider) Hide(t Text, value string) string {
-	if value == "" || !t.personal() {
+// Anonymize returns the replacement for a value of a column; values that aren't personal are returned as they are.
+func (a *Hider) Hide(t Text, value string) string {
+	if value == "" || !t.isPersonal() {
 		return value
 	}
-	known := string(rune(t)) + value
-	if out, ok := h.cache[known]; ok {
+	cacheKey := string(rune(t)) + value
+	if out, ok := a.cache[cacheKey]; ok {
 		return out
 	}
-	m := hmac.New(sha256.New, h.key)
+	m := hmac.New(sha256.New, a.key)
 	m.Write([]byte{byte(t)})
 	m.Write([]byte(value))
 	sum := m.Sum(nil)
 	out := hex.EncodeToString(sum[:8])
 	switch t {
-	case Caller: // an address of the range that is for private use
+	case Caller: // an IPv6 address of the private range fd00::/8
 		var b [16]byte
 		copy(b[:], sum)
 		b[0] = 0xfd
@@ -107,50 +107,49 @@
 	case Identity:
 		out = "spiffe://hidden.example/" + out
 	}
-	if len(h.cache) >= hiddenMost {
-		clear(h.cache)
+	if len(a.cache) >= maxCachedHashes {
+		clear(a.cache)
 	}
-	h.cache[known] = out
+	a.cache[cacheKey] = out
 	return out
 }
 
-// Strings rewrites the strings of a block; its columns stay as they are.
-func (h *Hider) Strings(d *Decoder, e *Encoder, part []byte) ([]byte, error) {
+// AnonymizeStrings returns the compressed string table of a block with its personal data replaced. The columns of the
+// block stay valid.
+func (a *Hider) Strings(d *Decoder, e *Encoder, part []byte) ([]byte, error) {
 	lists, err := d.Strings(part)
 	if err != nil {
 		return nil, err
 	}
 	for t := range lists {
 		for i, s := range lists[t] {
-			lists[t][i] = h.Hide(Text(t), s)
+			lists[t][i] = a.Hide(Text(t), s)
 		}
 	}
-	return e.strings(lists), nil
+	return e.encodeStrings(lists), nil
 }
 
-// ---- what a file says of itself ----
-
-// Meta is what a file begins with.
+// Meta is the header of a trace file.
 type Meta struct {
 	Router  string      `json:"router"` // empty in a merged file
-	Life    int64       `json:"life"`   // when the router's process began, microseconds since the Unix epoch
-	Part    int         `json:"part"`   // number of the file in that life, from 1
+	Life    int64       `json:"life"`   // start of the router's process, microseconds since the Unix epoch
+	Part    int         `json:"part"`   // number of the file within the incarnation, from 1
 	Build   string      `json:"build,omitempty"`
 	Classes []ClassMeta `json:"classes"`
-	Clocks  []*Clock    `json:"clocks,omitempty"` // of a merged file
-	Cut     *Selection  `json:"cut,omitempty"`    // of a file that was cut out of another
+	Clocks  []*Clock    `json:"clocks,omitempty"` // of a merged file: how its routers' clocks were corrected
+	Cut     *Selection  `json:"cut,omitempty"`    // of a file cut out of another: what was selected
 	Hidden  bool        `json:"hidden,omitempty"`
 }
 
-// ClassMeta is what a class of calls was worth.
+// ClassMeta describes the worth of a class of calls as a trace was recorded.
 type ClassMeta struct {
 	Name  string  `json:"name"`
-	AimMs int64   `json:"aim_ms"`
-	Worth float64 `json:"worth"`
-	Late  float64 `json:"late_worth"` // part of it
+	AimMs int64   `json:"aim_ms"`     // target for the time from request to answer
+	Worth float64 `json:"worth"`      // of a call answered within AimMs
+	Late  float64 `json:"late_worth"` // factor on Worth for a later answer
 }
 
-// Classes describes the classes of the decisions' settings.
+// ConvertClasses converts the classes of the controller's settings.
 func Classes(list []threadglade.Class) (out []ClassMeta) {
 	for _, c := range list {
 		out = append(out, ClassMeta{c.Name, c.Aim.Milliseconds(), c.Worth, c.LateFactor})
@@ -158,19 +157,20 @@
 	return out
 }
 
-// Same says whether two files can be brought into one.
+// CheckMergeable returns an error if two files can't be merged.
 func (m Meta) Same(o Meta) error {
 	if fmt.Sprint(m.Classes) != fmt.Sprint(o.Classes) {
-		return errors.New("the files are of routers with other classes")
+		return errors.New("the files were recorded with different classes")
 	}
 	if m.Hidden != o.Hidden {
-		return errors.New("one file is anonymised, another is not")
+		return errors.New("only one of the files is anonymised")
 	}
 	return nil
 }
 
-// earned is the worth of an answer.
-func (m *Meta) earned(class string, took int64) (offered, earned float64, late bool) {
+// answerWorth returns the worth offered by a call of a class, and the worth earned by an answer after took
+// microseconds; a negative took means that the call was not established.
+func (m *Meta) answerWorth(class string, took int64) (offered, earned float64, late bool) {
 	for _, c := range m.Classes {
 		if c.Name == class {
 			if took < 0 {
@@ -185,6 +185,7 @@
 	return 0, 0, false
 }
 
+// plural returns a count with its noun in the singular or the plural.
 func plural(n int, one string) string {
 	if n == 1 {
 		return "1 " + one
--- a/trace/summary.go
+++ b/trace/summary.go
@@ -11,39 +11,39 @@
 	"threadglade.example/threadglade"
 )
 
-// groupsMost groups a summary keeps apart; more come together as "(other)".
-const groupsMost = 10_000
+// maxGroups limits the groups of a summary; the remainder is summed up as "(other)".
+const maxGroups = 10_000
 
-// Group is the sums of one tenant, class, server or reason in one span of time.
+// Group holds the sums of one tenant, class, server or reason in one interval.
 type Group struct {
-	From     int64            `json:"from_us"`
+	From     int64            `json:"from_us"` // start of the interval
 	Name     string           `json:"name"`
 	Offered  int64            `json:"offered"`
-	Stood    int64            `json:"stood"`
-	Late     int64            `json:"late"` // of Stood
+	Stood    int64            `json:"stood"` // established calls
+	Late     int64            `json:"late"`  // established, but after the class's target
 	Refused  int64            `json:"refused"`
 	Failed   int64            `json:"failed"`
-	Left     int64            `json:"left"`
-	Cut      int64            `json:"cut"`
+	Left     int64            `json:"left"` // abandoned by the caller
+	Cut      int64            `json:"cut"`  // established calls that were lost
 	Attempts int64            `json:"attempts"`
 	Timeouts int64            `json:"timed_out"`
 	Rejects  int64            `json:"rejected"`
 	Worth    float64          `json:"worth_offered"`
 	Earned   float64          `json:"worth_earned"`
-	Reasons  map[string]int64 `json:"reasons,omitempty"` // of refusals and failures
+	Reasons  map[string]int64 `json:"reasons,omitempty"` // refusals and failures by reason
 	P50Ms    float64          `json:"p50_ms"`
 	P90Ms    float64          `json:"p90_ms"`
 	P99Ms    float64          `json:"p99_ms"`
 	times    *hdrhistogram.Histogram
 }
 
-// Summary sums records up by a dimension and by spans of time.
+// Summary sums up records by a dimension and by intervals of time. It isn't safe for concurrent use.
 type Summary struct {
-	meta   Meta
-	by     string
-	every  int64 // microseconds; 0: all in one
-	groups map[groupKey]*Group
-	last   map[string]int64 // reason of the latest decision of a call whose answer is to come
+	meta        Meta
+	dimension   string
+	interval    int64 // microseconds; 0: a single interval
+	groups      map[groupKey]*Group
+	lastReasons map[string]int64 // reason of the latest refusal or failure of a call that is not answered yet
 }
 
 type groupKey struct {
@@ -51,20 +51,23 @@
 	name string
 }
 
-// NewSummary sums up by class, tenant, server or reason, or all together if by is empty.
+// NewSummary returns an empty Summary by class, tenant, server or reason, or of everything if by is empty. every is
+// the interval in microseconds, or 0 for a single one.
 func NewSummary(meta Meta, by string, every int64) (*Summary, error) {
 	if by != "" && !slices.Contains([]string{ByClass, ByTenant, ByServer, ByReason}, by) {
-		return nil, fmt.Errorf("by: %q is none of class, tenant, server, reason", by)
+		return nil, fmt.Errorf("by: %q is not one of class, tenant, server, reason", by)
 	}
-	return &Summary{meta: meta, by: by, every: every, groups: map[groupKey]*Group{}, last: map[string]int64{}}, nil
+	return &Summary{meta: meta, dimension: by, interval: every, groups: map[groupKey]*Group{},
+		lastReasons: map[string]int64{}}, nil
 }
 
-func (s *Summary) group(r *Record, reason string) *Group {
+// groupFor returns the group that a record counts in.
+func (s *Summary) groupFor(r *Record, reason string) *Group {
 	key := groupKey{}
-	if s.every > 0 {
-		key.from = r.At - r.At%s.every
+	if s.interval > 0 {
+		key.from = r.At - r.At%s.interval
 	}
-	switch s.by {
+	switch s.dimension {
 	case ByClass:
 		key.name = r.S[Class]
 	case ByTenant:
@@ -76,63 +79,64 @@
 	}
 	g := s.groups[key]
 	if g == nil {
-		if len(s.groups) >= groupsMost {
+		if len(s.groups) >= maxGroups {
 			key.name = "(other)"
 			if g = s.groups[key]; g != nil {
 				return g
 			}
 		}
-		g = &Group{From: key.from, Name: key.name, Reasons: map[string]int64{}, times: hdrhistogram.New(1, 600_000_000, 3)}
+		g = &Group{From: key.from, Name: key.name, Reasons: map[string]int64{},
+			times: hdrhistogram.New(1, 600_000_000, 3)}
 		s.groups[key] = g
 	}
 	return g
 }
 
-// Take adds a record.
+// Add adds the next record.
 func (s *Summary) Take(r *Record) {
 	switch r.Kind {
 	case Request:
-		if s.by == ByServer || s.by == ByReason {
-			return // told by the answer: a request has neither
+		if s.dimension == ByServer || s.dimension == ByReason {
+			return // counted at the answer, because a request has neither a server nor a reason
 		}
-		g := s.group(r, "")
+		g := s.groupFor(r, "")
 		g.Offered++
-		offered, _, _ := s.meta.earned(r.S[Class], -1)
+		offered, _, _ := s.meta.answerWorth(r.S[Class], -1)
 		g.Worth += offered
 	case Decision:
 		reason := reasonName(r.N[Reason])
 		switch Action(r.N[Act]) {
 		case Sent:
-			s.group(r, reason).Attempts++
+			s.groupFor(r, reason).Attempts++
 		case Refused, Failed:
-			s.group(r, reason).Reasons[reason]++
-			s.last[r.S[Call]] = r.N[Reason]
+			s.groupFor(r, reason).Reasons[reason]++
+			s.lastReasons[r.S[Call]] = r.N[Reason]
 		}
 	case AttemptEnd:
-		if s.by == ByReason {
+		if s.dimension == ByReason {
 			return
 		}
 		switch threadglade.Outcome(r.N[Outcome]) {
 		case threadglade.TimedOut:
-			s.group(r, "").Timeouts++
+			s.groupFor(r, "").Timeouts++
 		case threadglade.Rejected:
-			s.group(r, "").Rejects++
+			s.groupFor(r, "").Rejects++
 		}
 	case Answer:
 		reason := ""
-		if n, known := s.last[r.S[Call]]; known {
+		if n, known := s.lastReasons[r.S[Call]]; known {
 			reason = reasonName(n)
-			delete(s.last, r.S[Call])
+			delete(s.lastReasons, r.S[Call])
 		}
-		g := s.group(r, reason)
-		if s.by == ByServer || s.by == ByReason {
+		g := s.groupFor(r, reason)
+		if s.dimension == ByServer || s.dimension == ByReason {
 			g.Offered++
-			offered, _, _ := s.meta.earned(r.S[Class], -1)
+			offered, _, _ := s.meta.answerWorth(r.S[Class], -1)
 			g.Worth += offered
 		}
 		switch End(r.N[Final]) {
 		case EndStood:
-			_, earned, late := s.meta.earned(r.S[Class], r.N[TookUs])
+			_, earned, late := s.meta.answerWorth(r.S[Class], r.N[TookUs])
 			g.Stood++
 			g.Earned += earned
 			if late {
@@ -147,19 +151,21 @@
 			g.Left++
 		}
 	case Release:
-		if threadglade.Outcome(r.N[Outcome]) == threadglade.Cut && s.by != ByReason {
-			s.group(r, "").Cut++
+		if threadglade.Outcome(r.N[Outcome]) == threadglade.Cut && s.dimension != ByReason {
+			s.groupFor(r, "").Cut++
 		}
 	}
 }
 
-// Groups returns the sums by time and name.
+// Groups computes the quantiles and returns the groups ordered by time and name.
 func (s *Summary) Groups() []*Group {
 	list := slices.Collect(maps.Values(s.groups))
 	for _, g := range list {
 		ms := func(q float64) float64 { return float64(g.times.ValueAtQuantile(q)) / 1000 }
 		g.P50Ms, g.P90Ms, g.P99Ms = ms(50), ms(90), ms(99)
 	}
-	slices.SortFunc(list, func(a, b *Group) int { return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(list, func(a, b *Group) int {
+		return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.Name, b.Name))
+	})
 	return list
 }
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -16,7 +16,7 @@
 	"threadglade.example/threadglade"
 )
 
-// The same records are drawn each time; -rapid.seed gives others.
+// TestMain fixes the seed, so that each run draws the same records; -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
@@ -25,8 +25,10 @@
 	os.Exit(m.Run())
 }
 
+// drawRecord draws a record of any kind, with values in the columns of that kind.
 func drawRecord(t *rapid.T) Record {
-	r := Record{Kind: Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "kind")), Carried: rapid.Bool().Draw(t, "carried"), At: rapid.Int64().Draw(t, "at")}
+	r := Record{Kind: Kind(rapid.IntRange(1, int(kindCount)-1).Draw(t, "kind")),
+		Carried: rapid.Bool().Draw(t, "carried"), At: rapid.Int64().Draw(t, "at")}
 	for _, s := range layout[r.Kind].texts {
 		r.S[s] = rapid.OneOf(rapid.StringMatching("[0-9a-f]{16}"), rapid.String()).Draw(t, "text")
 	}
@@ -36,7 +38,8 @@
 	return r
 }
 
-// TestBlock: what is written is read back, and any damaged byte is an error or other records, never a panic.
+// TestBlock checks that records survive encoding and decoding, and that a flipped bit leads to an error or to other
+// records, never to a panic.
 func TestBlock(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := rapid.SliceOfN(rapid.Custom(drawRecord), 0, 40).Draw(t, "records")
@@ -54,7 +57,8 @@
 	})
 }
 
-// TestSlots: a slot only saves a look-up. One that serves several calls, in one block and in the next, tells each its own id.
+// TestSlots checks that slots don't change the result: a slot that is reused by several calls, within a block and
+// across blocks, must yield the ID of each.
 func TestSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e, d := NewEncoder(), NewDecoder()
@@ -76,6 +80,7 @@
 	})
 }
 
+// FuzzDecode checks that malformed blocks never cause a panic, in decoding or in describing what was decoded.
 func FuzzDecode(f *testing.F) {
 	rec := Record{Kind: Request, At: 5}
 	rec.S[Call] = "00112233445566ff"
@@ -90,6 +95,7 @@
 	})
 }
 
+// FuzzIndex checks that a malformed index never causes a panic.
 func FuzzIndex(f *testing.F) {
 	x := Index{}
 	x.Add(BlockInfo{From: 1, To: 2, Count: 1, Names: map[string][]string{ByClass: {"a"}}})
@@ -102,27 +108,29 @@
 	})
 }
 
-// player writes the records of scripted routers.
-type player struct {
-	list []Record
-	next int
+// recordScript builds the records of scripted routers.
+type recordScript struct {
+	records []Record
+	nextID  int
 }
 
-func (p *player) add(r Record) { p.list = append(p.list, r) }
+func (p *recordScript) add(r Record) { p.records = append(p.records, r) }
 
-// call has a router take a call, send it and hear the answer, or not.
-func (p *player) call(router, server string, at int64, took int64, end End, outcome threadglade.Outcome) string {
-	p.next++
-	id := fmt.Sprintf("%016x", p.next)
+// addCall adds the records of a call that a router receives, sends to a server, and gets the given result for.
+func (p *recordScript) addCall(router, server string, at int64, took int64, end End,
+	outcome threadglade.Outcome) string {
+	p.nextID++
+	id := fmt.Sprintf("%016x", p.nextID)
 	r := Record{Kind: Request, At: at}
 	r.S[Call], r.S[Class], r.S[Tenant], r.S[Router], r.S[Number] = id, "voice", "lda", router, id
 	p.add(r)
 	d := r
-	d.Kind, d.N[Act], d.N[Reason], d.S[Server] = Decision, int64(Sent), int64(threadglade.FirstChoice), server
+	d.Kind, d.N[Act], d.N[Reason], d.S[Server] =
+		Decision, int64(Sent), int64(threadglade.FirstChoice), server
 	d.N[LoadAgeMs], d.N[FreeAgeMs], d.N[RateMilli] = -1, -1, -1
 	p.add(d)
 	a := d
-	a.At, a.N = at+took, [figures]int64{}
+	a.At, a.N = at+took, [figureCount]int64{}
 	if end != EndStood {
 		a.Kind, a.N[Outcome], a.N[TookUs] = AttemptEnd, int64(outcome), took
 		p.add(a)
@@ -136,97 +144,102 @@
 	return id
 }
 
-func (p *player) lists(router string, serial int64, at int64) {
+// addList adds the arrival of a server list.
+func (p *recordScript) addList(router string, serial int64, at int64) {
 	r := Record{Kind: List, At: at}
 	r.S[Router], r.N[Serial] = router, serial
 	p.add(r)
 }
 
-func (p *player) sorted() []Record {
-	slices.SortStableFunc(p.list, func(a, b Record) int { return int(a.At/1000 - b.At/1000) })
-	return p.list
+// sorted returns the records by time, to the millisecond.
+func (p *recordScript) sorted() []Record {
+	slices.SortStableFunc(p.records, func(a, b Record) int { return int(a.At/1000 - b.At/1000) })
+	return p.records
 }
 
 var meta = Meta{Classes: []ClassMeta{{Name: "voice", AimMs: 1000, Worth: 1, Late: 0.2}}}
 
 const second = int64(1_000_000)
 
-// TestWhy scripts five troubles and asks why: the right one comes first each time.
-func TestWhy(t *testing.T) {
-	script := func(trouble func(p *player, i int, at int64, server string) bool) *player {
-		p := &player{}
+// TestDiagnosis checks that the diagnosis ranks the right cause first for each of five scripted faults.
+func TestDiagnosis(t *testing.T) {
+	script := func(trouble func(p *recordScript, i int, at int64, server string) bool) *recordScript {
+		p := &recordScript{}
 		for _, router := range []string{"n0", "n1"} {
-			p.lists(router, 7, second)
+			p.addList(router, 7, second)
 		}
 		for i := range 2000 { // 40 s at 50 a second; trouble from 20 s on
 			at, server := 2*second+int64(i)*20_000, fmt.Sprintf("s%d", i%3)
 			if at >= 22*second && trouble(p, i, at, server) {
 				continue
 			}
-			p.call(fmt.Sprintf("n%d", i%2), server, at, 60_000+int64(i%7)*5000, EndStood, threadglade.Concluded)
+			p.addCall(fmt.Sprintf("n%d", i%2), server, at, 60_000+int64(i%7)*5000, EndStood,
+				threadglade.Concluded)
 		}
 		return p
 	}
-	down := func(p *player, routers ...string) {
+	down := func(p *recordScript, routers ...string) {
 		for _, router := range routers {
 			r := Record{Kind: Listed, At: 23 * second}
 			r.S[Router], r.S[Server], r.N[State] = router, "s1", int64(threadglade.Draining)
 			p.add(r)
-			p.lists(router, 8, 23*second)
+			p.addList(router, 8, 23*second)
 		}
 	}
 	for name, c := range map[string]struct {
 		kind, who string
-		play      func() *player
+		play      func() *recordScript
 	}{
-		"slow server": {"slow", "s1", func() *player {
-			return script(func(p *player, i int, at int64, server string) bool {
+		"slow server": {"slow", "s1", func() *recordScript {
+			return script(func(p *recordScript, i int, at int64, server string) bool {
 				if server != "s1" {
 					return false
 				}
-				p.call(fmt.Sprintf("n%d", i%2), server, at, 900_000+int64(i%9)*100_000, EndStood, threadglade.Concluded)
+				p.addCall(fmt.Sprintf("n%d", i%2), server, at, 900_000+int64(i%9)*100_000, EndStood,
+					threadglade.Concluded)
 				return true
 			})
 		}},
-		"silent server": {"silent", "s1", func() *player {
-			return script(func(p *player, i int, at int64, server string) bool {
+		"silent server": {"silent", "s1", func() *recordScript {
+			return script(func(p *recordScript, i int, at int64, server string) bool {
 				if server != "s1" {
 					return false
 				}
-				p.call(fmt.Sprintf("n%d", i%2), server, at, 2_000_000, EndFailed, threadglade.TimedOut)
+				p.addCall(fmt.Sprintf("n%d", i%2), server, at, 2_000_000, EndFailed, threadglade.TimedOut)
 				return true
 			})
 		}},
-		"burst": {"burst", "", func() *player {
-			return script(func(p *player, i int, at int64, server string) bool {
+		"burst": {"burst", "", func() *recordScript {
+			return script(func(p *recordScript, i int, at int64, server string) bool {
 				for j := range 2 {
-					p.call("n0", fmt.Sprintf("s%d", (i+j)%3), at+int64(j), 700_000, EndStood, threadglade.Concluded)
+					p.addCall("n0", fmt.Sprintf("s%d", (i+j)%3), at+int64(j), 700_000, EndStood,
+						threadglade.Concluded)
 				}
-				p.call("n1", server, at, 1_500_000, EndRefused, threadglade.Rejected)
+				p.addCall("n1", server, at, 1_500_000, EndRefused, threadglade.Rejected)
 				return true
 			})
 		}},
-		"draining": {"draining", "s1", func() *player {
-			p := script(func(p *player, i int, at int64, server string) bool {
+		"draining": {"draining", "s1", func() *recordScript {
+			p := script(func(p *recordScript, i int, at int64, server string) bool {
 				if server != "s1" || at < 25*second {
 					return false
 				}
 				if at < 28*second {
-					p.call("n0", server, at, 100_000, EndFailed, threadglade.Cut)
+					p.addCall("n0", server, at, 100_000, EndFailed, threadglade.Cut)
 				} else {
-					p.call("n0", "s2", at, 80_000, EndStood, threadglade.Concluded)
+					p.addCall("n0", "s2", at, 80_000, EndStood, threadglade.Concluded)
 				}
 				return true
 			})
 			down(p, "n0", "n1")
 			return p
 		}},
-		"stale list": {"stale", "n1", func() *player {
-			p := script(func(p *player, i int, at int64, server string) bool {
+		"stale list": {"stale", "n1", func() *recordScript {
+			p := script(func(p *recordScript, i int, at int64, server string) bool {
 				if server != "s1" || i%2 == 0 {
 					return false
 				}
-				p.call("n1", server, at, 100_000, EndFailed, threadglade.Unreachable)
+				p.addCall("n1", server, at, 100_000, EndFailed, threadglade.Unreachable)
 				return true
 			})
 			down(p, "n0")
@@ -247,15 +260,16 @@
 			require.Less(t, v.ServiceDuring, v.ServiceBefore)
 		})
 	}
-	// A quiet time has no cause.
+	// Without a fault there must be no cause.
 	q := NewInquiry(meta, 22*second, 42*second)
-	list := script(func(*player, int, int64, string) bool { return false }).sorted()
+	list := script(func(*recordScript, int, int64, string) bool { return false }).sorted()
 	for i := range list {
 		q.Take(&list[i])
 	}
 	require.Empty(t, q.Verdict().Causes)
 }
 
+// source is a Source of records in memory.
 type source struct{ list []Record }
 
 func (s *source) Next() (*Record, error) {
@@ -267,11 +281,11 @@
 	return r, nil
 }
 
-// TestClocks has routers whose clocks are 90 s apart, drift, and step back an hour: the estimate is right within its bounds, calls
-// stay in order, and no repeat comes before the answer that it follows.
-func TestClocks(t *testing.T) {
+// TestClockEstimates merges routers whose clocks are 90 s apart, drift, and step back an hour. The estimates must be
+// right within their bounds, calls stay in order, and no retry come before the answer that it follows.
+func TestClockEstimates(t *testing.T) {
 	const day = 1_700_000_000 * second
-	wrong := map[string]func(true_ int64) int64{
+	wrong := map[string]func(trueTime int64) int64{
 		"n0": func(at int64) int64 { return at },
 		"n1": func(at int64) int64 { return at + 90*second + (at-day)*80/1_000_000 },
 		"n2": func(at int64) int64 { // steps back an hour in the middle
@@ -284,20 +298,22 @@
 	lists := map[string][]Record{}
 	truth := map[string]int64{}
 	for i, router := range []string{"n0", "n1", "n2"} {
-		p := &player{next: i << 32}
-		for serial := range int64(40) { // each list comes to each router within 0.3 s
-			p.lists(router, serial+1, day+serial*15*second+int64(i)*100_000+serial*7919%50_000)
+		p := &recordScript{nextID: i << 32}
+		for serial := range int64(40) { // each list reaches all routers within 0.3 s
+			p.addList(router, serial+1, day+serial*15*second+int64(i)*100_000+serial*7919%50_000)
 		}
 		for n := range int64(600) {
 			at := day + n*second + int64(i)*1000
-			id := p.call(router, "s0", at, 100_000, EndRefused, threadglade.Rejected)
+			id := p.addCall(router, "s0", at, 100_000, EndRefused, threadglade.Rejected)
 			truth[id] = at
-			for k := range p.list {
-				if p.list[k].S[Call] == id {
-					p.list[k].S[Number] = fmt.Sprintf("%d", n)
-					p.list[k].N[Retry] = int64(min(i, 1)) // tried first at n0, then 101 ms later at n1, then at n2
-					if p.list[k].Kind == Request || p.list[k].Kind == Answer || p.list[k].Kind == AttemptEnd || p.list[k].Kind == Decision {
-						p.list[k].At += int64(i) * 101_000
+			for k := range p.records {
+				if p.records[k].S[Call] == id {
+					p.records[k].S[Number] = fmt.Sprintf("%d", n)
+					// tried first at n0, then 101 ms later at n1, then at n2
+					p.records[k].N[Retry] = int64(min(i, 1))
+					if p.records[k].Kind == Request || p.records[k].Kind == Answer ||
+						p.records[k].Kind == AttemptEnd || p.records[k].Kind == Decision {
+						p.records[k].At += int64(i) * 101_000
 					}
 				}
 			}
@@ -348,7 +364,8 @@
 		number := r.S[Number]
 		switch {
 		case r.Kind == Request && r.S[Router] != "n0":
-			require.Contains(t, answered, number, "a repeat of %s at %s before the answer that it follows", number, r.S[Router])
+			require.Contains(t, answered, number, "a repeat of %s at %s before the answer that it follows", number,
+				r.S[Router])
 		case r.Kind == Answer:
 			answered[number] = r.At
 		}
@@ -364,40 +381,44 @@
 	}
 }
 
-// TestStory tells a call's life in sentences that name what was known.
-func TestStory(t *testing.T) {
-	p := &player{}
-	p.call("n0", "s1", 1_700_000_000*second, 80_000, EndStood, threadglade.Concluded)
-	held := p.list[1]
-	held.N[Act], held.N[Reason], held.N[RateMilli], held.N[LambdaMilli], held.N[LoadAgeMs], held.N[LatencyUs], held.N[QpsMilli], held.N[Out], held.N[OldestMs] =
+// TestDescribeCall checks that the account of a call names what was known at each decision.
+func TestDescribeCall(t *testing.T) {
+	p := &recordScript{}
+	p.addCall("n0", "s1", 1_700_000_000*second, 80_000, EndStood, threadglade.Concluded)
+	held := p.records[1]
+	held.N[Act], held.N[Reason], held.N[RateMilli], held.N[LambdaMilli],
+		held.N[LoadAgeMs], held.N[LatencyUs], held.N[QpsMilli], held.N[Out], held.N[OldestMs] =
 		int64(Held), int64(threadglade.Gapped), 4500, 6000, 130, 240_000, 9000, 3, 210
-	story := strings.Join(Story(slices.Insert(p.list, 1, held)), "\n")
-	for _, want := range []string{"router n0 took call 0000000000000001 of class voice", "It waited, for s1 did not take it: its admission rate was used up (s1: admission rate 4.5/s, calls for it 6.0/s, 3 set-ups unanswered, the oldest for 210 ms, reported 130 ms ago a wait of 240 ms and room for 9.0/s)",
-		"Attempt 1 went to s1: it is the call's first choice", "s1 answered, the call stands, 80 ms after it came", "was released after 2.0 s"} {
+	story := strings.Join(Story(slices.Insert(p.records, 1, held)), "\n")
+	for _, want := range []string{"router n0 took call 0000000000000001 of class voice",
+		"It waited, for s1 did not take it: its admission rate was used up (s1: admission rate 4.5/s, calls for it 6.0/s, 3 set-ups unanswered, the oldest for 210 ms, reported 130 ms ago a wait of 240 ms and room for 9.0/s)",
+		"Attempt 1 went to s1: it is the call's first choice", "s1 answered, the call stands, 80 ms after it came",
+		"was released after 2.0 s"} {
 		require.Contains(t, story, want)
 	}
 }
 
-// TestSummary sums up by each dimension; the sums agree.
+// TestSummary checks that the sums agree between all dimensions.
 func TestSummary(t *testing.T) {
-	p := &player{}
+	p := &recordScript{}
 	for i := range 100 {
 		end, outcome := EndStood, threadglade.Concluded
 		if i%4 == 0 {
 			end, outcome = EndRefused, threadglade.Rejected
 		}
-		p.call("n0", fmt.Sprintf("s%d", i%3), int64(i)*second, 50_000, end, outcome)
+		p.addCall("n0", fmt.Sprintf("s%d", i%3), int64(i)*second, 50_000, end, outcome)
 	}
 	for _, by := range []string{"", ByClass, ByTenant, ByServer, ByReason} {
 		s, err := NewSummary(meta, by, 0)
 		require.NoError(t, err)
-		for i := range p.list {
-			s.Take(&p.list[i])
+		for i := range p.records {
+			s.Take(&p.records[i])
 		}
 		var offered, stood, refused int64
 		earned := 0.0
 		for _, g := range s.Groups() {
-			offered, stood, refused, earned = offered+g.Offered, stood+g.Stood, refused+g.Refused, earned+g.Earned
+			offered, stood, refused, earned =
+				offered+g.Offered, stood+g.Stood, refused+g.Refused, earned+g.Earned
 			if g.Stood > 0 {
 				require.InDelta(t, 50, g.P50Ms, 1)
 			}
@@ -409,8 +430,9 @@
 	require.ErrorContains(t, err, "by")
 }
 
-// TestHide: the same value becomes the same hash by one key, another by another, and names of servers and classes stay.
-func TestHide(t *testing.T) {
+// TestAnonymizer checks that a value has one hash per key, differs between keys, and that names of servers stay
+// readable.
+func TestAnonymizer(t *testing.T) {
 	h, err := NewHider(bytes.Repeat([]byte("k"), 16))
 	require.NoError(t, err)
 	other, err := NewHider(bytes.Repeat([]byte("o"), 16))
@@ -430,17 +452,19 @@
 	require.Error(t, err)
 }
 
-func many(n int) []Record {
-	p := &player{}
+// ordinaryCalls returns n records of calls that are established and concluded, four for each call.
+func ordinaryCalls(n int) []Record {
+	p := &recordScript{}
 	for i := range n / 4 {
-		p.call("", fmt.Sprintf("s%d", i%3), 1_700_000_000*second+int64(i)*17_000, 60_000+int64(i*7919%40_000), EndStood, threadglade.Concluded)
+		p.addCall("", fmt.Sprintf("s%d", i%3), 1_700_000_000*second+int64(i)*17_000, 60_000+int64(i*7919%40_000),
+			EndStood, threadglade.Concluded)
 	}
 	return p.sorted()
 }
 
-// BenchmarkBlocks writes and reads blocks of ordinary calls.
+// BenchmarkBlocks measures encoding and decoding of blocks of ordinary calls.
 func BenchmarkBlocks(b *testing.B) {
-	list := many(BlockRecords)
+	list := ordinaryCalls(BlockRecords)
 	enc, dec := NewEncoder(), NewDecoder()
 	block := enc.Encode(list)
 	b.Run("encode", func(b *testing.B) {
