--- a/cmd/threadglade/bench_test.go
+++ b/cmd/threadglade/bench_test.go
@@ -226,7 +226,7 @@
 		name := fmt.Sprintf("n%d", n)
 		path := filepath.Join(dir, name+traceio.Extension)
 		files = append(files, path)
-		meta := trace.Meta{Router: name, Life: 1, Part: 1, Classes: []trace.ClassMeta{{Name: "voice", AimMs: 1200, Worth: 1, Late: 0.2}}}
+		meta := trace.Meta{Router: name, Incarnation: 1, Part: 1, Classes: []trace.ClassMeta{{Name: "voice", AimMs: 1200, Worth: 1, LateWorth: 0.2}}}
 		require.NoError(b, durable.WriteFile(fileSystem, path, func(out io.Writer) error {
 			w, err := traceio.NewWriter(out, meta)
 			require.NoError(b, err)
@@ -241,20 +241,20 @@
 				if serial := int64(i) * 240 / calls; serial > list || i == 0 { // a list every 15 s
 					list = serial
 					r := trace.Record{Kind: trace.List, At: at + int64(random.IntN(150_000))}
-					r.N[trace.Serial] = serial + 1
+					r.Figures[trace.Serial] = serial + 1
 					require.NoError(b, w.Add(&r, 0))
 				}
 				r := trace.Record{Kind: trace.Request, At: at}
-				r.S[trace.Call], r.S[trace.Class], r.S[trace.Tenant], r.S[trace.Front] = fmt.Sprintf("%016x", random.Uint64()), "voice", "lda", "sip"
+				r.Texts[trace.Call], r.Texts[trace.Class], r.Texts[trace.Tenant], r.Texts[trace.Front] = fmt.Sprintf("%016x", random.Uint64()), "voice", "lda", "sip"
 				number := fmt.Sprintf("%016x", random.Uint64())
-				r.S[trace.Number], r.S[trace.Caller], r.N[trace.DeadlineMs], r.N[trace.Destination] = number, "10.4.7.9", 3000, int64(i%3)
+				r.Texts[trace.Number], r.Texts[trace.Caller], r.Figures[trace.DeadlineMs], r.Figures[trace.Destination] = number, "10.4.7.9", 3000, int64(i%3)
 				require.NoError(b, w.Add(&r, 0))
-				r.S[trace.Server], r.Kind, r.N[trace.Act], r.N[trace.Reason] = fmt.Sprintf("s%d", i%3), trace.Decision, int64(trace.Sent), int64(threadglade.FirstChoice)
-				r.N[trace.LambdaMilli], r.N[trace.RateMilli], r.N[trace.FreeAgeMs], r.N[trace.Free] = 16_000+int64(random.IntN(2000)), -1, int64(random.IntN(600)), int64(400+random.IntN(50))
+				r.Texts[trace.Server], r.Kind, r.Figures[trace.ActionCode], r.Figures[trace.Reason] = fmt.Sprintf("s%d", i%3), trace.Decision, int64(trace.ActionSent), int64(threadglade.FirstChoice)
+				r.Figures[trace.LambdaMilli], r.Figures[trace.RateMilli], r.Figures[trace.FreeAgeMs], r.Figures[trace.Free] = 16_000+int64(random.IntN(2000)), -1, int64(random.IntN(600)), int64(400+random.IntN(50))
 				require.NoError(b, w.Add(&r, 0))
-				r.Kind, r.At, r.N[trace.TookUs], r.N[trace.Final] = trace.Answer, at+20_000+int64(random.IntN(60_000)), int64(20_000+random.IntN(60_000)), int64(trace.EndStood)
+				r.Kind, r.At, r.Figures[trace.ElapsedUs], r.Figures[trace.FinalAnswer] = trace.Answer, at+20_000+int64(random.IntN(60_000)), int64(20_000+random.IntN(60_000)), int64(trace.AnswerEstablished)
 				require.NoError(b, w.Add(&r, 0))
-				r.Kind, r.At, r.N[trace.TookUs] = trace.Release, r.At+9_000_000, 9_000_000+int64(random.IntN(1000))
+				r.Kind, r.At, r.Figures[trace.ElapsedUs] = trace.Release, r.At+9_000_000, 9_000_000+int64(random.IntN(1000))
 				later = append(later, r)
 			}
 			for i := range later {
@@ -339,15 +339,15 @@
 				requests++
 			case r.Kind == trace.Answer:
 				answers++
-			case r.Kind == trace.Decision && trace.Action(r.N[trace.Act]) == trace.Sent:
+			case r.Kind == trace.Decision && trace.Action(r.Figures[trace.ActionCode]) == trace.ActionSent:
 				sent++
 			case r.Kind == trace.AttemptEnd:
-				switch threadglade.Outcome(r.N[trace.Outcome]) {
+				switch threadglade.Outcome(r.Figures[trace.Outcome]) {
 				case threadglade.Unreachable, threadglade.NotSent, threadglade.Cut, threadglade.Cancelled, threadglade.TimedOut:
 					unsure++ // a server need not have got it whole
 				}
 			case r.Kind == trace.Gap:
-				gaps += r.N[trace.Count]
+				gaps += r.Figures[trace.Count]
 			}
 			return nil
 		}))
--- a/cmd/threadglade/trace.go
+++ b/cmd/threadglade/trace.go
@@ -72,7 +72,7 @@
 			return put(cmd.OutOrStdout(), *asJSON, map[string]any{"records": records, "clocks": clocks}, func(w io.Writer) {
 				for _, c := range clocks {
 					fmt.Fprintln(w, c)
-					if c.Guess {
+					if c.Assumed {
 						fmt.Fprintln(w, "  nothing was seen alike: this clock is guessed")
 					}
 				}
@@ -252,7 +252,7 @@
 	if err != nil {
 		return usage(err)
 	}
-	if err := t.Each(trace.Selection{}, func(r *trace.Record) error { s.Take(r); return nil }); err != nil {
+	if err := t.Each(trace.Selection{}, func(r *trace.Record) error { s.Add(r); return nil }); err != nil {
 		return err
 	}
 	groups := s.Groups()
@@ -285,20 +285,20 @@
 	cares, found, answered := map[string]trace.Record{}, false, false // what was in force as the call came, and what came while it was open
 	if err := t.Each(trace.Selection{}, func(r *trace.Record) error {
 		switch {
-		case r.S[trace.Call] == call:
+		case r.Texts[trace.Call] == call:
 			if !found {
 				found = true
 				for _, key := range slices.Sorted(maps.Keys(cares)) {
-					if c := cares[key]; c.S[trace.Router] == r.S[trace.Router] {
+					if c := cares[key]; c.Texts[trace.Router] == r.Texts[trace.Router] {
 						list = append(list, c)
 					}
 				}
 			}
 			list = append(list, *r)
 			answered = answered || r.Kind == trace.Answer
-		case r.Kind == trace.Care && !found:
-			cares[r.S[trace.Router]+" "+r.S[trace.Server]] = *r
-		case r.Kind == trace.Care && !answered && r.S[trace.Router] == list[len(list)-1].S[trace.Router]:
+		case r.Kind == trace.Avoidance && !found:
+			cares[r.Texts[trace.Router]+" "+r.Texts[trace.Server]] = *r
+		case r.Kind == trace.Avoidance && !answered && r.Texts[trace.Router] == list[len(list)-1].Texts[trace.Router]:
 			list = append(list, *r)
 		}
 		return nil
@@ -308,7 +308,7 @@
 	if !found {
 		return fmt.Errorf("%s: no call %s", path, call)
 	}
-	story := trace.Story(list)
+	story := trace.DescribeCall(list)
 	return put(w, asJSON, story, func(w io.Writer) {
 		for _, line := range story {
 			fmt.Fprintln(w, line)
@@ -317,15 +317,15 @@
 }
 
 // inquire asks why service dropped in a time.
-func inquire(path string, from, to int64) (trace.Verdict, error) {
+func inquire(path string, from, to int64) (trace.Diagnosis, error) {
 	t, err := traceio.Open(durable.OS{}, path)
 	if err != nil {
-		return trace.Verdict{}, err
+		return trace.Diagnosis{}, err
 	}
 	defer t.Close()
-	q := trace.NewInquiry(t.Meta, from, to)
-	err = t.Each(trace.Selection{From: q.Begin(), To: to}, func(r *trace.Record) error { q.Take(r); return nil })
-	return q.Verdict(), err
+	q := trace.NewDiagnoser(t.Meta, from, to)
+	err = t.Each(trace.Selection{From: q.BaselineStart(), To: to}, func(r *trace.Record) error { q.Add(r); return nil })
+	return q.Diagnosis(), err
 }
 
 func traceWhy(w io.Writer, path string, from, to int64, asJSON bool) error {
@@ -339,14 +339,14 @@
 			fmt.Fprintln(w, "nothing stands out")
 		}
 		for i, c := range v.Causes {
-			fmt.Fprintf(w, "%d. %s (%.2f), first sign %s\n", i+1, c.Text, c.Score, micro(c.First))
+			fmt.Fprintf(w, "%d. %s (%.2f), first sign %s\n", i+1, c.Text, c.Score, micro(c.FirstSign))
 		}
-		for _, one := range v.Shared {
-			fmt.Fprintf(w, "   %s was found %s by %d routers of %d, at the most %.0f ms old, from %s on; %d choices were changed\n", one.Server, one.Found, one.Bad, one.Others, float64(one.AgeUs)/1000,
-				micro(one.First), one.Choices)
+		for _, one := range v.SharedFindings {
+			fmt.Fprintf(w, "   %s was found %s by %d routers of %d, at the most %.0f ms old, from %s on; %d choices were changed\n", one.Server, one.Found, one.Affected, one.Others, float64(one.MaxAgeUs)/1000,
+				micro(one.FirstApplied), one.ChangedDecisions)
 		}
 		for _, c := range v.Changes[:min(8, len(v.Changes))] {
-			fmt.Fprintf(w, "   by %s %q: lost %.1f, before %.1f, %.0f%% of the loss\n", c.Dimension, c.Name, c.During, c.Before, 100*c.OfferedShare)
+			fmt.Fprintf(w, "   by %s %q: lost %.1f, before %.1f, %.0f%% of the loss\n", c.Dimension, c.Name, c.LostDuring, c.LostBefore, 100*c.LossShare)
 		}
 	})
 }
@@ -361,10 +361,10 @@
 	if err != nil {
 		return err
 	}
-	if err := t.Each(trace.Selection{}, func(rec *trace.Record) error { r.Take(rec); return nil }); err != nil {
+	if err := t.Each(trace.Selection{}, func(rec *trace.Record) error { r.Add(rec); return nil }); err != nil {
 		return err
 	}
-	return durable.WriteFile(durable.OS{}, out, r.HTML)
+	return durable.WriteFile(durable.OS{}, out, r.WriteHTML)
 }
 
 func traceExport(w io.Writer, path, form string) error {
@@ -377,10 +377,10 @@
 	}
 	defer t.Close()
 	b := bufio.NewWriterSize(w, 64<<10)
-	spans := trace.NewSpans(b)
-	take := spans.Take
+	spans := trace.NewSpanWriter(b)
+	take := spans.Add
 	if form == "jsonl" {
-		take = func(r *trace.Record) error { return trace.JSON(b, r) }
+		take = func(r *trace.Record) error { return trace.WriteJSON(b, r) }
 	}
 	if err := t.Each(trace.Selection{}, take); err != nil {
 		return err
--- a/cmd/threadglade/trace_test.go
+++ b/cmd/threadglade/trace_test.go
@@ -84,15 +84,15 @@
 		last = r.At
 		switch r.Kind {
 		case trace.Answer:
-			require.NotContains(t, ends, r.S[trace.Call], "two final answers")
-			ends[r.S[trace.Call]] = trace.End(r.N[trace.Final]).String()
+			require.NotContains(t, ends, r.Texts[trace.Call], "two final answers")
+			ends[r.Texts[trace.Call]] = trace.AnswerResult(r.Figures[trace.FinalAnswer]).String()
 		case trace.Decision:
-			if trace.Action(r.N[trace.Act]) == trace.Sent {
+			if trace.Action(r.Figures[trace.ActionCode]) == trace.ActionSent {
 				sent++
 			}
 		case trace.AttemptEnd:
 			if first == "" {
-				first = r.S[trace.Call]
+				first = r.Texts[trace.Call]
 			}
 		}
 		return nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -427,7 +427,7 @@
 		n.ledger.SetClasses(ledger.ConvertClasses(settings.Classes))
 	}
 	if n.trace != nil {
-		n.trace.SetClasses(trace.Classes(settings.Classes))
+		n.trace.SetClasses(trace.ConvertClasses(settings.Classes))
 	}
 	var names []string
 	for _, class := range settings.Classes {
--- a/internal/node/subsystems.go
+++ b/internal/node/subsystems.go
@@ -542,7 +542,7 @@
 		FS:      n.fileSystem(),
 		Router:  n.config.Name,
 		Build:   buildVersion(),
-		Classes: trace.Classes(n.config.Settings.Classes),
+		Classes: trace.ConvertClasses(n.config.Settings.Classes),
 		Clock:   n.clock,
 		Log:     n.log,
 	}
--- a/internal/traceio/file.go
+++ b/internal/traceio/file.go
@@ -88,7 +88,7 @@
 		return w.lost
 	}
 	b := w.enc.Block()
-	b.Info.Reach = w.from
+	b.Info.OldestRequestBlock = w.from
 	if w.lost = w.Block(b); w.lost != nil {
 		w.Lost = n
 		return w.lost
@@ -99,11 +99,11 @@
 
 // reach follows a call of the next block and tells the block that it began in, as far as that is known.
 func (w *Writer) reach(r *trace.Record, slot uint32) int {
-	here, call := len(w.index.Blocks), r.S[trace.Call]
+	here, call := len(w.index.Blocks), r.Texts[trace.Call]
 	if call == "" {
 		return here
 	}
-	over := r.Kind == trace.Release || r.Kind == trace.Answer && trace.End(r.N[trace.Final]) != trace.EndStood
+	over := r.Kind == trace.Release || r.Kind == trace.Answer && trace.AnswerResult(r.Figures[trace.FinalAnswer]) != trace.AnswerEstablished
 	if slot > 0 {
 		if int(slot) >= len(w.slots) {
 			w.slots = append(w.slots, make([]int, int(slot)+1-len(w.slots))...)
@@ -164,7 +164,7 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	text, err := w.index.Append()
+	text, err := w.index.Encode()
 	if err != nil {
 		return err
 	}
@@ -246,7 +246,7 @@
 	if err != nil {
 		return t.r.Damagef(at, "the index: %v", err)
 	}
-	if t.Index, err = trace.ReadIndex(text); err != nil {
+	if t.Index, err = trace.DecodeIndex(text); err != nil {
 		return t.r.Damagef(at, "%v", err)
 	}
 	return nil
@@ -297,8 +297,8 @@
 		if err != nil {
 			return t.r.Damagef(at, "%v", err)
 		}
-		info := trace.Inform(list)
-		info.Offset, info.Columns, info.Reach = at, columns, w.reachAll(list)
+		info := trace.DescribeBlock(list)
+		info.Offset, info.Columns, info.OldestRequestBlock = at, columns, w.reachAll(list)
 		w.index.Add(info)
 	}
 	t.Index = &w.index
@@ -354,8 +354,8 @@
 			return err
 		}
 		for i := range list {
-			if list[i].S[trace.Router] == "" {
-				list[i].S[trace.Router] = t.Meta.Router
+			if list[i].Texts[trace.Router] == "" {
+				list[i].Texts[trace.Router] = t.Meta.Router
 			}
 			if err := f(&list[i]); err != nil {
 				return err
@@ -391,8 +391,8 @@
 	}
 	r := &s.list[s.at]
 	s.at++
-	if r.S[trace.Router] == "" {
-		r.S[trace.Router] = s.f.Meta.Router
+	if r.Texts[trace.Router] == "" {
+		r.Texts[trace.Router] = s.f.Meta.Router
 	}
 	return r, nil
 }
--- a/internal/traceio/recorder.go
+++ b/internal/traceio/recorder.go
@@ -157,18 +157,18 @@
 	kind                        trace.Kind
 	call, server, class, tenant string // server is the number called where kind is Request
 	identity, front             string // of Request
-	n                           [trace.FiguresMost]int64
+	n                           [trace.MaxFigures]int64
 }
 
 // Where the caller's address of a Request stands, after its figures.
 const (
-	addrHigh = trace.FiguresMost - 3 + iota
+	addrHigh = trace.MaxFigures - 3 + iota
 	addrLow
 	addrKind // 0 untold, 4 or 6
 )
 
 // places are where the figures of each kind stand in a slip.
-var places = func() (list [trace.Kinds][trace.Figures]uint8) {
+var places = func() (list [trace.KindLimit][trace.FigureCount]uint8) {
 	for k := range list {
 		_, columns := trace.Columns(trace.Kind(k))
 		for i, f := range columns {
@@ -203,19 +203,19 @@
 func (u *unfold) of(s *slip) *trace.Record {
 	r := &u.record
 	*r = trace.Record{Kind: s.kind, At: s.at}
-	r.S[trace.Call], r.S[trace.Class], r.S[trace.Tenant] = s.call, s.class, s.tenant
+	r.Texts[trace.Call], r.Texts[trace.Class], r.Texts[trace.Tenant] = s.call, s.class, s.tenant
 	_, columns := trace.Columns(s.kind)
 	for i, f := range columns {
-		r.N[f] = s.n[i]
+		r.Figures[f] = s.n[i]
 	}
 	if s.kind != trace.Request {
-		r.S[trace.Server] = s.server
-		if s.kind == trace.Care {
-			r.S[trace.Front] = s.front
+		r.Texts[trace.Server] = s.server
+		if s.kind == trace.Avoidance {
+			r.Texts[trace.Front] = s.front
 		}
 		return r
 	}
-	r.S[trace.Number], r.S[trace.Identity], r.S[trace.Front] = s.server, s.identity, s.front
+	r.Texts[trace.Number], r.Texts[trace.Identity], r.Texts[trace.Front] = s.server, s.identity, s.front
 	if s.n[addrKind] == 0 {
 		return r
 	}
@@ -234,7 +234,7 @@
 		text = a.String()
 		u.addrs[a] = text
 	}
-	r.S[trace.Caller] = text
+	r.Texts[trace.Caller] = text
 	return r
 }
 
@@ -267,7 +267,7 @@
 		}
 	}
 	r := &Recorder{cfg: cfg, servers: map[string]*known{}, stop: make(chan struct{}),
-		meta: trace.Meta{Router: cfg.Router, Life: cfg.Clock().Microseconds(), Build: cfg.Build}}
+		meta: trace.Meta{Router: cfg.Router, Incarnation: cfg.Clock().Microseconds(), Build: cfg.Build}}
 	r.classes.Store(&cfg.Classes)
 	if cfg.Flight > 0 {
 		r.ring = make([]slip, 0, cfg.Records)
@@ -379,7 +379,7 @@
 func (r *Recorder) Observe(e router.Event) {
 	switch e.Kind {
 	case router.Listed:
-		rec := r.next(trace.Listed, e.At)
+		rec := r.next(trace.ListEntry, e.At)
 		rec.server = e.Server
 		rec.set(trace.State, int64(e.State))
 		if e.State == threadglade.Removed {
@@ -398,16 +398,16 @@
 		r.report(&e, s)
 		return
 	case router.Avoided:
-		rec := r.next(trace.Care, e.At)
+		rec := r.next(trace.Avoidance, e.At)
 		rec.server, rec.front = e.Server, strings.TrimSpace(e.Class+" "+e.Front)
-		rec.set(trace.TookUs, e.Latency.Microseconds())
+		rec.set(trace.ElapsedUs, e.Latency.Microseconds())
 		rec.set(trace.DeadlineMs, e.RetryAfter.Milliseconds())
 		rec.set(trace.Count, int64(e.Free))
 		rec.set(trace.Total, int64(e.Total))
 		r.put(rec)
 		return
 	case router.UnknownServerRelease, router.UnknownCallerRelease:
-		rec := r.next(trace.Stray, e.At)
+		rec := r.next(trace.UnexpectedRelease, e.At)
 		rec.call = e.Call
 		rec.set(trace.Outcome, int64(e.Outcome))
 		r.put(rec)
@@ -425,15 +425,15 @@
 		r.decided(c, &e)
 	case router.Refused:
 		r.decided(c, &e)
-		r.answered(&e, c, trace.EndRefused)
+		r.answered(&e, c, trace.AnswerRefused)
 	case router.Failed:
 		r.decided(c, &e)
-		r.answered(&e, c, trace.EndFailed)
+		r.answered(&e, c, trace.AnswerFailed)
 	case router.CallerLeft:
-		r.answered(&e, c, trace.EndLeft)
+		r.answered(&e, c, trace.AnswerAbandoned)
 	case router.Established:
 		c.out, c.stood = false, true
-		r.answered(&e, c, trace.EndStood)
+		r.answered(&e, c, trace.AnswerEstablished)
 		c.sent = e.At // it stands from now on
 	case router.AttemptEnded:
 		rec := r.of(trace.AttemptEnd, c, &e)
@@ -441,7 +441,7 @@
 		rec.set(trace.Outcome, int64(e.Outcome))
 		rec.set(trace.Cause, int64(e.Cause))
 		if c.out {
-			rec.set(trace.TookUs, (e.At - c.sent).Microseconds())
+			rec.set(trace.ElapsedUs, (e.At - c.sent).Microseconds())
 		}
 		r.put(rec)
 		if e.Outcome == threadglade.NotSent && !c.out { // the backstop stopped it
@@ -452,7 +452,7 @@
 		rec := r.of(trace.Release, c, &e)
 		rec.set(trace.Outcome, int64(e.Outcome))
 		rec.set(trace.Cause, int64(e.Cause))
-		rec.set(trace.TookUs, (e.At - c.sent).Microseconds())
+		rec.set(trace.ElapsedUs, (e.At - c.sent).Microseconds())
 		r.put(rec)
 	case router.Closed:
 		*c = followed{}
@@ -485,10 +485,10 @@
 	rec.set(trace.Free, int64(s.free))
 	rec.set(trace.Total, int64(s.total))
 	rec.set(trace.LatencyUs, -1)
-	rec.set(trace.QpsMilli, -1)
+	rec.set(trace.QPSMilli, -1)
 	if s.loadAt >= 0 {
 		rec.set(trace.LatencyUs, s.latency.Microseconds())
-		rec.set(trace.QpsMilli, int64(1000*s.rate))
+		rec.set(trace.QPSMilli, int64(1000*s.rate))
 	}
 	r.put(rec)
 }
@@ -516,8 +516,8 @@
 	r.put(rec)
 }
 
-var acts = [32]trace.Action{router.Sent: trace.Sent, router.Held: trace.Held, router.Withdrawn: trace.GivenUp,
-	router.Refused: trace.Refused, router.Failed: trace.Failed}
+var acts = [32]trace.Action{router.Sent: trace.ActionSent, router.Held: trace.ActionHeld, router.Withdrawn: trace.ActionWithdrawn,
+	router.Refused: trace.ActionRefused, router.Failed: trace.ActionFailed}
 
 // decided records a decision with what was known of its server.
 func (r *Recorder) decided(c *followed, e *router.Event) {
@@ -529,7 +529,7 @@
 	if e.Server != "" {
 		if s = r.server(e.Server); s.phase != e.View.Phase {
 			s.phase = e.View.Phase
-			turn := r.next(trace.Turn, e.At)
+			turn := r.next(trace.ControlChange, e.At)
 			turn.server = e.Server
 			turn.set(trace.State, int64(s.phase))
 			turn.set(trace.RateMilli, rate)
@@ -538,7 +538,7 @@
 		}
 	}
 	rec := r.of(trace.Decision, c, e)
-	rec.set(trace.Act, int64(acts[e.Kind]))
+	rec.set(trace.ActionCode, int64(acts[e.Kind]))
 	rec.set(trace.Reason, int64(e.Reason))
 	rec.set(trace.Attempt, int64(e.Attempt))
 	rec.set(trace.FreeAgeMs, -1)
@@ -551,13 +551,13 @@
 		}
 		if s.loadAt >= 0 {
 			rec.set(trace.LatencyUs, s.latency.Microseconds())
-			rec.set(trace.QpsMilli, int64(1000*s.rate))
+			rec.set(trace.QPSMilli, int64(1000*s.rate))
 			rec.set(trace.LoadAgeMs, (e.At - s.loadAt).Milliseconds())
 		}
 		rec.set(trace.RateMilli, rate)
 		rec.set(trace.LambdaMilli, lambda)
-		rec.set(trace.Out, int64(e.View.InFlight))
-		rec.set(trace.OldestMs, r.oldest(s, e.At).Milliseconds())
+		rec.set(trace.InFlight, int64(e.View.InFlight))
+		rec.set(trace.OldestPendingMs, r.oldest(s, e.At).Milliseconds())
 		if e.Kind == router.Sent {
 			c.server, c.sent, c.attempt, c.out = e.Server, e.At, e.Attempt, true
 			if len(s.unanswered)-s.head < unansweredMost {
@@ -585,15 +585,15 @@
 	return 0
 }
 
-func (r *Recorder) answered(e *router.Event, c *followed, end trace.End) {
+func (r *Recorder) answered(e *router.Event, c *followed, end trace.AnswerResult) {
 	rec := r.of(trace.Answer, c, e)
 	rec.server = c.server
-	rec.set(trace.Final, int64(end))
-	rec.set(trace.Why, int64(e.Failure))
+	rec.set(trace.FinalAnswer, int64(end))
+	rec.set(trace.FailureCode, int64(e.Failure))
 	rec.set(trace.RetryAfterMs, e.RetryAfter.Milliseconds())
-	rec.set(trace.TookUs, (e.At - c.came).Microseconds())
+	rec.set(trace.ElapsedUs, (e.At - c.came).Microseconds())
 	r.put(rec)
-	if end == trace.EndRefused || end == trace.EndFailed {
+	if end == trace.AnswerRefused || end == trace.AnswerFailed {
 		if e.At-r.second >= time.Second {
 			r.second, r.lost = e.At, [2]int64{r.lost[1], 0}
 		}
@@ -741,7 +741,7 @@
 				fail(err)
 			} else if gone > 0 {
 				gap := trace.Record{Kind: trace.Gap, At: r.cfg.Clock().Microseconds()}
-				gap.N[trace.Count], gone = gone, 0
+				gap.Figures[trace.Count], gone = gone, 0
 				out.w.Add(&gap, 0) // it only waits for its block
 			}
 		}
@@ -808,7 +808,7 @@
 func (r *Recorder) begin(part int, now time.Time) (*output, error) {
 	meta, classes := r.meta, r.classes.Load()
 	meta.Part, meta.Classes = part, *classes
-	path := filepath.Join(r.cfg.Dir, fmt.Sprintf("%s-%s-%06d%s", fileName(r.cfg.Router), time.UnixMicro(r.meta.Life).UTC().Format("20060102T150405.000000Z"), part, Extension))
+	path := filepath.Join(r.cfg.Dir, fmt.Sprintf("%s-%s-%06d%s", fileName(r.cfg.Router), time.UnixMicro(r.meta.Incarnation).UTC().Format("20060102T150405.000000Z"), part, Extension))
 	if err := r.sweep(path); err != nil {
 		return nil, err
 	}
--- a/internal/traceio/tools.go
+++ b/internal/traceio/tools.go
@@ -47,7 +47,7 @@
 }
 
 func (t *File) cut(w *Writer, s trace.Selection, c *Cut) error {
-	p := trace.NewPicker(s)
+	p := trace.NewSelector(s)
 	read := roaring.New() // a selection of calls reads some blocks twice
 	defer func() { c.Blocks = int(read.GetCardinality()) }()
 	blocks := t.Index.Find(s)
@@ -60,7 +60,7 @@
 			}
 			read.Add(n)
 			for i := range list {
-				p.Note(&list[i])
+				p.NoteMatch(&list[i])
 			}
 		}
 		blocks = t.Index.Find(trace.Selection{From: s.From, To: s.To})
@@ -76,16 +76,16 @@
 		return !narrow && b.From >= s.From && (s.To == 0 || b.To < s.To)
 	}
 	for _, n := range blocks {
-		if b := t.Index.Blocks[n]; b.Reach < int(n) || !wanted(n) {
+		if b := t.Index.Blocks[n]; b.OldestRequestBlock < int(n) || !wanted(n) {
 			list, err := t.Records(int(n))
 			if err != nil {
 				return err
 			}
 			read.Add(n)
 			for i := range list {
-				if p.Take(&list[i]) && p.Missing(&list[i]) {
-					missing[list[i].S[trace.Call]] = true
-					reach = min(reach, b.Reach)
+				if p.Selects(&list[i]) && p.NeedsRequest(&list[i]) {
+					missing[list[i].Texts[trace.Call]] = true
+					reach = min(reach, b.OldestRequestBlock)
 				}
 			}
 		} else if err := t.requests(int(n), p); err != nil {
@@ -100,8 +100,8 @@
 		}
 		read.Add(uint32(n))
 		for i := range list {
-			if r := &list[i]; r.Kind == trace.Request && missing[r.S[trace.Call]] {
-				delete(missing, r.S[trace.Call])
+			if r := &list[i]; r.Kind == trace.Request && missing[r.Texts[trace.Call]] {
+				delete(missing, r.Texts[trace.Call])
 				r.Carried = true
 				carried = append(carried, *r)
 			}
@@ -128,8 +128,8 @@
 			if err != nil {
 				return t.r.Damagef(b.Info.Offset, "%v", err)
 			}
-			info := trace.Inform(list)
-			info.Reach = w.reachAll(list)
+			info := trace.DescribeBlock(list)
+			info.OldestRequestBlock = w.reachAll(list)
 			b.Info = info
 			if err := w.Block(b); err != nil {
 				return err
@@ -144,7 +144,7 @@
 			return err
 		}
 		for i := range list {
-			if p.Take(&list[i]) {
+			if p.Selects(&list[i]) {
 				if err := w.Add(&list[i], 0); err != nil {
 					return err
 				}
@@ -156,10 +156,10 @@
 }
 
 // requests notes the calls that begin in a block, from its strings and columns.
-func (t *File) requests(n int, p *trace.Picker) error {
+func (t *File) requests(n int, p *trace.Selector) error {
 	list, err := t.Records(n)
 	for i := range list {
-		p.Take(&list[i])
+		p.Selects(&list[i])
 	}
 	return err
 }
@@ -178,7 +178,7 @@
 			return nil, 0, err
 		}
 		files = append(files, t)
-		if err := files[0].Meta.Same(t.Meta); err != nil {
+		if err := files[0].Meta.CheckMergeable(t.Meta); err != nil {
 			return nil, 0, fmt.Errorf("%s: %w", path, err)
 		}
 		if len(t.Meta.Clocks) > 0 {
@@ -186,9 +186,9 @@
 		}
 	}
 	slices.SortStableFunc(files, func(a, b *File) int {
-		return cmp.Or(cmp.Compare(a.Meta.Router, b.Meta.Router), cmp.Compare(a.Meta.Life, b.Meta.Life), cmp.Compare(a.Meta.Part, b.Meta.Part))
+		return cmp.Or(cmp.Compare(a.Meta.Router, b.Meta.Router), cmp.Compare(a.Meta.Incarnation, b.Meta.Incarnation), cmp.Compare(a.Meta.Part, b.Meta.Part))
 	})
-	seen := trace.NewSightings()
+	seen := trace.NewClockEstimator()
 	for _, t := range files {
 		src := t.Source()
 		for {
@@ -199,22 +199,22 @@
 			if err != nil {
 				return nil, 0, err
 			}
-			seen.Take(t.Meta.Life, r)
+			seen.Add(t.Meta.Incarnation, r)
 		}
 	}
 	clocks = seen.Estimate()
 	m := trace.NewMerger(clocks)
 	for i := 0; i < len(files); {
 		chain, meta := Chain{}, files[i].Meta
-		for ; i < len(files) && files[i].Meta.Router == meta.Router && files[i].Meta.Life == meta.Life; i++ {
+		for ; i < len(files) && files[i].Meta.Router == meta.Router && files[i].Meta.Incarnation == meta.Incarnation; i++ {
 			chain = append(chain, files[i].Source())
 		}
-		if err := m.Add(meta.Router, meta.Life, &chain, io.EOF); err != nil {
+		if err := m.Add(meta.Router, meta.Incarnation, &chain, io.EOF); err != nil {
 			return nil, 0, err
 		}
 	}
 	meta := files[0].Meta
-	meta.Router, meta.Life, meta.Part, meta.Clocks = "", 0, 0, clocks
+	meta.Router, meta.Incarnation, meta.Part, meta.Clocks = "", 0, 0, clocks
 	err = durable.WriteFile(f, to, func(out io.Writer) error {
 		w, err := NewWriter(out, meta)
 		if err != nil {
@@ -240,7 +240,7 @@
 
 // HideFile writes a file with keyed hashes in the place of all that tells a person. Columns are copied as they stand.
 func HideFile(f durable.FS, from, to string, key []byte) (blocks int, err error) {
-	h, err := trace.NewHider(key)
+	h, err := trace.NewAnonymizer(key)
 	if err != nil {
 		return 0, err
 	}
@@ -250,10 +250,10 @@
 	}
 	defer t.Close()
 	meta := t.Meta
-	meta.Hidden = true
+	meta.Anonymized = true
 	if meta.Cut != nil {
 		cut := *meta.Cut
-		cut.Call = h.Hide(trace.Call, cut.Call)
+		cut.Call = h.Anonymize(trace.Call, cut.Call)
 		meta.Cut = &cut
 	}
 	err = durable.WriteFile(f, to, func(out io.Writer) error {
@@ -267,15 +267,15 @@
 			if err != nil {
 				return err
 			}
-			if b.Strings, err = h.Strings(dec, enc, b.Strings); err != nil {
+			if b.Strings, err = h.AnonymizeStrings(dec, enc, b.Strings); err != nil {
 				return t.r.Damagef(b.Info.Offset, "%v", err)
 			}
 			list, err := dec.Decode(b.Strings, b.Columns)
 			if err != nil {
 				return t.r.Damagef(b.Info.Offset, "%v", err)
 			}
-			info := trace.Inform(list)
-			info.Reach = b.Info.Reach
+			info := trace.DescribeBlock(list)
+			info.OldestRequestBlock = b.Info.OldestRequestBlock
 			b.Info = info
 			if err := w.Block(b); err != nil {
 				return err
@@ -298,7 +298,7 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		have := trace.Inform(list)
+		have := trace.DescribeBlock(list)
 		if have.Count != info.Count || have.From != info.From || have.To != info.To {
 			return nil, 0, t.r.Damagef(info.Offset, "the index does not agree with the block")
 		}
--- a/internal/traceio/traceio_test.go
+++ b/internal/traceio/traceio_test.go
@@ -41,15 +41,15 @@
 // records are those of call n, which lasts 30 s; every call has five.
 func records(n int) (list []trace.Record) {
 	r := trace.Record{Kind: trace.Request, At: day + int64(n)*20_000}
-	r.S[trace.Call], r.S[trace.Class], r.S[trace.Tenant], r.S[trace.Number] = mixed(n+1), []string{"voice", "data"}[n%2], "lda", fmt.Sprintf("92%05d", n)
-	r.S[trace.Caller], r.S[trace.Identity] = fmt.Sprintf("10.4.%d.%d", n>>8&255, n&255), fmt.Sprintf("spiffe://b.example/desk/%d", n)
+	r.Texts[trace.Call], r.Texts[trace.Class], r.Texts[trace.Tenant], r.Texts[trace.Number] = mixed(n+1), []string{"voice", "data"}[n%2], "lda", fmt.Sprintf("92%05d", n)
+	r.Texts[trace.Caller], r.Texts[trace.Identity] = fmt.Sprintf("10.4.%d.%d", n>>8&255, n&255), fmt.Sprintf("spiffe://b.example/desk/%d", n)
 	list = append(list, r)
-	r.S[trace.Identity], r.S[trace.Caller], r.S[trace.Number] = "", "", ""
-	r.Kind, r.S[trace.Server], r.N[trace.Act], r.N[trace.Reason] = trace.Decision, fmt.Sprintf("s%d", n%3), int64(trace.Sent), int64(threadglade.FirstChoice)
+	r.Texts[trace.Identity], r.Texts[trace.Caller], r.Texts[trace.Number] = "", "", ""
+	r.Kind, r.Texts[trace.Server], r.Figures[trace.ActionCode], r.Figures[trace.Reason] = trace.Decision, fmt.Sprintf("s%d", n%3), int64(trace.ActionSent), int64(threadglade.FirstChoice)
 	list = append(list, r)
-	r.Kind, r.At, r.N[trace.Act], r.N[trace.Reason], r.N[trace.Final] = trace.Answer, r.At+50_000, 0, 0, int64(trace.EndStood)
+	r.Kind, r.At, r.Figures[trace.ActionCode], r.Figures[trace.Reason], r.Figures[trace.FinalAnswer] = trace.Answer, r.At+50_000, 0, 0, int64(trace.AnswerEstablished)
 	list = append(list, r)
-	r.Kind, r.At, r.N[trace.Final], r.N[trace.TookUs] = trace.Release, r.At+30*second, 0, 30*second
+	r.Kind, r.At, r.Figures[trace.FinalAnswer], r.Figures[trace.ElapsedUs] = trace.Release, r.At+30*second, 0, 30*second
 	return append(list, r)
 }
 
@@ -182,7 +182,7 @@
 		require.Less(t, r.At, middle)
 	}
 	order := func(a, b trace.Record) int {
-		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.S[trace.Call], b.S[trace.Call]), cmp.Compare(a.Kind, b.Kind))
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Texts[trace.Call], b.Texts[trace.Call]), cmp.Compare(a.Kind, b.Kind))
 	}
 	halves := append(append([]trace.Record{}, a...), b[two.Carried:]...)
 	slices.SortFunc(halves, order)
@@ -192,23 +192,23 @@
 	began := map[string]bool{}
 	for _, r := range b {
 		if r.Kind == trace.Request {
-			began[r.S[trace.Call]] = true
+			began[r.Texts[trace.Call]] = true
 		}
-		require.True(t, began[r.S[trace.Call]], "%s has no first record", r.S[trace.Call])
+		require.True(t, began[r.Texts[trace.Call]], "%s has no first record", r.Texts[trace.Call])
 	}
 	ten, err := CutFile(f, "x.tgt", "c.tgt", trace.Selection{From: middle, To: middle + 10*second})
 	require.NoError(t, err)
 	require.Less(t, ten.Blocks, ten.Of/2)
 
 	// By class, server, outcome and call: whole calls.
-	for _, s := range []trace.Selection{{Class: "voice"}, {Server: "s1"}, {Outcome: "concluded", Class: "data"}, {Call: records(77)[0].S[trace.Call]}} {
+	for _, s := range []trace.Selection{{Class: "voice"}, {Server: "s1"}, {Outcome: "concluded", Class: "data"}, {Call: records(77)[0].Texts[trace.Call]}} {
 		c, err := CutFile(f, "x.tgt", "d.tgt", s)
 		require.NoError(t, err)
 		require.LessOrEqual(t, c.Blocks, c.Of)
 		seen := map[string]int{}
 		for _, r := range readAll(t, f, "d.tgt", trace.Selection{}) {
-			seen[r.S[trace.Call]]++
-			require.True(t, s.Class == "" || r.S[trace.Class] == s.Class)
+			seen[r.Texts[trace.Call]]++
+			require.True(t, s.Class == "" || r.Texts[trace.Class] == s.Class)
 		}
 		for call, n := range seen {
 			require.Equal(t, 4, n, call)
@@ -245,13 +245,13 @@
 	list := readAll(t, f, "h.tgt", trace.Selection{})
 	require.Len(t, list, n)
 	for i := range list {
-		require.NoError(t, trace.JSON(&unpacked, &list[i]))
+		require.NoError(t, trace.WriteJSON(&unpacked, &list[i]))
 	}
 	text := unpacked.String()
 	for i := range 250 {
 		r := records(i)[0]
 		for _, s := range []trace.Text{trace.Call, trace.Number, trace.Caller, trace.Identity} {
-			if v := r.S[s]; strings.Contains(text, `"`+v+`"`) || len(v) > 8 && strings.Contains(text, v) {
+			if v := r.Texts[s]; strings.Contains(text, `"`+v+`"`) || len(v) > 8 && strings.Contains(text, v) {
 				require.Fail(t, "a value is left", "%s %s", s, v)
 			}
 		}
@@ -259,11 +259,11 @@
 	plain := readAll(t, f, "x.tgt", trace.Selection{})
 	hidden := map[string]string{}
 	for i := range plain {
-		was, is := plain[i].S[trace.Call], list[i].S[trace.Call]
+		was, is := plain[i].Texts[trace.Call], list[i].Texts[trace.Call]
 		require.True(t, hidden[was] == "" || hidden[was] == is)
 		hidden[was] = is
-		require.Equal(t, plain[i].N, list[i].N)
-		require.Equal(t, plain[i].S[trace.Server], list[i].S[trace.Server])
+		require.Equal(t, plain[i].Figures, list[i].Figures)
+		require.Equal(t, plain[i].Texts[trace.Server], list[i].Texts[trace.Server])
 	}
 	_, _, err = Verify(f, "h.tgt")
 	require.NoError(t, err)
@@ -339,7 +339,7 @@
 	list, _ := g.files(t, "trace")
 	gaps := int64(0)
 	for _, r := range list {
-		gaps += r.N[trace.Count] * map[bool]int64{true: 1}[r.Kind == trace.Gap]
+		gaps += r.Figures[trace.Count] * map[bool]int64{true: 1}[r.Kind == trace.Gap]
 	}
 	c := g.r.Counters()
 	require.EqualValues(t, c.Dropped, gaps, "each record that is missing is counted in a gap")
@@ -408,7 +408,7 @@
 	}
 	require.Less(t, total, 12_000)
 	list, _ := g.files(t, "trace")
-	require.Equal(t, mixed(800), list[len(list)-1].S[trace.Call], "the latest are there")
+	require.Equal(t, mixed(800), list[len(list)-1].Texts[trace.Call], "the latest are there")
 }
 
 // TestFlight: without a file, the last moments are kept in memory and written out on demand, by too many losses, and when the backstop
@@ -424,7 +424,7 @@
 	require.True(t, durabletest.WaitFor(func() bool { return g.r.Counters().Flights == 1 }))
 	list, _ := g.files(t, "flight")
 	require.Len(t, list, 1000, "no more than the ring holds")
-	require.Equal(t, fmt.Sprintf("%016x", 499), list[999].S[trace.Call])
+	require.Equal(t, fmt.Sprintf("%016x", 499), list[999].Texts[trace.Call])
 	for i := range 60 {
 		g.call(fmt.Sprintf("%016x", 1000+i), router.Refused)
 	}
@@ -458,11 +458,11 @@
 	list, _ := g.files(t, "trace")
 	last := list[len(list)-1]
 	require.Equal(t, trace.Decision, last.Kind)
-	for f, want := range map[trace.Figure]int64{trace.Free: 7, trace.FreeAgeMs: 150, trace.LatencyUs: 240_000, trace.QpsMilli: 9500, trace.LoadAgeMs: 140,
-		trace.RateMilli: 4500, trace.LambdaMilli: 6000, trace.OldestMs: 50, trace.Out: 1, trace.Reason: int64(threadglade.Drawn)} {
-		require.Equal(t, want, last.N[f], f.String())
+	for f, want := range map[trace.Figure]int64{trace.Free: 7, trace.FreeAgeMs: 150, trace.LatencyUs: 240_000, trace.QPSMilli: 9500, trace.LoadAgeMs: 140,
+		trace.RateMilli: 4500, trace.LambdaMilli: 6000, trace.OldestPendingMs: 50, trace.InFlight: 1, trace.Reason: int64(threadglade.Drawn)} {
+		require.Equal(t, want, last.Figures[f], f.String())
 	}
-	require.Equal(t, 1, countKind(list, trace.Turn))
+	require.Equal(t, 1, countKind(list, trace.ControlChange))
 }
 
 // TestRequest: every column of a request comes back, with the caller's address as it was.
@@ -484,10 +484,10 @@
 		require.Equal(t, trace.Request, r.Kind)
 		for column, want := range map[trace.Text]string{trace.Call: mixed(i + 1), trace.Class: "voice", trace.Tenant: "lda", trace.Number: "4711", trace.Identity: "spiffe://b.example/7",
 			trace.Front: "callcontrol", trace.Caller: callers[i], trace.Server: ""} {
-			require.Equal(t, want, r.S[column], column.String())
+			require.Equal(t, want, r.Texts[column], column.String())
 		}
 		for column, want := range map[trace.Figure]int64{trace.DeadlineMs: 3000, trace.Destination: 2, trace.Retry: 1} {
-			require.Equal(t, want, r.N[column], column.String())
+			require.Equal(t, want, r.Figures[column], column.String())
 		}
 	}
 }
@@ -525,7 +525,7 @@
 func TestVersions(t *testing.T) {
 	const path = "testdata/v1.tgt"
 	if *fixture {
-		write(t, durable.OS{}, path, trace.Meta{Router: "n0", Life: day, Part: 1, Build: "v1", Classes: []trace.ClassMeta{{Name: "voice", AimMs: 1200, Worth: 1, Late: 0.2}}}, 40)
+		write(t, durable.OS{}, path, trace.Meta{Router: "n0", Incarnation: day, Part: 1, Build: "v1", Classes: []trace.ClassMeta{{Name: "voice", AimMs: 1200, Worth: 1, LateWorth: 0.2}}}, 40)
 	}
 	var want []trace.Record
 	for n := range 40 {
@@ -534,7 +534,7 @@
 	order := func(a, b trace.Record) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Kind, b.Kind)) }
 	slices.SortStableFunc(want, order)
 	for i := range want {
-		want[i].S[trace.Router] = "n0"
+		want[i].Texts[trace.Router] = "n0"
 	}
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
--- a/trace/block.go
+++ b/trace/block.go
@@ -23,11 +23,11 @@
 )
 
 // ErrInvalidBlock is wrapped by every error about a block or an index that cannot be decoded.
-var ErrBlock = errors.New("invalid trace block")
+var ErrInvalidBlock = errors.New("invalid trace block")
 
 // blockErrorf formats an error that wraps ErrInvalidBlock.
 func blockErrorf(format string, args ...any) error {
-	return fmt.Errorf("%w: "+format, append([]any{ErrBlock}, args...)...)
+	return fmt.Errorf("%w: "+format, append([]any{ErrInvalidBlock}, args...)...)
 }
 
 // Block is a group of records in the encoding of a trace file.
@@ -49,7 +49,7 @@
 	times       deltaColumn
 	columns     [kindCount]struct {
 		texts   [maxTexts]textColumn
-		figures [FiguresMost]deltaColumn
+		figures [MaxFigures]deltaColumn
 	}
 	buffer       []byte
 	from, to     int64  // earliest and latest time of the current block
@@ -60,8 +60,8 @@
 
 // maxTexts and MaxFigures are the largest numbers of string and number columns of one kind.
 const (
-	maxTexts    = 8
-	FiguresMost = 12
+	maxTexts   = 8
+	MaxFigures = 12
 )
 
 // slotEntry caches the index of a call's ID in the string table of one block.
@@ -132,7 +132,7 @@
 	e.times.add(r.At)
 	columns := &e.columns[r.Kind]
 	for i, t := range layout[r.Kind].texts {
-		column, text := &columns.texts[i], r.S[t]
+		column, text := &columns.texts[i], r.Texts[t]
 		switch {
 		case column.hasPrevious && column.previous == text:
 			column.add(column.last)
@@ -145,15 +145,15 @@
 		}
 	}
 	for i, f := range layout[r.Kind].figures {
-		columns.figures[i].add(r.N[f])
+		columns.figures[i].add(r.Figures[f])
 	}
 	switch r.Kind {
 	case Answer:
-		e.noteOutcome(r.N[Final], 0, 4)
+		e.noteOutcome(r.Figures[FinalAnswer], 0, 4)
 	case AttemptEnd, Release:
-		e.noteOutcome(r.N[Outcome], 4, int64(len(OutcomeNames)))
+		e.noteOutcome(r.Figures[Outcome], 4, int64(len(OutcomeNames)))
 	case Decision:
-		if n := r.N[Reason]; n >= 0 && n < int64(len(e.reasons)) {
+		if n := r.Figures[Reason]; n >= 0 && n < int64(len(e.reasons)) {
 			e.reasons[n] = true
 		} else {
 			e.otherReasons[n] = true
@@ -461,7 +461,7 @@
 				if last += delta; last < 0 || last >= int64(len(names)) {
 					return nil, blockErrorf("column %s of %s refers to string %d of %d", t, kind, last, len(names))
 				}
-				list[i].S[t] = names[last]
+				list[i].Texts[t] = names[last]
 			}
 		}
 		for _, f := range layout[kind].figures {
@@ -476,7 +476,7 @@
 				}
 				column = column[size:]
 				last += delta
-				list[i].N[f] = last
+				list[i].Figures[f] = last
 			}
 		}
 	}
--- a/trace/clock.go
+++ b/trace/clock.go
@@ -33,35 +33,35 @@
 // Clock corrects the times of one segment of a router's records: corrected = at + Offset + Drift*(at - Start). A
 // segment is an incarnation of a router, or the part of it between two backward steps of its clock.
 type Clock struct {
-	Router   string  `json:"router"`
-	Life     int64   `json:"life"`
-	Step     int     `json:"step"`      // backward steps of the clock before this segment
-	Zero     int64   `json:"zero_us"`   // first time in the segment
-	Offset   int64   `json:"offset_us"` // correction at Start
-	Drift    float64 `json:"drift_ppm"`
-	Low      int64   `json:"low_us"` // bounds of the offset, from the shared observations
-	High     int64   `json:"high_us"`
-	Alike    int     `json:"alike"`  // server lists that it shares with the segment it was fitted to
-	Causes   int     `json:"causes"` // pairs of an answer and its retry at another router
-	Guess    bool    `json:"guess"`  // no shared observations: continues from the previous segment, or is uncorrected
-	last     int64
-	previous *Clock
+	Router      string  `json:"router"`
+	Incarnation int64   `json:"life"`
+	Segment     int     `json:"step"`      // backward steps of the clock before this segment
+	Start       int64   `json:"zero_us"`   // first time in the segment
+	Offset      int64   `json:"offset_us"` // correction at Start
+	Drift       float64 `json:"drift_ppm"`
+	Low         int64   `json:"low_us"` // bounds of the offset, from the shared observations
+	High        int64   `json:"high_us"`
+	SharedLists int     `json:"alike"`  // server lists that it shares with the segment it was fitted to
+	RetryPairs  int     `json:"causes"` // pairs of an answer and its retry at another router
+	Assumed     bool    `json:"guess"`  // no shared observations: continues from the previous segment, or is uncorrected
+	last        int64
+	previous    *Clock
 }
 
 // Correct converts a time of this clock (microseconds since the Unix epoch) to the reference clock.
 func (c *Clock) Correct(at int64) int64 {
-	return at + c.Offset + int64(c.Drift*float64(at-c.Zero)/1e6)
+	return at + c.Offset + int64(c.Drift*float64(at-c.Start)/1e6)
 }
 
 // String describes the clock for operators.
 func (c *Clock) String() string {
-	text := fmt.Sprintf("%s life %d", c.Router, c.Life)
-	if c.Step > 0 {
-		text += fmt.Sprintf(" after step %d", c.Step)
+	text := fmt.Sprintf("%s life %d", c.Router, c.Incarnation)
+	if c.Segment > 0 {
+		text += fmt.Sprintf(" after step %d", c.Segment)
 	}
 	return fmt.Sprintf("%s: offset %+.3f s (from %+.3f to %+.3f), drift %+.1f ppm, %d lists and %d causes seen alike",
 		text,
-		float64(c.Offset)/1e6, float64(c.Low)/1e6, float64(c.High)/1e6, c.Drift, c.Alike, c.Causes)
+		float64(c.Offset)/1e6, float64(c.Low)/1e6, float64(c.High)/1e6, c.Drift, c.SharedLists, c.RetryPairs)
 }
 
 // clockSegment holds the observations from the records of one Clock.
@@ -78,7 +78,7 @@
 
 // ClockEstimator collects what several routers observed and estimates their clocks from it. Files are added one after
 // another, each in order. It isn't safe for concurrent use.
-type Sightings struct {
+type ClockEstimator struct {
 	latest      map[string]*clockSegment // latest segment of each incarnation
 	segments    []*clockSegment
 	failures    map[string][]clockEvent // refusals and failures by called number
@@ -87,8 +87,8 @@
 }
 
 // NewClockEstimator returns an empty ClockEstimator.
-func NewSightings() *Sightings {
-	return &Sightings{latest: map[string]*clockSegment{}, failures: map[string][]clockEvent{},
+func NewClockEstimator() *ClockEstimator {
+	return &ClockEstimator{latest: map[string]*clockSegment{}, failures: map[string][]clockEvent{},
 		retries: map[string][]clockEvent{}, openNumbers: map[string]string{}}
 }
 
@@ -97,14 +97,14 @@
 }
 
 // Add adds a record of a router's incarnation.
-func (s *Sightings) Take(incarnation int64, r *Record) {
-	key := incarnationKey(r.S[Router], incarnation)
+func (s *ClockEstimator) Add(incarnation int64, r *Record) {
+	key := incarnationKey(r.Texts[Router], incarnation)
 	segment := s.latest[key]
 	if segment == nil || r.At < segment.last-minClockStep {
-		next := &clockSegment{Clock: Clock{Router: r.S[Router], Life: incarnation, Zero: r.At, last: r.At},
+		next := &clockSegment{Clock: Clock{Router: r.Texts[Router], Incarnation: incarnation, Start: r.At, last: r.At},
 			listTimes: map[int64]int64{}}
 		if segment != nil {
-			next.Step, next.previous = segment.Step+1, &segment.Clock
+			next.Segment, next.previous = segment.Segment+1, &segment.Clock
 		}
 		segment = next
 		s.latest[key] = segment
@@ -113,30 +113,30 @@
 	segment.last = max(segment.last, r.At)
 	switch r.Kind {
 	case List:
-		if _, known := segment.listTimes[r.N[Serial]]; !known {
-			segment.listTimes[r.N[Serial]] = r.At
+		if _, known := segment.listTimes[r.Figures[Serial]]; !known {
+			segment.listTimes[r.Figures[Serial]] = r.At
 		}
 	case Request:
-		if r.S[Number] == "" {
+		if r.Texts[Number] == "" {
 			return
 		}
-		if r.N[Retry] != 0 {
-			s.addEvent(s.retries, r.S[Number], clockEvent{segment, r.At})
+		if r.Figures[Retry] != 0 {
+			s.addEvent(s.retries, r.Texts[Number], clockEvent{segment, r.At})
 		}
 		if len(s.openNumbers) < maxNumbers {
-			s.openNumbers[r.S[Call]] = r.S[Number]
+			s.openNumbers[r.Texts[Call]] = r.Texts[Number]
 		}
 	case Answer:
-		number, known := s.openNumbers[r.S[Call]]
-		delete(s.openNumbers, r.S[Call])
-		if end := End(r.N[Final]); known && (end == EndRefused || end == EndFailed) {
+		number, known := s.openNumbers[r.Texts[Call]]
+		delete(s.openNumbers, r.Texts[Call])
+		if end := AnswerResult(r.Figures[FinalAnswer]); known && (end == AnswerRefused || end == AnswerFailed) {
 			s.addEvent(s.failures, number, clockEvent{segment, r.At})
 		}
 	}
 }
 
 // addEvent stores an event of a called number, within limits of memory.
-func (s *Sightings) addEvent(m map[string][]clockEvent, number string, e clockEvent) {
+func (s *ClockEstimator) addEvent(m map[string][]clockEvent, number string, e clockEvent) {
 	if len(m) < maxNumbers && len(m[number]) < 16 {
 		m[number] = append(m[number], e)
 	}
@@ -144,13 +144,13 @@
 
 // Estimate returns the clocks in the order in which their segments were added. The clock of the segment with the most
 // server lists is the reference. It is called once, after all records were added.
-func (s *Sightings) Estimate() []*Clock {
+func (s *ClockEstimator) Estimate() []*Clock {
 	if len(s.segments) == 0 {
 		return nil
 	}
 	reference := slices.MaxFunc(s.segments, func(a, b *clockSegment) int {
 		return cmp.Or(cmp.Compare(len(a.listTimes), len(b.listTimes)), strings.Compare(b.Router, a.Router),
-			cmp.Compare(b.Life, a.Life))
+			cmp.Compare(b.Incarnation, a.Incarnation))
 	})
 	// Fit segments that share lists with the reference first, then those that share lists with a fitted one.
 	known := []*clockSegment{reference}
@@ -168,9 +168,9 @@
 		}
 	}
 	for _, o := range remaining {
-		o.Guess = true
+		o.Assumed = true
 		if o.previous != nil {
-			o.Offset = o.previous.Correct(o.previous.last) - o.Zero
+			o.Offset = o.previous.Correct(o.previous.last) - o.Start
 		}
 		o.Low, o.High = o.Offset, o.Offset
 	}
@@ -189,13 +189,13 @@
 	for _, serial := range slices.Sorted(maps.Keys(o.listTimes)) {
 		if at, both := known.listTimes[serial]; both {
 			pairs = append(pairs,
-				pair{float64(o.listTimes[serial] - o.Zero), float64(known.Correct(at) - o.listTimes[serial])})
+				pair{float64(o.listTimes[serial] - o.Start), float64(known.Correct(at) - o.listTimes[serial])})
 		}
 	}
 	if len(pairs) == 0 {
 		return false
 	}
-	o.Alike = len(pairs)
+	o.SharedLists = len(pairs)
 	if len(pairs) > maxPairs { // sample evenly over the segment
 		stride := (len(pairs) + maxPairs - 1) / maxPairs
 		var sample []pair
@@ -229,7 +229,7 @@
 
 // enforceCausality shifts clocks so that no retry comes before the answer that it follows. It stays within their
 // bounds where it can and widens them otherwise.
-func (s *Sightings) enforceCausality(reference *clockSegment) {
+func (s *ClockEstimator) enforceCausality(reference *clockSegment) {
 	type causalPair struct{ answer, retry clockEvent }
 	var pairs []causalPair
 	for _, number := range slices.Sorted(maps.Keys(s.retries)) {
@@ -251,8 +251,8 @@
 			}
 			if found.answer.segment != nil {
 				pairs = append(pairs, found)
-				found.answer.segment.Causes++
-				found.retry.segment.Causes++
+				found.answer.segment.RetryPairs++
+				found.retry.segment.RetryPairs++
 			}
 		}
 	}
@@ -331,7 +331,7 @@
 func NewMerger(clocks []*Clock) *Merger {
 	m := &Merger{clocks: map[string][]*Clock{}}
 	for _, c := range clocks {
-		key := incarnationKey(c.Router, c.Life)
+		key := incarnationKey(c.Router, c.Incarnation)
 		m.clocks[key] = append(m.clocks[key], c)
 	}
 	return m
--- a/trace/diagnose.go
+++ b/trace/diagnose.go
@@ -28,49 +28,49 @@
 
 // Explanation is a likely cause of a drop in service.
 type Explanation struct {
-	Kind  string  `json:"kind"`     // slow, silent, burst, draining, stale, refusing
-	Name  string  `json:"name"`     // server or router; empty for a burst
-	Score float64 `json:"score"`    // 0 to 1
-	First int64   `json:"first_us"` // time of the first sign, microseconds since the Unix epoch
-	Text  string  `json:"text"`
+	Kind      string  `json:"kind"`     // slow, silent, burst, draining, stale, refusing
+	Name      string  `json:"name"`     // server or router; empty for a burst
+	Score     float64 `json:"score"`    // 0 to 1
+	FirstSign int64   `json:"first_us"` // time of the first sign, microseconds since the Unix epoch
+	Text      string  `json:"text"`
 }
 
 // Change compares the worth lost by one group in the baseline and in the window.
 type Change struct {
-	Dimension    string  `json:"by"`
-	Name         string  `json:"name"`
-	Before       float64 `json:"lost_before"`   // worth lost in the baseline
-	During       float64 `json:"lost_during"`   // worth lost in the window
-	OfferedShare float64 `json:"share_of_loss"` // of LostDuring in the whole loss
+	Dimension  string  `json:"by"`
+	Name       string  `json:"name"`
+	LostBefore float64 `json:"lost_before"`   // worth lost in the baseline
+	LostDuring float64 `json:"lost_during"`   // worth lost in the window
+	LossShare  float64 `json:"share_of_loss"` // of LostDuring in the whole loss
 }
 
 // Diagnosis is the result of a Diagnoser. Before is the baseline, during the window.
-type Verdict struct {
-	From, To       int64         `json:"-"`
-	ServiceBefore  float64       `json:"service_before"` // worth earned divided by worth offered
-	ServiceDuring  float64       `json:"service_during"`
-	Lost           float64       `json:"worth_lost"`
-	RequestsBefore int64         `json:"requests_before"`
-	RequestsDuring int64         `json:"requests_during"`
-	Causes         []Explanation `json:"causes"`
-	Changes        []Change      `json:"changes"`
-	Shared         []Shared      `json:"shared,omitempty"`
+type Diagnosis struct {
+	From, To       int64           `json:"-"`
+	ServiceBefore  float64         `json:"service_before"` // worth earned divided by worth offered
+	ServiceDuring  float64         `json:"service_during"`
+	Lost           float64         `json:"worth_lost"`
+	RequestsBefore int64           `json:"requests_before"`
+	RequestsDuring int64           `json:"requests_during"`
+	Causes         []Explanation   `json:"causes"`
+	Changes        []Change        `json:"changes"`
+	SharedFindings []SharedFinding `json:"shared,omitempty"`
 }
 
 // SharedFinding is the shared verdict of all routers on a server that was in effect in the window.
-type Shared struct {
-	Server  string `json:"server"`
-	Found   string `json:"found"`    // the finding and its origin
-	Bad     int64  `json:"bad"`      // largest number of routers that got no answers from the server
-	Others  int64  `json:"others"`   // other routers
-	AgeUs   int64  `json:"age_us"`   // age of the oldest evidence that a router acted on
-	First   int64  `json:"first_us"` // when a router first acted on it
-	Choices int64  `json:"choices"`  // decisions changed from then on, by the shared verdicts on any server
+type SharedFinding struct {
+	Server           string `json:"server"`
+	Found            string `json:"found"`    // the finding and its origin
+	Affected         int64  `json:"bad"`      // largest number of routers that got no answers from the server
+	Others           int64  `json:"others"`   // other routers
+	MaxAgeUs         int64  `json:"age_us"`   // age of the oldest evidence that a router acted on
+	FirstApplied     int64  `json:"first_us"` // when a router first acted on it
+	ChangedDecisions int64  `json:"choices"`  // decisions changed from then on, by the shared verdicts on any server
 }
 
 // Diagnoser collects the evidence from records in order, which must cover the baseline too. It isn't safe for
 // concurrent use.
-type Inquiry struct {
+type Diagnoser struct {
 	meta           Meta
 	from, to       int64
 	baselineStart  int64
@@ -85,9 +85,9 @@
 		lost            map[[2]string]float64 // worth lost by dimension and name
 	}
 	firstLoss          int64
-	shared             map[string]*Shared // by server
-	changedDecisions   int64              // by shared verdicts
-	halfSecondArrivals map[int64]int64    // requests by half second, to find the start of a burst
+	shared             map[string]*SharedFinding // by server
+	changedDecisions   int64                     // by shared verdicts
+	halfSecondArrivals map[int64]int64           // requests by half second, to find the start of a burst
 }
 
 // serverStats holds the evidence on one server. Arrays hold the baseline and the window.
@@ -129,11 +129,11 @@
 }
 
 // NewDiagnoser returns a Diagnoser for the window [from, to), in microseconds since the Unix epoch.
-func NewInquiry(meta Meta, from, to int64) *Inquiry {
-	d := &Inquiry{meta: meta, from: from, to: to, baselineStart: from - (to - from),
+func NewDiagnoser(meta Meta, from, to int64) *Diagnoser {
+	d := &Diagnoser{meta: meta, from: from, to: to, baselineStart: from - (to - from),
 		servers: map[string]*serverStats{}, routers: map[string]*routerStats{},
 		firstListTimes: map[int64]int64{}, openCalls: map[string]*openCall{}, halfSecondArrivals: map[int64]int64{},
-		shared: map[string]*Shared{}}
+		shared: map[string]*SharedFinding{}}
 	for i := range d.windows {
 		d.windows[i].lost = map[[2]string]float64{}
 	}
@@ -141,10 +141,10 @@
 }
 
 // BaselineStart returns the time from which records are needed.
-func (d *Inquiry) Begin() int64 { return d.baselineStart }
+func (d *Diagnoser) BaselineStart() int64 { return d.baselineStart }
 
 // serverFor returns the evidence on a server and creates it if needed.
-func (d *Inquiry) serverFor(name string) *serverStats {
+func (d *Diagnoser) serverFor(name string) *serverStats {
 	s := d.servers[name]
 	if s == nil {
 		s = &serverStats{name: name}
@@ -157,7 +157,7 @@
 }
 
 // Add adds the next record.
-func (d *Inquiry) Take(r *Record) {
+func (d *Diagnoser) Add(r *Record) {
 	if r.At < d.baselineStart || r.At >= d.to {
 		return
 	}
@@ -166,10 +166,10 @@
 		window = 1
 	}
 	totals := &d.windows[window]
-	listState := d.routers[r.S[Router]]
+	listState := d.routers[r.Texts[Router]]
 	if listState == nil {
 		listState = &routerStats{}
-		d.routers[r.S[Router]] = listState
+		d.routers[r.Texts[Router]] = listState
 	}
 	if r.Kind == Request || r.Kind == Decision || r.Kind == AttemptEnd || r.Kind == Answer {
 		d.updateListLag(listState, r.At)
@@ -177,37 +177,37 @@
 	switch r.Kind {
 	case Request:
 		totals.requests++
-		offered, _, _ := d.meta.answerWorth(r.S[Class], -1)
+		offered, _, _ := d.meta.answerWorth(r.Texts[Class], -1)
 		totals.offered += offered
 		d.halfSecondArrivals[r.At/500_000]++
 		if len(d.openCalls) < maxOpenCalls {
-			d.openCalls[r.S[Call]] = &openCall{router: r.S[Router]}
+			d.openCalls[r.Texts[Call]] = &openCall{router: r.Texts[Router]}
 		}
-	case Care:
-		if window == 1 && r.N[DeadlineMs] > 0 {
-			finding := d.shared[r.S[Server]]
+	case Avoidance:
+		if window == 1 && r.Figures[DeadlineMs] > 0 {
+			finding := d.shared[r.Texts[Server]]
 			if finding == nil {
-				finding = &Shared{Server: r.S[Server], First: r.At, Choices: -d.changedDecisions}
-				d.shared[r.S[Server]] = finding
+				finding = &SharedFinding{Server: r.Texts[Server], FirstApplied: r.At, ChangedDecisions: -d.changedDecisions}
+				d.shared[r.Texts[Server]] = finding
 			}
-			finding.Found, finding.Others = r.S[Front], r.N[Total]
-			finding.Bad, finding.AgeUs =
-				max(finding.Bad, r.N[Count]), max(finding.AgeUs, r.N[TookUs])
+			finding.Found, finding.Others = r.Texts[Front], r.Figures[Total]
+			finding.Affected, finding.MaxAgeUs =
+				max(finding.Affected, r.Figures[Count]), max(finding.MaxAgeUs, r.Figures[ElapsedUs])
 		}
 	case Decision:
-		if reason := threadglade.Reason(r.N[Reason]); window == 1 &&
+		if reason := threadglade.Reason(r.Figures[Reason]); window == 1 &&
 			(reason == threadglade.SharedVerdict || reason == threadglade.Avoided) {
 			d.changedDecisions++
 		}
-		call := d.openCalls[r.S[Call]]
-		if call != nil && r.S[Server] != "" {
-			call.server, call.reason = r.S[Server], r.N[Reason]
+		call := d.openCalls[r.Texts[Call]]
+		if call != nil && r.Texts[Server] != "" {
+			call.server, call.reason = r.Texts[Server], r.Figures[Reason]
 		}
-		if r.S[Server] == "" {
+		if r.Texts[Server] == "" {
 			return
 		}
-		server := d.serverFor(r.S[Server])
-		if Action(r.N[Act]) == Sent {
+		server := d.serverFor(r.Texts[Server])
+		if Action(r.Figures[ActionCode]) == ActionSent {
 			if call != nil {
 				call.sentAt = r.At
 			}
@@ -218,8 +218,8 @@
 			d.updateSilence(server, r.At)
 		}
 	case AttemptEnd:
-		server := d.serverFor(r.S[Server])
-		switch threadglade.Outcome(r.N[Outcome]) {
+		server := d.serverFor(r.Texts[Server])
+		switch threadglade.Outcome(r.Figures[Outcome]) {
 		case threadglade.Rejected:
 			server.rejected[window]++
 			server.lastAnswer, server.sendsSinceAnswer = r.At, 0
@@ -239,12 +239,12 @@
 			server.lastAnswer, server.sendsSinceAnswer = r.At, 0
 		}
 	case Answer:
-		call := d.openCalls[r.S[Call]]
-		delete(d.openCalls, r.S[Call])
+		call := d.openCalls[r.Texts[Call]]
+		delete(d.openCalls, r.Texts[Call])
 		elapsed := int64(-1)
-		if End(r.N[Final]) == EndStood {
-			elapsed = r.N[TookUs]
-			server := d.serverFor(r.S[Server])
+		if AnswerResult(r.Figures[FinalAnswer]) == AnswerEstablished {
+			elapsed = r.Figures[ElapsedUs]
+			server := d.serverFor(r.Texts[Server])
 			server.answered[window]++
 			server.lastAnswer, server.sendsSinceAnswer = r.At, 0
 			if call != nil && call.sentAt > 0 {
@@ -256,35 +256,35 @@
 				}
 			}
 		}
-		offered, earned, _ := d.meta.answerWorth(r.S[Class], elapsed)
+		offered, earned, _ := d.meta.answerWorth(r.Texts[Class], elapsed)
 		totals.earned += earned
 		if lost := offered - earned; lost > 0 {
 			d.addLoss(window, r, call, lost, listState)
 		}
 	case Release:
-		if threadglade.Outcome(r.N[Outcome]) == threadglade.Cut {
-			server := d.serverFor(r.S[Server])
+		if threadglade.Outcome(r.Figures[Outcome]) == threadglade.Cut {
+			server := d.serverFor(r.Texts[Server])
 			server.lostCalls[window]++
-			offered, _, _ := d.meta.answerWorth(r.S[Class], -1)
+			offered, _, _ := d.meta.answerWorth(r.Texts[Class], -1)
 			totals.earned -= offered
 			d.addLoss(window, r,
-				&openCall{server: r.S[Server], reason: int64(threadglade.NoReason)}, offered, listState)
+				&openCall{server: r.Texts[Server], reason: int64(threadglade.NoReason)}, offered, listState)
 		}
 	case Report:
-		server := d.serverFor(r.S[Server])
-		if r.N[LatencyUs] >= 0 {
-			server.latencySum[window] += r.N[LatencyUs]
+		server := d.serverFor(r.Texts[Server])
+		if r.Figures[LatencyUs] >= 0 {
+			server.latencySum[window] += r.Figures[LatencyUs]
 			server.reports[window]++
 		}
 	case List:
-		if listState.serial = r.N[Serial]; d.firstListTimes[listState.serial] == 0 {
+		if listState.serial = r.Figures[Serial]; d.firstListTimes[listState.serial] == 0 {
 			d.firstListTimes[listState.serial] = r.At
 		}
 		d.newestSerial = max(d.newestSerial, listState.serial)
 		listState.lastListAt = r.At
-	case Listed:
-		server := d.serverFor(r.S[Server])
-		server.state = threadglade.ServerState(r.N[State])
+	case ListEntry:
+		server := d.serverFor(r.Texts[Server])
+		server.state = threadglade.ServerState(r.Figures[State])
 		if server.state != threadglade.Up && server.downSince == 0 && window == 1 {
 			server.downSince = r.At
 		}
@@ -292,7 +292,7 @@
 }
 
 // updateSilence measures how long a server has not answered although set-ups were sent to it.
-func (d *Inquiry) updateSilence(s *serverStats, now int64) {
+func (d *Diagnoser) updateSilence(s *serverStats, now int64) {
 	since := max(s.lastAnswer, s.firstSend)
 	if now < d.from || s.sendsSinceAnswer < minSilentSends {
 		return
@@ -303,7 +303,7 @@
 }
 
 // updateListLag measures for how long a router's list has been older than the newest list of any router.
-func (d *Inquiry) updateListLag(l *routerStats, now int64) {
+func (d *Diagnoser) updateListLag(l *routerStats, now int64) {
 	l.lag = 0
 	if l.serial >= d.newestSerial {
 		return
@@ -321,11 +321,11 @@
 }
 
 // addLoss attributes lost worth to the class, tenant, router, server and reason of a call, which may be nil.
-func (d *Inquiry) addLoss(window int, r *Record, call *openCall, lost float64, list *routerStats) {
+func (d *Diagnoser) addLoss(window int, r *Record, call *openCall, lost float64, list *routerStats) {
 	totals := &d.windows[window]
-	totals.lost[[2]string{ByClass, r.S[Class]}] += lost
-	totals.lost[[2]string{ByTenant, r.S[Tenant]}] += lost
-	totals.lost[[2]string{"router", r.S[Router]}] += lost
+	totals.lost[[2]string{ByClass, r.Texts[Class]}] += lost
+	totals.lost[[2]string{ByTenant, r.Texts[Tenant]}] += lost
+	totals.lost[[2]string{"router", r.Texts[Router]}] += lost
 	if window == 1 {
 		list.lostWorth += lost
 		if d.firstLoss == 0 {
@@ -358,15 +358,15 @@
 func rampFromOne(ratio, full float64) float64 { return min(1, max(0, (ratio-1)/(full-1))) }
 
 // Diagnosis returns the ranked causes and changes.
-func (d *Inquiry) Verdict() Verdict {
+func (d *Diagnoser) Diagnosis() Diagnosis {
 	before, during := &d.windows[0], &d.windows[1]
-	diagnosis := Verdict{From: d.from, To: d.to, RequestsBefore: before.requests, RequestsDuring: during.requests,
+	diagnosis := Diagnosis{From: d.from, To: d.to, RequestsBefore: before.requests, RequestsDuring: during.requests,
 		ServiceBefore: fraction(before.earned, before.offered),
 		ServiceDuring: fraction(during.earned, during.offered)}
 	for _, name := range slices.Sorted(maps.Keys(d.shared)) {
 		finding := *d.shared[name]
-		finding.Choices += d.changedDecisions
-		diagnosis.Shared = append(diagnosis.Shared, finding)
+		finding.ChangedDecisions += d.changedDecisions
+		diagnosis.SharedFindings = append(diagnosis.SharedFindings, finding)
 	}
 	total := 0.0
 	for key, lost := range during.lost {
@@ -456,7 +456,7 @@
 		}
 	}
 	slices.SortStableFunc(diagnosis.Causes, func(x, y Explanation) int {
-		return cmp.Or(cmp.Compare(y.Score, x.Score), cmp.Compare(x.First, y.First),
+		return cmp.Or(cmp.Compare(y.Score, x.Score), cmp.Compare(x.FirstSign, y.FirstSign),
 			cmp.Compare(x.Name, y.Name))
 	})
 	keys := map[[2]string]bool{}
@@ -471,7 +471,7 @@
 			Change{key[0], key[1], before.lost[key], during.lost[key], fraction(during.lost[key], total)})
 	}
 	slices.SortFunc(diagnosis.Changes, func(x, y Change) int {
-		return cmp.Or(cmp.Compare(y.During-y.Before, x.During-x.Before),
+		return cmp.Or(cmp.Compare(y.LostDuring-y.LostBefore, x.LostDuring-x.LostBefore),
 			cmp.Compare(x.Dimension, y.Dimension), cmp.Compare(x.Name, y.Name))
 	})
 	return diagnosis
@@ -494,7 +494,7 @@
 }
 
 // burstStart returns the first half second of the window with more requests than any of the baseline.
-func (d *Inquiry) burstStart() int64 {
+func (d *Diagnoser) burstStart() int64 {
 	maxBefore := int64(0)
 	for halfSecond, n := range d.halfSecondArrivals {
 		if halfSecond*500_000 < d.from {
--- a/trace/explain.go
+++ b/trace/explain.go
@@ -49,35 +49,35 @@
 
 // serverState describes the state of the server as known at a decision.
 func serverState(r *Record) string {
-	if r.S[Server] == "" {
+	if r.Texts[Server] == "" {
 		return ""
 	}
 	var parts []string
 	add := func(format string, args ...any) { parts = append(parts, fmt.Sprintf(format, args...)) }
 	rate := func(milli int64) string { return fmt.Sprintf("%.1f/s", float64(milli)/1000) }
-	if r.N[RateMilli] >= 0 {
-		add("admission rate %s", rate(r.N[RateMilli]))
+	if r.Figures[RateMilli] >= 0 {
+		add("admission rate %s", rate(r.Figures[RateMilli]))
 	} else {
 		add("no control on it")
 	}
-	add("calls for it %s", rate(r.N[LambdaMilli]))
-	if r.N[Out] > 0 {
-		add("%s unanswered, the oldest for %d ms", plural(int(r.N[Out]), "set-up"), r.N[OldestMs])
+	add("calls for it %s", rate(r.Figures[LambdaMilli]))
+	if r.Figures[InFlight] > 0 {
+		add("%s unanswered, the oldest for %d ms", plural(int(r.Figures[InFlight]), "set-up"), r.Figures[OldestPendingMs])
 	}
-	if r.N[FreeAgeMs] >= 0 {
-		add("%d agents free %d ms ago", r.N[Free], r.N[FreeAgeMs])
+	if r.Figures[FreeAgeMs] >= 0 {
+		add("%d agents free %d ms ago", r.Figures[Free], r.Figures[FreeAgeMs])
 	}
-	if r.N[LoadAgeMs] >= 0 {
-		add("reported %d ms ago a wait of %.0f ms and room for %s", r.N[LoadAgeMs],
-			float64(r.N[LatencyUs])/1000, rate(r.N[QpsMilli]))
+	if r.Figures[LoadAgeMs] >= 0 {
+		add("reported %d ms ago a wait of %.0f ms and room for %s", r.Figures[LoadAgeMs],
+			float64(r.Figures[LatencyUs])/1000, rate(r.Figures[QPSMilli]))
 	}
-	return " (" + r.S[Server] + ": " + strings.Join(parts, ", ") + ")"
+	return " (" + r.Texts[Server] + ": " + strings.Join(parts, ", ") + ")"
 }
 
 // DescribeCall returns an account of one call for operators, a line for each event. The list holds the records of the
 // call in order, with the Avoidance records that were in effect before it or came during it.
-func Story(list []Record) []string {
-	first := slices.IndexFunc(list, func(r Record) bool { return r.Kind != Care })
+func DescribeCall(list []Record) []string {
+	first := slices.IndexFunc(list, func(r Record) bool { return r.Kind != Avoidance })
 	if first < 0 {
 		return nil
 	}
@@ -85,16 +85,16 @@
 	start := list[first].At
 	avoidances := map[string]*Record{} // in effect, by server
 	avoidanceText := func(r *Record) string {
-		switch threadglade.Reason(r.N[Reason]) {
+		switch threadglade.Reason(r.Figures[Reason]) {
 		case threadglade.SharedVerdict, threadglade.Avoided:
 		default:
 			return ""
 		}
 		text := ""
 		for _, server := range slices.Sorted(maps.Keys(avoidances)) {
-			if c := avoidances[server]; c.At+c.N[DeadlineMs]*1000 >= r.At {
-				text += fmt.Sprintf("; %s is %s (%d routers of %d, %.0f ms old)", server, c.S[Front],
-					c.N[Count], c.N[Total], float64(c.N[TookUs]+r.At-c.At)/1000)
+			if c := avoidances[server]; c.At+c.Figures[DeadlineMs]*1000 >= r.At {
+				text += fmt.Sprintf("; %s is %s (%d routers of %d, %.0f ms old)", server, c.Texts[Front],
+					c.Figures[Count], c.Figures[Total], float64(c.Figures[ElapsedUs]+r.At-c.At)/1000)
 			}
 		}
 		return text
@@ -109,13 +109,13 @@
 	for i := range list {
 		r := &list[i]
 		switch r.Kind {
-		case Care:
-			if avoidances[r.S[Server]] = r; r.N[DeadlineMs] <= 0 {
-				delete(avoidances, r.S[Server])
+		case Avoidance:
+			if avoidances[r.Texts[Server]] = r; r.Figures[DeadlineMs] <= 0 {
+				delete(avoidances, r.Texts[Server])
 			}
 		case Request:
 			extra := ""
-			if r.N[Retry] != 0 {
+			if r.Figures[Retry] != 0 {
 				extra = ", a marked repeat"
 			}
 			if r.Carried {
@@ -123,58 +123,58 @@
 			}
 			appendLine(r,
 				"%s: router %s took call %s of class %s, tenant %s, for number %s, by %s; first choice server number %d, %d ms to go%s.",
-				r.Time().Format(time.RFC3339Nano), r.S[Router], r.S[Call], r.S[Class], r.S[Tenant],
-				r.S[Number], r.S[Front], r.N[Destination], r.N[DeadlineMs], extra)
+				r.Time().Format(time.RFC3339Nano), r.Texts[Router], r.Texts[Call], r.Texts[Class], r.Texts[Tenant],
+				r.Texts[Number], r.Texts[Front], r.Figures[Destination], r.Figures[DeadlineMs], extra)
 		case Decision:
-			switch Action(r.N[Act]) {
-			case Sent:
-				appendLine(r, "Attempt %d went to %s: %s%s%s.", r.N[Attempt]+1, r.S[Server],
-					reasonSentence(r.N[Reason]), avoidanceText(r), serverState(r))
-			case Held:
-				at := r.S[Server]
+			switch Action(r.Figures[ActionCode]) {
+			case ActionSent:
+				appendLine(r, "Attempt %d went to %s: %s%s%s.", r.Figures[Attempt]+1, r.Texts[Server],
+					reasonSentence(r.Figures[Reason]), avoidanceText(r), serverState(r))
+			case ActionHeld:
+				at := r.Texts[Server]
 				if at == "" {
 					at = "its first choice"
 				}
-				appendLine(r, "It waited, for %s did not take it: %s%s%s.", at, reasonSentence(r.N[Reason]),
+				appendLine(r, "It waited, for %s did not take it: %s%s%s.", at, reasonSentence(r.Figures[Reason]),
 					avoidanceText(r), serverState(r))
-			case Refused:
-				appendLine(r, "It was given up: %s%s%s.", reasonSentence(r.N[Reason]), avoidanceText(r),
+			case ActionRefused:
+				appendLine(r, "It was given up: %s%s%s.", reasonSentence(r.Figures[Reason]), avoidanceText(r),
 					serverState(r))
-			case Failed:
+			case ActionFailed:
 				appendLine(r, "It was given up, and an attempt may have run: %s%s.",
-					reasonSentence(r.N[Reason]), serverState(r))
-			case GivenUp:
-				appendLine(r, "The attempt at %s was withdrawn: %s%s.", r.S[Server],
-					reasonSentence(r.N[Reason]), serverState(r))
+					reasonSentence(r.Figures[Reason]), serverState(r))
+			case ActionWithdrawn:
+				appendLine(r, "The attempt at %s was withdrawn: %s%s.", r.Texts[Server],
+					reasonSentence(r.Figures[Reason]), serverState(r))
 			}
 		case AttemptEnd:
-			appendLine(r, "Attempt %d at %s ended after %.0f ms: %s.", r.N[Attempt]+1, r.S[Server],
-				float64(r.N[TookUs])/1000, outcomeText(r))
+			appendLine(r, "Attempt %d at %s ended after %.0f ms: %s.", r.Figures[Attempt]+1, r.Texts[Server],
+				float64(r.Figures[ElapsedUs])/1000, outcomeText(r))
 		case Answer:
-			switch End(r.N[Final]) {
-			case EndStood:
-				appendLine(r, "%s answered, the call stands, %.0f ms after it came.", r.S[Server],
-					float64(r.N[TookUs])/1000)
-			case EndRefused:
+			switch AnswerResult(r.Figures[FinalAnswer]) {
+			case AnswerEstablished:
+				appendLine(r, "%s answered, the call stands, %.0f ms after it came.", r.Texts[Server],
+					float64(r.Figures[ElapsedUs])/1000)
+			case AnswerRefused:
 				text := "The caller was told: refused"
-				if r.N[RetryAfterMs] > 0 {
-					text += fmt.Sprintf(", come back in %d ms", r.N[RetryAfterMs])
+				if r.Figures[RetryAfterMs] > 0 {
+					text += fmt.Sprintf(", come back in %d ms", r.Figures[RetryAfterMs])
 				}
 				appendLine(r, "%s.", text)
-			case EndFailed:
+			case AnswerFailed:
 				appendLine(r, "The caller was told: failed, since %s.",
-					failureText(router.Failure(r.N[Why])))
-			case EndLeft:
-				appendLine(r, "The caller gave it up, %.0f ms after it came.", float64(r.N[TookUs])/1000)
+					failureText(router.Failure(r.Figures[FailureCode])))
+			case AnswerAbandoned:
+				appendLine(r, "The caller gave it up, %.0f ms after it came.", float64(r.Figures[ElapsedUs])/1000)
 			}
 		case Release:
 			how := "was released"
-			if threadglade.Outcome(r.N[Outcome]) == threadglade.Cut {
+			if threadglade.Outcome(r.Figures[Outcome]) == threadglade.Cut {
 				how = "was cut"
 			}
-			appendLine(r, "The call at %s %s after %.1f s.", r.S[Server], how, float64(r.N[TookUs])/1e6)
-		case Stray:
-			appendLine(r, "A release came of a call that router %s did not know.", r.S[Router])
+			appendLine(r, "The call at %s %s after %.1f s.", r.Texts[Server], how, float64(r.Figures[ElapsedUs])/1e6)
+		case UnexpectedRelease:
+			appendLine(r, "A release came of a call that router %s did not know.", r.Texts[Router])
 		}
 	}
 	return lines
@@ -182,8 +182,8 @@
 
 // outcomeText describes the outcome of an attempt and its cause.
 func outcomeText(r *Record) string {
-	text := strings.ReplaceAll(outcomeName(threadglade.Outcome(r.N[Outcome])), "_", " ")
-	switch threadglade.Cause(r.N[Cause]) {
+	text := strings.ReplaceAll(outcomeName(threadglade.Outcome(r.Figures[Outcome])), "_", " ")
+	switch threadglade.Cause(r.Figures[Cause]) {
 	case threadglade.CauseNoAgent:
 		text += ", no agent free"
 	case threadglade.CauseSentBack:
--- a/trace/export.go
+++ b/trace/export.go
@@ -29,19 +29,19 @@
 }
 
 // WriteJSON writes a record as one line of JSON.
-func JSON(w io.Writer, r *Record) error {
+func WriteJSON(w io.Writer, r *Record) error {
 	l := jsonRecord{Time: r.Time().Format("2006-01-02T15:04:05.000000Z"), Kind: r.Kind.String(), Carried: r.Carried,
 		Outcome: r.outcomeLabel(), Texts: map[string]string{}, Figures: map[string]int64{}}
 	for _, t := range layout[r.Kind].texts {
-		if r.S[t] != "" {
-			l.Texts[t.String()] = r.S[t]
+		if r.Texts[t] != "" {
+			l.Texts[t.String()] = r.Texts[t]
 		}
 	}
 	for _, f := range layout[r.Kind].figures {
-		l.Figures[f.String()] = r.N[f]
+		l.Figures[f.String()] = r.Figures[f]
 	}
 	if r.Kind == Decision {
-		l.Act, l.Reason = Action(r.N[Act]).String(), reasonName(r.N[Reason])
+		l.Act, l.Reason = Action(r.Figures[ActionCode]).String(), reasonName(r.Figures[Reason])
 	}
 	b, err := json.Marshal(l)
 	if err != nil {
@@ -53,7 +53,7 @@
 
 // SpanWriter writes calls as OpenTelemetry traces in OTLP JSON, one object per line: a call is a span, its attempts
 // are child spans and its decisions events. It isn't safe for concurrent use.
-type Spans struct {
+type SpanWriter struct {
 	w         io.Writer
 	openCalls map[string]*callSpans
 	// Dropped counts calls that were not exported because too many calls were open.
@@ -70,7 +70,9 @@
 }
 
 // NewSpanWriter returns a SpanWriter that writes to w.
-func NewSpans(w io.Writer) *Spans { return &Spans{w: w, openCalls: map[string]*callSpans{}} }
+func NewSpanWriter(w io.Writer) *SpanWriter {
+	return &SpanWriter{w: w, openCalls: map[string]*callSpans{}}
+}
 
 // hashID returns an 8-byte ID that depends only on its parts.
 func hashID(parts ...string) []byte {
@@ -92,9 +94,9 @@
 }
 
 // Add adds the next record. A call is written when it ends.
-func (s *Spans) Take(r *Record) error {
-	call := r.S[Call]
-	if call == "" || r.Kind == Stray {
+func (s *SpanWriter) Add(r *Record) error {
+	call := r.Texts[Call]
+	if call == "" || r.Kind == UnexpectedRelease {
 		return nil
 	}
 	nano := uint64(r.At) * 1000
@@ -107,7 +109,7 @@
 			s.Dropped++
 			return nil
 		}
-		c = &callSpans{router: r.S[Router], root: &spans.Span{
+		c = &callSpans{router: r.Texts[Router], root: &spans.Span{
 			TraceId:           append(hashID("trace", call), hashID(call)...),
 			SpanId:            hashID("call", call),
 			Name:              "call",
@@ -115,11 +117,11 @@
 			StartTimeUnixNano: nano,
 			Attributes: []*common.KeyValue{
 				stringAttribute("call.id", call),
-				stringAttribute("call.class", r.S[Class]),
-				stringAttribute("call.tenant", r.S[Tenant]),
-				stringAttribute("call.number", r.S[Number]),
-				stringAttribute("call.front", r.S[Front]),
-				intAttribute("call.destination", r.N[Destination]),
+				stringAttribute("call.class", r.Texts[Class]),
+				stringAttribute("call.tenant", r.Texts[Tenant]),
+				stringAttribute("call.number", r.Texts[Number]),
+				stringAttribute("call.front", r.Texts[Front]),
+				intAttribute("call.destination", r.Figures[Destination]),
 			},
 		}}
 		s.openCalls[call] = c
@@ -127,48 +129,48 @@
 	}
 	switch r.Kind {
 	case Decision:
-		event := &spans.Span_Event{TimeUnixNano: nano, Name: Action(r.N[Act]).String(),
+		event := &spans.Span_Event{TimeUnixNano: nano, Name: Action(r.Figures[ActionCode]).String(),
 			Attributes: []*common.KeyValue{
-				stringAttribute("server", r.S[Server]),
-				stringAttribute("reason", reasonName(r.N[Reason])),
-				intAttribute("rate_milli", r.N[RateMilli]),
-				intAttribute("lambda_milli", r.N[LambdaMilli]),
-				intAttribute("oldest_ms", r.N[OldestMs]),
-				intAttribute("free", r.N[Free]),
-				intAttribute("latency_us", r.N[LatencyUs]),
+				stringAttribute("server", r.Texts[Server]),
+				stringAttribute("reason", reasonName(r.Figures[Reason])),
+				intAttribute("rate_milli", r.Figures[RateMilli]),
+				intAttribute("lambda_milli", r.Figures[LambdaMilli]),
+				intAttribute("oldest_ms", r.Figures[OldestPendingMs]),
+				intAttribute("free", r.Figures[Free]),
+				intAttribute("latency_us", r.Figures[LatencyUs]),
 			}}
 		c.root.Events = append(c.root.Events, event)
-		if Action(r.N[Act]) == Sent {
+		if Action(r.Figures[ActionCode]) == ActionSent {
 			c.attempt = &spans.Span{
 				TraceId:           c.root.TraceId,
-				SpanId:            hashID("attempt", call, fmt.Sprint(r.N[Attempt])),
+				SpanId:            hashID("attempt", call, fmt.Sprint(r.Figures[Attempt])),
 				ParentSpanId:      c.root.SpanId,
 				Name:              "attempt",
 				Kind:              spans.Span_SPAN_KIND_CLIENT,
 				StartTimeUnixNano: nano,
 				Attributes: []*common.KeyValue{
-					stringAttribute("server", r.S[Server]),
-					intAttribute("attempt", r.N[Attempt]),
+					stringAttribute("server", r.Texts[Server]),
+					intAttribute("attempt", r.Figures[Attempt]),
 				},
 			}
 		}
 	case AttemptEnd:
-		c.endAttempt(nano, outcomeName(threadglade.Outcome(r.N[Outcome])), true)
+		c.endAttempt(nano, outcomeName(threadglade.Outcome(r.Figures[Outcome])), true)
 	case Answer:
-		end := End(r.N[Final])
+		end := AnswerResult(r.Figures[FinalAnswer])
 		c.root.Attributes = append(c.root.Attributes, stringAttribute("call.answer", end.String()))
-		if end == EndStood {
+		if end == AnswerEstablished {
 			c.established = true
 			c.endAttempt(nano, "stood", false)
 			c.root.Events = append(c.root.Events, &spans.Span_Event{TimeUnixNano: nano, Name: "stood"})
 			return nil
 		}
-		if end != EndLeft {
+		if end != AnswerAbandoned {
 			c.root.Status = &spans.Status{Code: spans.Status_STATUS_CODE_ERROR, Message: end.String()}
 		}
 		return s.write(call, c, nano)
 	case Release:
-		if threadglade.Outcome(r.N[Outcome]) == threadglade.Cut {
+		if threadglade.Outcome(r.Figures[Outcome]) == threadglade.Cut {
 			c.root.Status = &spans.Status{Code: spans.Status_STATUS_CODE_ERROR, Message: "cut"}
 		}
 		return s.write(call, c, nano)
@@ -190,7 +192,7 @@
 }
 
 // write writes an ended call as one line.
-func (s *Spans) write(call string, c *callSpans, nano uint64) error {
+func (s *SpanWriter) write(call string, c *callSpans, nano uint64) error {
 	delete(s.openCalls, call)
 	c.endAttempt(nano, "unknown", false)
 	c.root.EndTimeUnixNano = nano
@@ -240,7 +242,7 @@
 }
 
 // Close writes the calls that are still open, ending each at its last event.
-func (s *Spans) Close() error {
+func (s *SpanWriter) Close() error {
 	for call, c := range s.openCalls {
 		end := c.root.StartTimeUnixNano
 		for _, e := range c.root.Events {
--- a/trace/index.go
+++ b/trace/index.go
@@ -19,8 +19,8 @@
 	Count   int   `json:"count"` // records
 	// OldestRequestBlock is the number of the block that holds the request of the oldest call in this block; its own
 	// number if no call is older.
-	Reach int                 `json:"reach"`
-	Names map[string][]string `json:"-"` // names that occur in the block, by dimension
+	OldestRequestBlock int                 `json:"reach"`
+	Names              map[string][]string `json:"-"` // names that occur in the block, by dimension
 }
 
 // Dimensions of the index.
@@ -36,7 +36,7 @@
 var Dimensions = []string{ByClass, ByTenant, ByServer, ByOutcome, ByReason}
 
 // DescribeBlock returns the index entry for records, without offsets and OldestRequestBlock.
-func Inform(list []Record) BlockInfo {
+func DescribeBlock(list []Record) BlockInfo {
 	b := BlockInfo{Count: len(list)}
 	var seen [5]map[string]bool
 	for i := range seen {
@@ -56,12 +56,12 @@
 		if i == 0 || r.At > b.To {
 			b.To = r.At
 		}
-		note(0, r.S[Class])
-		note(1, r.S[Tenant])
-		note(2, r.S[Server])
+		note(0, r.Texts[Class])
+		note(1, r.Texts[Tenant])
+		note(2, r.Texts[Server])
 		note(3, r.outcomeLabel())
 		if r.Kind == Decision {
-			note(4, reasonName(r.N[Reason]))
+			note(4, reasonName(r.Figures[Reason]))
 		}
 	}
 	b.Names = map[string][]string{}
@@ -136,8 +136,8 @@
 
 // matches reports whether a record matches the selection, regardless of time.
 func (s Selection) matches(r *Record) bool {
-	return (s.Class == "" || r.S[Class] == s.Class) && (s.Tenant == "" || r.S[Tenant] == s.Tenant) &&
-		(s.Server == "" || r.S[Server] == s.Server) && (s.Call == "" || r.S[Call] == s.Call) &&
+	return (s.Class == "" || r.Texts[Class] == s.Class) && (s.Tenant == "" || r.Texts[Tenant] == s.Tenant) &&
+		(s.Server == "" || r.Texts[Server] == s.Server) && (s.Call == "" || r.Texts[Call] == s.Call) &&
 		(s.Outcome == "" || r.outcomeLabel() == s.Outcome)
 }
 
@@ -176,7 +176,7 @@
 }
 
 // Encode returns the index as JSON.
-func (x *Index) Append() ([]byte, error) {
+func (x *Index) Encode() ([]byte, error) {
 	f := footer{Blocks: x.Blocks, Sets: map[string]map[string][]byte{}}
 	for dimension, m := range x.bitmaps {
 		f.Sets[dimension] = map[string][]byte{}
@@ -193,7 +193,7 @@
 }
 
 // DecodeIndex decodes and validates the output of Index.Encode. Errors wrap ErrInvalidBlock.
-func ReadIndex(b []byte) (*Index, error) {
+func DecodeIndex(b []byte) (*Index, error) {
 	var f footer
 	if err := json.Unmarshal(b, &f); err != nil {
 		return nil, blockErrorf("index: %v", err)
@@ -214,7 +214,7 @@
 		}
 	}
 	for i, b := range x.Blocks {
-		if b.Reach < 0 || b.Reach > i || b.Count < 0 || b.Offset < 0 || b.Columns < b.Offset {
+		if b.OldestRequestBlock < 0 || b.OldestRequestBlock > i || b.Count < 0 || b.Offset < 0 || b.Columns < b.Offset {
 			return nil, blockErrorf("invalid index entry of block %d", i)
 		}
 	}
--- a/trace/record.go
+++ b/trace/record.go
@@ -18,20 +18,20 @@
 
 // Kinds of records.
 const (
-	Request    Kind = iota + 1 // a request arrived
-	Decision                   // a decision on a call, its reason, and the server's state as known then
-	AttemptEnd                 // an attempt ended without an established call
-	Answer                     // the final answer
-	Release                    // an established call ended
-	Stray                      // a release of a call that is unknown to the router
-	List                       // a server list arrived
-	Listed                     // a server's entry in a list
-	Report                     // a server's load report
-	Turn                       // a server's admission control changed its phase
-	Reload                     // the configuration was reloaded
-	Start                      // the recorder started
-	Gap                        // records were dropped at this point
-	Care                       // a server is avoided for a while because of a shared verdict, or no longer is
+	Request           Kind = iota + 1 // a request arrived
+	Decision                          // a decision on a call, its reason, and the server's state as known then
+	AttemptEnd                        // an attempt ended without an established call
+	Answer                            // the final answer
+	Release                           // an established call ended
+	UnexpectedRelease                 // a release of a call that is unknown to the router
+	List                              // a server list arrived
+	ListEntry                         // a server's entry in a list
+	Report                            // a server's load report
+	ControlChange                     // a server's admission control changed its phase
+	Reload                            // the configuration was reloaded
+	Start                             // the recorder started
+	Gap                               // records were dropped at this point
+	Avoidance                         // a server is avoided for a while because of a shared verdict, or no longer is
 	kindCount
 )
 
@@ -83,31 +83,31 @@
 
 // Number columns. Ages are measured at the decision; -1 means unknown.
 const (
-	Attempt      Figure = iota // number of the attempt, from 0
-	DeadlineMs                 // remaining time until the deadline
-	Destination                // number of the server that is the first choice
-	Retry                      // 1: the caller marked it as a retry
-	Act                        // of a Decision: an Action
-	Reason                     // of a Decision: a threadglade.Reason
-	Outcome                    // threadglade.Outcome
-	Cause                      // threadglade.Cause
-	Final                      // of an Answer: an AnswerResult
-	Why                        // of a failure: router.Failure
-	RetryAfterMs               // of a refusal: when the caller may retry
-	State                      // threadglade.ServerState; of a ControlChange: threadglade.Phase
-	Free                       // free agents
-	Total                      // all agents; of an Avoidance: all other routers
-	FreeAgeMs                  // age of Free
-	RateMilli                  // admission rate, thousandths of a call per second; -1: not controlled
-	LambdaMilli                // λ, thousandths of a call per second
-	OldestMs                   // age of the oldest pending set-up
-	Out                        // set-ups pending
-	LatencyUs                  // reported latency
-	QpsMilli                   // reported capacity, thousandths of a set-up per second
-	LoadAgeMs                  // age of LatencyUs and QPSMilli
-	TookUs                     // since the set-up was sent, the request arrived, or the call was established
-	Serial                     // number of a server list
-	Count                      // of a List: servers; of a Gap: records dropped; of an Avoidance: routers affected
+	Attempt         Figure = iota // number of the attempt, from 0
+	DeadlineMs                    // remaining time until the deadline
+	Destination                   // number of the server that is the first choice
+	Retry                         // 1: the caller marked it as a retry
+	ActionCode                    // of a Decision: an Action
+	Reason                        // of a Decision: a threadglade.Reason
+	Outcome                       // threadglade.Outcome
+	Cause                         // threadglade.Cause
+	FinalAnswer                   // of an Answer: an AnswerResult
+	FailureCode                   // of a failure: router.Failure
+	RetryAfterMs                  // of a refusal: when the caller may retry
+	State                         // threadglade.ServerState; of a ControlChange: threadglade.Phase
+	Free                          // free agents
+	Total                         // all agents; of an Avoidance: all other routers
+	FreeAgeMs                     // age of Free
+	RateMilli                     // admission rate, thousandths of a call per second; -1: not controlled
+	LambdaMilli                   // λ, thousandths of a call per second
+	OldestPendingMs               // age of the oldest pending set-up
+	InFlight                      // set-ups pending
+	LatencyUs                     // reported latency
+	QPSMilli                      // reported capacity, thousandths of a set-up per second
+	LoadAgeMs                     // age of LatencyUs and QPSMilli
+	ElapsedUs                     // since the set-up was sent, the request arrived, or the call was established
+	Serial                        // number of a server list
+	Count                         // of a List: servers; of a Gap: records dropped; of an Avoidance: routers affected
 	figureCount
 )
 
@@ -123,11 +123,11 @@
 
 // Actions of decisions.
 const (
-	Sent Action = iota + 1
-	Held
-	Refused
-	Failed
-	GivenUp // the attempt was withdrawn, not the call
+	ActionSent Action = iota + 1
+	ActionHeld
+	ActionRefused
+	ActionFailed
+	ActionWithdrawn // the attempt was withdrawn, not the call
 )
 
 var actionNames = []string{"", "sent", "held", "refused", "failed", "given up"}
@@ -136,20 +136,20 @@
 func (a Action) String() string { return actionNames[min(max(int(a), 0), len(actionNames)-1)] }
 
 // AnswerResult is the result that a call ended its set-up with.
-type End int64
+type AnswerResult int64
 
 // Results of the final answer.
 const (
-	EndStood End = iota + 1
-	EndRefused
-	EndFailed
-	EndLeft // the caller hung up first
+	AnswerEstablished AnswerResult = iota + 1
+	AnswerRefused
+	AnswerFailed
+	AnswerAbandoned // the caller hung up first
 )
 
 var endNames = []string{"", "stood", "refused", "failed", "left"}
 
 // String returns the name that is written to JSON and indexes.
-func (e End) String() string { return endNames[min(max(int(e), 0), len(endNames)-1)] }
+func (e AnswerResult) String() string { return endNames[min(max(int(e), 0), len(endNames)-1)] }
 
 // OutcomeNames are the names of outcomes in selections and indexes: final answers first, then outcomes of attempts.
 var OutcomeNames = []string{"stood", "refused", "failed", "left", "concluded", "faulted", "rejected", "timed_out",
@@ -160,8 +160,8 @@
 	Kind    Kind
 	Carried bool  // a request from before the cut, kept because its call continues after it
 	At      int64 // microseconds since the Unix epoch by the router's clock
-	S       [textCount]string
-	N       [figureCount]int64
+	Texts   [textCount]string
+	Figures [figureCount]int64
 }
 
 // Time returns the time of the record by its router's clock, in UTC.
@@ -171,9 +171,9 @@
 func (r *Record) outcomeLabel() string {
 	switch r.Kind {
 	case Answer:
-		return End(r.N[Final]).String()
+		return AnswerResult(r.Figures[FinalAnswer]).String()
 	case AttemptEnd, Release:
-		return outcomeName(threadglade.Outcome(r.N[Outcome]))
+		return outcomeName(threadglade.Outcome(r.Figures[Outcome]))
 	}
 	return ""
 }
@@ -206,23 +206,23 @@
 }{
 	Request: {[]Text{Call, Class, Tenant, Number, Identity, Front, Caller, Router},
 		[]Figure{DeadlineMs, Destination, Retry}},
-	Decision: {[]Text{Call, Class, Tenant, Server, Router}, []Figure{Act, Reason, Attempt, Free, FreeAgeMs,
-		RateMilli, LambdaMilli, OldestMs, Out, LatencyUs, QpsMilli, LoadAgeMs}},
-	AttemptEnd: {[]Text{Call, Class, Tenant, Server, Router}, []Figure{Attempt, Outcome, Cause, TookUs}},
-	Answer: {[]Text{Call, Class, Tenant, Server, Router}, []Figure{Final, Why, RetryAfterMs,
-		TookUs}},
-	Release: {[]Text{Call, Class, Tenant, Server, Router}, []Figure{Outcome, Cause, TookUs}},
-	Stray:   {[]Text{Call, Router}, []Figure{Outcome}},
-	List:    {[]Text{Router}, []Figure{Serial, Count}},
-	Listed:  {[]Text{Server, Router}, []Figure{State}},
-	Report:  {[]Text{Server, Router}, []Figure{Free, Total, LatencyUs, QpsMilli}},
-	Turn:    {[]Text{Server, Router}, []Figure{State, RateMilli, LambdaMilli}},
-	Reload:  {[]Text{Router}, nil},
-	Start:   {[]Text{Router}, nil},
-	Gap:     {[]Text{Router}, []Figure{Count}},
+	Decision: {[]Text{Call, Class, Tenant, Server, Router}, []Figure{ActionCode, Reason, Attempt, Free, FreeAgeMs,
+		RateMilli, LambdaMilli, OldestPendingMs, InFlight, LatencyUs, QPSMilli, LoadAgeMs}},
+	AttemptEnd: {[]Text{Call, Class, Tenant, Server, Router}, []Figure{Attempt, Outcome, Cause, ElapsedUs}},
+	Answer: {[]Text{Call, Class, Tenant, Server, Router}, []Figure{FinalAnswer, FailureCode, RetryAfterMs,
+		ElapsedUs}},
+	Release:           {[]Text{Call, Class, Tenant, Server, Router}, []Figure{Outcome, Cause, ElapsedUs}},
+	UnexpectedRelease: {[]Text{Call, Router}, []Figure{Outcome}},
+	List:              {[]Text{Router}, []Figure{Serial, Count}},
+	ListEntry:         {[]Text{Server, Router}, []Figure{State}},
+	Report:            {[]Text{Server, Router}, []Figure{Free, Total, LatencyUs, QPSMilli}},
+	ControlChange:     {[]Text{Server, Router}, []Figure{State, RateMilli, LambdaMilli}},
+	Reload:            {[]Text{Router}, nil},
+	Start:             {[]Text{Router}, nil},
+	Gap:               {[]Text{Router}, []Figure{Count}},
 	// Front holds the finding and its origin, ElapsedUs the age of its evidence, DeadlineMs how long it applies;
 	// Count of Total routers are affected.
-	Care: {[]Text{Server, Front, Router}, []Figure{TookUs, DeadlineMs, Count, Total}},
+	Avoidance: {[]Text{Server, Front, Router}, []Figure{ElapsedUs, DeadlineMs, Count, Total}},
 }
 
 // Columns returns the string and number columns of a kind of record in file order; nil for an unknown kind.
@@ -235,6 +235,6 @@
 
 // KindLimit is one more than the highest Kind, FigureCount the number of number columns.
 const (
-	Kinds   = int(kindCount)
-	Figures = int(figureCount)
+	KindLimit   = int(kindCount)
+	FigureCount = int(figureCount)
 )
--- a/trace/report.go
+++ b/trace/report.go
@@ -75,29 +75,29 @@
 }
 
 // Add adds the next record.
-func (r *Page) Take(record *Record) {
+func (r *Page) Add(record *Record) {
 	for _, s := range []*Summary{r.timeSummary, r.classSummary, r.serverSummary, r.reasonSummary} {
-		s.Take(record)
+		s.Add(record)
 	}
-	if record.Kind == Decision && record.S[Server] != "" && record.N[RateMilli] >= 0 &&
-		record.At-r.lastRateTime[record.S[Server]] >= r.interval {
-		r.lastRateTime[record.S[Server]] = record.At
-		r.rates[record.S[Server]] = append(r.rates[record.S[Server]],
-			plotter.XY{X: float64(record.At-r.From) / 1e6, Y: float64(record.N[RateMilli]) / 1000})
+	if record.Kind == Decision && record.Texts[Server] != "" && record.Figures[RateMilli] >= 0 &&
+		record.At-r.lastRateTime[record.Texts[Server]] >= r.interval {
+		r.lastRateTime[record.Texts[Server]] = record.At
+		r.rates[record.Texts[Server]] = append(r.rates[record.Texts[Server]],
+			plotter.XY{X: float64(record.At-r.From) / 1e6, Y: float64(record.Figures[RateMilli]) / 1000})
 	}
 	switch record.Kind {
-	case Listed:
-		if state := threadglade.ServerState(record.N[State]); state != threadglade.Up && len(r.Notes) < 200 {
+	case ListEntry:
+		if state := threadglade.ServerState(record.Figures[State]); state != threadglade.Up && len(r.Notes) < 200 {
 			word := "drains"
 			if state == threadglade.Removed {
 				word = "is gone"
 			}
 			r.Notes = append(r.Notes,
-				record.Time().Format("15:04:05.000")+" "+record.S[Router]+": server "+record.S[Server]+" "+word)
+				record.Time().Format("15:04:05.000")+" "+record.Texts[Router]+": server "+record.Texts[Server]+" "+word)
 		}
 	case Gap, Reload, Start:
 		if len(r.Notes) < 200 {
-			r.Notes = append(r.Notes, record.Time().Format("15:04:05.000")+" "+record.S[Router]+": "+record.Kind.String())
+			r.Notes = append(r.Notes, record.Time().Format("15:04:05.000")+" "+record.Texts[Router]+": "+record.Kind.String())
 		}
 	}
 }
@@ -144,7 +144,7 @@
 }
 
 // WriteHTML writes the report as a self-contained page. It is called once, after all records were added.
-func (r *Page) HTML(w io.Writer) (err error) {
+func (r *Page) WriteHTML(w io.Writer) (err error) {
 	r.Classes, r.Servers, r.Reasons =
 		r.classSummary.Groups(), r.serverSummary.Groups(), r.reasonSummary.Groups()
 	service, answers := map[string]plotter.XYs{}, map[string]plotter.XYs{}
--- a/trace/select.go
+++ b/trace/select.go
@@ -18,45 +18,45 @@
 // Selector selects records in two passes over a range of time. A selection that restricts more than time selects
 // whole calls: the first pass (NoteMatch) collects the calls that match, the second (Selects) selects all of their
 // records. It isn't safe for concurrent use.
-type Picker struct {
+type Selector struct {
 	Selection
 	matchedCalls map[string]bool
 	started      map[string]bool
 }
 
 // NewSelector returns a Selector for a selection.
-func NewPicker(s Selection) *Picker {
-	return &Picker{Selection: s, matchedCalls: map[string]bool{}, started: map[string]bool{}}
+func NewSelector(s Selection) *Selector {
+	return &Selector{Selection: s, matchedCalls: map[string]bool{}, started: map[string]bool{}}
 }
 
 // NoteMatch takes a record in the first pass.
-func (p *Picker) Note(r *Record) {
-	if p.hasFilter() && p.containsTime(r.At) && r.S[Call] != "" && p.matches(r) {
-		p.matchedCalls[r.S[Call]] = true
+func (p *Selector) NoteMatch(r *Record) {
+	if p.hasFilter() && p.containsTime(r.At) && r.Texts[Call] != "" && p.matches(r) {
+		p.matchedCalls[r.Texts[Call]] = true
 	}
 }
 
 // Selects reports in the second pass whether a record is selected. Records that belong to no call are selected if the
 // selection restricts only time, or if they belong to the selected server.
-func (p *Picker) Take(r *Record) bool {
+func (p *Selector) Selects(r *Record) bool {
 	if !p.containsTime(r.At) {
 		return false
 	}
-	wanted := !p.hasFilter() || p.matchedCalls[r.S[Call]]
-	if r.S[Call] == "" {
-		wanted = !p.hasFilter() || p.Server != "" && r.S[Server] == p.Server
+	wanted := !p.hasFilter() || p.matchedCalls[r.Texts[Call]]
+	if r.Texts[Call] == "" {
+		wanted = !p.hasFilter() || p.Server != "" && r.Texts[Server] == p.Server
 	}
-	if wanted && r.S[Call] != "" && r.Kind == Request {
-		p.started[r.S[Call]] = true
+	if wanted && r.Texts[Call] != "" && r.Kind == Request {
+		p.started[r.Texts[Call]] = true
 	}
 	return wanted
 }
 
 // NeedsRequest reports whether the call of a selected record started before the cut, so that its request has to be
 // looked up. It returns true once for each call.
-func (p *Picker) Missing(r *Record) bool {
-	call := r.S[Call]
-	if call == "" || r.Kind == Request || r.Kind == Stray || p.started[call] {
+func (p *Selector) NeedsRequest(r *Record) bool {
+	call := r.Texts[Call]
+	if call == "" || r.Kind == Request || r.Kind == UnexpectedRelease || p.started[call] {
 		return false
 	}
 	p.started[call] = true
@@ -65,7 +65,7 @@
 
 // Anonymizer replaces personal data with keyed hashes. With the same key, a value has the same hash in every file. It
 // isn't safe for concurrent use.
-type Hider struct {
+type Anonymizer struct {
 	key   []byte
 	cache map[string]string
 }
@@ -74,18 +74,18 @@
 const minKeyBytes = 16
 
 // NewAnonymizer returns an Anonymizer, or an error if the key is too short.
-func NewHider(key []byte) (*Hider, error) {
+func NewAnonymizer(key []byte) (*Anonymizer, error) {
 	if len(key) < minKeyBytes {
 		return nil, fmt.Errorf("key has %d bytes, needs at least %d", len(key), minKeyBytes)
 	}
-	return &Hider{key: key, cache: map[string]string{}}, nil
+	return &Anonymizer{key: key, cache: map[string]string{}}, nil
 }
 
 // maxCachedHashes limits the cache of hashes.
 const maxCachedHashes = 1 << 18
 
 // Anonymize returns the replacement for a value of a column; values that aren't personal are returned as they are.
-func (a *Hider) Hide(t Text, value string) string {
+func (a *Anonymizer) Anonymize(t Text, value string) string {
 	if value == "" || !t.isPersonal() {
 		return value
 	}
@@ -116,14 +116,14 @@
 
 // AnonymizeStrings returns the compressed string table of a block with its personal data replaced. The columns of the
 // block stay valid.
-func (a *Hider) Strings(d *Decoder, e *Encoder, part []byte) ([]byte, error) {
+func (a *Anonymizer) AnonymizeStrings(d *Decoder, e *Encoder, part []byte) ([]byte, error) {
 	lists, err := d.Strings(part)
 	if err != nil {
 		return nil, err
 	}
 	for t := range lists {
 		for i, s := range lists[t] {
-			lists[t][i] = a.Hide(Text(t), s)
+			lists[t][i] = a.Anonymize(Text(t), s)
 		}
 	}
 	return e.encodeStrings(lists), nil
@@ -131,26 +131,26 @@
 
 // Meta is the header of a trace file.
 type Meta struct {
-	Router  string      `json:"router"` // empty in a merged file
-	Life    int64       `json:"life"`   // start of the router's process, microseconds since the Unix epoch
-	Part    int         `json:"part"`   // number of the file within the incarnation, from 1
-	Build   string      `json:"build,omitempty"`
-	Classes []ClassMeta `json:"classes"`
-	Clocks  []*Clock    `json:"clocks,omitempty"` // of a merged file: how its routers' clocks were corrected
-	Cut     *Selection  `json:"cut,omitempty"`    // of a file cut out of another: what was selected
-	Hidden  bool        `json:"hidden,omitempty"`
+	Router      string      `json:"router"` // empty in a merged file
+	Incarnation int64       `json:"life"`   // start of the router's process, microseconds since the Unix epoch
+	Part        int         `json:"part"`   // number of the file within the incarnation, from 1
+	Build       string      `json:"build,omitempty"`
+	Classes     []ClassMeta `json:"classes"`
+	Clocks      []*Clock    `json:"clocks,omitempty"` // of a merged file: how its routers' clocks were corrected
+	Cut         *Selection  `json:"cut,omitempty"`    // of a file cut out of another: what was selected
+	Anonymized  bool        `json:"hidden,omitempty"`
 }
 
 // ClassMeta describes the worth of a class of calls as a trace was recorded.
 type ClassMeta struct {
-	Name  string  `json:"name"`
-	AimMs int64   `json:"aim_ms"`     // target for the time from request to answer
-	Worth float64 `json:"worth"`      // of a call answered within AimMs
-	Late  float64 `json:"late_worth"` // factor on Worth for a later answer
+	Name      string  `json:"name"`
+	AimMs     int64   `json:"aim_ms"`     // target for the time from request to answer
+	Worth     float64 `json:"worth"`      // of a call answered within AimMs
+	LateWorth float64 `json:"late_worth"` // factor on Worth for a later answer
 }
 
 // ConvertClasses converts the classes of the controller's settings.
-func Classes(list []threadglade.Class) (out []ClassMeta) {
+func ConvertClasses(list []threadglade.Class) (out []ClassMeta) {
 	for _, c := range list {
 		out = append(out, ClassMeta{c.Name, c.Aim.Milliseconds(), c.Worth, c.LateFactor})
 	}
@@ -158,11 +158,11 @@
 }
 
 // CheckMergeable returns an error if two files can't be merged.
-func (m Meta) Same(o Meta) error {
+func (m Meta) CheckMergeable(o Meta) error {
 	if fmt.Sprint(m.Classes) != fmt.Sprint(o.Classes) {
 		return errors.New("the files were recorded with different classes")
 	}
-	if m.Hidden != o.Hidden {
+	if m.Anonymized != o.Anonymized {
 		return errors.New("only one of the files is anonymised")
 	}
 	return nil
@@ -177,7 +177,7 @@
 				return c.Worth, 0, false
 			}
 			if took > c.AimMs*1000 {
-				return c.Worth, c.Worth * c.Late, true
+				return c.Worth, c.Worth * c.LateWorth, true
 			}
 			return c.Worth, c.Worth, false
 		}
--- a/trace/summary.go
+++ b/trace/summary.go
@@ -69,11 +69,11 @@
 	}
 	switch s.dimension {
 	case ByClass:
-		key.name = r.S[Class]
+		key.name = r.Texts[Class]
 	case ByTenant:
-		key.name = r.S[Tenant]
+		key.name = r.Texts[Tenant]
 	case ByServer:
-		key.name = r.S[Server]
+		key.name = r.Texts[Server]
 	case ByReason:
 		key.name = reason
 	}
@@ -93,7 +93,7 @@
 }
 
 // Add adds the next record.
-func (s *Summary) Take(r *Record) {
+func (s *Summary) Add(r *Record) {
 	switch r.Kind {
 	case Request:
 		if s.dimension == ByServer || s.dimension == ByReason {
@@ -101,22 +101,22 @@
 		}
 		g := s.groupFor(r, "")
 		g.Offered++
-		offered, _, _ := s.meta.answerWorth(r.S[Class], -1)
+		offered, _, _ := s.meta.answerWorth(r.Texts[Class], -1)
 		g.Worth += offered
 	case Decision:
-		reason := reasonName(r.N[Reason])
-		switch Action(r.N[Act]) {
-		case Sent:
+		reason := reasonName(r.Figures[Reason])
+		switch Action(r.Figures[ActionCode]) {
+		case ActionSent:
 			s.groupFor(r, reason).Attempts++
-		case Refused, Failed:
+		case ActionRefused, ActionFailed:
 			s.groupFor(r, reason).Reasons[reason]++
-			s.lastReasons[r.S[Call]] = r.N[Reason]
+			s.lastReasons[r.Texts[Call]] = r.Figures[Reason]
 		}
 	case AttemptEnd:
 		if s.dimension == ByReason {
 			return
 		}
-		switch threadglade.Outcome(r.N[Outcome]) {
+		switch threadglade.Outcome(r.Figures[Outcome]) {
 		case threadglade.TimedOut:
 			s.groupFor(r, "").Timeouts++
 		case threadglade.Rejected:
@@ -124,34 +124,34 @@
 		}
 	case Answer:
 		reason := ""
-		if n, known := s.lastReasons[r.S[Call]]; known {
+		if n, known := s.lastReasons[r.Texts[Call]]; known {
 			reason = reasonName(n)
-			delete(s.lastReasons, r.S[Call])
+			delete(s.lastReasons, r.Texts[Call])
 		}
 		g := s.groupFor(r, reason)
 		if s.dimension == ByServer || s.dimension == ByReason {
 			g.Offered++
-			offered, _, _ := s.meta.answerWorth(r.S[Class], -1)
+			offered, _, _ := s.meta.answerWorth(r.Texts[Class], -1)
 			g.Worth += offered
 		}
-		switch End(r.N[Final]) {
-		case EndStood:
-			_, earned, late := s.meta.answerWorth(r.S[Class], r.N[TookUs])
+		switch AnswerResult(r.Figures[FinalAnswer]) {
+		case AnswerEstablished:
+			_, earned, late := s.meta.answerWorth(r.Texts[Class], r.Figures[ElapsedUs])
 			g.Stood++
 			g.Earned += earned
 			if late {
 				g.Late++
 			}
-			g.times.RecordValue(min(max(1, r.N[TookUs]), 600_000_000))
-		case EndRefused:
+			g.times.RecordValue(min(max(1, r.Figures[ElapsedUs]), 600_000_000))
+		case AnswerRefused:
 			g.Refused++
-		case EndFailed:
+		case AnswerFailed:
 			g.Failed++
-		case EndLeft:
+		case AnswerAbandoned:
 			g.Left++
 		}
 	case Release:
-		if threadglade.Outcome(r.N[Outcome]) == threadglade.Cut && s.dimension != ByReason {
+		if threadglade.Outcome(r.Figures[Outcome]) == threadglade.Cut && s.dimension != ByReason {
 			s.groupFor(r, "").Cut++
 		}
 	}
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -30,10 +30,10 @@
 	r := Record{Kind: Kind(rapid.IntRange(1, int(kindCount)-1).Draw(t, "kind")),
 		Carried: rapid.Bool().Draw(t, "carried"), At: rapid.Int64().Draw(t, "at")}
 	for _, s := range layout[r.Kind].texts {
-		r.S[s] = rapid.OneOf(rapid.StringMatching("[0-9a-f]{16}"), rapid.String()).Draw(t, "text")
+		r.Texts[s] = rapid.OneOf(rapid.StringMatching("[0-9a-f]{16}"), rapid.String()).Draw(t, "text")
 	}
 	for _, f := range layout[r.Kind].figures {
-		r.N[f] = rapid.Int64().Draw(t, "figure")
+		r.Figures[f] = rapid.Int64().Draw(t, "figure")
 	}
 	return r
 }
@@ -44,7 +44,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		list := rapid.SliceOfN(rapid.Custom(drawRecord), 0, 40).Draw(t, "records")
 		b := NewEncoder().Encode(list)
-		require.Equal(t, Inform(list), b.Info)
+		require.Equal(t, DescribeBlock(list), b.Info)
 		have, err := NewDecoder().Decode(b.Strings, b.Columns)
 		require.NoError(t, err)
 		require.Equal(t, list, append([]Record{}, have...))
@@ -67,7 +67,7 @@
 			for range rapid.IntRange(0, 30).Draw(t, "records") {
 				r := Record{Kind: rapid.SampledFrom([]Kind{Request, Decision, Answer, Release}).Draw(t, "kind")}
 				slot := uint32(rapid.IntRange(0, 3).Draw(t, "slot"))
-				r.S[Call] = fmt.Sprintf("%016x", rapid.IntRange(0, 5).Draw(t, "call"))
+				r.Texts[Call] = fmt.Sprintf("%016x", rapid.IntRange(0, 5).Draw(t, "call"))
 				e.Add(&r, slot)
 				list = append(list, r)
 			}
@@ -83,13 +83,13 @@
 // FuzzDecode checks that malformed blocks never cause a panic, in decoding or in describing what was decoded.
 func FuzzDecode(f *testing.F) {
 	rec := Record{Kind: Request, At: 5}
-	rec.S[Call] = "00112233445566ff"
+	rec.Texts[Call] = "00112233445566ff"
 	b := NewEncoder().Encode([]Record{rec, {Kind: Gap, At: 6}})
 	f.Add(b.Strings, b.Columns)
 	f.Fuzz(func(t *testing.T, strs, columns []byte) {
 		if list, err := NewDecoder().Decode(strs, columns); err == nil {
 			for i := range list {
-				Story(list[i : i+1])
+				DescribeCall(list[i : i+1])
 			}
 		}
 	})
@@ -99,10 +99,10 @@
 func FuzzIndex(f *testing.F) {
 	x := Index{}
 	x.Add(BlockInfo{From: 1, To: 2, Count: 1, Names: map[string][]string{ByClass: {"a"}}})
-	b, _ := x.Append()
+	b, _ := x.Encode()
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if x, err := ReadIndex(b); err == nil {
+		if x, err := DecodeIndex(b); err == nil {
 			x.Find(Selection{Class: "a"})
 		}
 	})
@@ -117,28 +117,28 @@
 func (p *recordScript) add(r Record) { p.records = append(p.records, r) }
 
 // addCall adds the records of a call that a router receives, sends to a server, and gets the given result for.
-func (p *recordScript) addCall(router, server string, at int64, took int64, end End,
+func (p *recordScript) addCall(router, server string, at int64, took int64, end AnswerResult,
 	outcome threadglade.Outcome) string {
 	p.nextID++
 	id := fmt.Sprintf("%016x", p.nextID)
 	r := Record{Kind: Request, At: at}
-	r.S[Call], r.S[Class], r.S[Tenant], r.S[Router], r.S[Number] = id, "voice", "lda", router, id
+	r.Texts[Call], r.Texts[Class], r.Texts[Tenant], r.Texts[Router], r.Texts[Number] = id, "voice", "lda", router, id
 	p.add(r)
 	d := r
-	d.Kind, d.N[Act], d.N[Reason], d.S[Server] =
-		Decision, int64(Sent), int64(threadglade.FirstChoice), server
-	d.N[LoadAgeMs], d.N[FreeAgeMs], d.N[RateMilli] = -1, -1, -1
+	d.Kind, d.Figures[ActionCode], d.Figures[Reason], d.Texts[Server] =
+		Decision, int64(ActionSent), int64(threadglade.FirstChoice), server
+	d.Figures[LoadAgeMs], d.Figures[FreeAgeMs], d.Figures[RateMilli] = -1, -1, -1
 	p.add(d)
 	a := d
-	a.At, a.N = at+took, [figureCount]int64{}
-	if end != EndStood {
-		a.Kind, a.N[Outcome], a.N[TookUs] = AttemptEnd, int64(outcome), took
+	a.At, a.Figures = at+took, [figureCount]int64{}
+	if end != AnswerEstablished {
+		a.Kind, a.Figures[Outcome], a.Figures[ElapsedUs] = AttemptEnd, int64(outcome), took
 		p.add(a)
 	}
-	a.Kind, a.N[Final], a.N[TookUs] = Answer, int64(end), took
+	a.Kind, a.Figures[FinalAnswer], a.Figures[ElapsedUs] = Answer, int64(end), took
 	p.add(a)
-	if end == EndStood {
-		a.Kind, a.At, a.N[Outcome], a.N[TookUs] = Release, a.At+2_000_000, int64(outcome), 2_000_000
+	if end == AnswerEstablished {
+		a.Kind, a.At, a.Figures[Outcome], a.Figures[ElapsedUs] = Release, a.At+2_000_000, int64(outcome), 2_000_000
 		p.add(a)
 	}
 	return id
@@ -147,7 +147,7 @@
 // addList adds the arrival of a server list.
 func (p *recordScript) addList(router string, serial int64, at int64) {
 	r := Record{Kind: List, At: at}
-	r.S[Router], r.N[Serial] = router, serial
+	r.Texts[Router], r.Figures[Serial] = router, serial
 	p.add(r)
 }
 
@@ -157,7 +157,7 @@
 	return p.records
 }
 
-var meta = Meta{Classes: []ClassMeta{{Name: "voice", AimMs: 1000, Worth: 1, Late: 0.2}}}
+var meta = Meta{Classes: []ClassMeta{{Name: "voice", AimMs: 1000, Worth: 1, LateWorth: 0.2}}}
 
 const second = int64(1_000_000)
 
@@ -173,15 +173,15 @@
 			if at >= 22*second && trouble(p, i, at, server) {
 				continue
 			}
-			p.addCall(fmt.Sprintf("n%d", i%2), server, at, 60_000+int64(i%7)*5000, EndStood,
+			p.addCall(fmt.Sprintf("n%d", i%2), server, at, 60_000+int64(i%7)*5000, AnswerEstablished,
 				threadglade.Concluded)
 		}
 		return p
 	}
 	down := func(p *recordScript, routers ...string) {
 		for _, router := range routers {
-			r := Record{Kind: Listed, At: 23 * second}
-			r.S[Router], r.S[Server], r.N[State] = router, "s1", int64(threadglade.Draining)
+			r := Record{Kind: ListEntry, At: 23 * second}
+			r.Texts[Router], r.Texts[Server], r.Figures[State] = router, "s1", int64(threadglade.Draining)
 			p.add(r)
 			p.addList(router, 8, 23*second)
 		}
@@ -195,7 +195,7 @@
 				if server != "s1" {
 					return false
 				}
-				p.addCall(fmt.Sprintf("n%d", i%2), server, at, 900_000+int64(i%9)*100_000, EndStood,
+				p.addCall(fmt.Sprintf("n%d", i%2), server, at, 900_000+int64(i%9)*100_000, AnswerEstablished,
 					threadglade.Concluded)
 				return true
 			})
@@ -205,17 +205,17 @@
 				if server != "s1" {
 					return false
 				}
-				p.addCall(fmt.Sprintf("n%d", i%2), server, at, 2_000_000, EndFailed, threadglade.TimedOut)
+				p.addCall(fmt.Sprintf("n%d", i%2), server, at, 2_000_000, AnswerFailed, threadglade.TimedOut)
 				return true
 			})
 		}},
 		"burst": {"burst", "", func() *recordScript {
 			return script(func(p *recordScript, i int, at int64, server string) bool {
 				for j := range 2 {
-					p.addCall("n0", fmt.Sprintf("s%d", (i+j)%3), at+int64(j), 700_000, EndStood,
+					p.addCall("n0", fmt.Sprintf("s%d", (i+j)%3), at+int64(j), 700_000, AnswerEstablished,
 						threadglade.Concluded)
 				}
-				p.addCall("n1", server, at, 1_500_000, EndRefused, threadglade.Rejected)
+				p.addCall("n1", server, at, 1_500_000, AnswerRefused, threadglade.Rejected)
 				return true
 			})
 		}},
@@ -225,9 +225,9 @@
 					return false
 				}
 				if at < 28*second {
-					p.addCall("n0", server, at, 100_000, EndFailed, threadglade.Cut)
+					p.addCall("n0", server, at, 100_000, AnswerFailed, threadglade.Cut)
 				} else {
-					p.addCall("n0", "s2", at, 80_000, EndStood, threadglade.Concluded)
+					p.addCall("n0", "s2", at, 80_000, AnswerEstablished, threadglade.Concluded)
 				}
 				return true
 			})
@@ -239,7 +239,7 @@
 				if server != "s1" || i%2 == 0 {
 					return false
 				}
-				p.addCall("n1", server, at, 100_000, EndFailed, threadglade.Unreachable)
+				p.addCall("n1", server, at, 100_000, AnswerFailed, threadglade.Unreachable)
 				return true
 			})
 			down(p, "n0")
@@ -247,26 +247,26 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			q := NewInquiry(meta, 22*second, 42*second)
+			q := NewDiagnoser(meta, 22*second, 42*second)
 			list := c.play().sorted()
 			for i := range list {
-				q.Take(&list[i])
+				q.Add(&list[i])
 			}
-			v := q.Verdict()
+			v := q.Diagnosis()
 			require.NotEmpty(t, v.Causes)
 			require.Equal(t, c.kind, v.Causes[0].Kind, "%+v", v.Causes)
 			require.Equal(t, c.who, v.Causes[0].Name, "%+v", v.Causes)
-			require.InDelta(t, 23*second, v.Causes[0].First, float64(3*second), "the first sign")
+			require.InDelta(t, 23*second, v.Causes[0].FirstSign, float64(3*second), "the first sign")
 			require.Less(t, v.ServiceDuring, v.ServiceBefore)
 		})
 	}
 	// Without a fault there must be no cause.
-	q := NewInquiry(meta, 22*second, 42*second)
+	q := NewDiagnoser(meta, 22*second, 42*second)
 	list := script(func(*recordScript, int, int64, string) bool { return false }).sorted()
 	for i := range list {
-		q.Take(&list[i])
+		q.Add(&list[i])
 	}
-	require.Empty(t, q.Verdict().Causes)
+	require.Empty(t, q.Diagnosis().Causes)
 }
 
 // source is a Source of records in memory.
@@ -304,13 +304,13 @@
 		}
 		for n := range int64(600) {
 			at := day + n*second + int64(i)*1000
-			id := p.addCall(router, "s0", at, 100_000, EndRefused, threadglade.Rejected)
+			id := p.addCall(router, "s0", at, 100_000, AnswerRefused, threadglade.Rejected)
 			truth[id] = at
 			for k := range p.records {
-				if p.records[k].S[Call] == id {
-					p.records[k].S[Number] = fmt.Sprintf("%d", n)
+				if p.records[k].Texts[Call] == id {
+					p.records[k].Texts[Number] = fmt.Sprintf("%d", n)
 					// tried first at n0, then 101 ms later at n1, then at n2
-					p.records[k].N[Retry] = int64(min(i, 1))
+					p.records[k].Figures[Retry] = int64(min(i, 1))
 					if p.records[k].Kind == Request || p.records[k].Kind == Answer ||
 						p.records[k].Kind == AttemptEnd || p.records[k].Kind == Decision {
 						p.records[k].At += int64(i) * 101_000
@@ -325,16 +325,16 @@
 		}
 		lists[router] = list
 	}
-	seen := NewSightings()
+	seen := NewClockEstimator()
 	for _, router := range []string{"n0", "n1", "n2"} {
 		for k := range lists[router] {
-			seen.Take(1, &lists[router][k])
+			seen.Add(1, &lists[router][k])
 		}
 	}
 	clocks := seen.Estimate()
 	require.Len(t, clocks, 4)
 	for _, c := range clocks {
-		require.False(t, c.Guess)
+		require.False(t, c.Assumed)
 		require.LessOrEqual(t, c.Low, c.Offset)
 		require.GreaterOrEqual(t, c.High, c.Offset)
 		if c.Router == "n1" {
@@ -358,24 +358,24 @@
 		got++
 		require.GreaterOrEqual(t, r.At, last, "out of order")
 		last = r.At
-		if at, known := truth[r.S[Call]]; known && r.Kind == Request {
-			require.InDelta(t, at, r.At, 1.0e6, "%s", r.S[Router])
+		if at, known := truth[r.Texts[Call]]; known && r.Kind == Request {
+			require.InDelta(t, at, r.At, 1.0e6, "%s", r.Texts[Router])
 		}
-		number := r.S[Number]
+		number := r.Texts[Number]
 		switch {
-		case r.Kind == Request && r.S[Router] != "n0":
+		case r.Kind == Request && r.Texts[Router] != "n0":
 			require.Contains(t, answered, number, "a repeat of %s at %s before the answer that it follows", number,
-				r.S[Router])
+				r.Texts[Router])
 		case r.Kind == Answer:
 			answered[number] = r.At
 		}
-		perRouter[r.S[Router]] = append(perRouter[r.S[Router]], fmt.Sprint(r.S[Call], r.Kind))
+		perRouter[r.Texts[Router]] = append(perRouter[r.Texts[Router]], fmt.Sprint(r.Texts[Call], r.Kind))
 	}
 	require.Equal(t, total, got)
 	for router, order := range perRouter {
 		var want []string
 		for _, r := range lists[router] {
-			want = append(want, fmt.Sprint(r.S[Call], r.Kind))
+			want = append(want, fmt.Sprint(r.Texts[Call], r.Kind))
 		}
 		require.Equal(t, want, order, "the order of one router is that of its file")
 	}
@@ -384,12 +384,12 @@
 // TestDescribeCall checks that the account of a call names what was known at each decision.
 func TestDescribeCall(t *testing.T) {
 	p := &recordScript{}
-	p.addCall("n0", "s1", 1_700_000_000*second, 80_000, EndStood, threadglade.Concluded)
+	p.addCall("n0", "s1", 1_700_000_000*second, 80_000, AnswerEstablished, threadglade.Concluded)
 	held := p.records[1]
-	held.N[Act], held.N[Reason], held.N[RateMilli], held.N[LambdaMilli],
-		held.N[LoadAgeMs], held.N[LatencyUs], held.N[QpsMilli], held.N[Out], held.N[OldestMs] =
-		int64(Held), int64(threadglade.Gapped), 4500, 6000, 130, 240_000, 9000, 3, 210
-	story := strings.Join(Story(slices.Insert(p.records, 1, held)), "\n")
+	held.Figures[ActionCode], held.Figures[Reason], held.Figures[RateMilli], held.Figures[LambdaMilli],
+		held.Figures[LoadAgeMs], held.Figures[LatencyUs], held.Figures[QPSMilli], held.Figures[InFlight], held.Figures[OldestPendingMs] =
+		int64(ActionHeld), int64(threadglade.Gapped), 4500, 6000, 130, 240_000, 9000, 3, 210
+	story := strings.Join(DescribeCall(slices.Insert(p.records, 1, held)), "\n")
 	for _, want := range []string{"router n0 took call 0000000000000001 of class voice",
 		"It waited, for s1 did not take it: its admission rate was used up (s1: admission rate 4.5/s, calls for it 6.0/s, 3 set-ups unanswered, the oldest for 210 ms, reported 130 ms ago a wait of 240 ms and room for 9.0/s)",
 		"Attempt 1 went to s1: it is the call's first choice", "s1 answered, the call stands, 80 ms after it came",
@@ -402,9 +402,9 @@
 func TestSummary(t *testing.T) {
 	p := &recordScript{}
 	for i := range 100 {
-		end, outcome := EndStood, threadglade.Concluded
+		end, outcome := AnswerEstablished, threadglade.Concluded
 		if i%4 == 0 {
-			end, outcome = EndRefused, threadglade.Rejected
+			end, outcome = AnswerRefused, threadglade.Rejected
 		}
 		p.addCall("n0", fmt.Sprintf("s%d", i%3), int64(i)*second, 50_000, end, outcome)
 	}
@@ -412,7 +412,7 @@
 		s, err := NewSummary(meta, by, 0)
 		require.NoError(t, err)
 		for i := range p.records {
-			s.Take(&p.records[i])
+			s.Add(&p.records[i])
 		}
 		var offered, stood, refused int64
 		earned := 0.0
@@ -433,22 +433,22 @@
 // TestAnonymizer checks that a value has one hash per key, differs between keys, and that names of servers stay
 // readable.
 func TestAnonymizer(t *testing.T) {
-	h, err := NewHider(bytes.Repeat([]byte("k"), 16))
+	h, err := NewAnonymizer(bytes.Repeat([]byte("k"), 16))
 	require.NoError(t, err)
-	other, err := NewHider(bytes.Repeat([]byte("o"), 16))
+	other, err := NewAnonymizer(bytes.Repeat([]byte("o"), 16))
 	require.NoError(t, err)
 	for _, c := range []struct {
 		t     Text
 		value string
 	}{{Call, "00112233445566ff"}, {Number, "924211"}, {Identity, "spiffe://b.example/x"}, {Caller, "10.4.0.9"}} {
-		hidden := h.Hide(c.t, c.value)
+		hidden := h.Anonymize(c.t, c.value)
 		require.NotEqual(t, c.value, hidden)
-		require.Equal(t, hidden, h.Hide(c.t, c.value))
-		require.NotEqual(t, hidden, other.Hide(c.t, c.value))
+		require.Equal(t, hidden, h.Anonymize(c.t, c.value))
+		require.NotEqual(t, hidden, other.Anonymize(c.t, c.value))
 	}
-	require.Equal(t, "s0", h.Hide(Server, "s0"))
-	require.Empty(t, h.Hide(Number, ""))
-	_, err = NewHider([]byte("short"))
+	require.Equal(t, "s0", h.Anonymize(Server, "s0"))
+	require.Empty(t, h.Anonymize(Number, ""))
+	_, err = NewAnonymizer([]byte("short"))
 	require.Error(t, err)
 }
 
@@ -457,7 +457,7 @@
 	p := &recordScript{}
 	for i := range n / 4 {
 		p.addCall("", fmt.Sprintf("s%d", i%3), 1_700_000_000*second+int64(i)*17_000, 60_000+int64(i*7919%40_000),
-			EndStood, threadglade.Concluded)
+			AnswerEstablished, threadglade.Concluded)
 	}
 	return p.sorted()
 }
