--- a/internal/traceio/file.go
+++ b/internal/traceio/file.go
@@ -1,6 +1,7 @@
-// Package traceio carries traces to files: file.go reads and writes them, recorder.go records what a running router decides, tools.go
-// cuts, merges and anonymises whole files. It owns the files' frames, their rotation and the writer's goroutine. It must never
-// decide, have the loop wait, or hold a whole file in memory.
+// Package traceio reads and writes trace files. file.go implements the file format, recorder.go records the
+// decisions of a running router, and tools.go cuts, merges, anonymises and verifies whole files. The package owns
+// the frames of the files, their rotation and the writer goroutine. It takes no routing decisions, never blocks
+// the event loop and never holds a whole file in memory.
 package traceio
 
 import (
@@ -18,148 +19,155 @@
 	"threadglade.example/threadglade/trace"
 )
 
-// kindTrace is the kind of file; kindJournal to kindExport are the ledger's.
+// kindTrace is the file kind of traces; lower kinds are used by the ledger.
 const kindTrace = 5
 
-// Kinds of frames.
+// Frame kinds of a trace file, in the order in which they appear.
 const (
 	frameMeta uint16 = iota + 1
 	frameStrings
 	frameColumns
 	frameIndex
-	frameTail // 8 bytes: where the index stands
+	frameTail // 8 bytes: offset of the index frame
 )
 
-// Extension is what the names of trace files end in.
+// Extension is the file name extension of trace files.
 const Extension = ".tgt"
 
-// callsMost calls are followed to tell where they began.
-const callsMost = 1 << 20
+// maxReachCalls limits the calls without a slot whose first block a Writer remembers.
+const maxReachCalls = 1 << 20
 
-// Writer writes one trace file block by block.
+// Writer writes one trace file block by block. It is not safe for concurrent use.
 type Writer struct {
-	w     *durable.Writer
-	enc   *trace.Encoder
-	index trace.Index
-	began map[string]int // calls that are open, by the block of their request
-	slots []int          // of calls that have a slot: one more than that block; 0: it is not known
-	from  int            // of the next block: its reach
-	lost  error          // why a block was not written: nothing follows it
-	Count int64          // records in blocks
-	Lost  int            // records that were in a block which could not be written
+	frames     *durable.Writer
+	encoder    *trace.Encoder
+	index      trace.Index
+	openCalls  map[string]int // open calls without a slot: block number of their request
+	slotBlocks []int          // by call slot: block number of the request plus one; 0 if unknown
+	nextReach  int            // reach of the next block: first block of the oldest call in it
+	writeErr   error          // first failure to write a block; nothing is written after it
+	Count      int64          // records in written blocks
+	Lost       int            // records in the block that could not be written
 }
 
-// NewWriter begins a file.
+// NewWriter writes the file header and meta to the start of a file.
 func NewWriter(to io.Writer, meta trace.Meta) (*Writer, error) {
-	w, err := durable.NewWriter(to, durable.Header{Kind: kindTrace, Number: uint64(max(1, meta.Part))})
+	frames, err := durable.NewWriter(to, durable.Header{Kind: kindTrace, Number: uint64(max(1, meta.Part))})
 	if err != nil {
 		return nil, err
 	}
-	b, err := json.Marshal(meta)
+	encodedMeta, err := json.Marshal(meta)
 	if err != nil {
 		return nil, err
 	}
-	return &Writer{w: w, enc: trace.NewEncoder(), began: map[string]int{}}, w.WriteFrame(frameMeta, b)
+	return &Writer{
+		frames:    frames,
+		encoder:   trace.NewEncoder(),
+		openCalls: map[string]int{},
+	}, frames.WriteFrame(frameMeta, encodedMeta)
 }
 
-// Add takes a record; a full block is written. Slots are as in trace.Encoder.Add.
-func (w *Writer) Add(r *trace.Record, slot uint32) error {
-	if w.enc.Len() == 0 {
-		w.from = len(w.index.Blocks)
+// Add appends a record to the next block and writes the block once it is full. For slot see trace.Encoder.Add.
+func (w *Writer) Add(record *trace.Record, slot uint32) error {
+	if w.encoder.Len() == 0 {
+		w.nextReach = len(w.index.Blocks)
 	}
-	w.from = min(w.from, w.reach(r, slot))
-	w.enc.Add(r, slot)
-	if w.enc.Len() >= trace.BlockRecords {
+	w.nextReach = min(w.nextReach, w.updateReach(record, slot))
+	w.encoder.Add(record, slot)
+	if w.encoder.Len() >= trace.BlockRecords {
 		return w.Flush()
 	}
 	return nil
 }
 
-// Waiting is how many records are in no block yet.
-func (w *Writer) Waiting() int { return w.enc.Len() }
+// PendingRecords returns the number of records that are not in a block yet.
+func (w *Writer) Waiting() int { return w.encoder.Len() }
 
-// Offset is how long the file is.
-func (w *Writer) Offset() int64 { return w.w.Offset() }
+// Offset returns the number of bytes written so far.
+func (w *Writer) Offset() int64 { return w.frames.Offset() }
 
-// Flush writes what waits as a block. After an error nothing more is written; what waited is counted by Lost.
+// Flush writes the pending records as a block. After an error nothing more is written, every further call returns
+// that error, and LostRecords holds the number of records that were pending.
 func (w *Writer) Flush() error {
-	n := w.enc.Len()
-	if n == 0 || w.lost != nil {
-		return w.lost
+	n := w.encoder.Len()
+	if n == 0 || w.writeErr != nil {
+		return w.writeErr
 	}
-	b := w.enc.Block()
-	b.Info.OldestRequestBlock = w.from
-	if w.lost = w.Block(b); w.lost != nil {
+	block := w.encoder.Block()
+	block.Info.OldestRequestBlock = w.nextReach
+	if w.writeErr = w.Block(block); w.writeErr != nil {
 		w.Lost = n
-		return w.lost
+		return w.writeErr
 	}
 	w.Count += int64(n)
 	return nil
 }
 
-// reach follows a call of the next block and tells the block that it began in, as far as that is known.
-func (w *Writer) reach(r *trace.Record, slot uint32) int {
-	here, call := len(w.index.Blocks), r.Texts[trace.Call]
+// updateReach tracks the call of a record and returns the block that holds the call's request. It returns the
+// current block if that is not known.
+func (w *Writer) updateReach(record *trace.Record, slot uint32) int {
+	block, call := len(w.index.Blocks), record.Texts[trace.Call]
 	if call == "" {
-		return here
+		return block
 	}
-	over := r.Kind == trace.Release || r.Kind == trace.Answer && trace.AnswerResult(r.Figures[trace.FinalAnswer]) != trace.AnswerEstablished
+	ended := record.Kind == trace.Release ||
+		record.Kind == trace.Answer && trace.AnswerResult(record.Figures[trace.FinalAnswer]) != trace.AnswerEstablished
 	if slot > 0 {
-		if int(slot) >= len(w.slots) {
-			w.slots = append(w.slots, make([]int, int(slot)+1-len(w.slots))...)
+		if int(slot) >= len(w.slotBlocks) {
+			w.slotBlocks = append(w.slotBlocks, make([]int, int(slot)+1-len(w.slotBlocks))...)
 		}
-		at := &w.slots[slot]
+		slotBlock := &w.slotBlocks[slot]
 		switch {
-		case r.Kind == trace.Request:
-			*at = here + 1
-		case *at > 0:
-			here = *at - 1
+		case record.Kind == trace.Request:
+			*slotBlock = block + 1
+		case *slotBlock > 0:
+			block = *slotBlock - 1
 		}
-		if over {
-			*at = 0
+		if ended {
+			*slotBlock = 0
 		}
-		return here
+		return block
 	}
-	if r.Kind == trace.Request {
-		if len(w.began) < callsMost {
-			w.began[call] = here
+	if record.Kind == trace.Request {
+		if len(w.openCalls) < maxReachCalls {
+			w.openCalls[call] = block
 		}
-		return here
+		return block
 	}
-	from, known := w.began[call]
-	if over {
-		delete(w.began, call)
+	startBlock, known := w.openCalls[call]
+	if ended {
+		delete(w.openCalls, call)
 	}
 	if known {
-		return min(from, here)
+		return min(startBlock, block)
 	}
-	return here
+	return block
 }
 
-// reachAll is the reach of a block of records without slots.
-func (w *Writer) reachAll(list []trace.Record) int {
-	from := len(w.index.Blocks)
-	for i := range list {
-		from = min(from, w.reach(&list[i], 0))
+// blockReach returns the reach of a block of records without slots: the first block of the oldest call in it.
+func (w *Writer) blockReach(records []trace.Record) int {
+	reach := len(w.index.Blocks)
+	for i := range records {
+		reach = min(reach, w.updateReach(&records[i], 0))
 	}
-	return from
+	return reach
 }
 
-// Block writes a block that was made elsewhere; its place is set here.
-func (w *Writer) Block(b trace.Block) error {
-	b.Info.Offset = w.w.Offset()
-	if err := w.w.WriteFrame(frameStrings, b.Strings); err != nil {
+// WriteBlock writes an encoded block and adds it to the index with the offsets it has in this file.
+func (w *Writer) Block(block trace.Block) error {
+	block.Info.Offset = w.frames.Offset()
+	if err := w.frames.WriteFrame(frameStrings, block.Strings); err != nil {
 		return err
 	}
-	b.Info.Columns = w.w.Offset()
-	if err := w.w.WriteFrame(frameColumns, b.Columns); err != nil {
+	block.Info.Columns = w.frames.Offset()
+	if err := w.frames.WriteFrame(frameColumns, block.Columns); err != nil {
 		return err
 	}
-	w.index.Add(b.Info)
+	w.index.Add(block.Info)
 	return nil
 }
 
-// Close writes the last block and the index. The file under it is the caller's.
+// Close writes the last block and the index. It doesn't close the underlying file.
 func (w *Writer) Close() error {
 	if err := w.Flush(); err != nil {
 		return err
@@ -168,196 +176,201 @@
 	if err != nil {
 		return err
 	}
-	zip, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
+	compressor, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	if err != nil {
 		return err
 	}
-	at := w.w.Offset()
-	if err := w.w.WriteFrame(frameIndex, zip.EncodeAll(text, nil)); err != nil {
+	indexOffset := w.frames.Offset()
+	if err := w.frames.WriteFrame(frameIndex, compressor.EncodeAll(text, nil)); err != nil {
 		return err
 	}
-	return w.w.WriteFrame(frameTail, binary.LittleEndian.AppendUint64(nil, uint64(at)))
+	return w.frames.WriteFrame(frameTail, binary.LittleEndian.AppendUint64(nil, uint64(indexOffset)))
 }
 
-// File is a trace file open for reading. It is for one goroutine.
+// File is a trace file open for reading. It is not safe for concurrent use.
 type File struct {
-	Meta    trace.Meta
-	Index   *trace.Index
-	Torn    string // where a crash cut it off; empty: it is whole
-	Scanned bool   // its index was made anew by reading all of it
-	r       *durable.Reader
-	dec     *trace.Decoder
-	strs    []byte
-	cols    []byte
+	Meta       trace.Meta
+	Index      *trace.Index
+	Torn       string // file and offset at which a crash truncated the file; empty if complete
+	Scanned    bool   // the index was rebuilt by reading every block
+	reader     *durable.Reader
+	decoder    *trace.Decoder
+	stringsBuf []byte
+	columnsBuf []byte
 }
 
-// Open opens a trace file. One that a crash has cut off is read up to there; its index is made anew. Damage is an error
-// with file and offset.
-func Open(f durable.FS, path string) (*File, error) {
-	r, err := durable.OpenBuffered(f, path, kindTrace, 16<<10)
+// Open opens a trace file. If a crash truncated the file, the complete blocks are kept and the index is rebuilt
+// from them. For a corrupt file it returns a *durable.Damage with file and offset, for a file of a
+// newer format version an error that wraps durable.ErrNewer.
+func Open(fileSystem durable.FS, path string) (*File, error) {
+	r, err := durable.OpenBuffered(fileSystem, path, kindTrace, 16<<10)
 	if err != nil {
 		return nil, err
 	}
-	t := &File{r: r, dec: trace.NewDecoder()}
-	if err := t.open(); err != nil {
+	file := &File{reader: r, decoder: trace.NewDecoder()}
+	if err := file.readMetaAndIndex(); err != nil {
 		r.Close()
 		return nil, err
 	}
-	return t, nil
+	return file, nil
 }
 
-func (t *File) open() error {
-	kind, payload, err := t.r.Next()
+// readMetaAndIndex reads the metadata and the index, which it rebuilds if the tail frame is missing.
+func (t *File) readMetaAndIndex() error {
+	kind, payload, err := t.reader.Next()
 	if errors.Is(err, durable.ErrTorn) || err == io.EOF {
-		return t.r.Damagef(t.r.Offset(), "a crash has cut it off before its first block")
+		return t.reader.Damagef(t.reader.Offset(), "truncated before the first block")
 	}
 	if err != nil {
 		return err
 	}
 	if kind != frameMeta {
-		return t.r.Damagef(t.r.Offset(), "it begins with a frame of kind %d", kind)
+		return t.reader.Damagef(t.reader.Offset(), "the first frame has kind %d instead of metadata", kind)
 	}
 	dec := json.NewDecoder(bytes.NewReader(payload))
 	if err := dec.Decode(&t.Meta); err != nil {
-		return t.r.Damagef(48, "%v", err)
+		return t.reader.Damagef(48, "%v", err)
 	}
-	tail := t.r.Size() - durable.FrameHeaderSize - 8
-	if kind, payload, err := t.r.FrameAt(tail, nil); err == nil && kind == frameTail {
-		at := int64(binary.LittleEndian.Uint64(payload))
-		return t.readIndex(at)
+	tail := t.reader.Size() - durable.FrameHeaderSize - 8
+	if kind, payload, err := t.reader.FrameAt(tail, nil); err == nil && kind == frameTail {
+		indexOffset := int64(binary.LittleEndian.Uint64(payload))
+		return t.readIndex(indexOffset)
 	}
-	return t.scan()
+	return t.rebuildIndex()
 }
 
+// readIndex reads the index frame at an offset.
 func (t *File) readIndex(at int64) error {
-	kind, payload, err := t.r.FrameAt(at, nil)
+	kind, payload, err := t.reader.FrameAt(at, nil)
 	if err != nil {
 		return err
 	}
 	if kind != frameIndex {
-		return t.r.Damagef(at, "a frame of kind %d stands where the index is wanted", kind)
+		return t.reader.Damagef(at, "frame of kind %d instead of the index", kind)
 	}
-	unzip, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(256<<20))
+	decompressor, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(256<<20))
 	if err != nil {
 		return err
 	}
-	defer unzip.Close()
-	text, err := unzip.DecodeAll(payload, nil)
+	defer decompressor.Close()
+	text, err := decompressor.DecodeAll(payload, nil)
 	if err != nil {
-		return t.r.Damagef(at, "the index: %v", err)
+		return t.reader.Damagef(at, "decompressing the index: %v", err)
 	}
 	if t.Index, err = trace.DecodeIndex(text); err != nil {
-		return t.r.Damagef(at, "%v", err)
+		return t.reader.Damagef(at, "%v", err)
 	}
 	return nil
 }
 
-// scan makes the index anew by reading all blocks.
-func (t *File) scan() error {
+// rebuildIndex reads all blocks and builds the index from them. A truncated tail is noted in Truncation, not an
+// error.
+func (t *File) rebuildIndex() error {
 	t.Scanned = true
-	w := &Writer{began: map[string]int{}}
+	indexer := &Writer{openCalls: map[string]int{}}
 	for {
-		at := t.r.Offset()
-		kind, strs, err := t.r.Next()
+		blockOffset := t.reader.Offset()
+		kind, stringsFrame, err := t.reader.Next()
 		if err == io.EOF {
-			t.Torn = fmt.Sprintf("%s: offset %d: it ends without an index", t.r.Name(), at)
+			t.Torn = fmt.Sprintf("%s: offset %d: it ends without an index", t.reader.Name(), blockOffset)
 			break
 		}
 		if errors.Is(err, durable.ErrTorn) {
-			t.Torn = fmt.Sprintf("%s: offset %d: %d bytes", t.r.Name(), at, t.r.Size()-at)
+			t.Torn = fmt.Sprintf("%s: offset %d: %d bytes", t.reader.Name(), blockOffset, t.reader.Size()-blockOffset)
 			break
 		}
 		if err != nil {
 			return err
 		}
-		if kind == frameIndex { // whole, but its tail is not
-			if _, _, err := t.r.Next(); err != io.EOF && !errors.Is(err, durable.ErrTorn) {
-				return cmp.Or(err, t.r.Damagef(at, "what follows the index is not its end"))
+		if kind == frameIndex { // the index is complete, but the tail frame is not
+			if _, _, err := t.reader.Next(); err != io.EOF && !errors.Is(err, durable.ErrTorn) {
+				return cmp.Or(err, t.reader.Damagef(blockOffset, "unexpected frame after the index"))
 			}
-			t.Torn = fmt.Sprintf("%s: offset %d: the index's end is missing", t.r.Name(), at)
+			t.Torn = fmt.Sprintf("%s: offset %d: the index's end is missing", t.reader.Name(), blockOffset)
 			break
 		}
 		if kind != frameStrings {
-			return t.r.Damagef(at, "a frame of kind %d stands where a block is wanted", kind)
+			return t.reader.Damagef(blockOffset, "frame of kind %d instead of the strings of a block", kind)
 		}
-		t.strs = append(t.strs[:0], strs...)
-		columns := t.r.Offset()
-		kind, cols, err := t.r.Next()
+		t.stringsBuf = append(t.stringsBuf[:0], stringsFrame...)
+		columns := t.reader.Offset()
+		kind, columnsFrame, err := t.reader.Next()
 		if err == io.EOF || errors.Is(err, durable.ErrTorn) {
-			t.Torn = fmt.Sprintf("%s: offset %d: %d bytes", t.r.Name(), at, t.r.Size()-at)
+			t.Torn = fmt.Sprintf("%s: offset %d: %d bytes", t.reader.Name(), blockOffset, t.reader.Size()-blockOffset)
 			break
 		}
 		if err != nil {
 			return err
 		}
 		if kind != frameColumns {
-			return t.r.Damagef(columns, "a frame of kind %d stands where columns are wanted", kind)
+			return t.reader.Damagef(columns, "frame of kind %d instead of the columns of a block", kind)
 		}
-		list, err := t.dec.Decode(t.strs, cols)
+		records, err := t.decoder.Decode(t.stringsBuf, columnsFrame)
 		if err != nil {
-			return t.r.Damagef(at, "%v", err)
+			return t.reader.Damagef(blockOffset, "%v", err)
 		}
-		info := trace.DescribeBlock(list)
-		info.Offset, info.Columns, info.OldestRequestBlock = at, columns, w.reachAll(list)
-		w.index.Add(info)
+		info := trace.DescribeBlock(records)
+		info.Offset, info.Columns, info.OldestRequestBlock = blockOffset, columns, indexer.blockReach(records)
+		indexer.index.Add(info)
 	}
-	t.Index = &w.index
+	t.Index = &indexer.index
 	return nil
 }
 
 // Close closes the file.
-func (t *File) Close() error { return t.r.Close() }
+func (t *File) Close() error { return t.reader.Close() }
 
-// Name is the file's path.
-func (t *File) Name() string { return t.r.Name() }
+// Name returns the path of the file.
+func (t *File) Name() string { return t.reader.Name() }
 
-// Size is the file's length in bytes.
-func (t *File) Size() int64 { return t.r.Size() }
+// Size returns the length of the file in bytes.
+func (t *File) Size() int64 { return t.reader.Size() }
 
-// Raw reads the two parts of a block as they stand, until the next call.
+// RawBlock reads the encoded strings and columns of block n. They are valid until the next read.
 func (t *File) Raw(n int) (trace.Block, error) {
 	info := t.Index.Blocks[n]
-	kind, strs, err := t.r.FrameAt(info.Offset, t.strs)
+	kind, stringsFrame, err := t.reader.FrameAt(info.Offset, t.stringsBuf)
 	if err != nil {
 		return trace.Block{}, err
 	}
-	t.strs = strs
-	kind2, cols, err := t.r.FrameAt(info.Columns, t.cols)
+	t.stringsBuf = stringsFrame
+	columnsKind, columnsFrame, err := t.reader.FrameAt(info.Columns, t.columnsBuf)
 	if err != nil {
 		return trace.Block{}, err
 	}
-	t.cols = cols
-	if kind != frameStrings || kind2 != frameColumns {
-		return trace.Block{}, t.r.Damagef(info.Offset, "no block stands where the index says")
+	t.columnsBuf = columnsFrame
+	if kind != frameStrings || columnsKind != frameColumns {
+		return trace.Block{}, t.reader.Damagef(info.Offset, "the index refers to a block that is not there")
 	}
-	return trace.Block{Strings: strs, Columns: cols, Info: info}, nil
+	return trace.Block{Strings: stringsFrame, Columns: columnsFrame, Info: info}, nil
 }
 
-// Records reads a block; they are valid until the next call, their strings stay.
+// Records decodes block n. The records are valid until the next read; their strings stay valid.
 func (t *File) Records(n int) ([]trace.Record, error) {
 	b, err := t.Raw(n)
 	if err != nil {
 		return nil, err
 	}
-	list, err := t.dec.Decode(b.Strings, b.Columns)
+	records, err := t.decoder.Decode(b.Strings, b.Columns)
 	if err != nil {
-		return nil, t.r.Damagef(b.Info.Offset, "%v", err)
+		return nil, t.reader.Damagef(b.Info.Offset, "%v", err)
 	}
-	return list, nil
+	return records, nil
 }
 
-// Each calls f with every record of the blocks that may hold what is selected, in order.
-func (t *File) Each(s trace.Selection, f func(*trace.Record) error) error {
-	for _, n := range t.Index.Find(s) {
-		list, err := t.Records(int(n))
+// Each calls f for every record, in file order, of the blocks that may contain selected records. It doesn't
+// filter within a block. It stops at the first error and returns it. The record is valid during the call only.
+func (t *File) Each(selection trace.Selection, f func(*trace.Record) error) error {
+	for _, n := range t.Index.Find(selection) {
+		records, err := t.Records(int(n))
 		if err != nil {
 			return err
 		}
-		for i := range list {
-			if list[i].Texts[trace.Router] == "" {
-				list[i].Texts[trace.Router] = t.Meta.Router
+		for i := range records {
+			if records[i].Texts[trace.Router] == "" {
+				records[i].Texts[trace.Router] = t.Meta.Router
 			}
-			if err := f(&list[i]); err != nil {
+			if err := f(&records[i]); err != nil {
 				return err
 			}
 		}
@@ -365,42 +378,42 @@
 	return nil
 }
 
-// Source reads all records in order, as trace.Source.
+// Source is a trace.Source that reads the records of a File in file order.
 type Source struct {
-	f    *File
-	next int
-	list []trace.Record
-	at   int
+	file      *File
+	nextBlock int
+	records   []trace.Record
+	position  int
 }
 
-// Source begins at the first record.
-func (t *File) Source() *Source { return &Source{f: t} }
+// Source returns a Source that starts at the first record.
+func (t *File) Source() *Source { return &Source{file: t} }
 
-// Next implements trace.Source.
+// Next implements trace.Source. It returns io.EOF after the last record; a record is valid until the next call.
 func (s *Source) Next() (*trace.Record, error) {
-	for s.at >= len(s.list) {
-		if s.next >= len(s.f.Index.Blocks) {
+	for s.position >= len(s.records) {
+		if s.nextBlock >= len(s.file.Index.Blocks) {
 			return nil, io.EOF
 		}
-		list, err := s.f.Records(s.next)
+		list, err := s.file.Records(s.nextBlock)
 		if err != nil {
 			return nil, err
 		}
-		s.list, s.at = list, 0
-		s.next++
+		s.records, s.position = list, 0
+		s.nextBlock++
 	}
-	r := &s.list[s.at]
-	s.at++
+	r := &s.records[s.position]
+	s.position++
 	if r.Texts[trace.Router] == "" {
-		r.Texts[trace.Router] = s.f.Meta.Router
+		r.Texts[trace.Router] = s.file.Meta.Router
 	}
 	return r, nil
 }
 
-// Chain reads several files one after the other.
+// Chain is a trace.Source that reads several files one after the other.
 type Chain []*Source
 
-// Next implements trace.Source.
+// Next implements trace.Source. It returns io.EOF after the last record of the last file.
 func (c *Chain) Next() (*trace.Record, error) {
 	for len(*c) > 0 {
 		r, err := (*c)[0].Next()
--- a/internal/traceio/recorder.go
+++ b/internal/traceio/recorder.go
@@ -24,151 +24,161 @@
 )
 
 const (
-	// queueMost records may wait for the writer, which looks every lookEvery. They are handed over in chunks.
-	queueMost  = 8192
-	chunkSize  = 256
-	chunksMost = queueMost / chunkSize
-	lookEvery  = 10 * time.Millisecond
-	// followMost calls are followed at once, serversMost servers, and unansweredMost set-ups of one server.
-	followMost     = 200_000
-	partSize       = 1024 // of the table of those
-	serversMost    = 10_000
-	unansweredMost = 4096
-	// dumpPause is the least time between two flights that a trigger writes out.
-	dumpPause = time.Minute
-	// retryAfter is the pause after a file that could not be written.
-	retryAfter = time.Second
+	// maxQueuedRecords limits the records that wait for the writer, which polls every writerPollInterval. They
+	// are handed over in chunks.
+	maxQueuedRecords   = 8192
+	chunkSize          = 256
+	maxChunks          = maxQueuedRecords / chunkSize
+	writerPollInterval = 10 * time.Millisecond
+	// Limits of what is tracked at once: calls, servers, and pending set-ups of one server.
+	maxTrackedCalls  = 200_000
+	slotPageSize     = 1024 // calls in one page of the call table
+	maxServers       = 10_000
+	maxPendingSetups = 4096
+	// minDumpInterval is the minimum time between two flight recordings written by a trigger.
+	minDumpInterval = time.Minute
+	// fileRetryDelay is the delay before the next file after one that could not be written.
+	fileRetryDelay = time.Second
 )
 
-// Options are what the settings say of the trace.
+// Options are the settings of a Recorder, as read from a (trace ...) section.
 type Options struct {
-	Dir       string        // of trace files; empty: no file is written as records come
-	FileBytes int64         // a file is closed at this size
-	FileSpan  time.Duration // and after this time
-	Total     int64         // bytes of all files of the router in the folder; the oldest go first
-	Block     time.Duration // how long records may wait for their block to be written: what SIGKILL may lose
-	Flight    time.Duration // how far back the ring in memory goes; 0: there is none
-	Records   int           // and how many records it holds at most
-	FlightDir string        // where it is written out
-	Trigger   int           // refusals and failures in one second that have it written out; 0: only SIGUSR2 and the backstop
-}
-
-// Defaults of Options.
+	Dir       string        // directory of trace files; empty: records are not written continuously
+	FileBytes int64         // size in bytes at which a file is closed and the next begins
+	FileSpan  time.Duration // age at which a file is closed and the next begins
+	Total     int64         // limit for all files of the router in Dir; the oldest are removed first
+	Block     time.Duration // time after which pending records are written; SIGKILL may lose that much
+	Flight    time.Duration // time span of the flight recorder, a ring buffer in memory; 0 disables it
+	Records   int           // capacity of the flight recorder
+	FlightDir string        // directory of flight recordings
+	Trigger   int           // refusals and failures per second that cause a dump; 0: only SIGUSR2 and the backstop do
+}
+
+// DefaultOptions returns the defaults of Options.
 func Defaults() Options {
 	return Options{FileBytes: 64 << 20, FileSpan: time.Hour, Total: 1 << 30, Block: 5 * time.Second, Records: 20_000}
 }
 
-// Read reads a (trace ...) section. What is wrong is noted with the section.
-func Read(s *settings.Section) Options {
-	o := Defaults()
-	s.String("directory", &o.Dir)
-	mb := func(field string, v *int64, high int) {
-		n := int(*v >> 20)
-		s.Int(field, &n, 1, high)
-		*v = int64(n) << 20
-	}
-	mb("file-mb", &o.FileBytes, 4096)
-	mb("total-mb", &o.Total, 1<<20)
-	s.Duration("file-span", &o.FileSpan, time.Second, 24*time.Hour)
-	s.Duration("block", &o.Block, 100*time.Millisecond, time.Minute)
-	s.Duration("flight", &o.Flight, time.Second, time.Hour)
-	s.Int("flight-records", &o.Records, 1000, 1_000_000)
-	s.String("flight-directory", &o.FlightDir)
-	s.Int("trigger", &o.Trigger, 1, 1_000_000)
+// ReadOptions reads a (trace ...) section. Errors are reported through the section.
+func Read(section *settings.Section) Options {
+	options := Defaults()
+	section.String("directory", &options.Dir)
+	megabytes := func(field string, value *int64, highest int) {
+		n := int(*value >> 20)
+		section.Int(field, &n, 1, highest)
+		*value = int64(n) << 20
+	}
+	megabytes("file-mb", &options.FileBytes, 4096)
+	megabytes("total-mb", &options.Total, 1<<20)
+	section.Duration("file-span", &options.FileSpan, time.Second, 24*time.Hour)
+	section.Duration("block", &options.Block, 100*time.Millisecond, time.Minute)
+	section.Duration("flight", &options.Flight, time.Second, time.Hour)
+	section.Int("flight-records", &options.Records, 1000, 1_000_000)
+	section.String("flight-directory", &options.FlightDir)
+	section.Int("trigger", &options.Trigger, 1, 1_000_000)
 	switch {
-	case o.Dir == "" && o.Flight == 0:
-		s.Errorf("", "directory or flight is wanted")
-	case o.Flight > 0 && o.FlightDir == "" && o.Dir == "":
-		s.Errorf("flight-directory", "is missing: where is the flight written out?")
-	case o.Total < 2*o.FileBytes && o.Dir != "":
-		s.Errorf("total-mb", "is less than two files of file-mb")
+	case options.Dir == "" && options.Flight == 0:
+		section.Errorf("", "directory or flight is wanted")
+	case options.Flight > 0 && options.FlightDir == "" && options.Dir == "":
+		section.Errorf("flight-directory", "is missing: where is the flight written out?")
+	case options.Total < 2*options.FileBytes && options.Dir != "":
+		section.Errorf("total-mb", "is less than two files of file-mb")
 	}
-	if o.FlightDir == "" {
-		o.FlightDir = o.Dir
+	if options.FlightDir == "" {
+		options.FlightDir = options.Dir
 	}
-	return o
+	return options
 }
 
-// Config is what a Recorder needs.
+// Config holds the options and dependencies of a Recorder.
 type Config struct {
 	Options
 	FS      durable.FS
 	Router  string
 	Build   string
 	Classes []trace.ClassMeta
-	Tenants *ledger.Directory // nil: a call's tenant is what its set-up says
-	Clock   router.Clock      // the router's
+	Tenants *ledger.Directory // nil: the tenant is taken from the set-up as is
+	Clock   router.Clock      // the router's clock
 	Log     zerolog.Logger
 }
 
-// Recorder is a router.Observer that records. Its methods are for the loop, which never waits: what the writer has no room for
-// is dropped and counted, and the gap is a record.
+// Recorder is a router.Observer that writes a trace. Its methods are for the event loop only, which never blocks
+// on them: records that the writer can't keep up with are dropped and counted, and a Gap record marks the place.
 type Recorder struct {
-	cfg     Config
-	meta    trace.Meta
-	classes atomic.Pointer[[]trace.ClassMeta] // as the next file describes them
-	calls   [][]followed                      // by slot, in parts that stay where they are
-	open    int
-	servers map[string]*known
-	ring    []slip
-	ringAt  int
-	gap     int64 // records dropped since the last that was taken
-	lost    [2]int64
-	second  time.Duration
-	dumped  time.Duration
-	dumps   int
-	count   Counters
-
-	// The loop fills one chunk at a time, which the writer has from its first record on; those that it has emptied come back, and
-	// the latest serves first, so that few are in use and stay in the processor's cache.
-	queue, back *xsync.SPSCQueue[*chunk]
-	chunk       *chunk // being filled
-	empty       []*chunk
-	chunks      int  // there are
-	spare       slip // where a record goes that is dropped, or only kept in the ring
+	cfg               Config
+	meta              trace.Meta
+	classes           atomic.Pointer[[]trace.ClassMeta] // for the metadata of the next file; read by the writer
+	calls             [][]trackedCall                   // by slot, in pages that never move
+	openCalls         int                               // calls that are tracked now
+	servers           map[string]*serverState
+	ring              []rawRecord   // flight recorder; nil if off
+	ringStart         int           // index of the oldest record once the ring is full
+	unreportedDrops   int64         // records dropped since the last one that was queued
+	lossesPerSecond   [2]int64      // refusals and failures in the previous and the current window
+	lossWindowStart   time.Duration // windows last at least a second
+	lastTriggeredDump time.Duration
+	dumpCount         int
+	counters          Counters
+
+	// The loop fills one chunk at a time. The chunk is queued before its first record, so that the writer can
+	// read records as they arrive. Chunks that the writer has emptied are returned and reused last in, first out,
+	// so that few are in use and stay in the processor's cache.
+	writeQueue, returnQueue *xsync.SPSCQueue[*chunk]
+	currentChunk            *chunk // being filled; nil if the next record needs a new one
+	emptyChunks             []*chunk
+	chunkCount              int       // chunks allocated so far
+	scratch                 rawRecord // holds a record that is dropped, or kept only in the ring
 
 	stop chan struct{}
 	done sync.WaitGroup
 
-	written, missed, bytes, files, removed, errs, flights atomic.Uint64
+	writtenCount, lostByWriter, byteCount, fileCount, removedCount, errorCount, flightCount atomic.Uint64
 }
 
-// Counters of a Recorder. Open is what is held now.
+// Counters holds the cumulative counters of a Recorder. Open is a gauge: the calls that are tracked now.
 type Counters struct {
-	Records, Dropped, Unfollowed, Written, Bytes, Files, Removed, Errors, Flights uint64
-	Open                                                                          int
-}
-
-// followed is a call that is open.
-type followed struct {
-	call, class, tenant string
-	server              string
-	came, sent          time.Duration
-	attempt             int
-	slot                uint32
-	out, stood          bool
-}
-
-// slip is a record as the loop hands it over: the columns of its kind alone, strings as the router has them. The writer makes
-// the record of it.
-type slip struct {
+	Records    uint64 // recorded, including dropped ones
+	Dropped    uint64 // not written, as the queue was full or a file failed
+	Unfollowed uint64 // calls in slots above maxTrackedCalls
+	Written    uint64 // records in blocks that were written
+	Bytes      uint64 // of closed files
+	Files      uint64 // closed
+	Removed    uint64 // files removed to keep within Options.TotalBytes
+	Errors     uint64 // failures to write or remove a file
+	Flights    uint64 // flight recordings written
+	Open       int
+}
+
+// trackedCall is the state of an open call.
+type trackedCall struct {
+	call, class, tenant   string
+	server                string
+	arrivedAt, sentAt     time.Duration
+	attempt               int
+	slot                  uint32
+	inFlight, established bool
+}
+
+// rawRecord is a record as the loop hands it over: only the columns of its kind, with strings as the router has
+// them. The writer converts it to a trace.Record.
+type rawRecord struct {
 	at                          int64
-	slot                        uint32 // of its call; 0: none
+	slot                        uint32 // slot of its call; 0: none
 	kind                        trace.Kind
-	call, server, class, tenant string // server is the number called where kind is Request
-	identity, front             string // of Request
-	n                           [trace.MaxFigures]int64
+	call, server, class, tenant string // server holds the called number if kind is Request
+	identity, front             string // set for Request
+	figures                     [trace.MaxFigures]int64
 }
 
-// Where the caller's address of a Request stands, after its figures.
+// Indexes in rawRecord.figures of the caller's address of a Request, after its own figures.
 const (
 	addrHigh = trace.MaxFigures - 3 + iota
 	addrLow
-	addrKind // 0 untold, 4 or 6
+	addrKind // 0 unknown, 4 or 6
 )
 
-// places are where the figures of each kind stand in a slip.
-var places = func() (list [trace.KindLimit][trace.FigureCount]uint8) {
+// figurePositions maps the figures of each kind to their index in rawRecord.figures.
+var figurePositions = func() (list [trace.KindLimit][trace.FigureCount]uint8) {
 	for k := range list {
 		_, columns := trace.Columns(trace.Kind(k))
 		for i, f := range columns {
@@ -178,85 +188,91 @@
 	return list
 }()
 
-func (s *slip) set(f trace.Figure, n int64) { s.n[places[s.kind][f]] = n }
+// set sets a figure, which must be a column of the record's kind.
+func (s *rawRecord) set(f trace.Figure, n int64) { s.figures[figurePositions[s.kind][f]] = n }
 
-func (s *slip) setAddr(a netip.Addr) {
+// setAddr sets the caller's address of a Request without allocating its text.
+func (s *rawRecord) setAddr(a netip.Addr) {
 	if !a.IsValid() {
 		return
 	}
 	b := a.As16()
-	s.n[addrHigh], s.n[addrLow], s.n[addrKind] = int64(binary.BigEndian.Uint64(b[:8])), int64(binary.BigEndian.Uint64(b[8:])), 6
+	s.figures[addrHigh], s.figures[addrLow], s.figures[addrKind] =
+		int64(binary.BigEndian.Uint64(b[:8])), int64(binary.BigEndian.Uint64(b[8:])), 6
 	if a.Is4() {
-		s.n[addrKind] = 4
+		s.figures[addrKind] = 4
 	}
 }
 
-// unfold makes records of slips. It is for one goroutine.
-type unfold struct {
-	record trace.Record
-	addrs  map[netip.Addr]string // lately seen
+// recordBuilder converts rawRecords to trace.Records. It is not safe for concurrent use.
+type recordBuilder struct {
+	record   trace.Record
+	addrText map[netip.Addr]string // text of recently seen addresses
 }
 
-// addrsMost addresses are kept as text.
-const addrsMost = 4096
+// maxCachedAddrs limits the addresses whose text a recordBuilder caches.
+const maxCachedAddrs = 4096
 
-func (u *unfold) of(s *slip) *trace.Record {
-	r := &u.record
-	*r = trace.Record{Kind: s.kind, At: s.at}
-	r.Texts[trace.Call], r.Texts[trace.Class], r.Texts[trace.Tenant] = s.call, s.class, s.tenant
-	_, columns := trace.Columns(s.kind)
-	for i, f := range columns {
-		r.Figures[f] = s.n[i]
+// build converts a rawRecord. The result is valid until the next call.
+func (u *recordBuilder) build(raw *rawRecord) *trace.Record {
+	record := &u.record
+	*record = trace.Record{Kind: raw.kind, At: raw.at}
+	record.Texts[trace.Call], record.Texts[trace.Class], record.Texts[trace.Tenant] = raw.call, raw.class, raw.tenant
+	_, columns := trace.Columns(raw.kind)
+	for i, figure := range columns {
+		record.Figures[figure] = raw.figures[i]
 	}
-	if s.kind != trace.Request {
-		r.Texts[trace.Server] = s.server
-		if s.kind == trace.Avoidance {
-			r.Texts[trace.Front] = s.front
+	if raw.kind != trace.Request {
+		record.Texts[trace.Server] = raw.server
+		if raw.kind == trace.Avoidance {
+			record.Texts[trace.Front] = raw.front
 		}
-		return r
+		return record
 	}
-	r.Texts[trace.Number], r.Texts[trace.Identity], r.Texts[trace.Front] = s.server, s.identity, s.front
-	if s.n[addrKind] == 0 {
-		return r
+	record.Texts[trace.Number], record.Texts[trace.Identity], record.Texts[trace.Front] = raw.server, raw.identity, raw.front
+	if raw.figures[addrKind] == 0 {
+		return record
 	}
-	var b [16]byte
-	binary.BigEndian.PutUint64(b[:8], uint64(s.n[addrHigh]))
-	binary.BigEndian.PutUint64(b[8:], uint64(s.n[addrLow]))
-	a := netip.AddrFrom16(b)
-	if s.n[addrKind] == 4 {
-		a = a.Unmap()
+	var addrBytes [16]byte
+	binary.BigEndian.PutUint64(addrBytes[:8], uint64(raw.figures[addrHigh]))
+	binary.BigEndian.PutUint64(addrBytes[8:], uint64(raw.figures[addrLow]))
+	addr := netip.AddrFrom16(addrBytes)
+	if raw.figures[addrKind] == 4 {
+		addr = addr.Unmap()
 	}
-	text, known := u.addrs[a]
+	text, known := u.addrText[addr]
 	if !known {
-		if u.addrs == nil || len(u.addrs) >= addrsMost {
-			u.addrs = map[netip.Addr]string{}
+		if u.addrText == nil || len(u.addrText) >= maxCachedAddrs {
+			u.addrText = map[netip.Addr]string{}
 		}
-		text = a.String()
-		u.addrs[a] = text
+		text = addr.String()
+		u.addrText[addr] = text
 	}
-	r.Texts[trace.Caller] = text
-	return r
+	record.Texts[trace.Caller] = text
+	return record
 }
 
-// known is what has been heard of a server.
-type known struct {
-	free, total int
-	freeAt      time.Duration
-	latency     time.Duration
-	rate        float64
-	loadAt      time.Duration
-	phase       threadglade.Phase
-	unanswered  []pending // oldest first from head on; those that are answered are taken off when they come to the front
-	head        int
+// serverState holds the latest reports of a server and its pending set-ups.
+type serverState struct {
+	freeAgents, totalAgents int
+	agentsAt                time.Duration
+	latency                 time.Duration
+	rate                    float64
+	loadAt                  time.Duration
+	phase                   threadglade.Phase
+	pendingSetups           []pendingSetup // oldest first, from pendingHead on; removed at the head once answered
+	pendingHead             int
 }
 
-type pending struct {
-	c    *followed // may serve another call by now
-	call string
-	at   time.Duration
+// pendingSetup is a set-up sent to a server.
+type pendingSetup struct {
+	tracked *trackedCall // may be reused for another call by now
+	call    string
+	sentAt  time.Duration
 }
 
-// Record starts a recorder. The error names the folder that cannot be used.
+// NewRecorder starts a Recorder and, if Dir is set, its writer goroutine. The error names the directory that
+// can't be created. The caller must call Close.
 func Record(cfg Config) (*Recorder, error) {
 	for _, dir := range []string{cfg.Dir, cfg.FlightDir} {
 		if dir == "" {
@@ -266,423 +282,451 @@
 			return nil, fmt.Errorf("trace: %w", err)
 		}
 	}
-	r := &Recorder{cfg: cfg, servers: map[string]*known{}, stop: make(chan struct{}),
+	recorder := &Recorder{cfg: cfg, servers: map[string]*serverState{}, stop: make(chan struct{}),
 		meta: trace.Meta{Router: cfg.Router, Incarnation: cfg.Clock().Microseconds(), Build: cfg.Build}}
-	r.classes.Store(&cfg.Classes)
+	recorder.classes.Store(&cfg.Classes)
 	if cfg.Flight > 0 {
-		r.ring = make([]slip, 0, cfg.Records)
+		recorder.ring = make([]rawRecord, 0, cfg.Records)
 	}
 	if cfg.Dir != "" {
-		r.queue, r.back = xsync.NewSPSCQueue[*chunk](chunksMost), xsync.NewSPSCQueue[*chunk](chunksMost)
-		r.done.Add(1)
-		go r.write()
+		recorder.writeQueue, recorder.returnQueue =
+			xsync.NewSPSCQueue[*chunk](maxChunks), xsync.NewSPSCQueue[*chunk](maxChunks)
+		recorder.done.Add(1)
+		go recorder.runWriter()
 	}
-	r.put(r.next(trace.Start, 0))
-	return r, nil
+	recorder.commitRecord(recorder.beginRecord(trace.Start, 0))
+	return recorder, nil
 }
 
-// Counters returns a copy.
+// Counters returns a snapshot of the counters.
 func (r *Recorder) Counters() Counters {
-	c := r.count
-	c.Written, c.Bytes, c.Files, c.Removed, c.Errors, c.Flights = r.written.Load(), r.bytes.Load(), r.files.Load(), r.removed.Load(), r.errs.Load(), r.flights.Load()
-	c.Open = r.open
-	c.Dropped += r.missed.Load()
+	c := r.counters
+	c.Written, c.Bytes, c.Files, c.Removed, c.Errors, c.Flights =
+		r.writtenCount.Load(), r.byteCount.Load(), r.fileCount.Load(),
+		r.removedCount.Load(), r.errorCount.Load(), r.flightCount.Load()
+	c.Open = r.openCalls
+	c.Dropped += r.lostByWriter.Load()
 	return c
 }
 
-// chunk is records on their way to the writer. The loop writes list and then n, the writer reads n and then list.
+// chunk carries records to the writer. The loop writes records and then count, the writer reads count and then
+// records.
 type chunk struct {
-	list [chunkSize]slip
-	n    atomic.Int32
+	records [chunkSize]rawRecord
+	count   atomic.Int32
 }
 
-// next begins a record, which put ends; at 0 is now.
-func (r *Recorder) next(kind trace.Kind, at time.Duration) *slip {
+// beginRecord returns a new record to fill in, which commitRecord completes. If at is 0, the record has the
+// current time.
+func (r *Recorder) beginRecord(kind trace.Kind, at time.Duration) *rawRecord {
 	if at == 0 {
 		at = r.cfg.Clock()
 	}
-	if r.chunk == nil && r.queue != nil {
-		r.refill(at)
+	if r.currentChunk == nil && r.writeQueue != nil {
+		r.takeChunk(at)
 	}
-	s := &r.spare
-	if r.chunk != nil {
-		s = &r.chunk.list[r.chunk.n.Load()]
+	record := &r.scratch
+	if r.currentChunk != nil {
+		record = &r.currentChunk.records[r.currentChunk.count.Load()]
 	}
-	*s = slip{kind: kind, at: at.Microseconds()}
-	return s
+	*record = rawRecord{kind: kind, at: at.Microseconds()}
+	return record
 }
 
-// refill takes a chunk, if there is one, and has it begin with what was dropped while there was none.
-func (r *Recorder) refill(at time.Duration) {
+// takeChunk sets currentChunk to an empty chunk, if there is one, and queues it. The chunk starts with a Gap
+// record if records were dropped while there was none.
+func (r *Recorder) takeChunk(at time.Duration) {
 	for {
-		c, ok := r.back.TryDequeue()
+		returned, ok := r.returnQueue.TryDequeue()
 		if !ok {
 			break
 		}
-		r.empty = append(r.empty, c)
+		r.emptyChunks = append(r.emptyChunks, returned)
 	}
-	switch n := len(r.empty); {
+	switch n := len(r.emptyChunks); {
 	case n > 0:
-		r.chunk, r.empty = r.empty[n-1], r.empty[:n-1]
-	case r.chunks < chunksMost:
-		r.chunk = &chunk{}
-		r.chunks++
+		r.currentChunk, r.emptyChunks = r.emptyChunks[n-1], r.emptyChunks[:n-1]
+	case r.chunkCount < maxChunks:
+		r.currentChunk = &chunk{}
+		r.chunkCount++
 	default:
 		return
 	}
-	r.chunk.n.Store(0)
-	r.queue.TryEnqueue(r.chunk) // it has room for all that there are
-	if r.gap > 0 {
-		s := &r.chunk.list[0]
-		*s = slip{kind: trace.Gap, at: at.Microseconds()}
-		s.set(trace.Count, r.gap)
-		r.gap = 0
-		r.chunk.n.Store(1)
+	r.currentChunk.count.Store(0)
+	r.writeQueue.TryEnqueue(r.currentChunk) // the queue has room for all chunks
+	if r.unreportedDrops > 0 {
+		gap := &r.currentChunk.records[0]
+		*gap = rawRecord{kind: trace.Gap, at: at.Microseconds()}
+		gap.set(trace.Count, r.unreportedDrops)
+		r.unreportedDrops = 0
+		r.currentChunk.count.Store(1)
 	}
 }
 
-// put ends the record that next began.
-func (r *Recorder) put(s *slip) {
-	r.count.Records++
+// commitRecord completes a record that beginRecord returned: it is added to the ring and made visible to the
+// writer.
+func (r *Recorder) commitRecord(record *rawRecord) {
+	r.counters.Records++
 	if r.ring != nil {
 		if len(r.ring) < cap(r.ring) {
-			r.ring = append(r.ring, *s)
+			r.ring = append(r.ring, *record)
 		} else {
-			r.ring[r.ringAt] = *s
-			r.ringAt = (r.ringAt + 1) % len(r.ring)
+			r.ring[r.ringStart] = *record
+			r.ringStart = (r.ringStart + 1) % len(r.ring)
 		}
 	}
 	switch {
-	case r.chunk != nil:
-		if r.chunk.n.Add(1) == chunkSize {
-			r.chunk = nil
+	case r.currentChunk != nil:
+		if r.currentChunk.count.Add(1) == chunkSize {
+			r.currentChunk = nil
 		}
-	case r.queue != nil:
-		r.gap++
-		r.count.Dropped++
+	case r.writeQueue != nil:
+		r.unreportedDrops++
+		r.counters.Dropped++
 	}
 }
 
-func (r *Recorder) server(id string) *known {
+// serverFor returns the state of a server, which is created if it is missing.
+func (r *Recorder) serverFor(id string) *serverState {
 	s := r.servers[id]
 	if s == nil {
-		if len(r.servers) >= serversMost { // those that are gone but were asked about since
+		// Servers that were removed but mentioned again afterwards would accumulate.
+		if len(r.servers) >= maxServers {
 			clear(r.servers)
 		}
-		s = &known{freeAt: -1, loadAt: -1}
+		s = &serverState{agentsAt: -1, loadAt: -1}
 		r.servers[id] = s
 	}
 	return s
 }
 
-// Observe implements router.Observer.
-func (r *Recorder) Observe(e router.Event) {
-	switch e.Kind {
+// Observe implements router.Observer. It never blocks.
+func (r *Recorder) Observe(event router.Event) {
+	switch event.Kind {
 	case router.Listed:
-		rec := r.next(trace.ListEntry, e.At)
-		rec.server = e.Server
-		rec.set(trace.State, int64(e.State))
-		if e.State == threadglade.Removed {
-			delete(r.servers, e.Server)
+		record := r.beginRecord(trace.ListEntry, event.At)
+		record.server = event.Server
+		record.set(trace.State, int64(event.State))
+		if event.State == threadglade.Removed {
+			delete(r.servers, event.Server)
 		}
-		r.put(rec)
+		r.commitRecord(record)
 		return
 	case router.AgentsReported:
-		s := r.server(e.Server)
-		s.free, s.total, s.freeAt = e.Free, e.Total, e.At
-		r.report(&e, s)
+		server := r.serverFor(event.Server)
+		server.freeAgents, server.totalAgents, server.agentsAt = event.Free, event.Total, event.At
+		r.recordReport(&event, server)
 		return
 	case router.LoadReported:
-		s := r.server(e.Server)
-		s.latency, s.rate, s.loadAt = e.Latency, e.Rate, e.At
-		r.report(&e, s)
+		server := r.serverFor(event.Server)
+		server.latency, server.rate, server.loadAt = event.Latency, event.Rate, event.At
+		r.recordReport(&event, server)
 		return
 	case router.Avoided:
-		rec := r.next(trace.Avoidance, e.At)
-		rec.server, rec.front = e.Server, strings.TrimSpace(e.Class+" "+e.Front)
-		rec.set(trace.ElapsedUs, e.Latency.Microseconds())
-		rec.set(trace.DeadlineMs, e.RetryAfter.Milliseconds())
-		rec.set(trace.Count, int64(e.Free))
-		rec.set(trace.Total, int64(e.Total))
-		r.put(rec)
+		record := r.beginRecord(trace.Avoidance, event.At)
+		record.server, record.front = event.Server, strings.TrimSpace(event.Class+" "+event.Front)
+		record.set(trace.ElapsedUs, event.Latency.Microseconds())
+		record.set(trace.DeadlineMs, event.RetryAfter.Milliseconds())
+		record.set(trace.Count, int64(event.Free))
+		record.set(trace.Total, int64(event.Total))
+		r.commitRecord(record)
 		return
 	case router.UnknownServerRelease, router.UnknownCallerRelease:
-		rec := r.next(trace.UnexpectedRelease, e.At)
-		rec.call = e.Call
-		rec.set(trace.Outcome, int64(e.Outcome))
-		r.put(rec)
+		record := r.beginRecord(trace.UnexpectedRelease, event.At)
+		record.call = event.Call
+		record.set(trace.Outcome, int64(event.Outcome))
+		r.commitRecord(record)
 		return
 	case router.Arrived:
-		r.arrived(&e)
+		r.recordArrival(&event)
 		return
 	}
-	c := r.at(e.Slot)
-	if c == nil || c.slot == 0 {
+	call := r.callAt(event.Slot)
+	if call == nil || call.slot == 0 {
 		return
 	}
-	switch e.Kind {
+	switch event.Kind {
 	case router.Sent, router.Held, router.Withdrawn:
-		r.decided(c, &e)
+		r.recordDecision(call, &event)
 	case router.Refused:
-		r.decided(c, &e)
-		r.answered(&e, c, trace.AnswerRefused)
+		r.recordDecision(call, &event)
+		r.recordAnswer(&event, call, trace.AnswerRefused)
 	case router.Failed:
-		r.decided(c, &e)
-		r.answered(&e, c, trace.AnswerFailed)
+		r.recordDecision(call, &event)
+		r.recordAnswer(&event, call, trace.AnswerFailed)
 	case router.CallerLeft:
-		r.answered(&e, c, trace.AnswerAbandoned)
+		r.recordAnswer(&event, call, trace.AnswerAbandoned)
 	case router.Established:
-		c.out, c.stood = false, true
-		r.answered(&e, c, trace.AnswerEstablished)
-		c.sent = e.At // it stands from now on
+		call.inFlight, call.established = false, true
+		r.recordAnswer(&event, call, trace.AnswerEstablished)
+		call.sentAt = event.At // Release measures from the time of establishment
 	case router.AttemptEnded:
-		rec := r.of(trace.AttemptEnd, c, &e)
-		rec.set(trace.Attempt, int64(e.Attempt))
-		rec.set(trace.Outcome, int64(e.Outcome))
-		rec.set(trace.Cause, int64(e.Cause))
-		if c.out {
-			rec.set(trace.ElapsedUs, (e.At - c.sent).Microseconds())
-		}
-		r.put(rec)
-		if e.Outcome == threadglade.NotSent && !c.out { // the backstop stopped it
-			r.trigger(e.At, "backstop")
-		}
-		c.out = false
+		record := r.beginCallRecord(trace.AttemptEnd, call, &event)
+		record.set(trace.Attempt, int64(event.Attempt))
+		record.set(trace.Outcome, int64(event.Outcome))
+		record.set(trace.Cause, int64(event.Cause))
+		if call.inFlight {
+			record.set(trace.ElapsedUs, (event.At - call.sentAt).Microseconds())
+		}
+		r.commitRecord(record)
+		if event.Outcome == threadglade.NotSent && !call.inFlight { // the backstop prevented the send
+			r.triggerDump(event.At, "backstop")
+		}
+		call.inFlight = false
 	case router.Ended:
-		rec := r.of(trace.Release, c, &e)
-		rec.set(trace.Outcome, int64(e.Outcome))
-		rec.set(trace.Cause, int64(e.Cause))
-		rec.set(trace.ElapsedUs, (e.At - c.sent).Microseconds())
-		r.put(rec)
+		record := r.beginCallRecord(trace.Release, call, &event)
+		record.set(trace.Outcome, int64(event.Outcome))
+		record.set(trace.Cause, int64(event.Cause))
+		record.set(trace.ElapsedUs, (event.At - call.sentAt).Microseconds())
+		r.commitRecord(record)
 	case router.Closed:
-		*c = followed{}
-		r.open--
+		*call = trackedCall{}
+		r.openCalls--
 	}
 }
 
-// at is where the call of a slot is followed; nil beyond followMost.
-func (r *Recorder) at(slot uint32) *followed {
-	if slot == 0 || slot > followMost {
+// callAt returns the state of the call in a slot; nil for slots above maxTrackedCalls.
+func (r *Recorder) callAt(slot uint32) *trackedCall {
+	if slot == 0 || slot > maxTrackedCalls {
 		return nil
 	}
-	part := int(slot / partSize)
-	for part >= len(r.calls) {
-		r.calls = append(r.calls, make([]followed, partSize))
+	page := int(slot / slotPageSize)
+	for page >= len(r.calls) {
+		r.calls = append(r.calls, make([]trackedCall, slotPageSize))
 	}
-	return &r.calls[part][slot%partSize]
+	return &r.calls[page][slot%slotPageSize]
 }
 
-// of begins a record of a call.
-func (r *Recorder) of(kind trace.Kind, c *followed, e *router.Event) *slip {
-	rec := r.next(kind, e.At)
-	rec.call, rec.server, rec.class, rec.tenant, rec.slot = c.call, e.Server, c.class, c.tenant, c.slot
-	return rec
+// beginCallRecord begins a record of a call.
+func (r *Recorder) beginCallRecord(kind trace.Kind, call *trackedCall, event *router.Event) *rawRecord {
+	record := r.beginRecord(kind, event.At)
+	record.call, record.server, record.class, record.tenant, record.slot =
+		call.call, event.Server, call.class, call.tenant, call.slot
+	return record
 }
 
-func (r *Recorder) report(e *router.Event, s *known) {
-	rec := r.next(trace.Report, e.At)
-	rec.server = e.Server
-	rec.set(trace.Free, int64(s.free))
-	rec.set(trace.Total, int64(s.total))
-	rec.set(trace.LatencyUs, -1)
-	rec.set(trace.QPSMilli, -1)
-	if s.loadAt >= 0 {
-		rec.set(trace.LatencyUs, s.latency.Microseconds())
-		rec.set(trace.QPSMilli, int64(1000*s.rate))
+// recordReport records the latest report of a server. Latency and rate are -1 if they were never reported.
+func (r *Recorder) recordReport(event *router.Event, server *serverState) {
+	record := r.beginRecord(trace.Report, event.At)
+	record.server = event.Server
+	record.set(trace.Free, int64(server.freeAgents))
+	record.set(trace.Total, int64(server.totalAgents))
+	record.set(trace.LatencyUs, -1)
+	record.set(trace.QPSMilli, -1)
+	if server.loadAt >= 0 {
+		record.set(trace.LatencyUs, server.latency.Microseconds())
+		record.set(trace.QPSMilli, int64(1000*server.rate))
 	}
-	r.put(rec)
+	r.commitRecord(record)
 }
 
-func (r *Recorder) arrived(e *router.Event) {
-	c := r.at(e.Slot)
-	if c == nil {
-		r.count.Unfollowed++
+// recordArrival starts to track a call and records its request.
+func (r *Recorder) recordArrival(event *router.Event) {
+	call := r.callAt(event.Slot)
+	if call == nil {
+		r.counters.Unfollowed++
 		return
 	}
-	r.open++
-	c.slot = e.Slot
-	c.call, c.class, c.tenant, c.came = e.Call, e.Class, e.Tenant, e.At
+	r.openCalls++
+	call.slot = event.Slot
+	call.call, call.class, call.tenant, call.arrivedAt = event.Call, event.Class, event.Tenant, event.At
 	if r.cfg.Tenants != nil {
-		c.tenant = r.cfg.Tenants.Tenant(e.Tenant, e.Identity, e.Caller, e.Number)
+		call.tenant = r.cfg.Tenants.Tenant(event.Tenant, event.Identity, event.Caller, event.Number)
 	}
-	rec := r.of(trace.Request, c, e)
-	rec.server, rec.identity, rec.front = e.Number, e.Identity, e.Front
-	rec.setAddr(e.Caller)
-	rec.set(trace.DeadlineMs, (e.Deadline - e.At).Milliseconds())
-	rec.set(trace.Destination, int64(e.Destination))
-	if e.Retry {
-		rec.set(trace.Retry, 1)
+	record := r.beginCallRecord(trace.Request, call, event)
+	record.server, record.identity, record.front = event.Number, event.Identity, event.Front
+	record.setAddr(event.Caller)
+	record.set(trace.DeadlineMs, (event.Deadline - event.At).Milliseconds())
+	record.set(trace.Destination, int64(event.Destination))
+	if event.Retry {
+		record.set(trace.Retry, 1)
 	}
-	r.put(rec)
+	r.commitRecord(record)
 }
 
-var acts = [32]trace.Action{router.Sent: trace.ActionSent, router.Held: trace.ActionHeld, router.Withdrawn: trace.ActionWithdrawn,
+// actions maps the decision events of the router to the actions of a Decision.
+var actions = [32]trace.Action{router.Sent: trace.ActionSent, router.Held: trace.ActionHeld, router.Withdrawn: trace.ActionWithdrawn,
 	router.Refused: trace.ActionRefused, router.Failed: trace.ActionFailed}
 
-// decided records a decision with what was known of its server.
-func (r *Recorder) decided(c *followed, e *router.Event) {
-	var s *known
-	rate, lambda := int64(-1), int64(1000*e.View.Lambda)
-	if e.View.Rate >= 0 {
-		rate = int64(1000 * e.View.Rate)
-	}
-	if e.Server != "" {
-		if s = r.server(e.Server); s.phase != e.View.Phase {
-			s.phase = e.View.Phase
-			turn := r.next(trace.ControlChange, e.At)
-			turn.server = e.Server
-			turn.set(trace.State, int64(s.phase))
-			turn.set(trace.RateMilli, rate)
-			turn.set(trace.LambdaMilli, lambda)
-			r.put(turn)
-		}
-	}
-	rec := r.of(trace.Decision, c, e)
-	rec.set(trace.ActionCode, int64(acts[e.Kind]))
-	rec.set(trace.Reason, int64(e.Reason))
-	rec.set(trace.Attempt, int64(e.Attempt))
-	rec.set(trace.FreeAgeMs, -1)
-	rec.set(trace.LoadAgeMs, -1)
-	rec.set(trace.RateMilli, -1)
-	if s != nil {
-		if s.freeAt >= 0 {
-			rec.set(trace.Free, int64(s.free))
-			rec.set(trace.FreeAgeMs, (e.At - s.freeAt).Milliseconds())
-		}
-		if s.loadAt >= 0 {
-			rec.set(trace.LatencyUs, s.latency.Microseconds())
-			rec.set(trace.QPSMilli, int64(1000*s.rate))
-			rec.set(trace.LoadAgeMs, (e.At - s.loadAt).Milliseconds())
-		}
-		rec.set(trace.RateMilli, rate)
-		rec.set(trace.LambdaMilli, lambda)
-		rec.set(trace.InFlight, int64(e.View.InFlight))
-		rec.set(trace.OldestPendingMs, r.oldest(s, e.At).Milliseconds())
-		if e.Kind == router.Sent {
-			c.server, c.sent, c.attempt, c.out = e.Server, e.At, e.Attempt, true
-			if len(s.unanswered)-s.head < unansweredMost {
-				s.unanswered = append(s.unanswered, pending{c, e.Call, e.At})
+// recordDecision records a decision with what the router knew of the server then, after a Turn record if the
+// server's phase has changed.
+func (r *Recorder) recordDecision(call *trackedCall, event *router.Event) {
+	var server *serverState
+	rate, lambda := int64(-1), int64(1000*event.View.Lambda)
+	if event.View.Rate >= 0 {
+		rate = int64(1000 * event.View.Rate)
+	}
+	if event.Server != "" {
+		if server = r.serverFor(event.Server); server.phase != event.View.Phase {
+			server.phase = event.View.Phase
+			phaseChange := r.beginRecord(trace.ControlChange, event.At)
+			phaseChange.server = event.Server
+			phaseChange.set(trace.State, int64(server.phase))
+			phaseChange.set(trace.RateMilli, rate)
+			phaseChange.set(trace.LambdaMilli, lambda)
+			r.commitRecord(phaseChange)
+		}
+	}
+	record := r.beginCallRecord(trace.Decision, call, event)
+	record.set(trace.ActionCode, int64(actions[event.Kind]))
+	record.set(trace.Reason, int64(event.Reason))
+	record.set(trace.Attempt, int64(event.Attempt))
+	record.set(trace.FreeAgeMs, -1)
+	record.set(trace.LoadAgeMs, -1)
+	record.set(trace.RateMilli, -1)
+	if server != nil {
+		if server.agentsAt >= 0 {
+			record.set(trace.Free, int64(server.freeAgents))
+			record.set(trace.FreeAgeMs, (event.At - server.agentsAt).Milliseconds())
+		}
+		if server.loadAt >= 0 {
+			record.set(trace.LatencyUs, server.latency.Microseconds())
+			record.set(trace.QPSMilli, int64(1000*server.rate))
+			record.set(trace.LoadAgeMs, (event.At - server.loadAt).Milliseconds())
+		}
+		record.set(trace.RateMilli, rate)
+		record.set(trace.LambdaMilli, lambda)
+		record.set(trace.InFlight, int64(event.View.InFlight))
+		record.set(trace.OldestPendingMs, r.oldestPending(server, event.At).Milliseconds())
+		if event.Kind == router.Sent {
+			call.server, call.sentAt, call.attempt, call.inFlight = event.Server, event.At, event.Attempt, true
+			if len(server.pendingSetups)-server.pendingHead < maxPendingSetups {
+				server.pendingSetups = append(server.pendingSetups, pendingSetup{call, event.Call, event.At})
 			}
 		}
 	}
-	r.put(rec)
+	r.commitRecord(record)
 }
 
-// oldest is the age of the oldest set-up that a server has not answered.
-func (r *Recorder) oldest(s *known, now time.Duration) time.Duration {
-	for s.head < len(s.unanswered) {
-		p := s.unanswered[s.head]
-		if p.c.out && p.c.sent == p.at && p.c.call == p.call {
-			return now - p.at
+// oldestPending returns the age of the oldest set-up that is pending at a server; 0 if there is none.
+func (r *Recorder) oldestPending(server *serverState, now time.Duration) time.Duration {
+	for server.pendingHead < len(server.pendingSetups) {
+		oldest := server.pendingSetups[server.pendingHead]
+		if oldest.tracked.inFlight && oldest.tracked.sentAt == oldest.sentAt && oldest.tracked.call == oldest.call {
+			return now - oldest.sentAt
 		}
-		s.unanswered[s.head] = pending{}
-		if s.head++; s.head > 64 && s.head > len(s.unanswered)/2 { // moved down now and then, so that its room serves again
-			s.unanswered = s.unanswered[:copy(s.unanswered, s.unanswered[s.head:])]
-			s.head = 0
+		server.pendingSetups[server.pendingHead] = pendingSetup{}
+		// Compact now and then, so that the array is reused.
+		if server.pendingHead++; server.pendingHead > 64 && server.pendingHead > len(server.pendingSetups)/2 {
+			server.pendingSetups =
+				server.pendingSetups[:copy(server.pendingSetups, server.pendingSetups[server.pendingHead:])]
+			server.pendingHead = 0
 		}
 	}
-	s.unanswered, s.head = s.unanswered[:0], 0
+	server.pendingSetups, server.pendingHead = server.pendingSetups[:0], 0
 	return 0
 }
 
-func (r *Recorder) answered(e *router.Event, c *followed, end trace.AnswerResult) {
-	rec := r.of(trace.Answer, c, e)
-	rec.server = c.server
-	rec.set(trace.FinalAnswer, int64(end))
-	rec.set(trace.FailureCode, int64(e.Failure))
-	rec.set(trace.RetryAfterMs, e.RetryAfter.Milliseconds())
-	rec.set(trace.ElapsedUs, (e.At - c.came).Microseconds())
-	r.put(rec)
+// recordAnswer records the final answer to a caller, and dumps the flight recorder if refusals and failures in
+// the current second reach FlightTrigger.
+func (r *Recorder) recordAnswer(event *router.Event, call *trackedCall, end trace.AnswerResult) {
+	record := r.beginCallRecord(trace.Answer, call, event)
+	record.server = call.server
+	record.set(trace.FinalAnswer, int64(end))
+	record.set(trace.FailureCode, int64(event.Failure))
+	record.set(trace.RetryAfterMs, event.RetryAfter.Milliseconds())
+	record.set(trace.ElapsedUs, (event.At - call.arrivedAt).Microseconds())
+	r.commitRecord(record)
 	if end == trace.AnswerRefused || end == trace.AnswerFailed {
-		if e.At-r.second >= time.Second {
-			r.second, r.lost = e.At, [2]int64{r.lost[1], 0}
+		if event.At-r.lossWindowStart >= time.Second {
+			r.lossWindowStart, r.lossesPerSecond = event.At, [2]int64{r.lossesPerSecond[1], 0}
 		}
-		if r.lost[1]++; r.cfg.Trigger > 0 && r.lost[1] == int64(r.cfg.Trigger) {
-			r.trigger(e.At, "losses")
+		if r.lossesPerSecond[1]++; r.cfg.Trigger > 0 && r.lossesPerSecond[1] == int64(r.cfg.Trigger) {
+			r.triggerDump(event.At, "losses")
 		}
 	}
 }
 
-// List records that a list came.
+// RecordList records the receipt of a server list.
 func (r *Recorder) List(serial uint32, servers int) {
-	rec := r.next(trace.List, 0)
-	rec.set(trace.Serial, int64(serial))
-	rec.set(trace.Count, int64(servers))
-	r.put(rec)
+	record := r.beginRecord(trace.List, 0)
+	record.set(trace.Serial, int64(serial))
+	record.set(trace.Count, int64(servers))
+	r.commitRecord(record)
 }
 
-// Reload records that the configuration was read anew.
-func (r *Recorder) Reload() { r.put(r.next(trace.Reload, 0)) }
+// RecordReload records that the configuration was reloaded.
+func (r *Recorder) Reload() { r.commitRecord(r.beginRecord(trace.Reload, 0)) }
 
-// SetClasses has the next file, which begins at once, describe other classes.
+// SetClasses replaces the classes in the metadata of trace files. The writer starts a new file for them.
 func (r *Recorder) SetClasses(classes []trace.ClassMeta) { r.classes.Store(&classes) }
 
-// SetTenants replaces the tenants' tables.
+// SetTenants replaces the directory that maps calls to tenants.
 func (r *Recorder) SetTenants(d *ledger.Directory) { r.cfg.Tenants = d }
 
-// trigger writes the flight out, now and then.
-func (r *Recorder) trigger(now time.Duration, why string) {
-	if r.ring != nil && (r.dumped == 0 || now-r.dumped >= dumpPause) {
-		r.dumped = now
+// triggerDump dumps the flight recorder, at most once per minDumpInterval.
+func (r *Recorder) triggerDump(now time.Duration, why string) {
+	if r.ring != nil && (r.lastTriggeredDump == 0 || now-r.lastTriggeredDump >= minDumpInterval) {
+		r.lastTriggeredDump = now
 		r.Dump(why)
 	}
 }
 
-// Dump writes out what the ring in memory holds, beside the loop. The copy takes the loop about a millisecond for 20,000 records.
+// DumpFlight writes the records of the flight recorder to a file, in a goroutine of its own. Copying them takes
+// the loop about a millisecond for 20,000 records.
 func (r *Recorder) Dump(why string) {
 	if r.ring == nil {
-		r.cfg.Log.Warn().Str("event", "trace_flight_off").Msg("trace: there is no flight recorder; (flight SPAN) in the settings has one")
+		r.cfg.Log.Warn().Str("event", "trace_flight_off").
+			Msg("trace: there is no flight recorder; (flight SPAN) in the settings has one")
 		return
 	}
-	list := make([]slip, 0, len(r.ring))
-	list = append(append(list, r.ring[r.ringAt:]...), r.ring[:r.ringAt]...)
+	records := make([]rawRecord, 0, len(r.ring))
+	records = append(append(records, r.ring[r.ringStart:]...), r.ring[:r.ringStart]...)
 	now := r.cfg.Clock()
-	r.dumps++
-	path := filepath.Join(r.cfg.FlightDir, fmt.Sprintf("%s-flight-%s-%d%s", fileName(r.cfg.Router), time.UnixMicro(now.Microseconds()).UTC().Format("20060102T150405Z"), r.dumps, Extension))
+	r.dumpCount++
+	path := filepath.Join(r.cfg.FlightDir, fmt.Sprintf("%s-flight-%s-%d%s",
+		fileName(r.cfg.Router),
+		time.UnixMicro(now.Microseconds()).UTC().Format("20060102T150405Z"),
+		r.dumpCount, Extension))
 	meta := r.meta
 	meta.Part, meta.Classes = 1, *r.classes.Load()
 	r.done.Add(1)
 	go func() {
 		defer r.done.Done()
 		first := 0
-		for first < len(list) && list[first].at < (now-r.cfg.Flight).Microseconds() {
+		for first < len(records) && records[first].at < (now-r.cfg.Flight).Microseconds() {
 			first++
 		}
 		err := durable.WriteFile(r.cfg.FS, path, func(out io.Writer) error {
-			var u unfold
-			w, err := NewWriter(out, meta)
-			for i := first; i < len(list) && err == nil; i++ {
-				err = w.Add(u.of(&list[i]), list[i].slot)
+			var builder recordBuilder
+			writer, err := NewWriter(out, meta)
+			for i := first; i < len(records) && err == nil; i++ {
+				err = writer.Add(builder.build(&records[i]), records[i].slot)
 			}
 			if err != nil {
 				return err
 			}
-			return w.Close()
+			return writer.Close()
 		})
 		if err != nil {
-			r.errs.Add(1)
+			r.errorCount.Add(1)
 			r.cfg.Log.Error().Str("event", "trace_flight_failed").Msgf("trace: flight: %v", err)
 			return
 		}
-		r.flights.Add(1)
-		r.cfg.Log.Warn().Str("event", "trace_flight").Str("file", path).Str("why", why).Msgf("trace: the last %v are in %s (%s)", r.cfg.Flight, path, why)
+		r.flightCount.Add(1)
+		r.cfg.Log.Warn().Str("event", "trace_flight").Str("file", path).Str("why", why).
+			Msgf("trace: the last %v are in %s (%s)", r.cfg.Flight, path, why)
 	}()
 }
 
-// Close flushes and closes the file; it waits a second at most.
+// Close stops the writer, which flushes and closes its file, and waits for pending dumps. It returns an error if
+// that takes more than a second.
 func (r *Recorder) Close() error {
 	close(r.stop)
 	ended := make(chan struct{})
-	go func() { r.done.Wait(); close(ended) }()
+	go func() {
+		r.done.Wait()
+		close(ended)
+	}()
 	select {
 	case <-ended:
 		return nil
 	case <-time.After(time.Second):
-		return fmt.Errorf("trace: the disk has not taken the last records")
+		return fmt.Errorf("trace: the last records were not written within a second")
 	}
 }
 
-// fileName makes a router's name one of a file.
+// fileName replaces the characters of a router's name that are not safe in a file name.
 func fileName(name string) string {
 	return strings.Map(func(c rune) rune {
 		if c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' || c == '.' {
@@ -692,97 +736,99 @@
 	}, name)
 }
 
-// ---- the writer ----
-
-// output is the file being written.
+// output is the file that the writer has open.
 type output struct {
-	path  string
-	file  durable.File
-	w     *Writer
-	began time.Time
-	block time.Time // when the first record that waits came
-	// classes are those that it describes.
-	classes *[]trace.ClassMeta
+	path         string
+	file         durable.File
+	writer       *Writer
+	openedAt     time.Time
+	pendingSince time.Time          // when the first pending record was taken
+	classes      *[]trace.ClassMeta // those in its metadata
 }
 
-// write is the writer's goroutine.
-func (r *Recorder) write() {
+// runWriter is the writer goroutine. It moves records from the queue to the open file until Close is called, and
+// then writes what is left.
+func (r *Recorder) runWriter() {
 	defer r.done.Done()
 	var out *output
-	var u unfold
-	var c *chunk // being read
-	at := int32(0)
-	part, gone, again := 0, int64(0), time.Time{} // gone: records that a failed file had taken
-	ticker := time.NewTicker(lookEvery)
+	var builder recordBuilder
+	var current *chunk // being read
+	position := int32(0)
+	// lostRecords counts the records lost with files that failed, for the next Gap record.
+	part, lostRecords, retryTime := 0, int64(0), time.Time{}
+	ticker := time.NewTicker(writerPollInterval)
 	defer ticker.Stop()
 	fail := func(err error) {
-		r.errs.Add(1)
+		r.errorCount.Add(1)
 		r.cfg.Log.Error().Str("event", "trace_failed").Msgf("trace: %v; records are dropped until it works again", err)
 		if out != nil {
 			out.file.Close()
-			waited := out.w.Waiting() + out.w.Lost
-			gone += int64(waited)
-			r.missed.Add(uint64(waited))
+			lost := out.writer.Waiting() + out.writer.Lost
+			lostRecords += int64(lost)
+			r.lostByWriter.Add(uint64(lost))
 		}
-		out, again = nil, time.Now().Add(retryAfter)
+		out, retryTime = nil, time.Now().Add(fileRetryDelay)
 	}
-	for last := false; ; {
+	for stopping := false; ; {
 		select {
 		case <-r.stop:
-			last = true
+			stopping = true
 		case <-ticker.C:
 		}
 		now := time.Now()
-		if out == nil && now.After(again) {
+		if out == nil && now.After(retryTime) {
 			part++
 			var err error
-			if out, err = r.begin(part, now); err != nil {
+			if out, err = r.openFile(part, now); err != nil {
 				out = nil
 				fail(err)
-			} else if gone > 0 {
+			} else if lostRecords > 0 {
 				gap := trace.Record{Kind: trace.Gap, At: r.cfg.Clock().Microseconds()}
-				gap.Figures[trace.Count], gone = gone, 0
-				out.w.Add(&gap, 0) // it only waits for its block
+				gap.Figures[trace.Count], lostRecords = lostRecords, 0
+				out.writer.Add(&gap, 0) // buffered only, can't fail yet
 			}
 		}
 		for out != nil {
-			if c == nil {
+			if current == nil {
 				var more bool
-				if c, more = r.queue.TryDequeue(); !more {
-					c = nil
+				if current, more = r.writeQueue.TryDequeue(); !more {
+					current = nil
 					break
 				}
-				at = 0
+				position = 0
 			}
-			if at == c.n.Load() {
-				if at < chunkSize {
+			if position == current.count.Load() {
+				if position < chunkSize {
 					break
 				}
-				r.back.TryEnqueue(c) // it has room for all that there are
-				c = nil
+				r.returnQueue.TryEnqueue(current) // the queue has room for all chunks
+				current = nil
 				continue
 			}
-			if out.w.Waiting() == 0 {
-				out.block = now
+			if out.writer.Waiting() == 0 {
+				out.pendingSince = now
 			}
-			rec, before := &c.list[at], out.w.Count
-			at++
-			if err := out.w.Add(u.of(rec), rec.slot); err != nil {
+			record, writtenBefore := &current.records[position], out.writer.Count
+			position++
+			if err := out.writer.Add(builder.build(record), record.slot); err != nil {
 				fail(err)
 				break
 			}
-			r.written.Add(uint64(out.w.Count - before))
+			r.writtenCount.Add(uint64(out.writer.Count - writtenBefore))
 		}
-		if out != nil && out.w.Waiting() > 0 && (last || now.Sub(out.block) >= r.cfg.Block) {
-			before := out.w.Count
-			if err := out.w.Flush(); err != nil {
+		if out != nil && out.writer.Waiting() > 0 && (stopping || now.Sub(out.pendingSince) >= r.cfg.Block) {
+			writtenBefore := out.writer.Count
+			if err := out.writer.Flush(); err != nil {
 				fail(err)
 			} else {
-				r.written.Add(uint64(out.w.Count - before))
+				r.writtenCount.Add(uint64(out.writer.Count - writtenBefore))
 			}
 		}
-		if out != nil && (last || out.w.Offset() >= r.cfg.FileBytes || now.Sub(out.began) >= r.cfg.FileSpan || out.classes != r.classes.Load()) {
-			err := out.w.Close()
+		if out != nil && (stopping ||
+			out.writer.Offset() >= r.cfg.FileBytes ||
+			now.Sub(out.openedAt) >= r.cfg.FileSpan ||
+			out.classes != r.classes.Load()) {
+			err := out.writer.Close()
 			if err == nil {
 				err = out.file.Sync()
 			}
@@ -790,70 +836,77 @@
 				fail(err)
 			} else {
 				out.file.Close()
-				r.bytes.Add(uint64(out.w.Offset()))
-				r.files.Add(1)
+				r.byteCount.Add(uint64(out.writer.Offset()))
+				r.fileCount.Add(1)
 				out = nil
-				if err := r.sweep(""); err != nil {
-					r.errs.Add(1)
+				if err := r.removeOldFiles(""); err != nil {
+					r.errorCount.Add(1)
 				}
 			}
 		}
-		if last {
+		if stopping {
 			return
 		}
 	}
 }
 
-// begin opens the next file and makes room for it.
-func (r *Recorder) begin(part int, now time.Time) (*output, error) {
+// openFile removes old files as needed and creates the next one.
+func (r *Recorder) openFile(part int, now time.Time) (*output, error) {
 	meta, classes := r.meta, r.classes.Load()
 	meta.Part, meta.Classes = part, *classes
-	path := filepath.Join(r.cfg.Dir, fmt.Sprintf("%s-%s-%06d%s", fileName(r.cfg.Router), time.UnixMicro(r.meta.Incarnation).UTC().Format("20060102T150405.000000Z"), part, Extension))
-	if err := r.sweep(path); err != nil {
+	path := filepath.Join(r.cfg.Dir, fmt.Sprintf("%s-%s-%06d%s",
+		fileName(r.cfg.Router),
+		time.UnixMicro(r.meta.Incarnation).UTC().Format("20060102T150405.000000Z"),
+		part, Extension))
+	if err := r.removeOldFiles(path); err != nil {
 		return nil, err
 	}
 	file, err := r.cfg.FS.Create(path)
 	if err != nil {
 		return nil, err
 	}
-	w, err := NewWriter(file, meta)
+	writer, err := NewWriter(file, meta)
 	if err != nil {
 		file.Close()
 		return nil, err
 	}
-	return &output{path: path, file: file, w: w, began: now, classes: classes}, nil
+	return &output{path: path, file: file, writer: writer, openedAt: now, classes: classes}, nil
 }
 
-// sweep removes the router's oldest files until there is room for one more; never the open one.
-func (r *Recorder) sweep(open string) error {
+// removeOldFiles removes the router's oldest files until one more of FileBytes fits within TotalBytes. It keeps
+// the file at path open or, if open is empty, the newest file.
+func (r *Recorder) removeOldFiles(openPath string) error {
 	names, err := r.cfg.FS.List(r.cfg.Dir)
 	if err != nil {
 		return err
 	}
 	var sizes []int64
-	names = slices.DeleteFunc(names, func(n string) bool {
-		return !strings.HasPrefix(n, fileName(r.cfg.Router)+"-") || !strings.HasSuffix(n, Extension) || strings.Contains(n, "-flight-") || filepath.Join(r.cfg.Dir, n) == open
+	names = slices.DeleteFunc(names, func(name string) bool {
+		return !strings.HasPrefix(name, fileName(r.cfg.Router)+"-") ||
+			!strings.HasSuffix(name, Extension) ||
+			strings.Contains(name, "-flight-") ||
+			filepath.Join(r.cfg.Dir, name) == openPath
 	})
 	total := int64(0)
-	for _, n := range names { // their names are in the order of time
-		src, size, err := r.cfg.FS.Open(filepath.Join(r.cfg.Dir, n))
+	for _, name := range names { // names sort by time
+		file, size, err := r.cfg.FS.Open(filepath.Join(r.cfg.Dir, name))
 		if err != nil {
 			size = 0
 		} else {
-			src.Close()
+			file.Close()
 		}
 		sizes = append(sizes, size)
 		total += size
 	}
-	for i, n := range names {
-		if total <= r.cfg.Total-r.cfg.FileBytes || open == "" && i == len(names)-1 {
+	for i, name := range names {
+		if total <= r.cfg.Total-r.cfg.FileBytes || openPath == "" && i == len(names)-1 {
 			break
 		}
-		if err := r.cfg.FS.Remove(filepath.Join(r.cfg.Dir, n)); err != nil {
+		if err := r.cfg.FS.Remove(filepath.Join(r.cfg.Dir, name)); err != nil {
 			return err
 		}
 		total -= sizes[i]
-		r.removed.Add(1)
+		r.removedCount.Add(1)
 	}
 	return nil
 }
--- a/internal/traceio/tools.go
+++ b/internal/traceio/tools.go
@@ -13,82 +13,85 @@
 	"threadglade.example/threadglade/trace"
 )
 
-// Cut is how a cut went.
+// CutResult holds the statistics of a cut.
 type Cut struct {
 	Records int64 `json:"records"`
-	Carried int64 `json:"carried"` // first records of calls that began before
+	Carried int64 `json:"carried"` // requests copied from before the range, for calls that were open when it starts
 	Blocks  int   `json:"blocks_read"`
-	Whole   int   `json:"blocks_copied"` // as they stand
+	Whole   int   `json:"blocks_copied"` // copied without re-encoding
 	Of      int   `json:"blocks"`
 }
 
-// CutFile writes what is selected of one file into another. Blocks that lie wholly within a selection of time alone are copied as they
-// stand; only those that the index names are touched.
-func CutFile(f durable.FS, from, to string, s trace.Selection) (c Cut, err error) {
-	t, err := Open(f, from)
+// CutFile writes the selected records of file from into file to. Only blocks that the index names are read. If
+// the selection is by time alone, blocks that lie entirely within it are copied without re-encoding.
+func CutFile(fileSystem durable.FS, from, to string, selection trace.Selection) (result Cut, err error) {
+	source, err := Open(fileSystem, from)
 	if err != nil {
-		return c, err
+		return result, err
 	}
-	defer t.Close()
-	meta := t.Meta
-	meta.Cut = &s
-	c.Of = len(t.Index.Blocks)
-	err = durable.WriteFile(f, to, func(out io.Writer) error {
-		w, err := NewWriter(out, meta)
+	defer source.Close()
+	meta := source.Meta
+	meta.Cut = &selection
+	result.Of = len(source.Index.Blocks)
+	err = durable.WriteFile(fileSystem, to, func(out io.Writer) error {
+		writer, err := NewWriter(out, meta)
 		if err != nil {
 			return err
 		}
-		if err := t.cut(w, s, &c); err != nil {
+		if err := source.writeCut(writer, selection, &result); err != nil {
 			return err
 		}
-		return w.Close()
+		return writer.Close()
 	})
-	return c, err
+	return result, err
 }
 
-func (t *File) cut(w *Writer, s trace.Selection, c *Cut) error {
-	p := trace.NewSelector(s)
-	read := roaring.New() // a selection of calls reads some blocks twice
-	defer func() { c.Blocks = int(read.GetCardinality()) }()
-	blocks := t.Index.Find(s)
-	narrow := s != trace.Selection{From: s.From, To: s.To}
-	if narrow { // the calls first, then all that they did
+// writeCut writes the selected records to writer, preceded by the requests of calls that were open when the range
+// starts, and adds up result.
+func (t *File) writeCut(writer *Writer, selection trace.Selection, result *Cut) error {
+	picker := trace.NewSelector(selection)
+	blocksRead := roaring.New() // a set, as a selection of calls reads some blocks twice
+	defer func() { result.Blocks = int(blocksRead.GetCardinality()) }()
+	blocks := t.Index.Find(selection)
+	narrow := selection != trace.Selection{From: selection.From, To: selection.To}
+	if narrow { // first pass: find the matching calls; all their records are then selected
 		for _, n := range blocks {
 			list, err := t.Records(int(n))
 			if err != nil {
 				return err
 			}
-			read.Add(n)
+			blocksRead.Add(n)
 			for i := range list {
-				p.NoteMatch(&list[i])
+				picker.NoteMatch(&list[i])
 			}
 		}
-		blocks = t.Index.Find(trace.Selection{From: s.From, To: s.To})
+		blocks = t.Index.Find(trace.Selection{From: selection.From, To: selection.To})
 	}
-	// What calls in the range began before it: looked for block by block, back to where the oldest began.
+	// Find the requests of calls that began before the range: read blocks backwards to the one where the oldest
+	// began.
 	missing := map[string]bool{}
 	reach, first := len(t.Index.Blocks), 0
 	if len(blocks) > 0 {
 		first = int(blocks[0])
 	}
 	wanted := func(n uint32) bool {
-		b := t.Index.Blocks[n]
-		return !narrow && b.From >= s.From && (s.To == 0 || b.To < s.To)
+		block := t.Index.Blocks[n]
+		return !narrow && block.From >= selection.From && (selection.To == 0 || block.To < selection.To)
 	}
 	for _, n := range blocks {
-		if b := t.Index.Blocks[n]; b.OldestRequestBlock < int(n) || !wanted(n) {
+		if block := t.Index.Blocks[n]; block.OldestRequestBlock < int(n) || !wanted(n) {
 			list, err := t.Records(int(n))
 			if err != nil {
 				return err
 			}
-			read.Add(n)
+			blocksRead.Add(n)
 			for i := range list {
-				if p.Selects(&list[i]) && p.NeedsRequest(&list[i]) {
+				if picker.Selects(&list[i]) && picker.NeedsRequest(&list[i]) {
 					missing[list[i].Texts[trace.Call]] = true
-					reach = min(reach, b.OldestRequestBlock)
+					reach = min(reach, block.OldestRequestBlock)
 				}
 			}
-		} else if err := t.requests(int(n), p); err != nil {
+		} else if err := t.noteRequests(int(n), picker); err != nil {
 			return err
 		}
 	}
@@ -98,7 +101,7 @@
 		if err != nil {
 			return err
 		}
-		read.Add(uint32(n))
+		blocksRead.Add(uint32(n))
 		for i := range list {
 			if r := &list[i]; r.Kind == trace.Request && missing[r.Texts[trace.Call]] {
 				delete(missing, r.Texts[trace.Call])
@@ -109,34 +112,34 @@
 	}
 	slices.SortStableFunc(carried, func(a, b trace.Record) int { return cmp.Compare(a.At, b.At) })
 	for i := range carried {
-		if err := w.Add(&carried[i], 0); err != nil {
+		if err := writer.Add(&carried[i], 0); err != nil {
 			return err
 		}
-		c.Carried++
-		c.Records++
+		result.Carried++
+		result.Records++
 	}
 	for _, n := range blocks {
 		if wanted(n) {
-			if err := w.Flush(); err != nil {
+			if err := writer.Flush(); err != nil {
 				return err
 			}
-			b, err := t.Raw(int(n))
+			block, err := t.Raw(int(n))
 			if err != nil {
 				return err
 			}
-			list, err := t.dec.Decode(b.Strings, b.Columns) // checked, and followed
+			list, err := t.decoder.Decode(block.Strings, block.Columns) // verifies the block and yields its reach
 			if err != nil {
-				return t.r.Damagef(b.Info.Offset, "%v", err)
+				return t.reader.Damagef(block.Info.Offset, "%v", err)
 			}
 			info := trace.DescribeBlock(list)
-			info.OldestRequestBlock = w.reachAll(list)
-			b.Info = info
-			if err := w.Block(b); err != nil {
+			info.OldestRequestBlock = writer.blockReach(list)
+			block.Info = info
+			if err := writer.Block(block); err != nil {
 				return err
 			}
-			c.Whole++
-			c.Records += int64(len(list))
-			w.Count += int64(len(list))
+			result.Whole++
+			result.Records += int64(len(list))
+			writer.Count += int64(len(list))
 			continue
 		}
 		list, err := t.Records(int(n))
@@ -144,19 +147,19 @@
 			return err
 		}
 		for i := range list {
-			if p.Selects(&list[i]) {
-				if err := w.Add(&list[i], 0); err != nil {
+			if picker.Selects(&list[i]) {
+				if err := writer.Add(&list[i], 0); err != nil {
 					return err
 				}
-				c.Records++
+				result.Records++
 			}
 		}
 	}
 	return nil
 }
 
-// requests notes the calls that begin in a block, from its strings and columns.
-func (t *File) requests(n int, p *trace.Selector) error {
+// noteRequests decodes block n and notes in p the calls that begin in it.
+func (t *File) noteRequests(n int, p *trace.Selector) error {
 	list, err := t.Records(n)
 	for i := range list {
 		p.Selects(&list[i])
@@ -164,64 +167,70 @@
 	return err
 }
 
-// MergeFiles brings files of several routers together by estimated clocks, in the memory of one block each.
-func MergeFiles(f durable.FS, from []string, to string) (clocks []*trace.Clock, records int64, err error) {
+// MergeFiles merges files of several routers into file to, in the order of their clocks corrected by estimated
+// offsets. It returns the estimated clocks and the number of records. It holds one block of each file in memory.
+// Files that are themselves merged, or whose metadata doesn't agree, are an error.
+func MergeFiles(fileSystem durable.FS, from []string, to string) (clocks []*trace.Clock, records int64, err error) {
 	var files []*File
 	defer func() {
-		for _, t := range files {
-			t.Close()
+		for _, file := range files {
+			file.Close()
 		}
 	}()
 	for _, path := range from {
-		t, err := Open(f, path)
+		file, err := Open(fileSystem, path)
 		if err != nil {
 			return nil, 0, err
 		}
-		files = append(files, t)
-		if err := files[0].Meta.CheckMergeable(t.Meta); err != nil {
+		files = append(files, file)
+		if err := files[0].Meta.CheckMergeable(file.Meta); err != nil {
 			return nil, 0, fmt.Errorf("%s: %w", path, err)
 		}
-		if len(t.Meta.Clocks) > 0 {
-			return nil, 0, fmt.Errorf("%s: is a merged file; merge the files that it was made of", path)
+		if len(file.Meta.Clocks) > 0 {
+			return nil, 0, fmt.Errorf("%s: already a merged file; merge its source files instead", path)
 		}
 	}
 	slices.SortStableFunc(files, func(a, b *File) int {
-		return cmp.Or(cmp.Compare(a.Meta.Router, b.Meta.Router), cmp.Compare(a.Meta.Incarnation, b.Meta.Incarnation), cmp.Compare(a.Meta.Part, b.Meta.Part))
+		return cmp.Or(
+			cmp.Compare(a.Meta.Router, b.Meta.Router),
+			cmp.Compare(a.Meta.Incarnation, b.Meta.Incarnation),
+			cmp.Compare(a.Meta.Part, b.Meta.Part),
+		)
 	})
-	seen := trace.NewClockEstimator()
-	for _, t := range files {
-		src := t.Source()
+	sightings := trace.NewClockEstimator()
+	for _, file := range files {
+		src := file.Source()
 		for {
-			r, err := src.Next()
+			record, err := src.Next()
 			if err == io.EOF {
 				break
 			}
 			if err != nil {
 				return nil, 0, err
 			}
-			seen.Add(t.Meta.Incarnation, r)
+			sightings.Add(file.Meta.Incarnation, record)
 		}
 	}
-	clocks = seen.Estimate()
-	m := trace.NewMerger(clocks)
+	clocks = sightings.Estimate()
+	merger := trace.NewMerger(clocks)
 	for i := 0; i < len(files); {
 		chain, meta := Chain{}, files[i].Meta
 		for ; i < len(files) && files[i].Meta.Router == meta.Router && files[i].Meta.Incarnation == meta.Incarnation; i++ {
 			chain = append(chain, files[i].Source())
 		}
-		if err := m.Add(meta.Router, meta.Incarnation, &chain, io.EOF); err != nil {
+		if err := merger.Add(meta.Router, meta.Incarnation, &chain, io.EOF); err != nil {
 			return nil, 0, err
 		}
 	}
 	meta := files[0].Meta
 	meta.Router, meta.Incarnation, meta.Part, meta.Clocks = "", 0, 0, clocks
-	err = durable.WriteFile(f, to, func(out io.Writer) error {
-		w, err := NewWriter(out, meta)
+	err = durable.WriteFile(fileSystem, to, func(out io.Writer) error {
+		writer, err := NewWriter(out, meta)
 		if err != nil {
 			return err
 		}
 		for {
-			r, err := m.Next(io.EOF)
+			record, err := merger.Next(io.EOF)
 			if err == io.EOF {
 				break
 			}
@@ -229,93 +238,95 @@
 				return err
 			}
 			records++
-			if err := w.Add(r, 0); err != nil {
+			if err := writer.Add(record, 0); err != nil {
 				return err
 			}
 		}
-		return w.Close()
+		return writer.Close()
 	})
 	return clocks, records, err
 }
 
-// HideFile writes a file with keyed hashes in the place of all that tells a person. Columns are copied as they stand.
-func HideFile(f durable.FS, from, to string, key []byte) (blocks int, err error) {
-	h, err := trace.NewAnonymizer(key)
+// AnonymizeFile copies file from to file to with personal data replaced by keyed hashes. The columns are copied
+// without re-encoding. It returns the number of blocks.
+func HideFile(fileSystem durable.FS, from, to string, key []byte) (blocks int, err error) {
+	hider, err := trace.NewAnonymizer(key)
 	if err != nil {
 		return 0, err
 	}
-	t, err := Open(f, from)
+	source, err := Open(fileSystem, from)
 	if err != nil {
 		return 0, err
 	}
-	defer t.Close()
-	meta := t.Meta
+	defer source.Close()
+	meta := source.Meta
 	meta.Anonymized = true
 	if meta.Cut != nil {
 		cut := *meta.Cut
-		cut.Call = h.Anonymize(trace.Call, cut.Call)
+		cut.Call = hider.Anonymize(trace.Call, cut.Call)
 		meta.Cut = &cut
 	}
-	err = durable.WriteFile(f, to, func(out io.Writer) error {
-		w, err := NewWriter(out, meta)
+	err = durable.WriteFile(fileSystem, to, func(out io.Writer) error {
+		writer, err := NewWriter(out, meta)
 		if err != nil {
 			return err
 		}
-		enc, dec := trace.NewEncoder(), trace.NewDecoder()
-		for n := range t.Index.Blocks {
-			b, err := t.Raw(n)
+		encoder, decoder := trace.NewEncoder(), trace.NewDecoder()
+		for n := range source.Index.Blocks {
+			block, err := source.Raw(n)
 			if err != nil {
 				return err
 			}
-			if b.Strings, err = h.AnonymizeStrings(dec, enc, b.Strings); err != nil {
-				return t.r.Damagef(b.Info.Offset, "%v", err)
+			if block.Strings, err = hider.AnonymizeStrings(decoder, encoder, block.Strings); err != nil {
+				return source.reader.Damagef(block.Info.Offset, "%v", err)
 			}
-			list, err := dec.Decode(b.Strings, b.Columns)
+			list, err := decoder.Decode(block.Strings, block.Columns)
 			if err != nil {
-				return t.r.Damagef(b.Info.Offset, "%v", err)
+				return source.reader.Damagef(block.Info.Offset, "%v", err)
 			}
 			info := trace.DescribeBlock(list)
-			info.OldestRequestBlock = b.Info.OldestRequestBlock
-			b.Info = info
-			if err := w.Block(b); err != nil {
+			info.OldestRequestBlock = block.Info.OldestRequestBlock
+			block.Info = info
+			if err := writer.Block(block); err != nil {
 				return err
 			}
 			blocks++
 		}
-		return w.Close()
+		return writer.Close()
 	})
 	return blocks, err
 }
 
-// Verify reads every block of a file and compares its index with what it holds.
-func Verify(f durable.FS, path string) (t *File, records int64, err error) {
-	if t, err = Open(f, path); err != nil {
+// Verify reads every block of a file and compares it with the index. It returns the file, already closed, for its
+// metadata, and the number of records.
+func Verify(fileSystem durable.FS, path string) (file *File, records int64, err error) {
+	if file, err = Open(fileSystem, path); err != nil {
 		return nil, 0, err
 	}
-	defer t.Close()
-	for n, info := range t.Index.Blocks {
-		list, err := t.Records(n)
+	defer file.Close()
+	for n, info := range file.Index.Blocks {
+		list, err := file.Records(n)
 		if err != nil {
 			return nil, 0, err
 		}
-		have := trace.DescribeBlock(list)
-		if have.Count != info.Count || have.From != info.From || have.To != info.To {
-			return nil, 0, t.r.Damagef(info.Offset, "the index does not agree with the block")
+		actual := trace.DescribeBlock(list)
+		if actual.Count != info.Count || actual.From != info.From || actual.To != info.To {
+			return nil, 0, file.reader.Damagef(info.Offset, "the index does not match the block")
 		}
 		records += int64(len(list))
 	}
-	// What stands between the blocks that the index names is checked, too.
-	for !t.Scanned {
-		_, _, err := t.r.Next()
+	// Read all frames in sequence, as the index may not cover the whole file.
+	for !file.Scanned {
+		_, _, err := file.reader.Next()
 		if err == io.EOF {
 			break
 		}
 		if errors.Is(err, durable.ErrTorn) {
-			return nil, 0, t.r.Damagef(t.r.Offset(), "it goes on after its index")
+			return nil, 0, file.reader.Damagef(file.reader.Offset(), "data after the index")
 		}
 		if err != nil {
 			return nil, 0, err
 		}
 	}
-	return t, records, nil
+	return file, records, nil
 }
--- a/internal/traceio/traceio_test.go
+++ b/internal/traceio/traceio_test.go
@@ -35,26 +35,31 @@
 	day    = 1_700_000_000 * second
 )
 
-// mixed is an id like those of callers, which do not compress.
-func mixed(n int) string { return fmt.Sprintf("%016x", 0x9e3779b97f4a7c15*uint64(n)) }
+// incompressibleID returns an id that, like the ids of callers, doesn't compress.
+func incompressibleID(n int) string { return fmt.Sprintf("%016x", 0x9e3779b97f4a7c15*uint64(n)) }
 
-// records are those of call n, which lasts 30 s; every call has five.
-func records(n int) (list []trace.Record) {
+// callRecords returns the four records of call n, which lasts 30 s.
+func callRecords(n int) (list []trace.Record) {
 	r := trace.Record{Kind: trace.Request, At: day + int64(n)*20_000}
-	r.Texts[trace.Call], r.Texts[trace.Class], r.Texts[trace.Tenant], r.Texts[trace.Number] = mixed(n+1), []string{"voice", "data"}[n%2], "lda", fmt.Sprintf("92%05d", n)
-	r.Texts[trace.Caller], r.Texts[trace.Identity] = fmt.Sprintf("10.4.%d.%d", n>>8&255, n&255), fmt.Sprintf("spiffe://b.example/desk/%d", n)
+	r.Texts[trace.Call], r.Texts[trace.Class], r.Texts[trace.Tenant], r.Texts[trace.Number] =
+		incompressibleID(n+1), []string{"voice", "data"}[n%2], "lda", fmt.Sprintf("92%05d", n)
+	r.Texts[trace.Caller], r.Texts[trace.Identity] =
+		fmt.Sprintf("10.4.%d.%d", n>>8&255, n&255), fmt.Sprintf("spiffe://b.example/desk/%d", n)
 	list = append(list, r)
 	r.Texts[trace.Identity], r.Texts[trace.Caller], r.Texts[trace.Number] = "", "", ""
-	r.Kind, r.Texts[trace.Server], r.Figures[trace.ActionCode], r.Figures[trace.Reason] = trace.Decision, fmt.Sprintf("s%d", n%3), int64(trace.ActionSent), int64(threadglade.FirstChoice)
+	r.Kind, r.Texts[trace.Server], r.Figures[trace.ActionCode], r.Figures[trace.Reason] =
+		trace.Decision, fmt.Sprintf("s%d", n%3), int64(trace.ActionSent), int64(threadglade.FirstChoice)
 	list = append(list, r)
-	r.Kind, r.At, r.Figures[trace.ActionCode], r.Figures[trace.Reason], r.Figures[trace.FinalAnswer] = trace.Answer, r.At+50_000, 0, 0, int64(trace.AnswerEstablished)
+	r.Kind, r.At, r.Figures[trace.ActionCode], r.Figures[trace.Reason], r.Figures[trace.FinalAnswer] =
+		trace.Answer, r.At+50_000, 0, 0, int64(trace.AnswerEstablished)
 	list = append(list, r)
 	r.Kind, r.At, r.Figures[trace.FinalAnswer], r.Figures[trace.ElapsedUs] = trace.Release, r.At+30*second, 0, 30*second
 	return append(list, r)
 }
 
-// write makes a file of calls, their records in the order of time.
-func write(t testing.TB, f durable.FS, path string, meta trace.Meta, calls int) (count int) {
+// writeCalls writes a file with the records of the given number of calls in time order, and returns the number of
+// records.
+func writeCalls(t testing.TB, f durable.FS, path string, meta trace.Meta, calls int) (count int) {
 	require.NoError(t, durable.WriteFile(f, path, func(out io.Writer) error {
 		w, err := NewWriter(out, meta)
 		require.NoError(t, err)
@@ -64,7 +69,7 @@
 			count++
 		}
 		for n := range calls {
-			list := records(n)
+			list := callRecords(n)
 			for len(later) > 0 && later[0].At <= list[0].At {
 				put(later[0])
 				later = later[1:]
@@ -82,22 +87,26 @@
 	return count
 }
 
+// readAll returns the records of the blocks that may match a selection.
 func readAll(t testing.TB, f durable.FS, path string, s trace.Selection) (list []trace.Record) {
 	file, err := Open(f, path)
 	require.NoError(t, err)
 	defer file.Close()
-	require.NoError(t, file.Each(s, func(r *trace.Record) error { list = append(list, *r); return nil }))
+	require.NoError(t, file.Each(s, func(r *trace.Record) error {
+		list = append(list, *r)
+		return nil
+	}))
 	return list
 }
 
-// TestCutOff has a crash cut a file off at every byte of its last two blocks and its index: whole blocks before it are read, the
-// rest is noted, and nothing is made up.
-func TestCutOff(t *testing.T) {
+// TestTruncatedFile truncates a file, as a crash does, at every byte of its last two blocks and its index.
+// Exactly the complete blocks must be read and the truncation noted.
+func TestTruncatedFile(t *testing.T) {
 	f := durabletest.New(1)
 	require.NoError(t, durable.WriteFile(f, "x.tgt", func(out io.Writer) error {
 		w, err := NewWriter(out, trace.Meta{Router: "n0"})
 		for n := range 12 {
-			for _, r := range records(n) {
+			for _, r := range callRecords(n) {
 				require.NoError(t, w.Add(&r, 0))
 			}
 			if n%3 == 2 {
@@ -118,7 +127,10 @@
 	}
 	for size := len(text) - 1; size > int(blocks[2].Offset); size-- {
 		g := durabletest.New(1)
-		require.NoError(t, durable.WriteFile(g, "y.tgt", func(w io.Writer) error { _, err := w.Write(text[:size]); return err }))
+		require.NoError(t, durable.WriteFile(g, "y.tgt", func(w io.Writer) error {
+			_, err := w.Write(text[:size])
+			return err
+		}))
 		file, err := Open(g, "y.tgt")
 		require.NoError(t, err, "at %d", size)
 		require.NotEmpty(t, file.Torn)
@@ -135,6 +147,7 @@
 	}
 }
 
+// columnsSize returns the payload size of the columns frame of a block of x.tgt.
 func columnsSize(t testing.TB, f durable.FS, b trace.BlockInfo) int {
 	r, err := durable.Open(f, "x.tgt", kindTrace)
 	require.NoError(t, err)
@@ -144,10 +157,11 @@
 	return len(payload)
 }
 
-// TestFlip flips bits in every region: each is found and named with file and offset.
-func TestFlip(t *testing.T) {
+// TestBitFlips flips bits all over a file: Verify must report each as damage with file and offset, or as a newer
+// version.
+func TestBitFlips(t *testing.T) {
 	f := durabletest.New(1)
-	write(t, f, "x.tgt", trace.Meta{Router: "n0"}, 1100)
+	writeCalls(t, f, "x.tgt", trace.Meta{Router: "n0"}, 1100)
 	for bit := 0; bit < 8*f.Size("x.tgt"); bit += 997 {
 		f.FlipBit("x.tgt", bit)
 		_, _, err := Verify(f, "x.tgt")
@@ -160,11 +174,12 @@
 	require.EqualValues(t, 4400, n)
 }
 
-// TestCutTime cuts a file in two: the halves read back complete, few blocks are touched, and calls that cross the cut keep their
-// first record, marked.
-func TestCutTime(t *testing.T) {
+// TestCutFile cuts a file in two by time: the halves must contain every record, and calls that cross the cut must
+// keep their request, marked as carried. A narrow cut must read few blocks. Cuts by class, server, outcome or
+// call must contain whole calls.
+func TestCutFile(t *testing.T) {
 	f := durabletest.New(1)
-	write(t, f, "x.tgt", trace.Meta{Router: "n0"}, 20_000)
+	writeCalls(t, f, "x.tgt", trace.Meta{Router: "n0"}, 20_000)
 	all := readAll(t, f, "x.tgt", trace.Selection{})
 	middle := day + 200*second
 	one, err := CutFile(f, "x.tgt", "a.tgt", trace.Selection{To: middle})
@@ -188,7 +203,7 @@
 	slices.SortFunc(halves, order)
 	slices.SortFunc(all, order)
 	require.True(t, slices.Equal(all, halves), "the halves are not the whole")
-	// Each call of the second half has its request.
+	// Each call of the second half must have its request.
 	began := map[string]bool{}
 	for _, r := range b {
 		if r.Kind == trace.Request {
@@ -201,7 +216,12 @@
 	require.Less(t, ten.Blocks, ten.Of/2)
 
 	// By class, server, outcome and call: whole calls.
-	for _, s := range []trace.Selection{{Class: "voice"}, {Server: "s1"}, {Outcome: "concluded", Class: "data"}, {Call: records(77)[0].Texts[trace.Call]}} {
+	for _, s := range []trace.Selection{
+		{Class: "voice"},
+		{Server: "s1"},
+		{Outcome: "concluded", Class: "data"},
+		{Call: callRecords(77)[0].Texts[trace.Call]},
+	} {
 		c, err := CutFile(f, "x.tgt", "d.tgt", s)
 		require.NoError(t, err)
 		require.LessOrEqual(t, c.Blocks, c.Of)
@@ -229,11 +249,11 @@
 	require.Zero(t, none.Records)
 }
 
-// TestHide anonymises a file: no original value is found in its bytes or in what they unpack to, the same key gives the same bytes, and
-// the same caller stays the same.
-func TestHide(t *testing.T) {
+// TestAnonymizeFile anonymises a file: no original value may remain in its bytes or its decoded records, the same
+// key must give the same bytes, and equal values must stay equal.
+func TestAnonymizeFile(t *testing.T) {
 	f := durabletest.New(1)
-	n := write(t, f, "x.tgt", trace.Meta{Router: "n0"}, 250)
+	n := writeCalls(t, f, "x.tgt", trace.Meta{Router: "n0"}, 250)
 	key := bytes.Repeat([]byte("k"), 32)
 	_, err := HideFile(f, "x.tgt", "h.tgt", key)
 	require.NoError(t, err)
@@ -249,7 +269,7 @@
 	}
 	text := unpacked.String()
 	for i := range 250 {
-		r := records(i)[0]
+		r := callRecords(i)[0]
 		for _, s := range []trace.Text{trace.Call, trace.Number, trace.Caller, trace.Identity} {
 			if v := r.Texts[s]; strings.Contains(text, `"`+v+`"`) || len(v) > 8 && strings.Contains(text, v) {
 				require.Fail(t, "a value is left", "%s %s", s, v)
@@ -269,79 +289,88 @@
 	require.NoError(t, err)
 }
 
-type rig struct {
-	f   *durabletest.FS
-	r   *Recorder
-	now atomic.Int64
-	log durabletest.LogBuffer
+// recorderRig is a Recorder on a simulated file system, with a manual clock and a captured log.
+type recorderRig struct {
+	fs       *durabletest.FS
+	recorder *Recorder
+	now      atomic.Int64
+	log      durabletest.LogBuffer
 }
 
-func (g *rig) clock() time.Duration { return time.Duration(g.now.Load()) }
+func (g *recorderRig) clock() time.Duration { return time.Duration(g.now.Load()) }
 
-func record(t *testing.T, change func(*Options), plan ...func(durabletest.Step) durabletest.Fault) *rig {
-	g := &rig{f: durabletest.New(1)}
+// startRecorder starts a Recorder whose options are adjusted by change; the last plan decides on file system
+// faults.
+func startRecorder(
+	t *testing.T, change func(*Options), plan ...func(durabletest.Step) durabletest.Fault) *recorderRig {
+	g := &recorderRig{fs: durabletest.New(1)}
 	g.now.Store(day * 1000)
 	for _, p := range plan {
-		g.f.Plan = p
+		g.fs.Plan = p
 	}
 	o := Defaults()
 	o.Dir, o.Block = "trace", 100*time.Millisecond
 	change(&o)
 	var err error
-	g.r, err = Record(Config{Options: o, FS: g.f, Router: "n0", Clock: g.clock, Log: zerolog.New(&g.log)})
+	g.recorder, err = Record(Config{Options: o, FS: g.fs, Router: "n0", Clock: g.clock, Log: zerolog.New(&g.log)})
 	require.NoError(t, err)
 	return g
 }
 
-// call is the life of one call as the router tells it: five records.
-func (g *rig) call(id string, end router.Kind) {
+// call sends the events of one call, as the router reports them, to the recorder. The events of an established
+// call give four records.
+func (g *recorderRig) call(id string, end router.Kind) {
 	e := router.Event{At: time.Duration(g.now.Add(int64(time.Millisecond))), Call: id, Slot: 1}
-	tell := func(kind router.Kind, server string) {
+	observe := func(kind router.Kind, server string) {
 		e.Kind, e.Server = kind, server
-		g.r.Observe(e)
+		g.recorder.Observe(e)
 	}
 	e.Class, e.Tenant, e.Number, e.Caller = "voice", "lda", id, netip.AddrFrom4([4]byte{10, 4, 7, 9})
-	tell(router.Arrived, "")
-	tell(router.Sent, "s0")
-	tell(end, "s0")
+	observe(router.Arrived, "")
+	observe(router.Sent, "s0")
+	observe(end, "s0")
 	if end == router.Established {
-		tell(router.Ended, "s0")
+		observe(router.Ended, "s0")
 	}
-	tell(router.Closed, "")
+	observe(router.Closed, "")
 }
 
-func (g *rig) files(t *testing.T, dir string) (list []trace.Record, names []string) {
-	names, err := g.f.List(dir)
+// readFiles returns the records of all files of a directory and the files' names.
+func (g *recorderRig) readFiles(t *testing.T, dir string) (list []trace.Record, names []string) {
+	names, err := g.fs.List(dir)
 	require.NoError(t, err)
 	for _, n := range names {
-		list = append(list, readAll(t, g.f, filepath.Join(dir, n), trace.Selection{})...)
+		list = append(list, readAll(t, g.fs, filepath.Join(dir, n), trace.Selection{})...)
 	}
 	return list, names
 }
 
-// TestFlood sends records ten times as fast as the writer takes them, which is stuck: nobody waits, what is dropped is counted, and the
-// gap is a record.
-func TestFlood(t *testing.T) {
-	g := record(t, func(*Options) {})
+// TestSlowDisk sends ten times as many records as the queue holds while the disk blocks the writer. The loop must
+// not wait, and every dropped record must be counted and covered by a Gap record.
+func TestSlowDisk(t *testing.T) {
+	g := startRecorder(t, func(*Options) {})
 	g.call("first", router.Established)
-	require.True(t, durabletest.WaitFor(func() bool { return g.r.Counters().Written > 0 }))
-	again := g.f.Stall()
+	require.True(t, durabletest.WaitFor(func() bool { return g.recorder.Counters().Written > 0 }))
+	resume := g.fs.Stall()
 	began := time.Now()
-	for i := range 10 * queueMost / 4 {
+	for i := range 10 * maxQueuedRecords / 4 {
 		g.call(fmt.Sprintf("%016x", i), router.Established)
 	}
 	require.Less(t, time.Since(began), 3*time.Second)
-	dropped := g.r.Counters().Dropped
-	require.Greater(t, int(dropped), 5*queueMost)
-	again()
-	require.True(t, durabletest.WaitFor(func() bool { g.call("last", router.Established); return g.r.gap == 0 }))
-	require.NoError(t, g.r.Close())
-	list, _ := g.files(t, "trace")
+	dropped := g.recorder.Counters().Dropped
+	require.Greater(t, int(dropped), 5*maxQueuedRecords)
+	resume()
+	require.True(t, durabletest.WaitFor(func() bool {
+		g.call("last", router.Established)
+		return g.recorder.unreportedDrops == 0
+	}))
+	require.NoError(t, g.recorder.Close())
+	list, _ := g.readFiles(t, "trace")
 	gaps := int64(0)
 	for _, r := range list {
 		gaps += r.Figures[trace.Count] * map[bool]int64{true: 1}[r.Kind == trace.Gap]
 	}
-	c := g.r.Counters()
+	c := g.recorder.Counters()
 	require.EqualValues(t, c.Dropped, gaps, "each record that is missing is counted in a gap")
 	require.EqualValues(t, c.Records-c.Dropped, len(list)-countKind(list, trace.Gap))
 }
@@ -355,11 +384,12 @@
 	return n
 }
 
-// TestFull has the disk take nothing for a while: the recorder goes on, and says what is missing.
-func TestFull(t *testing.T) {
+// TestFullDisk makes all writes fail for a while: the recorder must log the failure, continue in a new file
+// afterwards and record the gap.
+func TestFullDisk(t *testing.T) {
 	var mu sync.Mutex
 	full := false
-	g := record(t, func(*Options) {}, func(s durabletest.Step) durabletest.Fault {
+	g := startRecorder(t, func(*Options) {}, func(s durabletest.Step) durabletest.Fault {
 		mu.Lock()
 		defer mu.Unlock()
 		if full && s.Operation != "remove" {
@@ -367,9 +397,13 @@
 		}
 		return durabletest.None
 	})
-	set := func(v bool) { mu.Lock(); full = v; mu.Unlock() }
+	set := func(v bool) {
+		mu.Lock()
+		full = v
+		mu.Unlock()
+	}
 	g.call("a", router.Established)
-	require.True(t, durabletest.WaitFor(func() bool { return g.r.Counters().Written >= 4 }))
+	require.True(t, durabletest.WaitFor(func() bool { return g.recorder.Counters().Written >= 4 }))
 	set(true)
 	g.call("b", router.Established)
 	require.True(t, durabletest.WaitFor(func() bool { return g.log.Contains("trace_failed") }))
@@ -377,113 +411,125 @@
 	require.True(t, durabletest.WaitFor(func() bool {
 		g.call("c", router.Established)
 		time.Sleep(10 * time.Millisecond)
-		return g.r.Counters().Written > 20
+		return g.recorder.Counters().Written > 20
 	}))
-	require.NoError(t, g.r.Close())
-	list, names := g.files(t, "trace")
+	require.NoError(t, g.recorder.Close())
+	list, names := g.readFiles(t, "trace")
 	require.Greater(t, len(names), 1)
 	require.NotZero(t, countKind(list, trace.Gap))
-	require.NotZero(t, g.r.Counters().Dropped)
+	require.NotZero(t, g.recorder.Counters().Dropped)
 }
 
-// TestRotation: files end by size, the oldest go when there are too many bytes, and the open one never.
-func TestRotation(t *testing.T) {
-	g := record(t, func(o *Options) { o.FileBytes, o.Total, o.Block = 2000, 9000, 100*time.Millisecond })
+// TestFileRotation checks that files are closed by size, that the oldest are removed when the total is exceeded,
+// and that the newest records are kept.
+func TestFileRotation(t *testing.T) {
+	g := startRecorder(t, func(o *Options) { o.FileBytes, o.Total, o.Block = 2000, 9000, 100*time.Millisecond })
 	for i := range 20 {
 		for j := range 40 {
-			g.call(mixed(i*40+j+1), router.Established)
+			g.call(incompressibleID(i*40+j+1), router.Established)
 		}
-		want := g.r.Counters().Records - g.r.Counters().Dropped
-		require.True(t, durabletest.WaitFor(func() bool { return g.r.Counters().Written >= want }))
+		want := g.recorder.Counters().Records - g.recorder.Counters().Dropped
+		require.True(t, durabletest.WaitFor(func() bool { return g.recorder.Counters().Written >= want }))
 	}
-	require.NoError(t, g.r.Close())
-	c := g.r.Counters()
+	require.NoError(t, g.recorder.Close())
+	c := g.recorder.Counters()
 	require.NotZero(t, c.Removed)
-	names, _ := g.f.List("trace")
+	names, _ := g.fs.List("trace")
 	total := 0
 	for _, n := range names {
-		total += g.f.Size(filepath.Join("trace", n))
-		_, _, err := Verify(g.f, filepath.Join("trace", n))
+		total += g.fs.Size(filepath.Join("trace", n))
+		_, _, err := Verify(g.fs, filepath.Join("trace", n))
 		require.NoError(t, err)
 	}
 	require.Less(t, total, 12_000)
-	list, _ := g.files(t, "trace")
-	require.Equal(t, mixed(800), list[len(list)-1].Texts[trace.Call], "the latest are there")
+	list, _ := g.readFiles(t, "trace")
+	require.Equal(t, incompressibleID(800), list[len(list)-1].Texts[trace.Call], "the latest are there")
 }
 
-// TestFlight: without a file, the last moments are kept in memory and written out on demand, by too many losses, and when the backstop
-// stops a send.
-func TestFlight(t *testing.T) {
-	g := record(t, func(o *Options) {
+// TestFlightRecorder checks that, without trace files, the latest records are kept in memory and dumped on
+// demand, on too many losses, and when the backstop prevents a send.
+func TestFlightRecorder(t *testing.T) {
+	g := startRecorder(t, func(o *Options) {
 		o.Dir, o.Flight, o.FlightDir, o.Records, o.Trigger = "", 2*time.Second, "flight", 1000, 50
 	})
 	for i := range 500 {
 		g.call(fmt.Sprintf("%016x", i), router.Established)
 	}
-	g.r.Dump("SIGUSR2")
-	require.True(t, durabletest.WaitFor(func() bool { return g.r.Counters().Flights == 1 }))
-	list, _ := g.files(t, "flight")
+	g.recorder.Dump("SIGUSR2")
+	require.True(t, durabletest.WaitFor(func() bool { return g.recorder.Counters().Flights == 1 }))
+	list, _ := g.readFiles(t, "flight")
 	require.Len(t, list, 1000, "no more than the ring holds")
 	require.Equal(t, fmt.Sprintf("%016x", 499), list[999].Texts[trace.Call])
 	for i := range 60 {
 		g.call(fmt.Sprintf("%016x", 1000+i), router.Refused)
 	}
-	require.True(t, durabletest.WaitFor(func() bool { return g.r.Counters().Flights == 2 }))
+	require.True(t, durabletest.WaitFor(func() bool { return g.recorder.Counters().Flights == 2 }))
 	require.True(t, g.log.Contains(`"why":"losses"`))
 	for i := range 60 {
 		g.call(fmt.Sprintf("%016x", 2000+i), router.Refused)
 	}
 	g.now.Add(int64(2 * time.Minute))
-	g.r.Observe(router.Event{Kind: router.Arrived, At: g.clock(), Call: "x", Slot: 1, Class: "voice"})
-	g.r.Observe(router.Event{Kind: router.AttemptEnded, At: g.clock(), Call: "x", Slot: 1, Outcome: threadglade.NotSent})
+	g.recorder.Observe(router.Event{Kind: router.Arrived, At: g.clock(), Call: "x", Slot: 1, Class: "voice"})
+	g.recorder.Observe(router.Event{Kind: router.AttemptEnded, At: g.clock(), Call: "x", Slot: 1,
+		Outcome: threadglade.NotSent})
 	require.True(t, durabletest.WaitFor(func() bool { return g.log.Contains(`"why":"backstop"`) }))
-	require.NoError(t, g.r.Close())
-	require.EqualValues(t, 3, g.r.Counters().Flights, "not again within a minute")
+	require.NoError(t, g.recorder.Close())
+	require.EqualValues(t, 3, g.recorder.Counters().Flights, "not again within a minute")
 }
 
-// TestKnown: decisions carry what was known of their server.
-func TestKnown(t *testing.T) {
-	g := record(t, func(*Options) {})
+// TestDecisionServerState checks that a decision records the reports, phase and pending set-ups of its server.
+func TestDecisionServerState(t *testing.T) {
+	g := startRecorder(t, func(*Options) {})
 	at := func(ms int) time.Duration {
 		return time.Duration(day)*time.Microsecond + time.Duration(ms)*time.Millisecond
 	}
-	g.r.Observe(router.Event{Kind: router.AgentsReported, At: at(0), Server: "s0", Free: 7, Total: 9})
-	g.r.Observe(router.Event{Kind: router.LoadReported, At: at(10), Server: "s0", Latency: 240 * time.Millisecond, Rate: 9.5})
+	g.recorder.Observe(router.Event{Kind: router.AgentsReported, At: at(0), Server: "s0", Free: 7, Total: 9})
+	g.recorder.Observe(router.Event{Kind: router.LoadReported, At: at(10), Server: "s0",
+		Latency: 240 * time.Millisecond, Rate: 9.5})
 	for i, ms := range []int{100, 150} {
 		id := fmt.Sprint(i)
-		g.r.Observe(router.Event{Kind: router.Arrived, At: at(ms), Call: id, Slot: uint32(i + 1), Class: "voice"})
-		g.r.Observe(router.Event{Kind: router.Sent, At: at(ms), Call: id, Slot: uint32(i + 1), Server: "s0", Reason: threadglade.Drawn, View: threadglade.View{Phase: threadglade.Climbing, Rate: 4.5, Lambda: 6, InFlight: i}})
+		g.recorder.Observe(router.Event{Kind: router.Arrived, At: at(ms), Call: id, Slot: uint32(i + 1), Class: "voice"})
+		g.recorder.Observe(router.Event{Kind: router.Sent, At: at(ms), Call: id, Slot: uint32(i + 1), Server: "s0",
+			Reason: threadglade.Drawn, View: threadglade.View{Phase: threadglade.Climbing, Rate: 4.5, Lambda: 6, InFlight: i}})
 	}
-	require.NoError(t, g.r.Close())
-	list, _ := g.files(t, "trace")
+	require.NoError(t, g.recorder.Close())
+	list, _ := g.readFiles(t, "trace")
 	last := list[len(list)-1]
 	require.Equal(t, trace.Decision, last.Kind)
-	for f, want := range map[trace.Figure]int64{trace.Free: 7, trace.FreeAgeMs: 150, trace.LatencyUs: 240_000, trace.QPSMilli: 9500, trace.LoadAgeMs: 140,
-		trace.RateMilli: 4500, trace.LambdaMilli: 6000, trace.OldestPendingMs: 50, trace.InFlight: 1, trace.Reason: int64(threadglade.Drawn)} {
+	for f, want := range map[trace.Figure]int64{
+		trace.Free: 7, trace.FreeAgeMs: 150, trace.LatencyUs: 240_000, trace.QPSMilli: 9500, trace.LoadAgeMs: 140,
+		trace.RateMilli: 4500, trace.LambdaMilli: 6000, trace.OldestPendingMs: 50, trace.InFlight: 1,
+		trace.Reason: int64(threadglade.Drawn),
+	} {
 		require.Equal(t, want, last.Figures[f], f.String())
 	}
 	require.Equal(t, 1, countKind(list, trace.ControlChange))
 }
 
-// TestRequest: every column of a request comes back, with the caller's address as it was.
-func TestRequest(t *testing.T) {
-	g := record(t, func(*Options) {})
+// TestRequestRecord checks that every column of a request is read back as recorded, the caller's address
+// included.
+func TestRequestRecord(t *testing.T) {
+	g := startRecorder(t, func(*Options) {})
 	callers := []string{"10.4.7.9", "2001:db8::7", "::ffff:10.4.7.9", "", "10.4.7.9"}
 	for i, text := range callers {
-		e := router.Event{Kind: router.Arrived, At: g.clock(), Call: mixed(i + 1), Slot: uint32(i + 1), Class: "voice", Tenant: "lda", Number: "4711", Identity: "spiffe://b.example/7",
+		e := router.Event{Kind: router.Arrived, At: g.clock(), Call: incompressibleID(i + 1), Slot: uint32(i + 1),
+			Class: "voice", Tenant: "lda", Number: "4711", Identity: "spiffe://b.example/7",
 			Front: "callcontrol", Deadline: g.clock() + 3*time.Second, Destination: 2, Retry: true}
 		if text != "" {
 			e.Caller = netip.MustParseAddr(text)
 		}
-		g.r.Observe(e)
+		g.recorder.Observe(e)
 	}
-	require.NoError(t, g.r.Close())
-	list, _ := g.files(t, "trace")
+	require.NoError(t, g.recorder.Close())
+	list, _ := g.readFiles(t, "trace")
 	require.Len(t, list, 1+len(callers))
 	for i, r := range list[1:] {
 		require.Equal(t, trace.Request, r.Kind)
-		for column, want := range map[trace.Text]string{trace.Call: mixed(i + 1), trace.Class: "voice", trace.Tenant: "lda", trace.Number: "4711", trace.Identity: "spiffe://b.example/7",
-			trace.Front: "callcontrol", trace.Caller: callers[i], trace.Server: ""} {
+		for column, want := range map[trace.Text]string{
+			trace.Call: incompressibleID(i + 1), trace.Class: "voice", trace.Tenant: "lda", trace.Number: "4711",
+			trace.Identity: "spiffe://b.example/7",
+			trace.Front:    "callcontrol", trace.Caller: callers[i], trace.Server: "",
+		} {
 			require.Equal(t, want, r.Texts[column], column.String())
 		}
 		for column, want := range map[trace.Figure]int64{trace.DeadlineMs: 3000, trace.Destination: 2, trace.Retry: 1} {
@@ -492,6 +538,7 @@
 	}
 }
 
+// TestSettings checks the errors that ReadOptions reports for invalid sections.
 func TestSettings(t *testing.T) {
 	for text, want := range map[string]string{
 		"(trace)":                                        "directory or flight is wanted",
@@ -508,28 +555,31 @@
 	}
 }
 
-// TestNoAllocation: a call that is recorded allocates nothing on the loop.
-func TestNoAllocation(t *testing.T) {
-	g := record(t, func(o *Options) { o.Dir, o.Flight, o.FlightDir = "", time.Minute, "flight" })
+// TestRecordingAllocatesNothing checks that recording a call doesn't allocate on the loop.
+func TestRecordingAllocatesNothing(t *testing.T) {
+	g := startRecorder(t, func(o *Options) { o.Dir, o.Flight, o.FlightDir = "", time.Minute, "flight" })
 	for range 100 {
 		g.call("00112233445566ff", router.Established)
 	}
 	require.Zero(t, testing.AllocsPerRun(1000, func() { g.call("00112233445566ff", router.Established) }))
-	require.NoError(t, g.r.Close())
+	require.NoError(t, g.recorder.Close())
 }
 
 var fixture = flag.Bool("fixture", false, "write testdata/v1.tgt anew")
 
-// TestVersions: a file that version 1's writer made, kept as it was, reads as it was written, by index and by scan; one of the next
-// version is refused by its number.
-func TestVersions(t *testing.T) {
+// TestFormatVersions checks that a stored file of format version 1 is still read correctly, by its index and
+// without it, and that a file of the next version is rejected with its version number.
+func TestFormatVersions(t *testing.T) {
 	const path = "testdata/v1.tgt"
 	if *fixture {
-		write(t, durable.OS{}, path, trace.Meta{Router: "n0", Incarnation: day, Part: 1, Build: "v1", Classes: []trace.ClassMeta{{Name: "voice", AimMs: 1200, Worth: 1, LateWorth: 0.2}}}, 40)
+		writeCalls(t, durable.OS{}, path, trace.Meta{
+			Router: "n0", Incarnation: day, Part: 1, Build: "v1",
+			Classes: []trace.ClassMeta{{Name: "voice", AimMs: 1200, Worth: 1, LateWorth: 0.2}},
+		}, 40)
 	}
 	var want []trace.Record
 	for n := range 40 {
-		want = append(want, records(n)...)
+		want = append(want, callRecords(n)...)
 	}
 	order := func(a, b trace.Record) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Kind, b.Kind)) }
 	slices.SortStableFunc(want, order)
@@ -538,9 +588,12 @@
 	}
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
-	for _, cut := range []int{0, 3} { // whole, and without the end of its index
+	for _, cut := range []int{0, 3} { // complete, and with the tail frame truncated
 		f := durabletest.New(1)
-		require.NoError(t, durable.WriteFile(f, "old.tgt", func(w io.Writer) error { _, err := w.Write(text[:len(text)-cut]); return err }))
+		require.NoError(t, durable.WriteFile(f, "old.tgt", func(w io.Writer) error {
+			_, err := w.Write(text[:len(text)-cut])
+			return err
+		}))
 		have := readAll(t, f, "old.tgt", trace.Selection{})
 		slices.SortStableFunc(have, order)
 		require.True(t, slices.Equal(want, have))
@@ -555,7 +608,10 @@
 	next[8]++ // the version, under the header's checksum
 	binary.LittleEndian.PutUint32(next[44:], crc32.Checksum(next[:44], crc32.MakeTable(crc32.Castagnoli)))
 	f := durabletest.New(1)
-	require.NoError(t, durable.WriteFile(f, "new.tgt", func(w io.Writer) error { _, err := w.Write(next); return err }))
+	require.NoError(t, durable.WriteFile(f, "new.tgt", func(w io.Writer) error {
+		_, err := w.Write(next)
+		return err
+	}))
 	_, err = Open(f, "new.tgt")
 	require.ErrorIs(t, err, durable.ErrNewerVersion)
 	require.ErrorContains(t, err, "new.tgt: version 2, this program reads up to 1")
