--- a/cmd/threadglade/trace.go
+++ b/cmd/threadglade/trace.go
@@ -51,7 +51,7 @@
 				return err
 			}
 			return put(cmd.OutOrStdout(), *asJSON, c, func(w io.Writer) {
-				fmt.Fprintf(w, "%d records, %d of them from before the cut; of %d blocks %d were read and %d copied\n", c.Records, c.Carried, c.Of, c.Blocks, c.Whole)
+				fmt.Fprintf(w, "%d records, %d of them from before the cut; of %d blocks %d were read and %d copied\n", c.Records, c.Carried, c.TotalBlocks, c.BlocksRead, c.BlocksCopied)
 			})
 		})
 	span(cut)
@@ -87,7 +87,7 @@
 			if err != nil {
 				return usage(err)
 			}
-			n, err := traceio.HideFile(durable.OS{}, args[0], out, text)
+			n, err := traceio.AnonymizeFile(durable.OS{}, args[0], out, text)
 			if err != nil {
 				return err
 			}
@@ -183,7 +183,7 @@
 		if err != nil {
 			return err
 		}
-		i := fileInfo{Path: path, Meta: t.Meta, Bytes: t.Size(), Blocks: len(t.Index.Blocks), Names: map[string][]string{}, Torn: t.Torn}
+		i := fileInfo{Path: path, Meta: t.Meta, Bytes: t.Size(), Blocks: len(t.Index.Blocks), Names: map[string][]string{}, Torn: t.Truncation}
 		var from, to int64
 		for n, b := range t.Index.Blocks {
 			i.Records += b.Count
@@ -234,10 +234,10 @@
 		}
 		return err
 	}
-	return put(w, asJSON, map[string]any{"good": true, "records": records, "blocks": len(t.Index.Blocks), "torn": t.Torn}, func(w io.Writer) {
+	return put(w, asJSON, map[string]any{"good": true, "records": records, "blocks": len(t.Index.Blocks), "torn": t.Truncation}, func(w io.Writer) {
 		fmt.Fprintf(w, "good: %d records in %d blocks\n", records, len(t.Index.Blocks))
-		if t.Torn != "" {
-			fmt.Fprintln(w, "note: cut off by a crash:", t.Torn)
+		if t.Truncation != "" {
+			fmt.Fprintln(w, "note: cut off by a crash:", t.Truncation)
 		}
 	})
 }
--- a/cmd/threadglade/trace_test.go
+++ b/cmd/threadglade/trace_test.go
@@ -121,7 +121,7 @@
 
 	middle := began.Add(700 * time.Millisecond).UTC().Format(time.RFC3339Nano)
 	a, b := filepath.Join(s.dir, "a.tgt"), filepath.Join(s.dir, "b.tgt")
-	var halves [2]traceio.Cut
+	var halves [2]traceio.CutResult
 	require.NoError(t, json.Unmarshal([]byte(run("cut", all, "--to", middle, "-o", a, "--json")), &halves[0]))
 	require.NoError(t, json.Unmarshal([]byte(run("cut", all, "--from", middle, "-o", b, "--json")), &halves[1]))
 	var m struct{ Records int64 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -158,14 +158,14 @@
 	n.front.Start()
 	n.trunk.Start(n.Router)
 	if n.trace != nil {
-		n.trace.List(cfg.Cursor, len(cfg.Servers))
+		n.trace.RecordList(cfg.Cursor, len(cfg.Servers))
 	}
 	n.updateServers(cfg.Servers, true)
 	if n.nameService, err = registry.Watch(eventLoop, cfg.Resolver, cfg.Cursor, clock, n.Router.Schedule,
 		rand.New(rand.NewPCG(cfg.Seed, 1)).Float64, log,
 		func(serial uint32, servers []sip.Server) {
 			if n.trace != nil {
-				n.trace.List(serial, len(servers))
+				n.trace.RecordList(serial, len(servers))
 			}
 			n.updateServers(servers, false)
 		}); err != nil {
@@ -404,7 +404,7 @@
 		}
 	}
 	if n.trace != nil {
-		n.trace.Reload()
+		n.trace.RecordReload()
 	}
 	// Fields that take a restart keep their values in force, so that the next reload is compared with those.
 	n.config.Resolver, n.config.MemoryMB, n.config.Sockets, n.config.Settings, n.config.keyTree =
@@ -515,7 +515,7 @@
 			case s == syscall.SIGUSR1:
 				n.Loop.Post(func() { n.log.Info().Str("event", "counters").Msgf("counters %s", n.Counters()) })
 			case s == syscall.SIGUSR2:
-				n.Loop.Post(func() { n.trace.Dump("SIGUSR2") })
+				n.Loop.Post(func() { n.trace.DumpFlight("SIGUSR2") })
 			case s == syscall.SIGHUP:
 				n.reloadConfig()
 			case !ending:
--- a/internal/node/subsystems.go
+++ b/internal/node/subsystems.go
@@ -74,7 +74,7 @@
 		p.Ledger = &o
 	}
 	if sub := s.Sub("trace"); sub != nil {
-		o := traceio.Read(sub)
+		o := traceio.ReadOptions(sub)
 		p.Trace = &o
 	}
 	if sub := s.Sub("fleet"); sub != nil {
@@ -146,17 +146,17 @@
 			tenants, networks, strings.Join(o.Tenants.Precedence(), ", "))
 	}
 	if o := p.Trace; o != nil {
-		fmt.Fprintf(w, "\n  (trace (block %q)", o.Block)
+		fmt.Fprintf(w, "\n  (trace (block %q)", o.MaxBlockDelay)
 		if o.Dir != "" {
 			fmt.Fprintf(w, " (directory %q) (file-mb %d) (file-span %q) (total-mb %d)",
-				o.Dir, o.FileBytes>>20, o.FileSpan, o.Total>>20)
+				o.Dir, o.FileBytes>>20, o.FileSpan, o.TotalBytes>>20)
 		}
-		if o.Flight > 0 {
+		if o.FlightSpan > 0 {
 			fmt.Fprintf(w, "\n    (flight %q) (flight-records %d) (flight-directory %q)",
-				o.Flight, o.Records, o.FlightDir)
+				o.FlightSpan, o.FlightRecords, o.FlightDir)
 		}
-		if o.Trigger > 0 {
-			fmt.Fprintf(w, " (trigger %d)", o.Trigger)
+		if o.FlightTrigger > 0 {
+			fmt.Fprintf(w, " (trigger %d)", o.FlightTrigger)
 		}
 		fmt.Fprint(w, ")")
 	}
@@ -549,7 +549,7 @@
 	if n.config.Product.Ledger != nil {
 		cfg.Tenants = n.config.Product.Ledger.Tenants
 	}
-	if n.trace, err = traceio.Record(cfg); err == nil {
+	if n.trace, err = traceio.NewRecorder(cfg); err == nil {
 		routerConfig.Observer = joinObservers(routerConfig.Observer, n.trace)
 	}
 	return err
--- a/internal/traceio/bench_test.go
+++ b/internal/traceio/bench_test.go
@@ -15,10 +15,10 @@
 // BenchmarkRecorder records all events of one call per iteration while the writer runs, and so measures the loop
 // and the writer together.
 func BenchmarkRecorder(b *testing.B) {
-	options := Defaults()
+	options := DefaultOptions()
 	options.Dir = b.TempDir()
 	now := time.Duration(day) * time.Microsecond
-	recorder, err := Record(Config{Options: options, FS: durable.OS{}, Router: "n0",
+	recorder, err := NewRecorder(Config{Options: options, FS: durable.OS{}, Router: "n0",
 		Clock: func() time.Duration { return now }, Log: zerolog.Nop()})
 	require.NoError(b, err)
 	ids := make([]string, 4096)
--- a/internal/traceio/file.go
+++ b/internal/traceio/file.go
@@ -39,15 +39,15 @@
 
 // Writer writes one trace file block by block. It is not safe for concurrent use.
 type Writer struct {
-	frames     *durable.Writer
-	encoder    *trace.Encoder
-	index      trace.Index
-	openCalls  map[string]int // open calls without a slot: block number of their request
-	slotBlocks []int          // by call slot: block number of the request plus one; 0 if unknown
-	nextReach  int            // reach of the next block: first block of the oldest call in it
-	writeErr   error          // first failure to write a block; nothing is written after it
-	Count      int64          // records in written blocks
-	Lost       int            // records in the block that could not be written
+	frames         *durable.Writer
+	encoder        *trace.Encoder
+	index          trace.Index
+	openCalls      map[string]int // open calls without a slot: block number of their request
+	slotBlocks     []int          // by call slot: block number of the request plus one; 0 if unknown
+	nextReach      int            // reach of the next block: first block of the oldest call in it
+	writeErr       error          // first failure to write a block; nothing is written after it
+	WrittenRecords int64          // records in written blocks
+	LostRecords    int            // records in the block that could not be written
 }
 
 // NewWriter writes the file header and meta to the start of a file.
@@ -81,7 +81,7 @@
 }
 
 // PendingRecords returns the number of records that are not in a block yet.
-func (w *Writer) Waiting() int { return w.encoder.Len() }
+func (w *Writer) PendingRecords() int { return w.encoder.Len() }
 
 // Offset returns the number of bytes written so far.
 func (w *Writer) Offset() int64 { return w.frames.Offset() }
@@ -95,11 +95,11 @@
 	}
 	block := w.encoder.Block()
 	block.Info.OldestRequestBlock = w.nextReach
-	if w.writeErr = w.Block(block); w.writeErr != nil {
-		w.Lost = n
+	if w.writeErr = w.WriteBlock(block); w.writeErr != nil {
+		w.LostRecords = n
 		return w.writeErr
 	}
-	w.Count += int64(n)
+	w.WrittenRecords += int64(n)
 	return nil
 }
 
@@ -154,7 +154,7 @@
 }
 
 // WriteBlock writes an encoded block and adds it to the index with the offsets it has in this file.
-func (w *Writer) Block(block trace.Block) error {
+func (w *Writer) WriteBlock(block trace.Block) error {
 	block.Info.Offset = w.frames.Offset()
 	if err := w.frames.WriteFrame(frameStrings, block.Strings); err != nil {
 		return err
@@ -189,14 +189,14 @@
 
 // File is a trace file open for reading. It is not safe for concurrent use.
 type File struct {
-	Meta       trace.Meta
-	Index      *trace.Index
-	Torn       string // file and offset at which a crash truncated the file; empty if complete
-	Scanned    bool   // the index was rebuilt by reading every block
-	reader     *durable.Reader
-	decoder    *trace.Decoder
-	stringsBuf []byte
-	columnsBuf []byte
+	Meta         trace.Meta
+	Index        *trace.Index
+	Truncation   string // file and offset at which a crash truncated the file; empty if complete
+	IndexRebuilt bool   // the index was rebuilt by reading every block
+	reader       *durable.Reader
+	decoder      *trace.Decoder
+	stringsBuf   []byte
+	columnsBuf   []byte
 }
 
 // Open opens a trace file. If a crash truncated the file, the complete blocks are kept and the index is rebuilt
@@ -266,17 +266,17 @@
 // rebuildIndex reads all blocks and builds the index from them. A truncated tail is noted in Truncation, not an
 // error.
 func (t *File) rebuildIndex() error {
-	t.Scanned = true
+	t.IndexRebuilt = true
 	indexer := &Writer{openCalls: map[string]int{}}
 	for {
 		blockOffset := t.reader.Offset()
 		kind, stringsFrame, err := t.reader.Next()
 		if err == io.EOF {
-			t.Torn = fmt.Sprintf("%s: offset %d: it ends without an index", t.reader.Name(), blockOffset)
+			t.Truncation = fmt.Sprintf("%s: offset %d: it ends without an index", t.reader.Name(), blockOffset)
 			break
 		}
 		if errors.Is(err, durable.ErrTorn) {
-			t.Torn = fmt.Sprintf("%s: offset %d: %d bytes", t.reader.Name(), blockOffset, t.reader.Size()-blockOffset)
+			t.Truncation = fmt.Sprintf("%s: offset %d: %d bytes", t.reader.Name(), blockOffset, t.reader.Size()-blockOffset)
 			break
 		}
 		if err != nil {
@@ -286,7 +286,7 @@
 			if _, _, err := t.reader.Next(); err != io.EOF && !errors.Is(err, durable.ErrTorn) {
 				return cmp.Or(err, t.reader.Damagef(blockOffset, "unexpected frame after the index"))
 			}
-			t.Torn = fmt.Sprintf("%s: offset %d: the index's end is missing", t.reader.Name(), blockOffset)
+			t.Truncation = fmt.Sprintf("%s: offset %d: the index's end is missing", t.reader.Name(), blockOffset)
 			break
 		}
 		if kind != frameStrings {
@@ -296,7 +296,7 @@
 		columns := t.reader.Offset()
 		kind, columnsFrame, err := t.reader.Next()
 		if err == io.EOF || errors.Is(err, durable.ErrTorn) {
-			t.Torn = fmt.Sprintf("%s: offset %d: %d bytes", t.reader.Name(), blockOffset, t.reader.Size()-blockOffset)
+			t.Truncation = fmt.Sprintf("%s: offset %d: %d bytes", t.reader.Name(), blockOffset, t.reader.Size()-blockOffset)
 			break
 		}
 		if err != nil {
@@ -327,7 +327,7 @@
 func (t *File) Size() int64 { return t.reader.Size() }
 
 // RawBlock reads the encoded strings and columns of block n. They are valid until the next read.
-func (t *File) Raw(n int) (trace.Block, error) {
+func (t *File) RawBlock(n int) (trace.Block, error) {
 	info := t.Index.Blocks[n]
 	kind, stringsFrame, err := t.reader.FrameAt(info.Offset, t.stringsBuf)
 	if err != nil {
@@ -347,7 +347,7 @@
 
 // Records decodes block n. The records are valid until the next read; their strings stay valid.
 func (t *File) Records(n int) ([]trace.Record, error) {
-	b, err := t.Raw(n)
+	b, err := t.RawBlock(n)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/traceio/recorder.go
+++ b/internal/traceio/recorder.go
@@ -43,25 +43,25 @@
 
 // Options are the settings of a Recorder, as read from a (trace ...) section.
 type Options struct {
-	Dir       string        // directory of trace files; empty: records are not written continuously
-	FileBytes int64         // size in bytes at which a file is closed and the next begins
-	FileSpan  time.Duration // age at which a file is closed and the next begins
-	Total     int64         // limit for all files of the router in Dir; the oldest are removed first
-	Block     time.Duration // time after which pending records are written; SIGKILL may lose that much
-	Flight    time.Duration // time span of the flight recorder, a ring buffer in memory; 0 disables it
-	Records   int           // capacity of the flight recorder
-	FlightDir string        // directory of flight recordings
-	Trigger   int           // refusals and failures per second that cause a dump; 0: only SIGUSR2 and the backstop do
+	Dir           string        // directory of trace files; empty: records are not written continuously
+	FileBytes     int64         // size in bytes at which a file is closed and the next begins
+	FileSpan      time.Duration // age at which a file is closed and the next begins
+	TotalBytes    int64         // limit for all files of the router in Dir; the oldest are removed first
+	MaxBlockDelay time.Duration // time after which pending records are written; SIGKILL may lose that much
+	FlightSpan    time.Duration // time span of the flight recorder, a ring buffer in memory; 0 disables it
+	FlightRecords int           // capacity of the flight recorder
+	FlightDir     string        // directory of flight recordings
+	FlightTrigger int           // refusals and failures per second that cause a dump; 0: only SIGUSR2 and the backstop do
 }
 
 // DefaultOptions returns the defaults of Options.
-func Defaults() Options {
-	return Options{FileBytes: 64 << 20, FileSpan: time.Hour, Total: 1 << 30, Block: 5 * time.Second, Records: 20_000}
+func DefaultOptions() Options {
+	return Options{FileBytes: 64 << 20, FileSpan: time.Hour, TotalBytes: 1 << 30, MaxBlockDelay: 5 * time.Second, FlightRecords: 20_000}
 }
 
 // ReadOptions reads a (trace ...) section. Errors are reported through the section.
-func Read(section *settings.Section) Options {
-	options := Defaults()
+func ReadOptions(section *settings.Section) Options {
+	options := DefaultOptions()
 	section.String("directory", &options.Dir)
 	megabytes := func(field string, value *int64, highest int) {
 		n := int(*value >> 20)
@@ -69,19 +69,19 @@
 		*value = int64(n) << 20
 	}
 	megabytes("file-mb", &options.FileBytes, 4096)
-	megabytes("total-mb", &options.Total, 1<<20)
+	megabytes("total-mb", &options.TotalBytes, 1<<20)
 	section.Duration("file-span", &options.FileSpan, time.Second, 24*time.Hour)
-	section.Duration("block", &options.Block, 100*time.Millisecond, time.Minute)
-	section.Duration("flight", &options.Flight, time.Second, time.Hour)
-	section.Int("flight-records", &options.Records, 1000, 1_000_000)
+	section.Duration("block", &options.MaxBlockDelay, 100*time.Millisecond, time.Minute)
+	section.Duration("flight", &options.FlightSpan, time.Second, time.Hour)
+	section.Int("flight-records", &options.FlightRecords, 1000, 1_000_000)
 	section.String("flight-directory", &options.FlightDir)
-	section.Int("trigger", &options.Trigger, 1, 1_000_000)
+	section.Int("trigger", &options.FlightTrigger, 1, 1_000_000)
 	switch {
-	case options.Dir == "" && options.Flight == 0:
+	case options.Dir == "" && options.FlightSpan == 0:
 		section.Errorf("", "directory or flight is wanted")
-	case options.Flight > 0 && options.FlightDir == "" && options.Dir == "":
+	case options.FlightSpan > 0 && options.FlightDir == "" && options.Dir == "":
 		section.Errorf("flight-directory", "is missing: where is the flight written out?")
-	case options.Total < 2*options.FileBytes && options.Dir != "":
+	case options.TotalBytes < 2*options.FileBytes && options.Dir != "":
 		section.Errorf("total-mb", "is less than two files of file-mb")
 	}
 	if options.FlightDir == "" {
@@ -273,7 +273,7 @@
 
 // NewRecorder starts a Recorder and, if Dir is set, its writer goroutine. The error names the directory that
 // can't be created. The caller must call Close.
-func Record(cfg Config) (*Recorder, error) {
+func NewRecorder(cfg Config) (*Recorder, error) {
 	for _, dir := range []string{cfg.Dir, cfg.FlightDir} {
 		if dir == "" {
 			continue
@@ -285,8 +285,8 @@
 	recorder := &Recorder{cfg: cfg, servers: map[string]*serverState{}, stop: make(chan struct{}),
 		meta: trace.Meta{Router: cfg.Router, Incarnation: cfg.Clock().Microseconds(), Build: cfg.Build}}
 	recorder.classes.Store(&cfg.Classes)
-	if cfg.Flight > 0 {
-		recorder.ring = make([]rawRecord, 0, cfg.Records)
+	if cfg.FlightSpan > 0 {
+		recorder.ring = make([]rawRecord, 0, cfg.FlightRecords)
 	}
 	if cfg.Dir != "" {
 		recorder.writeQueue, recorder.returnQueue =
@@ -631,14 +631,14 @@
 		if event.At-r.lossWindowStart >= time.Second {
 			r.lossWindowStart, r.lossesPerSecond = event.At, [2]int64{r.lossesPerSecond[1], 0}
 		}
-		if r.lossesPerSecond[1]++; r.cfg.Trigger > 0 && r.lossesPerSecond[1] == int64(r.cfg.Trigger) {
+		if r.lossesPerSecond[1]++; r.cfg.FlightTrigger > 0 && r.lossesPerSecond[1] == int64(r.cfg.FlightTrigger) {
 			r.triggerDump(event.At, "losses")
 		}
 	}
 }
 
 // RecordList records the receipt of a server list.
-func (r *Recorder) List(serial uint32, servers int) {
+func (r *Recorder) RecordList(serial uint32, servers int) {
 	record := r.beginRecord(trace.List, 0)
 	record.set(trace.Serial, int64(serial))
 	record.set(trace.Count, int64(servers))
@@ -646,7 +646,7 @@
 }
 
 // RecordReload records that the configuration was reloaded.
-func (r *Recorder) Reload() { r.commitRecord(r.beginRecord(trace.Reload, 0)) }
+func (r *Recorder) RecordReload() { r.commitRecord(r.beginRecord(trace.Reload, 0)) }
 
 // SetClasses replaces the classes in the metadata of trace files. The writer starts a new file for them.
 func (r *Recorder) SetClasses(classes []trace.ClassMeta) { r.classes.Store(&classes) }
@@ -658,13 +658,13 @@
 func (r *Recorder) triggerDump(now time.Duration, why string) {
 	if r.ring != nil && (r.lastTriggeredDump == 0 || now-r.lastTriggeredDump >= minDumpInterval) {
 		r.lastTriggeredDump = now
-		r.Dump(why)
+		r.DumpFlight(why)
 	}
 }
 
 // DumpFlight writes the records of the flight recorder to a file, in a goroutine of its own. Copying them takes
 // the loop about a millisecond for 20,000 records.
-func (r *Recorder) Dump(why string) {
+func (r *Recorder) DumpFlight(why string) {
 	if r.ring == nil {
 		r.cfg.Log.Warn().Str("event", "trace_flight_off").
 			Msg("trace: there is no flight recorder; (flight SPAN) in the settings has one")
@@ -684,7 +684,7 @@
 	go func() {
 		defer r.done.Done()
 		first := 0
-		for first < len(records) && records[first].at < (now-r.cfg.Flight).Microseconds() {
+		for first < len(records) && records[first].at < (now-r.cfg.FlightSpan).Microseconds() {
 			first++
 		}
 		err := durable.WriteFile(r.cfg.FS, path, func(out io.Writer) error {
@@ -705,7 +705,7 @@
 		}
 		r.flightCount.Add(1)
 		r.cfg.Log.Warn().Str("event", "trace_flight").Str("file", path).Str("why", why).
-			Msgf("trace: the last %v are in %s (%s)", r.cfg.Flight, path, why)
+			Msgf("trace: the last %v are in %s (%s)", r.cfg.FlightSpan, path, why)
 	}()
 }
 
@@ -763,7 +763,7 @@
 		r.cfg.Log.Error().Str("event", "trace_failed").Msgf("trace: %v; records are dropped until it works again", err)
 		if out != nil {
 			out.file.Close()
-			lost := out.writer.Waiting() + out.writer.Lost
+			lost := out.writer.PendingRecords() + out.writer.LostRecords
 			lostRecords += int64(lost)
 			r.lostByWriter.Add(uint64(lost))
 		}
@@ -805,23 +805,23 @@
 				current = nil
 				continue
 			}
-			if out.writer.Waiting() == 0 {
+			if out.writer.PendingRecords() == 0 {
 				out.pendingSince = now
 			}
-			record, writtenBefore := &current.records[position], out.writer.Count
+			record, writtenBefore := &current.records[position], out.writer.WrittenRecords
 			position++
 			if err := out.writer.Add(builder.build(record), record.slot); err != nil {
 				fail(err)
 				break
 			}
-			r.writtenCount.Add(uint64(out.writer.Count - writtenBefore))
+			r.writtenCount.Add(uint64(out.writer.WrittenRecords - writtenBefore))
 		}
-		if out != nil && out.writer.Waiting() > 0 && (stopping || now.Sub(out.pendingSince) >= r.cfg.Block) {
-			writtenBefore := out.writer.Count
+		if out != nil && out.writer.PendingRecords() > 0 && (stopping || now.Sub(out.pendingSince) >= r.cfg.MaxBlockDelay) {
+			writtenBefore := out.writer.WrittenRecords
 			if err := out.writer.Flush(); err != nil {
 				fail(err)
 			} else {
-				r.writtenCount.Add(uint64(out.writer.Count - writtenBefore))
+				r.writtenCount.Add(uint64(out.writer.WrittenRecords - writtenBefore))
 			}
 		}
 		if out != nil && (stopping ||
@@ -899,7 +899,7 @@
 		total += size
 	}
 	for i, name := range names {
-		if total <= r.cfg.Total-r.cfg.FileBytes || openPath == "" && i == len(names)-1 {
+		if total <= r.cfg.TotalBytes-r.cfg.FileBytes || openPath == "" && i == len(names)-1 {
 			break
 		}
 		if err := r.cfg.FS.Remove(filepath.Join(r.cfg.Dir, name)); err != nil {
--- a/internal/traceio/tools.go
+++ b/internal/traceio/tools.go
@@ -14,17 +14,17 @@
 )
 
 // CutResult holds the statistics of a cut.
-type Cut struct {
-	Records int64 `json:"records"`
-	Carried int64 `json:"carried"` // requests copied from before the range, for calls that were open when it starts
-	Blocks  int   `json:"blocks_read"`
-	Whole   int   `json:"blocks_copied"` // copied without re-encoding
-	Of      int   `json:"blocks"`
+type CutResult struct {
+	Records      int64 `json:"records"`
+	Carried      int64 `json:"carried"` // requests copied from before the range, for calls that were open when it starts
+	BlocksRead   int   `json:"blocks_read"`
+	BlocksCopied int   `json:"blocks_copied"` // copied without re-encoding
+	TotalBlocks  int   `json:"blocks"`
 }
 
 // CutFile writes the selected records of file from into file to. Only blocks that the index names are read. If
 // the selection is by time alone, blocks that lie entirely within it are copied without re-encoding.
-func CutFile(fileSystem durable.FS, from, to string, selection trace.Selection) (result Cut, err error) {
+func CutFile(fileSystem durable.FS, from, to string, selection trace.Selection) (result CutResult, err error) {
 	source, err := Open(fileSystem, from)
 	if err != nil {
 		return result, err
@@ -32,7 +32,7 @@
 	defer source.Close()
 	meta := source.Meta
 	meta.Cut = &selection
-	result.Of = len(source.Index.Blocks)
+	result.TotalBlocks = len(source.Index.Blocks)
 	err = durable.WriteFile(fileSystem, to, func(out io.Writer) error {
 		writer, err := NewWriter(out, meta)
 		if err != nil {
@@ -48,10 +48,10 @@
 
 // writeCut writes the selected records to writer, preceded by the requests of calls that were open when the range
 // starts, and adds up result.
-func (t *File) writeCut(writer *Writer, selection trace.Selection, result *Cut) error {
+func (t *File) writeCut(writer *Writer, selection trace.Selection, result *CutResult) error {
 	picker := trace.NewSelector(selection)
 	blocksRead := roaring.New() // a set, as a selection of calls reads some blocks twice
-	defer func() { result.Blocks = int(blocksRead.GetCardinality()) }()
+	defer func() { result.BlocksRead = int(blocksRead.GetCardinality()) }()
 	blocks := t.Index.Find(selection)
 	narrow := selection != trace.Selection{From: selection.From, To: selection.To}
 	if narrow { // first pass: find the matching calls; all their records are then selected
@@ -123,7 +123,7 @@
 			if err := writer.Flush(); err != nil {
 				return err
 			}
-			block, err := t.Raw(int(n))
+			block, err := t.RawBlock(int(n))
 			if err != nil {
 				return err
 			}
@@ -134,12 +134,12 @@
 			info := trace.DescribeBlock(list)
 			info.OldestRequestBlock = writer.blockReach(list)
 			block.Info = info
-			if err := writer.Block(block); err != nil {
+			if err := writer.WriteBlock(block); err != nil {
 				return err
 			}
-			result.Whole++
+			result.BlocksCopied++
 			result.Records += int64(len(list))
-			writer.Count += int64(len(list))
+			writer.WrittenRecords += int64(len(list))
 			continue
 		}
 		list, err := t.Records(int(n))
@@ -249,7 +249,7 @@
 
 // AnonymizeFile copies file from to file to with personal data replaced by keyed hashes. The columns are copied
 // without re-encoding. It returns the number of blocks.
-func HideFile(fileSystem durable.FS, from, to string, key []byte) (blocks int, err error) {
+func AnonymizeFile(fileSystem durable.FS, from, to string, key []byte) (blocks int, err error) {
 	hider, err := trace.NewAnonymizer(key)
 	if err != nil {
 		return 0, err
@@ -273,7 +273,7 @@
 		}
 		encoder, decoder := trace.NewEncoder(), trace.NewDecoder()
 		for n := range source.Index.Blocks {
-			block, err := source.Raw(n)
+			block, err := source.RawBlock(n)
 			if err != nil {
 				return err
 			}
@@ -287,7 +287,7 @@
 			info := trace.DescribeBlock(list)
 			info.OldestRequestBlock = block.Info.OldestRequestBlock
 			block.Info = info
-			if err := writer.Block(block); err != nil {
+			if err := writer.WriteBlock(block); err != nil {
 				return err
 			}
 			blocks++
@@ -316,7 +316,7 @@
 		records += int64(len(list))
 	}
 	// Read all frames in sequence, as the index may not cover the whole file.
-	for !file.Scanned {
+	for !file.IndexRebuilt {
 		_, _, err := file.reader.Next()
 		if err == io.EOF {
 			break
--- a/internal/traceio/traceio_test.go
+++ b/internal/traceio/traceio_test.go
@@ -118,7 +118,7 @@
 	}))
 	file, err := Open(f, "x.tgt")
 	require.NoError(t, err)
-	require.Empty(t, file.Torn)
+	require.Empty(t, file.Truncation)
 	blocks, text := file.Index.Blocks, f.Bytes("x.tgt")
 	require.Len(t, blocks, 4)
 	ends := make([]int, len(blocks))
@@ -133,7 +133,7 @@
 		}))
 		file, err := Open(g, "y.tgt")
 		require.NoError(t, err, "at %d", size)
-		require.NotEmpty(t, file.Torn)
+		require.NotEmpty(t, file.Truncation)
 		count, want := 0, 0
 		for _, b := range file.Index.Blocks {
 			count += b.Count
@@ -213,7 +213,7 @@
 	}
 	ten, err := CutFile(f, "x.tgt", "c.tgt", trace.Selection{From: middle, To: middle + 10*second})
 	require.NoError(t, err)
-	require.Less(t, ten.Blocks, ten.Of/2)
+	require.Less(t, ten.BlocksRead, ten.TotalBlocks/2)
 
 	// By class, server, outcome and call: whole calls.
 	for _, s := range []trace.Selection{
@@ -224,7 +224,7 @@
 	} {
 		c, err := CutFile(f, "x.tgt", "d.tgt", s)
 		require.NoError(t, err)
-		require.LessOrEqual(t, c.Blocks, c.Of)
+		require.LessOrEqual(t, c.BlocksRead, c.TotalBlocks)
 		seen := map[string]int{}
 		for _, r := range readAll(t, f, "d.tgt", trace.Selection{}) {
 			seen[r.Texts[trace.Call]]++
@@ -255,9 +255,9 @@
 	f := durabletest.New(1)
 	n := writeCalls(t, f, "x.tgt", trace.Meta{Router: "n0"}, 250)
 	key := bytes.Repeat([]byte("k"), 32)
-	_, err := HideFile(f, "x.tgt", "h.tgt", key)
+	_, err := AnonymizeFile(f, "x.tgt", "h.tgt", key)
 	require.NoError(t, err)
-	_, err = HideFile(f, "x.tgt", "i.tgt", key)
+	_, err = AnonymizeFile(f, "x.tgt", "i.tgt", key)
 	require.NoError(t, err)
 	require.Equal(t, f.Bytes("h.tgt"), f.Bytes("i.tgt"))
 	var unpacked bytes.Buffer
@@ -308,11 +308,11 @@
 	for _, p := range plan {
 		g.fs.Plan = p
 	}
-	o := Defaults()
-	o.Dir, o.Block = "trace", 100*time.Millisecond
+	o := DefaultOptions()
+	o.Dir, o.MaxBlockDelay = "trace", 100*time.Millisecond
 	change(&o)
 	var err error
-	g.recorder, err = Record(Config{Options: o, FS: g.fs, Router: "n0", Clock: g.clock, Log: zerolog.New(&g.log)})
+	g.recorder, err = NewRecorder(Config{Options: o, FS: g.fs, Router: "n0", Clock: g.clock, Log: zerolog.New(&g.log)})
 	require.NoError(t, err)
 	return g
 }
@@ -423,7 +423,7 @@
 // TestFileRotation checks that files are closed by size, that the oldest are removed when the total is exceeded,
 // and that the newest records are kept.
 func TestFileRotation(t *testing.T) {
-	g := startRecorder(t, func(o *Options) { o.FileBytes, o.Total, o.Block = 2000, 9000, 100*time.Millisecond })
+	g := startRecorder(t, func(o *Options) { o.FileBytes, o.TotalBytes, o.MaxBlockDelay = 2000, 9000, 100*time.Millisecond })
 	for i := range 20 {
 		for j := range 40 {
 			g.call(incompressibleID(i*40+j+1), router.Established)
@@ -450,12 +450,12 @@
 // demand, on too many losses, and when the backstop prevents a send.
 func TestFlightRecorder(t *testing.T) {
 	g := startRecorder(t, func(o *Options) {
-		o.Dir, o.Flight, o.FlightDir, o.Records, o.Trigger = "", 2*time.Second, "flight", 1000, 50
+		o.Dir, o.FlightSpan, o.FlightDir, o.FlightRecords, o.FlightTrigger = "", 2*time.Second, "flight", 1000, 50
 	})
 	for i := range 500 {
 		g.call(fmt.Sprintf("%016x", i), router.Established)
 	}
-	g.recorder.Dump("SIGUSR2")
+	g.recorder.DumpFlight("SIGUSR2")
 	require.True(t, durabletest.WaitFor(func() bool { return g.recorder.Counters().Flights == 1 }))
 	list, _ := g.readFiles(t, "flight")
 	require.Len(t, list, 1000, "no more than the ring holds")
@@ -550,14 +550,14 @@
 	} {
 		s, err := settings.Parse("f", "(threadglade "+text+")")
 		require.NoError(t, err)
-		Read(s.Sub("trace"))
+		ReadOptions(s.Sub("trace"))
 		require.ErrorContains(t, s.Finish(), want, text)
 	}
 }
 
 // TestRecordingAllocatesNothing checks that recording a call doesn't allocate on the loop.
 func TestRecordingAllocatesNothing(t *testing.T) {
-	g := startRecorder(t, func(o *Options) { o.Dir, o.Flight, o.FlightDir = "", time.Minute, "flight" })
+	g := startRecorder(t, func(o *Options) { o.Dir, o.FlightSpan, o.FlightDir = "", time.Minute, "flight" })
 	for range 100 {
 		g.call("00112233445566ff", router.Established)
 	}
