--- a/cmd/threadglade/ledger.go
+++ b/cmd/threadglade/ledger.go
@@ -139,21 +139,21 @@
 
 // verifyResult is the output of ledger verify.
 type verifyResult struct {
-	Good       bool     `json:"good"`
-	Error      string   `json:"error,omitempty"`
-	Router     string   `json:"router,omitempty"`
-	PeriodMs   int64    `json:"period_ms,omitempty"`
-	Segments   int      `json:"segments"`
-	Bytes      int64    `json:"bytes"`
-	Entries    uint64   `json:"entries"`
-	Open       int      `json:"open_calls"`
-	Statements uint64   `json:"statements"`
-	ClosedTo   string   `json:"closed_to,omitempty"`
-	Exported   uint64   `json:"exported"`
-	ExportedTo string   `json:"exported_to,omitempty"`
-	Interrupt  bool     `json:"export_interrupted"`
-	Corrected  int      `json:"corrections"`
-	Notes      []string `json:"notes"`
+	Good              bool     `json:"good"`
+	Error             string   `json:"error,omitempty"`
+	Router            string   `json:"router,omitempty"`
+	PeriodMs          int64    `json:"period_ms,omitempty"`
+	Segments          int      `json:"segments"`
+	Bytes             int64    `json:"bytes"`
+	Entries           uint64   `json:"entries"`
+	OpenCalls         int      `json:"open_calls"`
+	Statements        uint64   `json:"statements"`
+	ClosedTo          string   `json:"closed_to,omitempty"`
+	Exported          uint64   `json:"exported"`
+	ExportedTo        string   `json:"exported_to,omitempty"`
+	ExportInterrupted bool     `json:"export_interrupted"`
+	Corrections       int      `json:"corrections"`
+	Notes             []string `json:"notes"`
 }
 
 // verifyLedger checks every byte of a ledger and prints a summary.
@@ -168,8 +168,8 @@
 	}
 	r := verifyResult{Good: true, Router: v.Settings.Router, PeriodMs: v.Settings.Length, Segments: v.Segments,
 		Bytes: v.Bytes, Entries: v.State.Entries,
-		Open: len(v.State.Calls), Statements: v.State.Sequence, Exported: v.Exported, Interrupt: v.ExportInterrupted,
-		Corrected: len(v.Corrections), Notes: []string{}}
+		OpenCalls: len(v.State.Calls), Statements: v.State.Sequence, Exported: v.Exported, ExportInterrupted: v.ExportInterrupted,
+		Corrections: len(v.Corrections), Notes: []string{}}
 	if v.State.Closed > 0 {
 		r.ClosedTo = formatMillis(v.State.Closed)
 	}
@@ -192,9 +192,9 @@
 			}
 			return fmt.Sprintf("%d up to %s", n, at)
 		}
-		fmt.Fprintf(w, "%d calls open; closed: %s; exported: %s; %d corrections\n", r.Open,
+		fmt.Fprintf(w, "%d calls open; closed: %s; exported: %s; %d corrections\n", r.OpenCalls,
 			upTo(r.Statements, r.ClosedTo),
-			upTo(r.Exported, r.ExportedTo), r.Corrected)
+			upTo(r.Exported, r.ExportedTo), r.Corrections)
 		for _, n := range r.Notes {
 			fmt.Fprintln(w, "note:", n)
 		}
@@ -306,22 +306,22 @@
 
 // mergeResult is the output of ledger merge.
 type mergeResult struct {
-	Files    int              `json:"files"`
-	Exports  int              `json:"exports"`
-	Copies   int              `json:"copies"` // files with the same export as another file
-	Calls    uint64           `json:"calls_listed"`
-	Findings []ledger.Finding `json:"findings"`
-	Rows     []mergeResultRow `json:"rows"`
-	Total    map[string]int64 `json:"total"`
+	Files       int              `json:"files"`
+	Exports     int              `json:"exports"`
+	Copies      int              `json:"copies"` // files with the same export as another file
+	CallsListed uint64           `json:"calls_listed"`
+	Findings    []ledger.Finding `json:"findings"`
+	Rows        []mergeResultRow `json:"rows"`
+	Total       map[string]int64 `json:"total"`
 }
 
 // mergeResultRow is the usage of a tenant and class in a period, as stated and with corrections applied.
 type mergeResultRow struct {
-	Period string           `json:"period"`
-	Tenant string           `json:"tenant"`
-	Class  string           `json:"class"`
-	Stated map[string]int64 `json:"stated"`
-	Mended map[string]int64 `json:"mended"`
+	Period    string           `json:"period"`
+	Tenant    string           `json:"tenant"`
+	Class     string           `json:"class"`
+	Stated    map[string]int64 `json:"stated"`
+	Corrected map[string]int64 `json:"mended"`
 }
 
 // mergeExportFiles merges export files, or folders of them, and returns the report and the number of duplicate files.
@@ -400,7 +400,7 @@
 			}
 		}
 	}
-	m := mergeResult{Files: len(files), Exports: len(r.Exports), Copies: copies, Calls: r.Calls,
+	m := mergeResult{Files: len(files), Exports: len(r.Exports), Copies: copies, CallsListed: r.Calls,
 		Findings: append([]ledger.Finding{}, r.Findings...),
 		Rows:     []mergeResultRow{}, Total: r.Total.Map()}
 	for _, row := range r.Rows {
@@ -423,7 +423,7 @@
 		}
 		t.Flush()
 		fmt.Fprintf(w, "%d files, %d statements, %d copies, %d calls listed, %d findings\n", m.Files, m.Exports,
-			m.Copies, m.Calls, len(m.Findings))
+			m.Copies, m.CallsListed, len(m.Findings))
 		for _, f := range m.Findings {
 			fmt.Fprintf(w, "%s: %s %s\n", f.Kind, f.Router, f.Text)
 		}
--- a/cmd/threadglade/ledger_test.go
+++ b/cmd/threadglade/ledger_test.go
@@ -410,7 +410,7 @@
 	for _, row := range m.Rows {
 		if row.Period == period && row.Tenant == "lda" {
 			found = true
-			require.Equal(t, row.Stated["held_ms"]-250, row.Mended["held_ms"])
+			require.Equal(t, row.Stated["held_ms"]-250, row.Corrected["held_ms"])
 		}
 	}
 	require.True(t, found, text)
--- a/cmd/threadglade/verdicts.go
+++ b/cmd/threadglade/verdicts.go
@@ -184,18 +184,18 @@
 
 // serverSummary is the verdicts of all routers on a case server.
 type serverSummary struct {
-	Server   string   `json:"server"`
-	Verdict  string   `json:"verdict"` // the verdict that most routers have
-	Zones    []string `json:"zones,omitempty"`
-	Bad      uint32   `json:"bad"`
-	Good     uint32   `json:"good"`
-	Sources  []string `json:"sources"`
-	AgeMs    float64  `json:"age_ms"` // age of the oldest evidence that a router uses
-	Routers  int      `json:"routers"`
-	Heeding  int      `json:"heeding"`
-	Others   []string `json:"disagree,omitempty"` // routers with another verdict, as "router: verdict"
-	Why      string   `json:"why,omitempty"`
-	LeftSecs float64  `json:"left_s,omitempty"`
+	Server      string   `json:"server"`
+	Verdict     string   `json:"verdict"` // the verdict that most routers have
+	Zones       []string `json:"zones,omitempty"`
+	Bad         uint32   `json:"bad"`
+	Good        uint32   `json:"good"`
+	Sources     []string `json:"sources"`
+	AgeMs       float64  `json:"age_ms"` // age of the oldest evidence that a router uses
+	Routers     int      `json:"routers"`
+	HeededBy    int      `json:"heeding"`
+	Disagreeing []string `json:"disagree,omitempty"` // routers with another verdict, as "router: verdict"
+	Why         string   `json:"why,omitempty"`
+	LeftSecs    float64  `json:"left_s,omitempty"`
 }
 
 // summarizeServers combines the routers' verdicts by server, in the order of the servers' names.
@@ -218,10 +218,10 @@
 				v := r.Verdicts[slices.IndexFunc(r.Verdicts,
 					func(v *verdictpb.Verdict) bool { return v.Server == server })]
 				if v.Heeded {
-					summary.Heeding++
+					summary.HeededBy++
 				}
 				if i > 0 {
-					summary.Others = append(summary.Others, r.router+": "+kind)
+					summary.Disagreeing = append(summary.Disagreeing, r.router+": "+kind)
 					continue
 				}
 				summary.Zones, summary.Sources, summary.Why = v.Zones, v.Sources, v.Why
@@ -260,7 +260,7 @@
 			found += fmt.Sprintf(" for %.0f s: %s", j.LeftSecs, j.Why)
 		}
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%.0f ms\t%d of %d\t%s\t\n", j.Server, found, j.Bad, j.Good,
-			strings.Join(j.Sources, " "), j.AgeMs, j.Heeding, j.Routers, strings.Join(j.Others, ", "))
+			strings.Join(j.Sources, " "), j.AgeMs, j.HeededBy, j.Routers, strings.Join(j.Disagreeing, ", "))
 	}
 	if err := t.Flush(); err != nil {
 		return err
