--- a/internal/scenario/callcontrol_test.go
+++ b/internal/scenario/callcontrol_test.go
@@ -22,13 +22,13 @@
 	"threadglade.example/threadglade/internal/identity/identitytest"
 )
 
-// wsMessage is one frame as the client saw it.
+// wsMessage is a WebSocket frame as the client received it.
 type wsMessage struct {
 	op   byte
 	text string
 }
 
-// handshake opens a WebSocket: id= is the token, in a subprotocol as browsers send it where origin= is given.
+// handshake opens a WebSocket. The token is id=, sent as a subprotocol, as browsers do, if origin= is given.
 func handshake(conn net.Conn, r *bufio.Reader, args string) error {
 	id, origin := "desk1", ""
 	for _, one := range strings.Fields(args) {
@@ -58,7 +58,7 @@
 			if status != "HTTP/1.1 101 Switching Protocols" {
 				return errors.New(status)
 			}
-			if accepted != "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=" { // the RFC's own example
+			if accepted != "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=" { // the example of RFC 6455
 				return errors.New("wrong accept key " + accepted)
 			}
 			return nil
@@ -68,6 +68,7 @@
 	}
 }
 
+// clientFrame encodes a masked frame.
 func clientFrame(fin bool, op byte, payload []byte) []byte {
 	b := []byte{op, 0x80}
 	if fin {
@@ -87,6 +88,7 @@
 	return b
 }
 
+// readFrame reads an unmasked frame, as a server sends it.
 func readFrame(r *bufio.Reader) (any, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:2]); err != nil {
@@ -104,8 +106,9 @@
 	return wsMessage{head[0] & 15, string(payload)}, err
 }
 
-// expectWeb takes words that the next message holds, "close CODE", "pong TEXT" or, after "as NAME", keeps its call.
-func (p *peer) expectWeb(text string) error {
+// expectWebSocket checks that the next message contains all words of text, where a close frame reads as "close
+// CODE" and a pong as "pong TEXT". "as NAME" keeps the call id of the message as a variable.
+func (p *peer) expectWebSocket(text string) error {
 	if text == "silence" {
 		if err := p.write(clientFrame(true, 9, []byte("barrier"))); err != nil {
 			return err
@@ -146,28 +149,31 @@
 	return nil
 }
 
-const desk = `
+// clientConnected starts the router with two case servers and a WebSocket client.
+const clientConnected = `
 s0 open number=0
 s1 open number=1
 start callcontrol
 w1 open id=desk1
 `
 
-const placed = desk + `
+// callPlaced is clientConnected with a call that is pending at the first server.
+const callPlaced = clientConnected + `
 w1 send {"jsonrpc":"2.0","id":1,"method":"call.place","params":{"class":"voice","number":"4711","destination":0,"answerWithinMs":3000,"description":"offer"}}
 w1 expect call.placed "request":1 as c
 s0 expect INVITE Call-Kind=voice Answer-Within=2970 Body=offer
 `
 
-var webScenarios = map[string]string{
-	"a call stands, ends, and is told": placed + `
+// callControlScenarios are the scenarios of WebSocket clients, by name.
+var callControlScenarios = map[string]string{
+	"a call stands, ends, and is told": callPlaced + `
 s0 send 200 INVITE #$c Body=answer
 w1 expect "id":1 "state":"standing" "description":"answer" $c
 s0 send BYE #$c Reason=Q.850;cause=16
 w1 expect call.ended "cause":"concluded" $c
 w1 expect silence`,
 
-	"refused, failed, and out of time are told apart": placed + `
+	"refused, failed, and out of time are told apart": callPlaced + `
 s0 send 503 INVITE #$c Fail-Word=swamped
 w1 expect "id":1 -32001 "retryAfterMs":100
 w1 send {"jsonrpc":"2.0","id":"x","method":"call.place","params":{"class":"voice","number":"1","destination":1,"answerWithinMs":900}}
@@ -182,7 +188,7 @@
 s0 send 486 INVITE #$c Fail-Word=occupied
 w1 expect "id":3 -32002`,
 
-	"what is not a request is told why": desk + `
+	"what is not a request is told why": clientConnected + `
 w1 send {
 w1 expect "id":null -32700
 w1 send [{"jsonrpc":"2.0","id":1,"method":"call.place"}]
@@ -206,7 +212,7 @@
 w1 send {"jsonrpc":"2.0","method":"call.release","params":{"call":"0"}}
 w1 expect silence`,
 
-	"cancel and release": placed + `
+	"cancel and release": callPlaced + `
 w1 send {"jsonrpc":"2.0","id":2,"method":"call.cancel","params":{"call":"$c"}}
 w1 expect "id":1 -32006
 w1 expect "id":2 "result"
@@ -223,9 +229,9 @@
 s0 expect BYE #$d Reason=cause=16
 w1 expect silence`,
 
-	// The first hard case: the socket closes mid-call. The set-up goes on; its one answer goes to the identity that
-	// attaches, once, and to no other identity.
-	"the socket closes during the set-up": placed + `
+	// If the socket closes during a set-up, the set-up continues. Its answer goes once to the same identity when that
+	// attaches, and to no other identity.
+	"the socket closes during the set-up": callPlaced + `
 w1 close
 w2 open id=desk2
 w2 send {"jsonrpc":"2.0","id":1,"method":"call.attach","params":{"call":"$c"}}
@@ -243,7 +249,7 @@
 w3 expect call.ended "cause":"cut"
 w3 expect silence`,
 
-	"attached before the answer, which comes once": placed + `
+	"attached before the answer, which comes once": callPlaced + `
 w2 open id=desk1
 w2 send {"jsonrpc":"2.0","id":9,"method":"call.attach","params":{"call":"$c"}}
 w1 expect "id":1 -32005
@@ -253,7 +259,7 @@
 w2 send {"jsonrpc":"2.0","id":10,"method":"call.attach","params":{"call":"$c"}}
 w2 expect "id":10 -32004`,
 
-	"a set-up nobody follows goes on to its deadline": placed + `
+	"a set-up nobody follows goes on to its deadline": callPlaced + `
 w1 close
 wait 2900ms
 s0 expect silence
@@ -264,8 +270,9 @@
 w2 send {"jsonrpc":"2.0","id":1,"method":"call.attach","params":{"call":"$c"}}
 w2 expect "id":1 -32003`,
 
-	// A standing call that nobody claims within the grace is released; one that is claimed is not.
-	"the socket closes while the call stands": placed + `
+	// After its socket has closed, an established call is released unless its identity attaches within the grace
+	// period.
+	"the socket closes while the call stands": callPlaced + `
 s0 send 200 INVITE #$c Body=x
 w1 expect standing
 w1 close
@@ -279,9 +286,9 @@
 log "was not claimed"
 s0 expect BYE #$c Reason=cause=16`,
 
-	// The second hard case: the server drains and goes while a call waits there. The call moves on and gets its one
-	// answer.
-	"the server drains while a call waits": placed + `
+	// If a server drains and goes while a call is pending there, the call moves on to another server and gets
+	// exactly one answer.
+	"the server drains while a call waits": callPlaced + `
 list s0=draining s1
 log "state 1"
 list s1
@@ -292,8 +299,8 @@
 w1 expect "id":1 standing
 w1 expect silence`,
 
-	// RFC 6455: fragments with a ping between them, a pong, and the closing handshake.
-	"fragments": desk + `
+	// RFC 6455: fragments with a ping between them, the pong, and the closing handshake.
+	"fragments": clientConnected + `
 w1 raw "\x01\x83\x01\x02\x03\x04\x7a\x20\x69"
 w1 raw "\x89\x82\x01\x02\x03\x04\x69\x6b"
 w1 expect pong hi
@@ -303,90 +310,107 @@
 w1 expect close 1000
 w1 expect closed`,
 
-	"an unmasked frame":           desk + "w1 raw \"\\x81\\x01a\"\nw1 expect close 1002",
-	"a reserved bit":              desk + "w1 raw \"\\xc1\\x80\\x00\\x00\\x00\\x00\"\nw1 expect close 1002",
-	"a continuation of nothing":   desk + "w1 raw \"\\x80\\x80\\x00\\x00\\x00\\x00\"\nw1 expect close 1002",
-	"a fragmented ping":           desk + "w1 raw \"\\x09\\x80\\x00\\x00\\x00\\x00\"\nw1 expect close 1002",
-	"a long form of a short one":  desk + "w1 raw \"\\x81\\xfe\\x00\\x01\\x00\\x00\\x00\\x00a\"\nw1 expect close 1002",
-	"binary":                      desk + "w1 raw \"\\x82\\x80\\x00\\x00\\x00\\x00\"\nw1 expect close 1003",
-	"text that is not UTF-8":      desk + "w1 raw \"\\x81\\x81\\x00\\x00\\x00\\x00\\xff\"\nw1 expect close 1007",
-	"a message that is too big":   desk + "w1 raw \"\\x81\\xff\\x00\\x00\\x00\\x00\\x00\\x01\\x00\\x00\"\nw1 expect close 1009",
-	"a close code not for wires":  desk + "w1 raw \"\\x88\\x82\\x00\\x00\\x00\\x00\\x03\\xed\"\nw1 expect close 1002",
-	"a browser from a known page": desk + "w2 open id=desk2 origin=https://desk.example\nw2 expect silence",
-	"a token that runs out":       desk + "wait 12s\nw1 expect silence\nwait 12s\nw1 expect silence\nwait 12s\nw1 expect silence\nwait 12s\nw1 expect silence\nwait 13s\nw1 expect close 1008\nwait 3s\nw1 expect closed",
-	// Who owes its handshake, or the rest of a message, is closed 2 s after it began; a socket at rest is not.
-	"a mute client":   desk + "w2 open mute\nwait 1900ms\nw1 expect silence\nwait 200ms\nw2 expect closed\nw1 expect silence",
-	"a slow client":   desk + "w1 raw \"\\x81\"\nwait 1900ms\nw1 raw \"\\x84\"\nwait 200ms\nw1 expect closed",
-	"a slow fragment": desk + "w1 raw \"\\x01\\x80\\x00\\x00\\x00\\x00\"\nwait 2100ms\nw1 expect closed",
-	"figures that cannot be": desk + `
+	"an unmasked frame":         clientConnected + "w1 raw \"\\x81\\x01a\"\nw1 expect close 1002",
+	"a reserved bit":            clientConnected + "w1 raw \"\\xc1\\x80\\x00\\x00\\x00\\x00\"\nw1 expect close 1002",
+	"a continuation of nothing": clientConnected + "w1 raw \"\\x80\\x80\\x00\\x00\\x00\\x00\"\nw1 expect close 1002",
+	"a fragmented ping":         clientConnected + "w1 raw \"\\x09\\x80\\x00\\x00\\x00\\x00\"\nw1 expect close 1002",
+	"a long form of a short one": clientConnected + "w1 raw \"\\x81\\xfe\\x00\\x01\\x00\\x00\\x00\\x00a\"\n" +
+		"w1 expect close 1002",
+	"binary": clientConnected + "w1 raw \"\\x82\\x80\\x00\\x00\\x00\\x00\"\nw1 expect close 1003",
+	"text that is not UTF-8": clientConnected + "w1 raw \"\\x81\\x81\\x00\\x00\\x00\\x00\\xff\"\n" +
+		"w1 expect close 1007",
+	"a message that is too big": clientConnected + "w1 raw \"\\x81\\xff\\x00\\x00\\x00\\x00\\x00\\x01\\x00\\x00\"\n" +
+		"w1 expect close 1009",
+	"a close code not for wires": clientConnected + "w1 raw \"\\x88\\x82\\x00\\x00\\x00\\x00\\x03\\xed\"\n" +
+		"w1 expect close 1002",
+	"a browser from a known page": clientConnected + "w2 open id=desk2 origin=https://desk.example\nw2 expect silence",
+	"a token that runs out": clientConnected + "wait 12s\nw1 expect silence\nwait 12s\n" +
+		"w1 expect silence\nwait 12s\nw1 expect silence\nwait 12s\nw1 expect silence\nwait 13s\n" +
+		"w1 expect close 1008\nwait 3s\nw1 expect closed",
+	// A socket whose handshake or message stays incomplete is closed 2 s after its start; an idle socket is not.
+	"a mute client": clientConnected + "w2 open mute\nwait 1900ms\nw1 expect silence\nwait 200ms\n" +
+		"w2 expect closed\nw1 expect silence",
+	"a slow client": clientConnected + "w1 raw \"\\x81\"\nwait 1900ms\nw1 raw \"\\x84\"\nwait 200ms\n" +
+		"w1 expect closed",
+	"a slow fragment": clientConnected + "w1 raw \"\\x01\\x80\\x00\\x00\\x00\\x00\"\nwait 2100ms\nw1 expect closed",
+	"figures that cannot be": clientConnected + `
 w1 send {"jsonrpc":"2.0","id":1,"method":"call.place","params":{"class":"voice","number":"1","answerWithinMs":5001}}
 w1 expect "id":1 -32602 answerWithinMs
 w1 send {"jsonrpc":"2.0","id":2,"method":"call.place","params":{"class":"voice","number":"1","answerWithinMs":9,"destination":7}}
 w1 expect "id":2 -32602 destination`,
-	"a dead client": desk + "wait 20s\nw1 expect ping\nwait 25s\nw1 expect closed",
+	"a dead client": clientConnected + "wait 20s\nw1 expect ping\nwait 25s\nw1 expect closed",
 }
 
-func TestCallControl(t *testing.T) { playAll(t, webScenarios) }
+// TestCallControl runs the scenarios of WebSocket clients.
+func TestCallControl(t *testing.T) { runScenarios(t, callControlScenarios) }
 
-// Wrong tokens and foreign pages do not get in.
-func TestTurnedAway(t *testing.T) {
-	w := play(t, desk)
-	require.ErrorContains(t, w.do("w2 open id=thief"), "401")
-	require.ErrorContains(t, w.do("w3 open id=desk1 origin=https://elsewhere.example"), "403")
+// TestUnauthorizedClients checks that wrong tokens and origins that are not allowed are rejected.
+func TestUnauthorizedClients(t *testing.T) {
+	w := runScenario(t, clientConnected)
+	require.ErrorContains(t, w.execute("w2 open id=thief"), "401")
+	require.ErrorContains(t, w.execute("w3 open id=desk1 origin=https://elsewhere.example"), "403")
 }
 
-// TestOtherClient has a client that is not of this repository speak to the front: the codec is the protocol and not
-// just our reading of it.
-func TestOtherClient(t *testing.T) {
-	w := play(t, desk)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// TestIndependentClient connects a WebSocket client of another project, so that a misreading of the protocol that the
+// front and the test client of this package share cannot go unnoticed.
+func TestIndependentClient(t *testing.T) {
+	w := runScenario(t, clientConnected)
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
-	c, _, err := websocket.Dial(ctx, "ws://"+w.second.String()+"/", &websocket.DialOptions{
-		Subprotocols: []string{"callcontrol.v1", "bearer.desk9"}, HTTPHeader: http.Header{"Origin": {"https://desk.example"}}})
+	c, _, err := websocket.Dial(ctx, "ws://"+w.callControlAddr.String()+"/", &websocket.DialOptions{
+		Subprotocols: []string{"callcontrol.v1", "bearer.desk9"},
+		HTTPHeader:   http.Header{"Origin": {"https://desk.example"}},
+	})
 	require.NoError(t, err)
 	require.Equal(t, "callcontrol.v1", c.Subprotocol())
-	require.NoError(t, c.Write(ctx, websocket.MessageText, []byte(`{"jsonrpc":"2.0","id":1,"method":"call.place","params":{"class":"voice",`+
+	require.NoError(t, c.Write(ctx, websocket.MessageText, []byte(`{"jsonrpc":"2.0","id":1,`+
+		`"method":"call.place","params":{"class":"voice",`+
 		`"number":"4711","destination":0,"answerWithinMs":3000,"description":"`+strings.Repeat("d", 5000)+`"}}`)))
 	_, text, err := c.Read(ctx)
 	require.NoError(t, err)
 	require.Contains(t, string(text), "call.placed")
-	require.NoError(t, w.do("s0 expect INVITE Body="+strings.Repeat("d", 5000)))
+	require.NoError(t, w.execute("s0 expect INVITE Body="+strings.Repeat("d", 5000)))
 	go c.Read(ctx) // answers the ping
 	require.NoError(t, c.Ping(ctx))
 	require.NoError(t, c.Close(websocket.StatusNormalClosure, "done"))
 }
 
-// The whole door, with real tokens: none opens it before the Workload API has handed out a bundle, the right one
-// does then, and an expired one, one for somebody else or none at all gets 401.
+// TestSPIFFE connects with real tokens. Before the Workload API has delivered a bundle, all get 503. After it, a valid
+// token is accepted; an expired one, one of another identity and a missing one get 401.
 func TestSPIFFE(t *testing.T) {
 	api, k, updated := identitytest.New(t), identitytest.Key(t), make(chan bool, 9)
 	id := "spiffe://" + identitytest.Domain + "/desk/7"
-	v, err := identity.New(identity.Config{TrustDomain: identitytest.Domain, Audience: "threadglade", WorkloadAPI: api.Address,
-		AllowedIDs: []string{id}}, zerolog.New(notice(updated)))
+	v, err := identity.New(identity.Config{
+		TrustDomain: identitytest.Domain,
+		Audience:    "threadglade",
+		WorkloadAPI: api.Address,
+		AllowedIDs:  []string{id},
+	}, zerolog.New(logNotifier(updated)))
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	require.NoError(t, v.Watch(ctx, api.Address))
-	w := play(t, "s0 open number=0")
-	w.check = v.Verify
-	require.NoError(t, w.do("start callcontrol"))
+	w := runScenario(t, "s0 open number=0")
+	w.verifyToken = v.Verify
+	require.NoError(t, w.execute("start callcontrol"))
 	good := identitytest.Token(t, k, id, "threadglade", time.Now().Add(time.Hour))
-	require.ErrorContains(t, w.do("w0 open id="+good), "503")
+	require.ErrorContains(t, w.execute("w0 open id="+good), "503")
 	api.Bundles <- identitytest.Bundle(t, k)
 	<-updated
-	require.NoError(t, w.do("w1 open id="+good))
-	require.NoError(t, w.do("w1 expect silence"))
-	require.NoError(t, w.do("w2 open origin=https://desk.example id="+good))
+	require.NoError(t, w.execute("w1 open id="+good))
+	require.NoError(t, w.execute("w1 expect silence"))
+	require.NoError(t, w.execute("w2 open origin=https://desk.example id="+good))
 	for name, bad := range map[string]string{
 		"expired": identitytest.Token(t, k, id, "threadglade", time.Now().Add(-time.Hour)),
 		"other":   identitytest.Token(t, k, id+"7", "threadglade", time.Now().Add(time.Hour)),
 		"none":    "",
 	} {
-		require.ErrorContains(t, w.do("w3 open id="+bad), "401", name)
+		require.ErrorContains(t, w.execute("w3 open id="+bad), "401", name)
 	}
 }
 
-// notice is told of every log event.
-type notice chan bool
+// logNotifier sends a value for every log event.
+type logNotifier chan bool
 
-func (n notice) Write(b []byte) (int, error) { n <- true; return len(b), nil }
+// Write notifies of one log event.
+func (n logNotifier) Write(b []byte) (int, error) { n <- true; return len(b), nil }
--- a/internal/scenario/customers_test.go
+++ b/internal/scenario/customers_test.go
@@ -11,16 +11,19 @@
 	"threadglade.example/threadglade/internal/standin"
 )
 
-// This file owns what has to hold under the settings of any customer: classes, their number, attempts, drain grace and release wait come from there alone.
+// This file tests what has to hold with the settings of any customer. The names and the number of classes, the
+// attempts, the drain grace and the release wait come from the settings alone.
 
-// customer is the settings of one.
+// customer holds the settings that differ between customers. release is the release wait.
 type customer struct {
 	classes, attempts        int
 	grace, release, deadline time.Duration
 }
 
+// class returns the name of a class.
 func (c customer) class(i int) string { return fmt.Sprintf("kind-%d-of-%d", i, c.classes) }
 
+// settings returns the router's settings in JSON.
 func (c customer) settings() string {
 	var pools, every []string
 	for i := range c.attempts + 2 {
@@ -28,26 +31,33 @@
 	}
 	var classes, holding []string
 	for i := range c.classes {
-		classes = append(classes, fmt.Sprintf(`{"name":%q,"aimMs":%d,"deadlineMs":%d,"gain":%d,"lateWorth":0.3,"repeat":"free"}`, c.class(i), 400+100*i, c.deadline.Milliseconds(), 1+i))
-		pools, holding = append(pools, "["+strings.Join(every, ",")+"]"), append(holding, fmt.Sprint(1000+500*i))
+		classes = append(classes, fmt.Sprintf(
+			`{"name":%q,"aimMs":%d,"deadlineMs":%d,"gain":%d,"lateWorth":0.3,"repeat":"free"}`,
+			c.class(i), 400+100*i, c.deadline.Milliseconds(), 1+i))
+		pools = append(pools, "["+strings.Join(every, ",")+"]")
+		holding = append(holding, fmt.Sprint(1000+500*i))
 	}
-	return fmt.Sprintf(`{"me":0,"replicasOfMe":1,"discovery":"pushed","classes":[%s],"domain":{"allowedPools":[%s],"clearWaitMs":%d,"holdingMs":[%s],"networkForm":"skills"},
-		"limits":{"maxAttempts":%d,"cancel":true,"retryAfter":true,"maxRetryAfterMs":700,"connectTimeoutMs":500},"report":{"fields":["idle","circuits"]},
+	return fmt.Sprintf(`{"me":0,"replicasOfMe":1,"discovery":"pushed","classes":[%s],`+
+		`"domain":{"allowedPools":[%s],"clearWaitMs":%d,"holdingMs":[%s],"networkForm":"skills"},
+		"limits":{"maxAttempts":%d,"cancel":true,"retryAfter":true,"maxRetryAfterMs":700,"connectTimeoutMs":500},`+
+		`"report":{"fields":["idle","circuits"]},
 		"rules":{"coldFrom":0.2,"warmWithinMs":5000,"fallMultiple":2,"overloadForMs":1000,"drainGraceMs":%d}}`,
-		strings.Join(classes, ","), strings.Join(pools, ","), c.release.Milliseconds(), strings.Join(holding, ","), c.attempts, c.grace.Milliseconds())
+		strings.Join(classes, ","), strings.Join(pools, ","), c.release.Milliseconds(), strings.Join(holding, ","),
+		c.attempts, c.grace.Milliseconds())
 }
 
-// gets is the case server that is sent the call next, or nil if none is within a moment of the router's clock.
-func (w *world) gets(call string, within time.Duration) *peer {
+// nextAttempt advances the router's clock and returns the case server that gets an attempt of the call meanwhile,
+// or nil if none does.
+func (w *scenarioRun) nextAttempt(call string, within time.Duration) *peer {
 	w.advance(within)
 	var found *peer
-	for range 2 { // what was sent by now has come when the router has answered this
-		require.NoError(w.t, w.do("z expect silence"))
+	for range 2 { // attempts sent by now have arrived when the router has answered this request
+		require.NoError(w.t, w.execute("z expect silence"))
 		time.Sleep(10 * time.Millisecond)
 	}
 	for _, p := range w.peers {
-		for p.listener != nil && len(p.in) > 0 {
-			if m, is := (<-p.in).(standin.Message); is && m.Method() == "INVITE" && m.Call() == callID(call) {
+		for p.listener != nil && len(p.received) > 0 {
+			if m, is := (<-p.received).(standin.Message); is && m.Method() == "INVITE" && m.Call() == callID(call) {
 				require.Nil(w.t, found, "two attempts at once")
 				found = p
 			}
@@ -56,7 +66,8 @@
 	return found
 }
 
-func TestAnyCustomer(t *testing.T) {
+// TestCustomerSettings checks classes, attempts, release wait and drain grace with the settings of several customers.
+func TestCustomerSettings(t *testing.T) {
 	for _, c := range []customer{
 		{1, 1, 300 * time.Millisecond, 100 * time.Millisecond, 4 * time.Second},
 		{2, 3, time.Second, 400 * time.Millisecond, 9 * time.Second},
@@ -70,38 +81,42 @@
 			}
 			script += "start\na open\nz open\n"
 			for i := range c.classes {
-				script += fmt.Sprintf("a send INVITE c%d Call-Kind=%s Answer-Within=%d\ns0 expect INVITE c%d Call-Kind=%s\ns0 send 200 INVITE c%d Body=x\na expect 200 INVITE c%d\n", i, c.class(i), c.deadline.Milliseconds(), i, c.class(i), i, i)
+				script += fmt.Sprintf("a send INVITE c%d Call-Kind=%s Answer-Within=%d\n"+
+					"s0 expect INVITE c%d Call-Kind=%s\ns0 send 200 INVITE c%d Body=x\na expect 200 INVITE c%d\n",
+					i, c.class(i), c.deadline.Milliseconds(), i, c.class(i), i, i)
 			}
-			script += fmt.Sprintf("a send INVITE late Call-Kind=%s Answer-Within=%d\na expect 400 INVITE late\n", c.class(0), c.deadline.Milliseconds()+1)
+			script += fmt.Sprintf("a send INVITE late Call-Kind=%s Answer-Within=%d\na expect 400 INVITE late\n",
+				c.class(0), c.deadline.Milliseconds()+1)
 			script += "a send INVITE other Call-Kind=voice\na expect 400 INVITE other\n"
-			script += fmt.Sprintf("a send INVITE x Call-Kind=%s Answer-Within=%d\n", c.class(c.classes-1), c.deadline.Milliseconds())
-			w := playWith(t, c.settings(), script)
+			script += fmt.Sprintf("a send INVITE x Call-Kind=%s Answer-Within=%d\n",
+				c.class(c.classes-1), c.deadline.Milliseconds())
+			w := runScenarioWith(t, c.settings(), script)
 
-			// Each attempt is reset: the next comes once the release wait is over, as often as the limit says and no more.
-			at := w.gets("x", 0)
+			// Each attempt is reset: the next one follows after the release wait, up to the limit of attempts.
+			at := w.nextAttempt("x", 0)
 			for n := 1; ; n++ {
 				require.NotNil(t, at, "attempt %d", n)
 				require.NoError(t, at.send("504 INVITE x"))
 				if n == c.attempts {
 					break
 				}
-				require.NoError(t, w.do("z expect silence"))
-				require.Nil(t, w.gets("x", c.release-20*time.Millisecond), "within the release wait")
-				at = w.gets("x", 60*time.Millisecond)
+				require.NoError(t, w.execute("z expect silence"))
+				require.Nil(t, w.nextAttempt("x", c.release-20*time.Millisecond), "within the release wait")
+				at = w.nextAttempt("x", 60*time.Millisecond)
 			}
-			require.NoError(t, w.do("a expect 500 INVITE x"))
-			require.Nil(t, w.gets("x", c.release+100*time.Millisecond))
+			require.NoError(t, w.execute("a expect 500 INVITE x"))
+			require.Nil(t, w.nextAttempt("x", c.release+100*time.Millisecond))
 
-			// A server that drains is sent nothing once its grace is over.
+			// A draining server gets no calls once its grace is over.
 			list := "list s0=draining"
 			for i := 1; i < c.attempts+2; i++ {
 				list += fmt.Sprintf(" s%d", i)
 			}
-			require.NoError(t, w.do(list))
-			require.NoError(t, w.do(`log "server s0 number 0 state 1"`))
+			require.NoError(t, w.execute(list))
+			require.NoError(t, w.execute(`log "server s0 number 0 state 1"`))
 			w.advance(c.grace)
-			require.NoError(t, w.do(fmt.Sprintf("a send INVITE y Call-Kind=%s Answer-Within=1000", c.class(0))))
-			at = w.gets("y", 0)
+			require.NoError(t, w.execute(fmt.Sprintf("a send INVITE y Call-Kind=%s Answer-Within=1000", c.class(0))))
+			at = w.nextAttempt("y", 0)
 			require.NotNil(t, at)
 			require.NotEqual(t, "s0", at.name)
 		})
--- a/internal/scenario/ledger_test.go
+++ b/internal/scenario/ledger_test.go
@@ -9,11 +9,11 @@
 	"threadglade.example/threadglade/ledger"
 )
 
-// TestLedgerDisk: a set-up leaves once its intent is written; where the disk is slow or full, it leaves after the patience, and later
-// ones at once. Refusing instead is a setting.
+// TestLedgerDisk checks that a set-up is sent once its intent is written. While the disk is slow or full, the
+// first one is sent after a timeout and later ones at once, or refused, depending on a setting.
 func TestLedgerDisk(t *testing.T) {
 	const begin = "s0 open number=0\ns1 open number=1\n"
-	playAll(t, map[string]string{
+	runScenarios(t, map[string]string{
 		"slow": begin + `start ledger
 			a open
 			a send INVITE c1
@@ -62,9 +62,10 @@
 	})
 }
 
-// TestLedgerTenants: a call is its session's identity's, or else its caller's network's.
+// TestLedgerTenants checks that a call counts for the tenant of its session's identity, or else of its caller's
+// network.
 func TestLedgerTenants(t *testing.T) {
-	w := play(t, `s0 open number=0
+	w := runScenario(t, `s0 open number=0
 		start callcontrol ledger
 		w1 open id=desk7
 		w1 send {"jsonrpc":"2.0","id":1,"method":"call.place","params":{"class":"voice","number":"4711","destination":0,"answerWithinMs":2000}}
@@ -74,12 +75,13 @@
 		s0 expect INVITE c2
 		a send CANCEL c2
 		a expect 487 INVITE c2`)
-	require.NoError(t, w.do("wait 300ms"))
+	require.NoError(t, w.execute("wait 300ms"))
 	v, err := ledgerio.Inspect(w.disk, "ledger")
 	require.NoError(t, err)
 	require.Len(t, v.State.Calls, 1)
 	for _, c := range v.State.Calls {
 		require.Equal(t, "lda", v.State.Name(c.Tenant))
 	}
-	require.Equal(t, ledger.Usage{ledger.Offered: 1, ledger.Abandoned: 1, ledger.Cancelled: 1}, *v.Pending[0].Totals[ledger.Key{Tenant: "kda", Class: "voice"}])
+	require.Equal(t, ledger.Usage{ledger.Offered: 1, ledger.Abandoned: 1, ledger.Cancelled: 1},
+		*v.Pending[0].Totals[ledger.Key{Tenant: "kda", Class: "voice"}])
 }
--- a/internal/scenario/mixed_test.go
+++ b/internal/scenario/mixed_test.go
@@ -11,22 +11,22 @@
 	"threadglade.example/threadglade/internal/standin"
 )
 
-// TestMixedCallers is the proof that both fronts are served on the same terms: pairs of equal calls, one by SIP and
-// one by WebSocket, against servers that answer, fail, reset and stay silent by the number called. Every call gets
-// exactly one final answer, no call has two attempts at once or more than six, and each class is served alike
-// on both fronts.
+// TestMixedCallers checks that both fronts get the same service. Pairs of equal calls, one over SIP and one over
+// WebSocket, go to servers that answer, fail, reset or stay silent depending on the called number. Every call gets
+// exactly one final answer, no call has two attempts at once or more than six, and about as many calls of each
+// class are established on both fronts.
 func TestMixedCallers(t *testing.T) {
 	const pairs = 240
-	w := play(t, two[:strings.Index(two, "start")]+"start callcontrol\na open\nw1 open id=desk1")
-	w.names.Close() // the list does not change here
-	type fate struct {
+	w := runScenario(t, twoServers[:strings.Index(twoServers, "start")]+"start callcontrol\na open\nw1 open id=desk1")
+	w.names.Close() // the server list does not change in this test
+	type outcome struct {
 		class   string
 		answers int
 		stood   bool
 	}
-	fates := map[string]*fate{} // by sip-N and web-N
-	attempts, out, number := map[string]int{}, map[string]string{}, map[string]int{}
-	webCall := map[string]string{}
+	outcomes := map[string]*outcome{} // by call: sip-N and web-N
+	attempts, inFlight, number := map[string]int{}, map[string]string{}, map[string]int{}
+	webCalls := map[string]string{}
 
 	server := func(name string) {
 		p := w.peers[name]
@@ -39,12 +39,12 @@
 			id, words := m.Header["Call-ID"], strings.Fields(m.Start)
 			switch words[0] {
 			case "SIP/2.0":
-				return // the barrier: all that the router has sent is here
+				return // the answer to the barrier: all earlier messages are processed
 			case "INVITE":
-				require.Empty(t, out[id], "two attempts of %s at once", id)
+				require.Empty(t, inFlight[id], "two attempts of %s at once", id)
 				attempts[id]++
 				require.LessOrEqual(t, attempts[id], 6, "attempts of %s", id)
-				out[id] = name
+				inFlight[id] = name
 				var n int
 				fmt.Sscanf(m.Body, "pair %d", &n)
 				number[id] = n
@@ -58,20 +58,20 @@
 					continue // silent
 				}
 				require.NoError(t, p.send(answer))
-				delete(out, id)
+				delete(inFlight, id)
 			case "CANCEL":
-				require.Equal(t, name, out[id], "cancel of %s", id)
-				delete(out, id)
+				require.Equal(t, name, inFlight[id], "cancel of %s", id)
+				delete(inFlight, id)
 			case "BYE":
 				t.Fatalf("%s: release of %s", name, id)
 			}
 		}
 	}
-	answer := func(key string, stood bool) {
-		f := fates[key]
+	answer := func(key string, established bool) {
+		f := outcomes[key]
 		require.NotNil(t, f, key)
 		f.answers++
-		f.stood = stood
+		f.stood = established
 		require.Equal(t, 1, f.answers, "final answers to %s", key)
 	}
 	sipAnswers := func() {
@@ -113,7 +113,7 @@
 			}
 			require.NoError(t, json.Unmarshal([]byte(m.text), &v))
 			if v.Method == "call.placed" {
-				webCall[v.Params.Call] = fmt.Sprintf("web-%d", v.Params.Request)
+				webCalls[v.Params.Call] = fmt.Sprintf("web-%d", v.Params.Request)
 			} else if v.ID != nil {
 				answer(fmt.Sprintf("web-%d", *v.ID), v.Result != nil)
 			}
@@ -128,20 +128,22 @@
 	}
 	for n := range pairs {
 		class := []string{"voice", "data"}[n%2]
-		fates[fmt.Sprintf("sip-%d", n)] = &fate{class: class}
-		fates[fmt.Sprintf("web-%d", n)] = &fate{class: class}
+		outcomes[fmt.Sprintf("sip-%d", n)] = &outcome{class: class}
+		outcomes[fmt.Sprintf("web-%d", n)] = &outcome{class: class}
 		bySIP := func() {
 			require.NoError(t, w.peers["a"].write([]byte(fmt.Sprintf("INVITE sip:%d@net SIP/2.0\r\nCall-ID: %s\r\n"+
-				"CSeq: 1 INVITE\r\nCall-Kind: %s\r\nAnswer-Within: 3000\r\nRouting-Data: dest:%d\r\nContent-Length: %d\r\n\r\npair %d",
+				"CSeq: 1 INVITE\r\nCall-Kind: %s\r\nAnswer-Within: 3000\r\nRouting-Data: dest:%d\r\n"+
+				"Content-Length: %d\r\n\r\npair %d",
 				n, callID(fmt.Sprintf("sip-%d", n)), class, n/2%2, len(fmt.Sprintf("pair %d", n)), n))))
 			sipAnswers()
 		}
 		byWeb := func() {
-			require.NoError(t, w.do(fmt.Sprintf(`w1 send {"jsonrpc":"2.0","id":%d,"method":"call.place","params":{"class":%q,`+
-				`"number":"%d","destination":%d,"answerWithinMs":3000,"description":"pair %d"}}`, n, class, n, n/2%2, n)))
+			require.NoError(t, w.execute(fmt.Sprintf(`w1 send {"jsonrpc":"2.0","id":%d,"method":"call.place",`+
+				`"params":{"class":%q,"number":"%d","destination":%d,"answerWithinMs":3000,"description":"pair %d"}}`,
+				n, class, n, n/2%2, n)))
 			webAnswers()
 		}
-		if n%4 < 2 { // neither front always comes first
+		if n%4 < 2 { // alternate which front is first
 			bySIP()
 			byWeb()
 		} else {
@@ -157,16 +159,16 @@
 		settle()
 		w.advance(5 * 1e6)
 	}
-	stood := map[string]int{}
-	for key, f := range fates {
+	established := map[string]int{}
+	for key, f := range outcomes {
 		require.Equal(t, 1, f.answers, "final answers to %s", key)
 		if f.stood {
-			stood[key[:3]+" "+f.class]++
+			established[key[:3]+" "+f.class]++
 		}
 	}
-	t.Log(stood)
+	t.Log(established)
 	for _, class := range []string{"voice", "data"} {
-		require.InDelta(t, stood["sip "+class], stood["web "+class], pairs/2*0.12, "%s: %v", class, stood)
-		require.Greater(t, stood["sip "+class], pairs/8, "%s: %v", class, stood)
+		require.InDelta(t, established["sip "+class], established["web "+class], pairs/2*0.12, "%s: %v", class, established)
+		require.Greater(t, established["sip "+class], pairs/8, "%s: %v", class, established)
 	}
 }
--- a/internal/scenario/operations_test.go
+++ b/internal/scenario/operations_test.go
@@ -6,25 +6,25 @@
 	"testing"
 )
 
-// served is a router with a door, a server and a caller.
-const served = `
+// managed starts a router with a management server, one case server and one caller.
+const managed = `
 s0 open number=0
 start door
 a open
 `
 
-// crowd opens connections name1, name2, ... and has each do the same.
-func crowd(name string, n int, what string) (script string) {
+// openMany returns the steps that open n connections name1, name2, ... and run the same action on each.
+func openMany(name string, n int, action string) (script string) {
 	for i := range n {
-		script += fmt.Sprintf("%s%d open\n%s%d %s\n", name, i+1, name, i+1, what)
+		script += fmt.Sprintf("%s%d open\n%s%d %s\n", name, i+1, name, i+1, action)
 	}
 	return script
 }
 
-// What operators ask of a running router.
+// TestOperations covers the requests that operators send to a running router.
 func TestOperations(t *testing.T) {
-	playAll(t, map[string]string{
-		"the door answers each call and ends its connection": served + `
+	runScenarios(t, map[string]string{
+		"the door answers each call and ends its connection": managed + `
 o1 ask GET /-/ready
 o1 expect 200 serving
 o1 ask HEAD /-/ready
@@ -38,7 +38,7 @@
 o1 ask GET http://door/-/ready?verbose=1
 o1 expect 200`,
 
-		"a call may come in pieces and with a body, and what follows it is no second call": served + `
+		"a call may come in pieces and with a body, and what follows it is no second call": managed + `
 o1 open
 o1 raw "PUT /-/dr"
 wait 100ms
@@ -59,7 +59,7 @@
 o2 ask GET /-/ready
 o2 expect 200`,
 
-		"what cannot be read is refused": served + `
+		"what cannot be read is refused": managed + `
 o1 open
 o1 raw "\x16\x03\x01\x02\x00"
 o1 expect 400
@@ -88,19 +88,19 @@
 o1 raw "GET /-/ready HTTP/2.0\r\n\r\n"
 o1 expect 505
 o1 open
-o1 raw "GET /-/ready HTTP/1.1\r\nX: ` + large + `"
+o1 raw "GET /-/ready HTTP/1.1\r\nX: ` + largeBody + `"
 o1 expect 431
 o1 ask GET /-/ready
 o1 expect 200`,
 
-		"callers without a whole call keep nobody out and are ended": served + crowd("o", 60, `raw "GET /-/rea"`) + `
+		"callers without a whole call keep nobody out and are ended": managed + openMany("o", 60, `raw "GET /-/rea"`) + `
 o99 ask GET /-/ready
 o99 expect 200
 wait 4200ms
 o60 expect closed`,
 
-		// Idle connections go one after the other once callers have somewhere else to go; calls that stand go on.
-		"a drain lets idle connections go": served + `
+		// A drain closes idle connections one by one, once callers can connect elsewhere. Established calls continue.
+		"a drain lets idle connections go": managed + `
 b open
 a send INVITE c1
 s0 expect INVITE c1
@@ -165,8 +165,8 @@
 a expect closed
 b expect closed`,
 
-		// Its calls' releases have no other way; then it goes, too.
-		"the last connection of callers is kept for the releases of calls that stand": served + `
+		// The releases of established calls have no other connection left. After the last one it is closed, too.
+		"the last connection of callers is kept for the releases of calls that stand": managed + `
 b open
 b send INVITE c1
 s0 expect INVITE c1
@@ -187,7 +187,7 @@
 wait 200ms
 a expect closed`,
 
-		"a drain ended half way closes nothing more": served + `
+		"a drain ended half way closes nothing more": managed + `
 a send INVITE c1
 s0 expect INVITE c1
 o1 ask PUT /-/drain
@@ -206,13 +206,17 @@
 	})
 }
 
-const once = `{"name":"once","aimMs":1000,"deadlineMs":4000,"gain":1,"lateWorth":0.5,"repeat":"single_shot"}`
+// onceClass is a class whose calls are never retried.
+const onceClass = `{"name":"once","aimMs":1000,"deadlineMs":4000,"gain":1,"lateWorth":0.5,"repeat":"single_shot"}`
 
-// Settings that change in a running router, seen from the sockets.
+// TestSettingsChange covers settings that change in a running router, as seen by its peers.
 func TestSettingsChange(t *testing.T) {
-	add := fmt.Sprintf("config good %q %q %q %q %q %q\n", `"classes":[`, `"classes":[`+once+`,`, `[[0,1],[0,1]]`, `[[0,1],[0,1],[0,1]]`, `[2000,2000]`, `[2000,2000,2000]`)
-	playAll(t, map[string]string{
-		"a class is added, is used by its own rules, and goes": two + `
+	add := fmt.Sprintf("config good %q %q %q %q %q %q\n",
+		`"classes":[`, `"classes":[`+onceClass+`,`,
+		`[[0,1],[0,1]]`, `[[0,1],[0,1],[0,1]]`,
+		`[2000,2000]`, `[2000,2000,2000]`)
+	runScenarios(t, map[string]string{
+		"a class is added, is used by its own rules, and goes": twoServers + `
 a send INVITE c1 Call-Kind=once
 a expect 400 INVITE c1
 a send INVITE c2
@@ -231,7 +235,7 @@
 a expect 200 INVITE c2
 a send INVITE c5 Call-Kind=once Routing-Data=dest:1
 s1 expect INVITE c5
-config good ` + fmt.Sprintf("%q %q", once, once[:9]+`other`+once[13:]) + `
+config good ` + fmt.Sprintf("%q %q", onceClass, onceClass[:9]+`other`+onceClass[13:]) + `
 a send INVITE c6 Call-Kind=once
 a expect 400 INVITE c6
 s1 send 200 INVITE c5
@@ -253,7 +257,7 @@
 s0 send 504 INVITE #$c
 w1 expect "id":2 "code":-32002`,
 
-		"a drain goes on over other settings": served + `
+		"a drain goes on over other settings": managed + `
 o1 ask PUT /-/drain
 o1 expect 200
 wait 500ms
@@ -268,7 +272,7 @@
 s0 send 504 INVITE c1
 a expect 500 INVITE c1`,
 
-		"fewer attempts hold for what comes from then on": two + `
+		"fewer attempts hold for what comes from then on": twoServers + `
 a send INVITE c1
 s0 expect INVITE c1
 config good "\"maxAttempts\":6" "\"maxAttempts\":1" "\"maxRetryAfterMs\":2000" "\"maxRetryAfterMs\":30"
@@ -287,7 +291,7 @@
 s1 send 503 INVITE c3 Fail-Word=swamped
 a expect 503 INVITE c3 Come-Back-Ms=30`,
 
-		"a class goes while a call of it is held": two + `
+		"a class goes while a call of it is held": twoServers + `
 s0 send NOTIFY s Link-State=idle:0;circuits:9
 s1 send NOTIFY s Link-State=idle:0;circuits:9
 wait 100ms
@@ -296,7 +300,8 @@
 a send INVITE c1 Call-Kind=data
 wait 50ms
 config good ` + fmt.Sprintf("%q %q %q %q %q %q", `,
- {"name":"data","aimMs":1000,"deadlineMs":5000,"gain":1,"lateWorth":0.5,"repeat":"free"}`, "", `[[0,1],[0,1]]`, `[[0,1]]`, `[2000,2000]`, `[2000]`) + `
+ {"name":"data","aimMs":1000,"deadlineMs":5000,"gain":1,"lateWorth":0.5,"repeat":"free"}`,
+			"", `[[0,1],[0,1]]`, `[[0,1]]`, `[2000,2000]`, `[2000]`) + `
 list s0 s1
 log "list: server s1 number 1 state 0"
 s0 expect INVITE c1 Call-Kind=data
@@ -305,7 +310,7 @@
 a send INVITE c2 Call-Kind=data
 a expect 400 INVITE c2`,
 
-		"what is bad changes nothing": two + `
+		"what is bad changes nothing": twoServers + `
 config bad "\"maxAttempts\":6" "\"maxAttempts\":0"
 config bad "\"maxAttempts\":6," ""
 config bad "\"maxAttempts\":6" "\"maxAttempts\":\"6\""
@@ -332,15 +337,16 @@
 	})
 }
 
-// tells has a server tell its state so many times, half a second apart.
-func tells(times int) string {
+// stateReports returns the steps in which a server reports its state the given number of times, every 500 ms.
+func stateReports(times int) string {
 	return strings.Repeat("s0 send NOTIFY s Link-State=idle:9;circuits:9\nwait 500ms\n", times)
 }
 
-// Connections that go silent under set-ups while their server lives.
+// TestSilentConnection covers connections that become silent with set-ups pending while their server is alive.
 func TestSilentConnection(t *testing.T) {
-	playAll(t, map[string]string{
-		"one that misses a report is replaced, and cut once the server speaks on the new one": two + tells(10) + `
+	runScenarios(t, map[string]string{
+		"one that misses a report is replaced, and cut once the server speaks on the new one": twoServers +
+			stateReports(10) + `
 a open
 a send INVITE c1
 s0 expect INVITE c1
@@ -354,16 +360,16 @@
 a send INVITE c2
 s0 expect INVITE c2`,
 
-		"one whose reports come is kept, however slow the answer": open + tells(10) + `
+		"one whose reports come is kept, however slow the answer": oneServer + stateReports(10) + `
 a open
 a send INVITE c1 Answer-Within=4000
 s0 expect INVITE c1
-` + tells(5) + `
+` + stateReports(5) + `
 s0 send 200 INVITE c1
 a expect 200 INVITE c1
 quiet "silent connection"`,
 
-		"a new connection on which nothing comes either cuts nothing": open + tells(10) + `
+		"a new connection on which nothing comes either cuts nothing": oneServer + stateReports(10) + `
 a open
 a send INVITE c1 Answer-Within=4000
 s0 expect INVITE c1
@@ -374,11 +380,12 @@
 	})
 }
 
-// A caller whose set-up comes slowly is told from one that says nothing, or stops half way.
+// TestSlowCallers checks that the router distinguishes callers whose set-up arrives slowly from those that send
+// nothing or stop midway.
 func TestSlowCallers(t *testing.T) {
 	head := `INVITE sip:1@net SIP/2.0\r\nCall-ID: 0123456789abcdef\r\nCSeq: 1 INVITE\r\nCall-Kind: voice\r\n`
 	tail := `Answer-Within: 3000\r\nRouting-Data: dest:0;width:1;via:-1\r\nContent-Length: 0\r\n`
-	playAll(t, map[string]string{
+	runScenarios(t, map[string]string{
 		"one that comes over more than 2 s is served": `
 s0 open number=0
 start
@@ -397,7 +404,7 @@
 s0 send 200 INVITE #0123456789abcdef
 a expect 200 INVITE #0123456789abcdef`,
 
-		"one that stops has 2 s, one that never ends 2.75 s": open + `
+		"one that stops has 2 s, one that never ends 2.75 s": oneServer + `
 b open
 c open
 a raw "` + head + `"
@@ -415,15 +422,15 @@
 b expect closed
 c expect closed`,
 
-		// Thousands of idle and half-written connections arrive; whoever comes with a set-up finds room.
+		// Many connections that are idle or have sent part of a message do not keep out a caller with a set-up.
 		"a crowd without set-ups keeps no caller out": `
 s0 open number=0
 start sockets=80
-` + crowd("x", 120, `raw "INVITE sip:1@n"`) + `
+` + openMany("x", 120, `raw "INVITE sip:1@n"`) + `
 a open
 a send INVITE c1
 s0 expect INVITE c1
-` + crowd("y", 60, `raw "\r\n"`) + `
+` + openMany("y", 60, `raw "\r\n"`) + `
 s0 send 200 INVITE c1
 a expect 200 INVITE c1`,
 	})
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -1,29 +1,37 @@
-// Package scenario holds the tests of the whole call router, written in a small language: a scenario is a list of
-// lines "who does what", played against a real node on loopback whose clock only moves by the script. This file
-// owns the language and the stand-ins for callers, case servers and the name service. It must never sleep for
-// luck: every expect waits for an event, and time in the router passes only in wait.
+// Package scenario tests the whole call router with scripts in a small language. A scenario is a list of lines
+// that each name a party and its action. It runs against a real node on loopback, whose clock advances only by the
+// script. This file implements the language and the test doubles for callers, case servers and the name service.
+// Nothing may depend on the length of a sleep: every expect waits for an event, and the router's time passes only
+// in wait and log.
 //
-//	start [flags]            start the router with the servers opened so far
-//	NAME open [number=N at=sM] sN: a case server listens; others: a caller connects; wN: a WebSocket (id=, origin=, mute)
-//	oN: the operators' door; "oN ask METHOD PATH" opens and asks, "oN expect STATUS [text]" wants that and the end
+//	start [FLAGS]            start the router with the servers opened so far
+//	NAME open [number=N at=sM]  sN: a case server listens, with at= on the address of sM; wN: a WebSocket client
+//	                         connects (id=, origin=, or mute: no handshake); oN: an operator's HTTP client connects to
+//	                         the management server; others: a caller connects
+//	oN ask METHOD PATH       connect to the management server and send a request
+//	oN expect STATUS [TEXT]  the response has this status and contains the text, and the connection ends after it
 //	NAME send MESSAGE        SIP: METHOD or STATUS METHOD, call or #id, Header=Value..., Body=text; wN: JSON
-//	NAME raw "text"          these bytes (Go syntax)
-//	NAME expect MESSAGE      the next message is this one; values match as parts; "silence", "closed"
-//	NAME none                nothing has come, by now; for when the router answers nobody
-//	NAME close               end the connection; sN: and the listener; "sN hang": the machine vanishes
-//	list [serial=N] sN[=draining|@ms]...  the name service now has this list
-//	disk slow|back|full      the ledger's disk stops, takes nothing, or is as before
-//	config good|bad "old" "new"...  the configuration is read anew with these parts replaced, and taken or not
-//	wait DURATION            the router's clock moves on
-//	halt, go                 the router's loop stands still in the middle of a turn, and goes on; meanwhile wait moves the clock alone
-//	term                     the router is told to end
-//	NAME answered METHOD call  among what has come by now or comes soon is a 200 for this
-//	NAME reset               a caller's connection ends by a reset
+//	NAME raw "TEXT"          send these bytes (Go syntax)
+//	NAME expect MESSAGE      the next message is this one; values match as parts; "silence": no message precedes the
+//	                         answer to a request sent now; "closed": the connection ends
+//	NAME none                no message has been received by now; for a router that would not answer a request either
+//	NAME answered METHOD call  a 200 to this request is among the messages received by now or soon
+//	NAME close               close the connection; sN: and the listener
+//	NAME reset               end a caller's connection by a TCP reset
+//	sN hang                  the machine vanishes: connections stay open, new ones do not come up
 //	sN older MESSAGE         send on the connection before the latest
-//	sN drop                  the case server ends its connection, and listens on
-//	sN deaf, sN hear         the case server does not read what comes on its connections, and reads on
-//	log "text"               the clock moves on until the router has logged this
-//	quiet "text"             it has not logged this since
+//	sN drop                  the case server closes its connection and keeps listening
+//	sN deaf, sN hear         the case server stops reading from its connections, and resumes
+//	list [serial=N] sN[=draining|@ms]...  the name service now has this list
+//	disk slow|back|full      writes to the ledger's disk block, work as before, or fail
+//	config good|bad "OLD" "NEW"...  reload the configuration with these parts replaced; it is accepted (good) or
+//	                         rejected (bad)
+//	wait DURATION            advance the router's clock
+//	halt, go                 block the router's event loop within an iteration, and resume it; in between, wait advances
+//	                         the clock alone
+//	term                     shut the router down
+//	log "TEXT"               advance the clock until the router has logged this
+//	quiet "TEXT"             the router has not logged this since the last log
 package scenario
 
 import (
@@ -57,9 +65,11 @@
 	"threadglade.example/threadglade/ledger"
 )
 
-const patience = 5 * time.Second // for an event that never comes
+// eventTimeout limits the real time that a script waits for one event.
+const eventTimeout = 5 * time.Second
 
-const settings = `{"me":0,"replicasOfMe":1,"discovery":"pushed","classes":[
+// defaultSettings are the router's settings in scenarios that do not bring their own.
+const defaultSettings = `{"me":0,"replicasOfMe":1,"discovery":"pushed","classes":[
  {"name":"voice","aimMs":1000,"deadlineMs":5000,"gain":1,"lateWorth":0.5,"repeat":"free"},
  {"name":"data","aimMs":1000,"deadlineMs":5000,"gain":1,"lateWorth":0.5,"repeat":"free"}],
  "domain":{"allowedPools":[[0,1],[0,1]],"clearWaitMs":200,"holdingMs":[2000,2000],"networkForm":"skills"},
@@ -67,67 +77,76 @@
  "report":{"fields":["idle","circuits"]},
  "rules":{"coldFrom":0.37,"warmWithinMs":9000,"fallMultiple":3,"overloadForMs":2000,"drainGraceMs":1000}}`
 
-// world is one play of a scenario.
-type world struct {
+// scenarioRun is one run of a scenario.
+type scenarioRun struct {
 	t     *testing.T
 	node  *node.Node
 	ended chan error
 	clock atomic.Int64
-	// accepted counts connections that server stand-ins have taken; missed are queries and answers that were lost as a name
-	// service ended.
-	accepted atomic.Uint64
-	missed   [2]uint64
-	mu       sync.Mutex
-	lines    strings.Builder
-	seen     int // of lines, by log
-	peers    map[string]*peer
-	vars     map[string]string
-	names    *standin.Names
-	listing  []string
-	second   netip.AddrPort
-	config   string // as the router was started with
-	disk     *durabletest.FS
-	full     atomic.Bool
-	back     func()
-	check    callcontrol.VerifyFunc
-	settings string    // of the router; empty: those above
-	halted   chan bool // closed to have the loop go on; nil: it does
-}
-
-func play(t *testing.T, script string) *world {
+	// accepted counts the connections that case servers have accepted. lost counts the queries and the answers
+	// that were lost because a name service ended.
+	accepted        atomic.Uint64
+	lost            [2]uint64
+	mu              sync.Mutex // guards logged, and peers while they are added
+	logged          strings.Builder
+	logOffset       int // into logged, after the last match of log
+	peers           map[string]*peer
+	vars            map[string]string // call ids by the names that scripts use as $NAME
+	names           *standin.Names
+	serverList      []string
+	callControlAddr netip.AddrPort
+	config          string // as the router last accepted it
+	disk            *durabletest.FS
+	diskFull        atomic.Bool
+	resumeDisk      func() // unblocks the disk; nil: it is not slow
+	verifyToken     callcontrol.VerifyFunc
+	settings        string    // of the router; empty: defaultSettings
+	halted          chan bool // closed to resume the event loop; nil: it is running
+}
+
+// runScenario runs a scenario with the default settings and returns it for further steps.
+func runScenario(t *testing.T, script string) *scenarioRun {
 	t.Helper()
-	return playWith(t, "", script)
+	return runScenarioWith(t, "", script)
 }
 
-// playWith plays a scenario with other settings than those above.
-func playWith(t *testing.T, set, script string) *world {
+// runScenarioWith runs a scenario with the given settings, or with the default ones if they are empty.
+func runScenarioWith(t *testing.T, settings, script string) *scenarioRun {
 	t.Helper()
-	w := &world{t: t, settings: set, peers: map[string]*peer{}, vars: map[string]string{}, ended: make(chan error, 1)}
+	w := &scenarioRun{
+		t:        t,
+		settings: settings,
+		peers:    map[string]*peer{},
+		vars:     map[string]string{},
+		ended:    make(chan error, 1),
+	}
 	w.clock.Store(int64(1_700_000_000) * int64(time.Second))
-	w.check = w.verify
-	w.names = nameService(t)
-	t.Cleanup(w.end)
+	w.verifyToken = w.verify
+	w.names = startNameService(t)
+	t.Cleanup(w.cleanUp)
 	for number, line := range strings.Split(script, "\n") {
 		if line = strings.TrimSpace(line); line != "" && line[0] != '#' {
-			require.NoError(t, w.do(line), "line %d: %s\n%s", number, line, w.log())
+			require.NoError(t, w.execute(line), "line %d: %s\n%s", number, line, w.log())
 		}
 	}
 	return w
 }
 
-func playAll(t *testing.T, scripts map[string]string) {
+// runScenarios runs each script as a parallel subtest.
+func runScenarios(t *testing.T, scripts map[string]string) {
 	for name, script := range scripts {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			play(t, script)
+			runScenario(t, script)
 		})
 	}
 }
 
-func (w *world) end() {
-	w.goOn()
-	if w.back != nil {
-		w.back()
+// cleanUp stops the router and its peers, and checks that no controller has failed.
+func (w *scenarioRun) cleanUp() {
+	w.resumeLoop()
+	if w.resumeDisk != nil {
+		w.resumeDisk()
 	}
 	w.names.Close()
 	for _, p := range w.peers {
@@ -140,31 +159,34 @@
 	}
 }
 
-func (w *world) log() string {
+// log returns all that the router has logged.
+func (w *scenarioRun) log() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lines.String()
+	return w.logged.String()
 }
 
-func (w *world) Write(b []byte) (int, error) {
+// Write receives the router's log.
+func (w *scenarioRun) Write(b []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lines.Write(b)
+	return w.logged.Write(b)
 }
 
-func (w *world) do(line string) error {
+// execute executes one line of a script.
+func (w *scenarioRun) execute(line string) error {
 	who, rest, _ := strings.Cut(line, " ")
 	switch who {
 	case "start":
 		return w.start(rest)
 	case "halt":
 		w.halted = make(chan bool)
-		stands, halted := make(chan bool), w.halted
-		w.node.Loop.Post(func() { close(stands); <-halted })
-		<-stands
+		reached, halted := make(chan bool), w.halted
+		w.node.Loop.Post(func() { close(reached); <-halted })
+		<-reached
 		return nil
 	case "go":
-		w.goOn()
+		w.resumeLoop()
 		return nil
 	case "term":
 		w.node.Loop.Post(w.node.Shutdown)
@@ -174,36 +196,36 @@
 		w.advance(d)
 		return err
 	case "list":
-		w.listing = strings.Fields(rest)
+		w.serverList = strings.Fields(rest)
 		serial := uint32(0)
 		if n, _ := fmt.Sscanf(rest, "serial=%d", &serial); n == 1 {
-			w.listing = w.listing[1:]
+			w.serverList = w.serverList[1:]
 		}
 		w.names.Set(serial, w.entries())
 		return nil
 	case "config":
 		return w.reconfigure(rest)
 	case "disk":
-		if w.back != nil {
-			w.back()
+		if w.resumeDisk != nil {
+			w.resumeDisk()
 		}
-		w.back = nil
-		w.full.Store(rest == "full")
+		w.resumeDisk = nil
+		w.diskFull.Store(rest == "full")
 		if rest == "slow" {
-			w.back = w.disk.Stall()
+			w.resumeDisk = w.disk.Stall()
 		}
 		return nil
 	case "quiet":
 		text, err := strconv.Unquote(rest)
-		if err == nil && strings.Contains(w.log()[w.seen:], text) {
-			err = errors.New("logged again")
+		if err == nil && strings.Contains(w.log()[w.logOffset:], text) {
+			err = errors.New("logged since")
 		}
 		return err
 	case "log":
 		want, err := strconv.Unquote(rest)
-		for stop := time.Now().Add(patience); err == nil; w.advance(5 * time.Millisecond) {
-			if at := strings.Index(w.log()[w.seen:], want); at >= 0 {
-				w.seen += at + len(want)
+		for stop := time.Now().Add(eventTimeout); err == nil; w.advance(5 * time.Millisecond) {
+			if at := strings.Index(w.log()[w.logOffset:], want); at >= 0 {
+				w.logOffset += at + len(want)
 				return nil
 			}
 			if time.Now().After(stop) {
@@ -215,7 +237,7 @@
 	verb, rest, _ := strings.Cut(rest, " ")
 	p := w.peers[who]
 	if p == nil {
-		p = &peer{w: w, name: who, in: make(chan any, 1000)}
+		p = &peer{w: w, name: who, received: make(chan any, 1000)}
 		w.mu.Lock()
 		w.peers[who] = p
 		w.mu.Unlock()
@@ -244,43 +266,44 @@
 	case "expect":
 		return p.expect(rest)
 	case "close":
-		return p.leave(false)
+		return p.disconnect(false)
 	case "answered":
 		for {
 			got, err := p.next()
 			if err != nil {
 				return err
 			}
-			m, is := got.(standin.Message)
-			if !is {
+			m, ok := got.(standin.Message)
+			if !ok {
 				return fmt.Errorf("connection ended: %v", got)
 			}
-			if method, call, _ := strings.Cut(rest, " "); m.Status() == 200 && m.Method() == method && m.Call() == callID(call) {
+			method, call, _ := strings.Cut(rest, " ")
+			if m.Status() == 200 && m.Method() == method && m.Call() == callID(call) {
 				return nil
 			}
 		}
 	case "reset":
-		return p.leave(true)
+		return p.disconnect(true)
 	case "drop":
 		return p.drop()
 	case "older":
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.older == nil {
-			return errors.New("there was no connection before")
+		if p.previousConn == nil {
+			return errors.New("there is no earlier connection")
 		}
-		_, err := p.older.Write(text(rest))
+		_, err := p.previousConn.Write(encodeMessage(rest))
 		return err
 	case "deaf":
-		p.deaf.Lock()
+		p.readMutex.Lock()
 		return nil
 	case "hear":
-		p.deaf.Unlock()
+		p.readMutex.Unlock()
 		return nil
 	case "none":
 		time.Sleep(20 * time.Millisecond)
-		if len(p.in) > 0 {
-			return fmt.Errorf("got %v", <-p.in)
+		if len(p.received) > 0 {
+			return fmt.Errorf("got %v", <-p.received)
 		}
 		return nil
 	case "hang":
@@ -289,15 +312,16 @@
 	return fmt.Errorf("no verb %q", verb)
 }
 
-func (w *world) goOn() {
+// resumeLoop resumes the event loop if it is halted.
+func (w *scenarioRun) resumeLoop() {
 	if w.halted != nil {
 		close(w.halted)
 		w.halted = nil
 	}
 }
 
-// reconfigure has the router take another configuration, as SIGHUP does.
-func (w *world) reconfigure(args string) error {
+// reconfigure applies a changed configuration to the router, as SIGHUP does.
+func (w *scenarioRun) reconfigure(args string) error {
 	verdict, rest, _ := strings.Cut(args, " ")
 	text := w.config
 	for rest != "" {
@@ -326,7 +350,7 @@
 	}
 	if verdict == "bad" {
 		if err == nil {
-			return errors.New("a bad configuration was taken")
+			return errors.New("a bad configuration was accepted")
 		}
 		return nil
 	}
@@ -334,9 +358,10 @@
 	return err
 }
 
-// advance moves the router's clock in small steps and has the loop see each. The clock never outruns the stand-ins: a query
-// that the router has sent is answered, and a connection that it has opened is accepted, before the next step.
-func (w *world) advance(d time.Duration) {
+// advance advances the router's clock in steps of 5 ms, with a loop iteration after each. The clock never outruns
+// the test doubles: before the next step, each query that the router has sent is answered and each connection that
+// it has opened is accepted.
+func (w *scenarioRun) advance(d time.Duration) {
 	if w.halted != nil {
 		w.clock.Add(int64(d))
 		return
@@ -344,15 +369,19 @@
 	for ; d > 0; d -= 5 * time.Millisecond {
 		w.clock.Add(int64(min(d, 5*time.Millisecond)))
 		for stop := time.Now().Add(time.Second); ; time.Sleep(50 * time.Microsecond) {
-			done, met := make(chan bool), false
+			done, caughtUp := make(chan bool), false
 			w.node.Loop.Post(func() {
 				trunk, names := w.node.UpstreamCounters()
-				asked, told, open := w.names.Counts()
-				met = w.accepted.Load() >= trunk.Opened && (!open || asked+w.missed[0] >= names.Queries &&
-					names.Answers+names.Malformed+w.missed[1] >= told)
-				if !met && time.Now().After(stop) { // one of them has ended meanwhile: what it missed never comes
+				queried, answered, open := w.names.Counts()
+				caughtUp = w.accepted.Load() >= trunk.Opened && (!open || queried+w.lost[0] >= names.Queries &&
+					names.Answers+names.Malformed+w.lost[1] >= answered)
+				// A case server or name service that has ended never catches up: its missing events count as lost.
+				if !caughtUp && time.Now().After(stop) {
 					w.accepted.Store(max(w.accepted.Load(), trunk.Opened))
-					w.missed = [2]uint64{names.Queries - min(asked, names.Queries), told - min(names.Answers+names.Malformed, told)}
+					w.lost = [2]uint64{
+						names.Queries - min(queried, names.Queries),
+						answered - min(names.Answers+names.Malformed, answered),
+					}
 				}
 				close(done)
 			})
@@ -362,65 +391,75 @@
 				w.ended <- nil
 				return
 			}
-			if met {
+			if caughtUp {
 				break
 			}
 		}
 	}
 }
 
-func (w *world) start(flags string) error {
+// start starts the router with the servers opened so far. Flags are sockets=N, door (a management server), ledger,
+// refuse (the ledger refuses calls while its disk does not keep up) and callcontrol.
+func (w *scenarioRun) start(flags string) error {
 	var members []map[string]any
 	for name, p := range w.peers {
 		if p.listener != nil {
 			members = append(members, map[string]any{"id": name, "host_port": p.listener.Addr().String(), "cell": p.number,
 				"phase": "in_service", "up_since_ms": 0})
-			w.listing = append(w.listing, name)
+			w.serverList = append(w.serverList, name)
 		}
 	}
-	known, _ := json.Marshal(map[string]any{"cursor": w.names.Serial(), "cmds": []any{map[string]any{"cursor": w.names.Serial(),
-		"nodes": map[string]any{"complete": true, "members": members}}}})
+	known, _ := json.Marshal(map[string]any{"cursor": w.names.Serial(), "cmds": []any{
+		map[string]any{"cursor": w.names.Serial(), "nodes": map[string]any{"complete": true, "members": members}},
+	}})
 	sockets := 300
 	if strings.Contains(flags, "sockets=") {
 		fmt.Sscanf(flags[strings.Index(flags, "sockets="):], "sockets=%d", &sockets)
 	}
-	door := ""
+	management := ""
 	if strings.Contains(flags, "door") {
-		door = `"mgmt":"127.0.0.1:0",`
+		management = `"mgmt":"127.0.0.1:0",`
 	}
-	set := settings
+	settings := defaultSettings
 	if w.settings != "" {
-		set = w.settings
+		settings = w.settings
 	}
-	config := fmt.Sprintf(`{"name":"n0",`+door+`"listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"memory_mb":192,"sockets":%d},
-		"resolver":%q,"known":%s,"settings":%s}`, sockets, w.names.Addr(), known, set)
+	config := fmt.Sprintf(`{"name":"n0",`+management+`"listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",`+
+		`"limits":{"memory_mb":192,"sockets":%d},
+		"resolver":%q,"known":%s,"settings":%s}`, sockets, w.names.Addr(), known, settings)
 	c, err := node.ReadConfig([]byte(config), "", "")
 	if err != nil {
 		return err
 	}
 	clock := func() time.Duration { return time.Duration(w.clock.Load()) }
 	if strings.Contains(flags, "ledger") {
-		o := ledgerio.Defaults()
-		o.Dir, o.Settings.Router, o.RefuseUnbillable = "ledger", "n0", strings.Contains(flags, "refuse")
-		if o.Tenants, err = ledger.NewDirectory(nil, []ledger.Rule{{Tenant: "lda", Identities: []string{"spiffe://b.example/*"}},
-			{Tenant: "kda", Networks: []string{"127.0.0.0/8"}}}); err != nil {
+		options := ledgerio.Defaults()
+		options.Dir, options.Settings.Router, options.RefuseUnbillable = "ledger", "n0", strings.Contains(flags, "refuse")
+		if options.Tenants, err = ledger.NewDirectory(nil, []ledger.Rule{
+			{Tenant: "lda", Identities: []string{"spiffe://b.example/*"}},
+			{Tenant: "kda", Networks: []string{"127.0.0.0/8"}},
+		}); err != nil {
 			return err
 		}
 		w.disk = durabletest.New(1)
 		w.disk.Plan = func(s durabletest.Step) durabletest.Fault {
-			if w.full.Load() && s.Operation == "write" {
+			if w.diskFull.Load() && s.Operation == "write" {
 				return durabletest.Fail
 			}
 			return durabletest.None
 		}
-		c.Product.Ledger, c.FS = &o, w.disk
+		c.Product.Ledger, c.FS = &options, w.disk
 	}
 	if w.node, err = node.New(c, clock, node.NewLogger(w, "n0", zerolog.InfoLevel, false)); err != nil {
 		return err
 	}
 	if strings.Contains(flags, "callcontrol") {
-		w.second, err = w.node.OpenCallControl(callcontrol.Config{Addr: netip.MustParseAddrPort("127.0.0.1:0"), GraceMs: 1000,
-			MaxSockets: 9, Origins: []string{"https://desk.example"}}, c.Settings.Classes, w.check)
+		w.callControlAddr, err = w.node.OpenCallControl(callcontrol.Config{
+			Addr:       netip.MustParseAddrPort("127.0.0.1:0"),
+			GraceMs:    1000,
+			MaxSockets: 9,
+			Origins:    []string{"https://desk.example"},
+		}, c.Settings.Classes, w.verifyToken)
 	}
 	w.config = config
 	w.names.Set(w.names.Serial(), w.entries())
@@ -428,59 +467,61 @@
 	return err
 }
 
-// leaving asks the router, on its loop, whether it sends callers away.
-func (w *world) leaving() bool {
+// rejectsCallers reports whether the router rejects callers because it drains, as seen by its event loop.
+func (w *scenarioRun) rejectsCallers() bool {
 	answer := make(chan bool, 1)
 	w.node.Loop.Post(func() { answer <- w.node.Leaving() })
 	return <-answer
 }
 
-// verify stands in for SPIFFE here: the token is the identity. The real one has its own test.
-func (w *world) verify(token string) (identity.Caller, error) {
+// verify replaces the verification of SPIFFE tokens, which TestSPIFFE covers: the token is the identity.
+func (w *scenarioRun) verify(token string) (identity.Caller, error) {
 	if !strings.HasPrefix(token, "desk") {
 		return identity.Caller{}, errors.New("wrong token")
 	}
-	if token == "desk7" { // in full, as the real one tells it
+	if token == "desk7" { // a full SPIFFE ID, as the real verification returns it
 		token = "spiffe://b.example/desk7"
 	}
 	return identity.Caller{ID: token, Expires: time.Unix(0, w.clock.Load()).Add(time.Minute)}, nil
 }
 
-// entries is the list as the name service tells it.
-func (w *world) entries() (list []standin.Entry) {
-	for _, entry := range w.listing {
+// entries returns the current list for the name service.
+func (w *scenarioRun) entries() (list []standin.Entry) {
+	for _, entry := range w.serverList {
 		name, state, _ := strings.Cut(entry, "=")
 		name, started, _ := strings.Cut(name, "@")
 		p := w.peers[name]
-		list = append(list, standin.Entry{ID: name, Number: p.number, Addr: netip.MustParseAddrPort(p.listener.Addr().String()),
-			Draining: state == "draining", Started: started})
+		list = append(list, standin.Entry{
+			ID:       name,
+			Number:   p.number,
+			Addr:     netip.MustParseAddrPort(p.listener.Addr().String()),
+			Draining: state == "draining",
+			Started:  started,
+		})
 	}
 	return list
 }
 
-// ---- stand-ins ----
-
-// peer is a caller, a case server or a WebSocket client.
+// peer is a caller, a case server, a WebSocket client or an HTTP client of the management server.
 type peer struct {
-	w        *world
-	name     string
-	number   int
-	mu       sync.Mutex
-	conn     net.Conn // the latest
-	older    net.Conn // the one before
-	opened   bool
-	listener *net.TCPListener
-	in       chan any // sipMessage, wsMessage or error
-	unread   any
-	fill     []int
-	deaf     sync.Mutex // held while a case server does not read
+	w            *scenarioRun
+	name         string
+	number       int
+	mu           sync.Mutex
+	conn         net.Conn // the latest
+	previousConn net.Conn // the one before
+	listener     *net.TCPListener
+	received     chan any // standin.Message, wsMessage, string (an HTTP response) or error
+	unread       any      // message to be received before the others
+	backlogFDs   []int
+	readMutex    sync.Mutex // held while a case server does not read
 }
 
-func (p *peer) web() bool { return p.name[0] == 'w' }
+func (p *peer) isWebSocket() bool { return p.name[0] == 'w' }
 
-func (p *peer) operator() bool { return p.name[0] == 'o' }
+func (p *peer) isOperator() bool { return p.name[0] == 'o' }
 
-// readHTTP reads an answer of the operators' door.
+// readHTTP reads a response of the management server as its status, its body and its Allow header.
 func readHTTP(r *bufio.Reader, method string) (any, error) {
 	answer, err := http.ReadResponse(r, &http.Request{Method: method})
 	if err != nil {
@@ -490,7 +531,7 @@
 	return fmt.Sprintf("%d %s%s", answer.StatusCode, body, answer.Header.Get("Allow")), err
 }
 
-// expectHTTP wants an answer, and nothing after it but the end.
+// expectHTTP expects a response and after it, unless it is informational, the end of the connection.
 func (p *peer) expectHTTP(want string) error {
 	got, err := p.next()
 	if err != nil {
@@ -513,6 +554,7 @@
 	return nil
 }
 
+// open starts a case server or connects a client.
 func (p *peer) open(args string) (err error) {
 	fmt.Sscanf(args, "number=%d", &p.number)
 	if p.name[0] == 's' {
@@ -525,12 +567,12 @@
 		}
 		return err
 	}
-	p.unread, p.in = nil, make(chan any, 1000)
+	p.unread, p.received = nil, make(chan any, 1000)
 	to := p.w.node.Addr()
-	if p.web() {
-		to = p.w.second
+	if p.isWebSocket() {
+		to = p.w.callControlAddr
 	}
-	if p.operator() {
+	if p.isOperator() {
 		to = p.w.node.ManagementAddr()
 	}
 	conn, err := net.Dial("tcp4", to.String())
@@ -539,23 +581,24 @@
 	}
 	p.conn = conn
 	r := bufio.NewReader(conn)
-	if p.web() {
+	if p.isWebSocket() {
 		if args != "mute" {
 			if err := handshake(conn, r, args); err != nil {
 				return err
 			}
 		}
-		go p.read(r, p.in, readFrame)
+		go p.read(r, p.received, readFrame)
 		return nil
 	}
-	if p.operator() {
-		go p.read(r, p.in, func(r *bufio.Reader) (any, error) { return readHTTP(r, args) })
+	if p.isOperator() {
+		go p.read(r, p.received, func(r *bufio.Reader) (any, error) { return readHTTP(r, args) })
 		return nil
 	}
-	go p.read(r, p.in, readSIP)
+	go p.read(r, p.received, readSIP)
 	return nil
 }
 
+// accept reads from the connections of a case server, until its listener is closed.
 func (p *peer) accept(l *net.TCPListener) {
 	for {
 		conn, err := l.Accept()
@@ -563,34 +606,36 @@
 			return
 		}
 		p.mu.Lock()
-		p.older, p.conn = p.conn, conn
+		p.previousConn, p.conn = p.conn, conn
 		p.mu.Unlock()
 		p.w.accepted.Add(1)
 		conn.(*net.TCPConn).SetReadBuffer(4 << 10)
-		go p.read(bufio.NewReader(&attentive{conn, &p.deaf}), p.in, readSIP)
+		go p.read(bufio.NewReader(&pausableConn{conn, &p.readMutex}), p.received, readSIP)
 	}
 }
 
-// attentive is a connection that is read while its mutex is free.
-type attentive struct {
+// pausableConn is a connection whose reads block while its mutex is held.
+type pausableConn struct {
 	net.Conn
-	deaf *sync.Mutex
+	readMutex *sync.Mutex
 }
 
-func (a *attentive) Read(b []byte) (int, error) {
-	a.deaf.Lock()
-	a.deaf.Unlock()
+func (a *pausableConn) Read(b []byte) (int, error) {
+	a.readMutex.Lock()
+	//lint:ignore SA2001 the lock only waits until reading is resumed
+	a.readMutex.Unlock()
 	return a.Conn.Read(b[:min(len(b), 4<<10)])
 }
 
-func (p *peer) read(r *bufio.Reader, in chan any, one func(*bufio.Reader) (any, error)) {
+// read passes on each message, and last the error that ends the connection.
+func (p *peer) read(r *bufio.Reader, received chan any, readMessage func(*bufio.Reader) (any, error)) {
 	for {
-		m, err := one(r)
+		m, err := readMessage(r)
 		if err != nil {
-			in <- err
+			received <- err
 			return
 		}
-		in <- m
+		received <- m
 	}
 }
 
@@ -604,9 +649,9 @@
 	return err
 }
 
-// connected is the latest connection; a server may not be connected yet.
+// connected returns the latest connection, and waits for it where the router has not connected to a server yet.
 func (p *peer) connected() (net.Conn, error) {
-	for stop := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for stop := time.Now().Add(eventTimeout); ; time.Sleep(time.Millisecond) {
 		p.mu.Lock()
 		conn := p.conn
 		p.mu.Unlock()
@@ -619,8 +664,8 @@
 	}
 }
 
-// leave ends a caller's connection.
-func (p *peer) leave(reset bool) error {
+// disconnect closes the connection, by a TCP reset if asked for, and the listener of a case server.
+func (p *peer) disconnect(reset bool) error {
 	p.mu.Lock()
 	conn := p.conn
 	p.mu.Unlock()
@@ -628,10 +673,10 @@
 		tcp.SetLinger(0)
 	}
 	p.close()
-	return p.w.known(conn)
+	return p.w.awaitConnectionEnd(conn)
 }
 
-// drop ends a case server's connection alone.
+// drop closes the latest connection of a case server, but not its listener.
 func (p *peer) drop() error {
 	conn, err := p.connected()
 	if err != nil {
@@ -641,29 +686,31 @@
 	p.conn = nil
 	p.mu.Unlock()
 	conn.Close()
-	return p.w.known(conn)
+	return p.w.awaitConnectionEnd(conn)
 }
 
-// known waits, where the loop stands still, until the router's kernel knows of a connection's end: the crossing is there before it goes on.
-func (w *world) known(conn net.Conn) error {
+// awaitConnectionEnd waits, while the event loop is halted, until the end of a connection has reached the kernel
+// at the router's end, so that the loop finds it when it resumes.
+func (w *scenarioRun) awaitConnectionEnd(conn net.Conn) error {
 	if conn == nil || w.halted == nil {
 		return nil
 	}
 	local, remote := conn.LocalAddr().(*net.TCPAddr), conn.RemoteAddr().(*net.TCPAddr)
 	want := fmt.Sprintf(":%04X 0100007F:%04X ", remote.Port, local.Port)
-	for stop := time.Now().Add(patience); time.Now().Before(stop); time.Sleep(time.Millisecond) {
+	for stop := time.Now().Add(eventTimeout); time.Now().Before(stop); time.Sleep(time.Millisecond) {
 		table, err := os.ReadFile("/proc/net/tcp")
 		if err != nil {
 			return err
 		}
 		_, state, there := strings.Cut(string(table), want)
-		if !there || strings.HasPrefix(state, "08") || strings.HasPrefix(state, "07") { // close wait, or closed by a reset
+		if !there || strings.HasPrefix(state, "08") || strings.HasPrefix(state, "07") { // CLOSE_WAIT, or CLOSE after a reset
 			return nil
 		}
 	}
-	return errors.New("the end of the connection did not come")
+	return errors.New("the end of the connection did not reach the router")
 }
 
+// close closes the listener and the latest connection.
 func (p *peer) close() {
 	if p.listener != nil {
 		p.listener.Close()
@@ -674,14 +721,14 @@
 		p.conn.Close()
 	}
 	p.conn = nil
-	for _, fd := range p.fill {
+	for _, fd := range p.backlogFDs {
 		unix.Close(fd)
 	}
-	p.fill = nil
+	p.backlogFDs = nil
 }
 
-// hang makes the machine vanish: what is open stays open and silent, and new connections never come up, since
-// nobody accepts them and the backlog is full.
+// hang simulates a machine that vanishes: open connections stay open and silent, and new ones never come up,
+// because nobody accepts them and the backlog is full.
 func (p *peer) hang() error {
 	addr := p.listener.Addr().(*net.TCPAddr)
 	p.listener.Close()
@@ -690,7 +737,7 @@
 	if err != nil {
 		return err
 	}
-	p.fill = append(p.fill, fd)
+	p.backlogFDs = append(p.backlogFDs, fd)
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	if err := errors.Join(unix.Bind(fd, sa), unix.Listen(fd, 0)); err != nil {
 		return err
@@ -700,24 +747,24 @@
 		if err != nil {
 			return err
 		}
-		p.fill = append(p.fill, one)
+		p.backlogFDs = append(p.backlogFDs, one)
 		unix.Connect(one, sa)
 	}
 	return nil
 }
 
-// nameService answers every other query until the test ends.
-func nameService(t *testing.T) *standin.Names {
+// startNameService starts a name service that answers every other query.
+func startNameService(t *testing.T) *standin.Names {
 	names, err := standin.NewNames(7, true)
 	require.NoError(t, err)
 	return names
 }
 
-// callID is the id of a call by its name in a script.
+// callID returns the Call-ID for the name of a call in a script.
 func callID(name string) string { return standin.CallID(name) }
 
-// split reads a SIP message of a script.
-func split(text string) (status, method, call string, headers [][2]string) {
+// parseMessage parses a SIP message of a script.
+func parseMessage(text string) (status, method, call string, headers [][2]string) {
 	words := strings.Fields(text)
 	if words[0][0] >= '1' && words[0][0] <= '6' {
 		status, words = words[0], words[1:]
@@ -736,23 +783,24 @@
 	return status, method, call, headers
 }
 
+// send sends a message of a script.
 func (p *peer) send(message string) error {
-	if p.web() {
+	if p.isWebSocket() {
 		return p.write(clientFrame(true, 1, []byte(message)))
 	}
-	return p.write(text(message))
+	return p.write(encodeMessage(message))
 }
 
-// text is a SIP message of a script as it is written.
-func text(text string) []byte {
-	status, method, call, headers := split(text)
+// encodeMessage encodes a SIP message of a script. A set-up gets default headers for those that the script omits.
+func encodeMessage(script string) []byte {
+	status, method, call, headers := parseMessage(script)
 	var b bytes.Buffer
 	if status != "" {
 		fmt.Fprintf(&b, "SIP/2.0 %s Whatever\r\n", status)
 	} else {
 		fmt.Fprintf(&b, "%s sip:4711@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\n", method)
 	}
-	// Case servers say 1 whatever they were sent.
+	// Case servers always answer with CSeq 1, whatever the request had.
 	fmt.Fprintf(&b, "Call-ID: %s\r\nCSeq: 1 %s\r\n", call, method)
 	body, have := "", map[string]bool{}
 	for _, h := range headers {
@@ -764,7 +812,11 @@
 		}
 	}
 	if method == "INVITE" && status == "" {
-		for _, h := range [][2]string{{"Call-Kind", "voice"}, {"Answer-Within", "3000"}, {"Routing-Data", "dest:0;width:1;via:-1"}} {
+		for _, h := range [][2]string{
+			{"Call-Kind", "voice"},
+			{"Answer-Within", "3000"},
+			{"Routing-Data", "dest:0;width:1;via:-1"},
+		} {
 			if !have[h[0]] {
 				fmt.Fprintf(&b, "%s: %s\r\n", h[0], h[1])
 			}
@@ -774,20 +826,21 @@
 	return b.Bytes()
 }
 
-// next is the next message that has come.
+// next returns the next message received, and waits for it.
 func (p *peer) next() (any, error) {
 	if m := p.unread; m != nil {
 		p.unread = nil
 		return m, nil
 	}
 	select {
-	case m := <-p.in:
+	case m := <-p.received:
 		return m, nil
-	case <-time.After(patience):
-		return nil, errors.New("nothing came")
+	case <-time.After(eventTimeout):
+		return nil, errors.New("no message received")
 	}
 }
 
+// expect checks that the next message matches. Acknowledgements that the script does not name are skipped.
 func (p *peer) expect(text string) error {
 	if text == "closed" {
 		for {
@@ -795,26 +848,26 @@
 			if err != nil {
 				return err
 			}
-			if _, over := m.(error); over {
+			if _, ended := m.(error); ended {
 				return nil
 			}
 		}
 	}
-	if p.web() {
-		return p.expectWeb(text)
+	if p.isWebSocket() {
+		return p.expectWebSocket(text)
 	}
-	if p.operator() {
+	if p.isOperator() {
 		return p.expectHTTP(text)
 	}
-	if text == "silence" { // the router answers in order: nothing came before the answer to this
+	if text == "silence" { // the router answers in order, so nothing was sent before the answer to this request
 		if err := p.send("OPTIONS barrier"); err != nil {
 			return err
 		}
-		if text = "200 OPTIONS barrier"; p.w.leaving() {
+		if text = "200 OPTIONS barrier"; p.w.rejectsCallers() {
 			text = "503 OPTIONS barrier"
 		}
 	}
-	status, method, call, headers := split(text)
+	status, method, call, headers := parseMessage(text)
 	for {
 		got, err := p.next()
 		if err != nil {
@@ -822,17 +875,17 @@
 		}
 		m, ok := got.(standin.Message)
 		if !ok && p.listener != nil {
-			continue // another connection of this server has ended
+			continue // the end of one of the connections of this case server
 		}
 		if !ok {
 			return fmt.Errorf("connection ended: %v", got)
 		}
 		words := strings.Fields(m.Start)
-		is, isMethod := "", words[0]
+		gotStatus, gotMethod := "", words[0]
 		if words[0] == "SIP/2.0" {
-			is, isMethod = words[1], strings.Fields(m.Header["CSeq"])[1]
+			gotStatus, gotMethod = words[1], strings.Fields(m.Header["CSeq"])[1]
 		}
-		matches := is == status && isMethod == method && (call == "" || m.Header["Call-ID"] == call)
+		matches := gotStatus == status && gotMethod == method && (call == "" || m.Header["Call-ID"] == call)
 		for _, h := range headers {
 			if h[0] == "Body" {
 				matches = matches && m.Body == h[1]
@@ -843,8 +896,8 @@
 		if matches {
 			return nil
 		}
-		free := isMethod == "ACK" || is == "200" && (isMethod == "BYE" || isMethod == "CANCEL")
-		if !free {
+		ignorable := gotMethod == "ACK" || gotStatus == "200" && (gotMethod == "BYE" || gotMethod == "CANCEL")
+		if !ignorable {
 			return fmt.Errorf("got %s %v %q", m.Start, m.Header, m.Body)
 		}
 	}
--- a/internal/scenario/sip_test.go
+++ b/internal/scenario/sip_test.go
@@ -13,34 +13,36 @@
 	"threadglade.example/threadglade/internal/standin"
 )
 
-// open is how most scenarios begin: one case server, one caller.
-const open = `
+// oneServer starts the router with one case server and one caller.
+const oneServer = `
 s0 open number=0
 start
 a open
 `
 
-// two is open with a second case server.
-const two = `
+// twoServers is oneServer with a second case server.
+const twoServers = `
 s0 open number=0
 s1 open number=1
 start
 a open
 `
 
-// stands is two with a call that stands at the first server.
-const stands = two + `
+// callEstablished is twoServers with a call that is established at the first server.
+const callEstablished = twoServers + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 send 200 INVITE c1 Body=x
 a expect 200 INVITE c1 Body=x
 `
 
-var large = strings.Repeat("x", 15<<10)
+// largeBody takes most of a message of the maximum size, 16 KiB.
+var largeBody = strings.Repeat("x", 15<<10)
 
-var scenarios = map[string]string{
-	// Id, class, number called and description pass unchanged both ways, and the call ends once.
-	"a call stands and ends": open + `
+// sipScenarios are the scenarios of callers and case servers, by name.
+var sipScenarios = map[string]string{
+	// Call id, class, called number and description pass unchanged in both directions, and the call ends once.
+	"a call stands and ends": oneServer + `
 a send INVITE c1 Body=offer
 s0 expect INVITE c1 Call-Kind=voice Answer-Within=2970 Body=offer
 s0 send 180 INVITE c1
@@ -55,8 +57,8 @@
 s0 send BYE c1 Reason=Q.850;cause=16
 a expect silence`,
 
-	// The caller's clock runs from its send: the answer comes a little inside it, as a failure.
-	"a silent server costs the caller no more than its time": open + `
+	// The caller's deadline counts from its send, so the router answers a little earlier, with a failure.
+	"a silent server costs the caller no more than its time": oneServer + `
 a send INVITE c1 Answer-Within=1000
 s0 expect INVITE c1 Answer-Within=970
 wait 965ms
@@ -67,16 +69,16 @@
 wait 1s
 a expect silence`,
 
-	// A refusal goes out at once and says when to come back.
-	"a full processor refuses": open + `
+	// A refusal is sent at once and says when to retry.
+	"a full processor refuses": oneServer + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 send 503 INVITE c1 Fail-Word=swamped Link-State=idle:1;circuits:9
 a expect 503 INVITE c1 Come-Back-Ms=100
 s0 expect ACK c1`,
 
-	// 486 for the number itself ends the request; 500 is the server's fault and another one may try.
-	"a fault moves the call on, a busy number does not": two + `
+	// A 486 concerns the called number and ends the request. A 500 is the server's fault, and another one may try.
+	"a fault moves the call on, a busy number does not": twoServers + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 send 500 INVITE c1
@@ -85,15 +87,15 @@
 a expect 500 INVITE c1
 a expect silence`,
 
-	// 480 is the simulator's moot: nothing ran, the request ends as refused rather than failed.
-	"moot": open + `
+	// A 480 ("moot" in the simulator) means that nothing ran: the request ends as refused rather than failed.
+	"moot": oneServer + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 send 480 INVITE c1
 a expect 503 INVITE c1`,
 
-	// After a reset the next attempt waits 200 ms, for the first may still hold something.
-	"release wait": two + `
+	// After a reset the next attempt waits 200 ms, because the first one may still hold resources.
+	"release wait": twoServers + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 send 504 INVITE c1
@@ -105,8 +107,9 @@
 s1 send 200 INVITE c1 Body=x
 a expect 200 INVITE c1 Body=x`,
 
-	// A second attempt's answer says CSeq 1 as the first one's did; it was once taken for a stray and released.
-	"second attempt": two + `
+	// The answer to a second attempt has CSeq 1, as the answer to the first. It must not be taken for an unexpected
+	// answer and released.
+	"second attempt": twoServers + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 send 500 INVITE c1
@@ -115,8 +118,8 @@
 a expect 200 INVITE c1 Body=x
 s1 expect silence`,
 
-	// A 200 that crosses our CANCEL stands on the other side: it is acknowledged and released.
-	"cancel and a crossing answer": open + `
+	// A 200 that crosses the CANCEL has established the call at the server: it is acknowledged and released.
+	"cancel and a crossing answer": oneServer + `
 a send INVITE c1
 s0 expect INVITE c1
 a send CANCEL c1
@@ -128,8 +131,8 @@
 s0 expect BYE c1
 a expect silence`,
 
-	// A 487 answers our CANCEL; it must not end an attempt of the same call that is out again.
-	"late end of a cancelled attempt": open + `
+	// A late 487 answers the CANCEL. It must not end a new attempt of the same call.
+	"late end of a cancelled attempt": oneServer + `
 a send INVITE c1
 s0 expect INVITE c1
 a close
@@ -141,8 +144,8 @@
 s0 send 200 INVITE c1 Body=x
 a expect 200 INVITE c1 Body=x`,
 
-	// Repeats of anything change nothing: not of a set-up, of an answer, of a refusal, of a release.
-	"duplicates": open + `
+	// Duplicates of a set-up, an answer, a refusal or a release change nothing.
+	"duplicates": oneServer + `
 a send INVITE c1
 a send INVITE c1
 s0 expect INVITE c1
@@ -163,8 +166,8 @@
 a expect 400 INVITE c1
 s0 expect silence`,
 
-	// A caller's set-up goes with its connection; a standing call does not, on either side.
-	"calls outlive connections": open + `
+	// A pending set-up ends with its caller's connection. An established call does not, on either side.
+	"calls outlive connections": oneServer + `
 b open
 a send INVITE c1
 s0 expect INVITE c1
@@ -180,8 +183,8 @@
 b close
 s0 expect CANCEL c2`,
 
-	// With no caller connected the release waits for the next one.
-	"a release waits for a connection": stands + `
+	// While no caller is connected, a release waits for the next one.
+	"a release waits for a connection": callEstablished + `
 a close
 s0 send BYE c1 Reason=Q.850;cause=41
 s0 expect 200 BYE c1
@@ -198,9 +201,9 @@
 b expect silence
 m none`,
 
-	// Whoever only asks whether the router is there, on one new connection after the other, does not pass releases on: a drained router lost
-	// those of calls that ended while no caller was connected.
-	"a release does not go to somebody who only asks": stands + `
+	// A client that only sends OPTIONS, like a health check, does not receive releases: a drained router would
+	// lose those of calls that ended while no caller was connected.
+	"a release does not go to somebody who only asks": callEstablished + `
 b open
 b send OPTIONS ask
 b expect 200 OPTIONS ask
@@ -215,8 +218,8 @@
 c expect BYE c1 Reason=cause=16
 b expect silence`,
 
-	// After a restart a case server tells of calls that this process never knew: the release is passed on, once.
-	"release of an earlier life": open + `
+	// After a restart, a case server releases calls that this process never knew. Each release is passed on once.
+	"release of an earlier life": oneServer + `
 a send ACK called
 a expect silence
 s0 send BYE old Reason=Q.850;cause=16
@@ -224,9 +227,9 @@
 a expect BYE old Reason=cause=16
 a expect silence`,
 
-	// A refused connection proves that nothing ran: the call moves on at once; a process that died has cut its
-	// calls.
-	"a dead server": stands + `
+	// A refused connection proves that nothing ran, so the call moves on at once. A server process that died has
+	// cut its calls.
+	"a dead server": callEstablished + `
 s0 close
 log "s0 is out of reach"
 a send INVITE c2
@@ -234,9 +237,9 @@
 wait 3s
 a expect BYE c1 Reason=cause=41`,
 
-	// A machine that vanishes leaves its connections open: it is noticed by its silence, its calls are released
-	// within 8 s, and what is sent to it finds no connection in time instead of waiting for the deadline.
-	"a silent machine": stands + `
+	// A machine that vanishes leaves its connections open and is detected by its silence. Its calls are released
+	// within 8 s, and new set-ups to it fail on the connect timeout instead of waiting for their deadline.
+	"a silent machine": callEstablished + `
 s0 hang
 log "s0 is silent"
 a send INVITE c2
@@ -250,8 +253,8 @@
 wait 400ms
 quiet "attempts cut"`,
 
-	// A caller's release of a call whose server has no connection just now goes out on the next one.
-	"a release waits for the server": stands + `
+	// A caller's release of a call whose server is not connected is sent on the server's next connection.
+	"a release waits for the server": callEstablished + `
 s0 close
 log "s0 is out of reach"
 a send BYE c1
@@ -263,9 +266,10 @@
 wait 3s
 a expect silence`,
 
-	// What waits at a silent machine is given up on the wire, by CANCEL and by the end of the connection, in the moment
-	// in which the 200 ms begin: the connection was once closed 100 ms later, and the next attempt came too soon.
-	"an attempt at a silent machine": stands + `
+	// An attempt pending at a silent machine is withdrawn on the wire, by a CANCEL and by closing the connection,
+	// at the moment the release wait of 200 ms begins. Closing it 100 ms later would let the next attempt start
+	// too soon.
+	"an attempt at a silent machine": callEstablished + `
 a send INVITE c2 Answer-Within=5000
 s0 expect INVITE c2
 s0 hang
@@ -278,8 +282,8 @@
 wait 20ms
 s1 expect INVITE c2`,
 
-	// A draining server gets nothing new; what stands there goes on until the server is gone.
-	"a server drains and goes": stands + `
+	// A draining server gets no new calls; established ones continue until the server is gone.
+	"a server drains and goes": callEstablished + `
 list s0=draining s1
 log "list: server s0 number 0 state 1"
 a send INVITE c2
@@ -288,16 +292,16 @@
 log "s0 is gone, 1 attempts cut"
 a expect BYE c1 Reason=cause=41`,
 
-	// A new start time means that the process is another one: what stood at the old one is over.
-	"a server starts anew": stands + `
+	// A new start time means a new process: the calls established at the old one are over.
+	"a server starts anew": callEstablished + `
 wait 1s
 list s0@1700000000900 s1
 log "server s0 started anew"
 a expect BYE c1 Reason=cause=41
 s0 expect closed`,
 
-	// Servers are their ids: one that takes the address of another has none of its calls.
-	"an address is used again": stands + `
+	// Servers are identified by their ids: one that reuses the address of another has none of its calls.
+	"an address is used again": callEstablished + `
 s0 close
 s2 open number=0 at=s0
 list s2 s1
@@ -309,8 +313,8 @@
 s2 expect 200 BYE c1
 a expect silence`,
 
-	// Answers of the name service may come out of order: an older list changes nothing.
-	"an old list does not come back": two + `
+	// Answers of the name service may arrive out of order: an older list changes nothing.
+	"an old list does not come back": twoServers + `
 list s0 s1=draining
 log "list: server s1 number 1 state 1"
 list serial=3 s0 s1
@@ -318,8 +322,9 @@
 a send INVITE c1 Routing-Data=dest:1;width:1;via:-1
 s0 expect INVITE c1`,
 
-	// A caller may release a call that stood before a restart: whichever server has it hears of it, once.
-	"a caller's release of an earlier life": two + `
+	// A caller may release a call established before a restart: the release goes to each server once, as any may
+	// have it.
+	"a caller's release of an earlier life": twoServers + `
 s0 expect silence
 s1 expect silence
 a send BYE old
@@ -329,13 +334,13 @@
 s1 expect BYE old
 s0 expect silence`,
 
-	// A description may take most of a message, and a message of more than 16 KiB ends the connection.
-	"large messages": open + "a send INVITE c1 Body=" + large + "\ns0 expect INVITE c1 Body=" + large +
-		"\na send INVITE c2 Body=" + large + large + "\na expect 400 INVITE c2\na expect closed" +
-		"\nb open\nb raw \"INVITE " + large + large + "\"\nb expect closed",
+	// A description may take most of a message. A message of more than 16 KiB ends the connection.
+	"large messages": oneServer + "a send INVITE c1 Body=" + largeBody + "\ns0 expect INVITE c1 Body=" + largeBody +
+		"\na send INVITE c2 Body=" + largeBody + largeBody + "\na expect 400 INVITE c2\na expect closed" +
+		"\nb open\nb raw \"INVITE " + largeBody + largeBody + "\"\nb expect closed",
 
-	// Messages come in pieces and several at once.
-	"fragments and pipelines": open + `
+	// Messages may arrive in fragments, and several at once.
+	"fragments and pipelines": oneServer + `
 a raw "INVITE sip:4711@net SIP/2.0\r\nCall-ID: 00000000000000aa\r\nCSeq: 1 INV"
 a raw "ITE\r\nCall-Kind: voice\r\nAnswer-Within: 3000\r\nContent-Length: 3\r\n\r\nab"
 a raw "cOPTIONS sip:ping@net SIP/2.0\r\nCall-ID: p\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n\r\n\r\nOPTIONS sip:ping@net SIP/2.0\r\nl: 0\r\ni: q\r\nCSeq: 2 OPTIONS\r\n\r\n"
@@ -343,8 +348,9 @@
 a expect 200 OPTIONS
 s0 expect INVITE Body=abc`,
 
-	// Malformed input gets a 400 where a call can be named and else ends the connection; the router goes on.
-	"malformed input": open + `
+	// Malformed input is answered with 400 if its call can be identified, and else ends the connection. The router
+	// continues.
+	"malformed input": oneServer + `
 a send INVITE c1 Answer-Within=soon
 a expect 400 INVITE c1
 a send INVITE c2 Call-Kind=
@@ -368,9 +374,9 @@
 a send INVITE c5
 s0 expect INVITE c5`,
 
-	// What a case server would stumble over never reaches one, and nothing is told 'served': classes, figures, numbers
-	// and descriptions are checked here. Who goes on sending such is closed.
-	"figures that cannot be": open + `
+	// The router validates classes, values, called numbers and descriptions, so that invalid ones never reach a case
+	// server and are never answered with success. A connection that keeps sending them is closed.
+	"figures that cannot be": oneServer + `
 a send INVITE c1 Call-Kind=fax
 a expect 400 INVITE c1
 a send INVITE c2 Routing-Data=dest:nan;width:1
@@ -400,9 +406,9 @@
 a expect 400 INVITE c9
 a expect closed`,
 
-	// An id that is in use is its first request's: another one under it gets an error, by whichever connection, and
-	// the open call goes on. Nobody else can withdraw it.
-	"an id in use": open + `
+	// A call id in use belongs to its first request: another set-up with it is rejected on any connection, and the
+	// pending call continues. No other connection can cancel it.
+	"an id in use": oneServer + `
 b open
 a send INVITE c1 Body=x
 s0 expect INVITE c1
@@ -417,9 +423,9 @@
 a expect 200 INVITE c1 Body=x
 b expect silence`,
 
-	// Who says nothing, or not all, is closed 2 s after connecting; one byte now and then does not help. A connection
-	// that has spoken may idle.
-	"mute and slow callers": open + `
+	// A connection without a complete message is closed 2 s after connecting, also if single bytes keep arriving. A
+	// connection that has sent one may idle.
+	"mute and slow callers": oneServer + `
 a send OPTIONS x
 a expect 200 OPTIONS x
 b open
@@ -441,19 +447,19 @@
 wait 900ms
 a expect closed`,
 
-	// An error can be read although the body that it refuses is still coming: the end of the connection is told, and
-	// what comes is thrown away instead of reset.
-	"the error is read": open + `
+	// The caller can read an error although the body that it rejects is still arriving: the router half-closes the
+	// connection and discards the rest instead of resetting.
+	"the error is read": oneServer + `
 a raw "INVITE sip:1@net SIP/2.0\r\nCall-ID: 00000000000000aa\r\nCSeq: 1 INVITE\r\nContent-Length: 60000000\r\n\r\n"
-a raw "` + large + `"
-a raw "` + large + `"
+a raw "` + largeBody + `"
+a raw "` + largeBody + `"
 a expect 400 INVITE
 a expect closed
-a raw "` + large + `"`,
+a raw "` + largeBody + `"`,
 
-	// An answer that cannot be read has run: the set-up is failed or repeated after the wait, never served, and the
-	// connection goes, with what else was out on it.
-	"spoilt answers": two + `
+	// A malformed answer means that the attempt may have run: the set-up fails or is retried after the release
+	// wait, never succeeds, and the connection is closed together with the other attempts pending on it.
+	"spoilt answers": twoServers + `
 a send INVITE c1
 a send INVITE c2
 s0 expect INVITE c1
@@ -467,9 +473,9 @@
 s1 expect INVITE
 s1 expect INVITE`,
 
-	// What stands does not go with a spoilt connection, and a release that came behind the spoilt message, or swallowed
-	// by it, is still heard: the server does not send it again.
-	"releases behind a spoilt answer": strings.ReplaceAll(stands, " c1", " #00000000000000aa") + `
+	// Established calls do not end with a connection closed for a malformed message. A release behind the malformed
+	// message, or inside its body, still counts, because the server does not send it again.
+	"releases behind a spoilt answer": strings.ReplaceAll(callEstablished, " c1", " #00000000000000aa") + `
 a send INVITE c2
 s0 expect INVITE c2
 s0 raw "SIP/2.0 200 OK\r\nCall-ID: 1\r\nCSeq: 1 INVITE\r\nContent-Length: 40\r\n\r\nx\r\nBYE sip:1@net SIP/2.0\r\nCall-ID: 00000000000000aa\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=16\r\nContent-Length: 0\r\n\r\n"
@@ -477,22 +483,22 @@
 wait 220ms
 s1 expect INVITE c2`,
 
-	// An answer to a set-up that nobody sent is not looked at, however it reads: the connection serves on.
-	"noise under an unknown id": open + `
+	// An answer to an unknown set-up is ignored, even if its body is malformed: the connection stays in use.
+	"noise under an unknown id": oneServer + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 raw "SIP/2.0 200 OK\r\nCall-ID: 00000000000000ab\r\nCSeq: 1 INVITE\r\nContent-Length: 2\r\n\r\n\x01\xff"
 s0 send 200 INVITE c1 Body=x
 a expect 200 INVITE c1 Body=x`,
 
-	"an answer of the wrong length": two + `
+	"an answer of the wrong length": twoServers + `
 a send INVITE #00000000000000aa
 s0 expect INVITE
 s0 raw "SIP/2.0 200 OK\r\nCall-ID: 00000000000000aa\r\nCSeq: 1 INVITE\r\nContent-Length: 3\r\n\r\na\r\nc=IN\r\n"
 s0 expect closed
 a expect silence`,
 
-	"an answer that stops short": two + `
+	"an answer that stops short": twoServers + `
 a send INVITE #00000000000000aa
 s0 expect INVITE
 s0 raw "SIP/2.0 200 OK\r\nCall-ID: 00000000000000aa\r\nCSeq: 1 INVITE\r\nContent-Length: 30\r\n\r\na\r\nc=IN\r\n"
@@ -500,16 +506,17 @@
 s0 expect closed
 a expect silence`,
 
-	"an answer without end": two + `
+	"an answer without end": twoServers + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 raw "SIP/2.0 200 OK\r\nContent-Length: 3000000000\r\n\r\nAAAA"
 s0 expect closed
 a expect silence`,
 
-	// A server whose answer was lost releases the call when it is over, by whatever connection: the caller hears that it
-	// failed. A repeat elsewhere was once answered after that, and nobody told the caller that the call was over.
-	"a call whose answer was lost ends": two + `
+	// A server whose answer was lost releases the call at its end, on any connection: the caller is notified that
+	// the call failed. Otherwise a retry elsewhere could be answered afterwards, and the caller would never learn
+	// of the end.
+	"a call whose answer was lost ends": twoServers + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 close
@@ -523,8 +530,9 @@
 s1 expect BYE c1
 a expect silence`,
 
-	// A set-up that a later one has overtaken was lost: it is given up on the wire and sent again after the wait.
-	"a lost set-up": open + `
+	// A set-up whose successor on the connection is answered first was lost: it is canceled and, after the release
+	// wait, sent again.
+	"a lost set-up": oneServer + `
 a send INVITE c1
 s0 expect INVITE c1
 wait 10ms
@@ -541,8 +549,8 @@
 s0 send 200 INVITE c1 Body=y
 a expect 200 INVITE c1 Body=y`,
 
-	// Second copies and answers that nobody asked for change nothing: they are not even acknowledged.
-	"answers that belong to nobody": open + `
+	// Duplicate and unexpected answers change nothing and are not acknowledged.
+	"answers that belong to nobody": oneServer + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 send 200 INVITE c9 Body=y
@@ -556,8 +564,8 @@
 a expect BYE c1
 a expect silence`,
 
-	// A processor that is told to have no free lines gets nothing; NOTIFY is how it tells.
-	"states reach the module": two + `
+	// The state that a server reports with NOTIFY reaches the routing module: a server without free agents is avoided.
+	"states reach the module": twoServers + `
 s0 send NOTIFY st Link-State=idle:0;circuits:4;latency_ms:-1
 s0 expect silence
 wait 100ms
@@ -567,7 +575,7 @@
 a send INVITE c2
 s1 expect INVITE c2`,
 
-	// The oldest idle connection makes room; one with an open set-up never does.
+	// At the limit, the oldest idle connection is closed for a new one; a connection with a pending set-up never is.
 	"connections are bounded": `
 s0 open number=0
 start sockets=6
@@ -586,14 +594,15 @@
 a expect 200 INVITE c1`,
 }
 
-func TestSIP(t *testing.T) { playAll(t, scenarios) }
+// TestSIP runs the scenarios of callers and case servers.
+func TestSIP(t *testing.T) { runScenarios(t, sipScenarios) }
 
-// At SIGTERM the router goes on accepting and answering, ends no sooner than 0.7 s later and not before all is
-// answered.
+// TestShutdown checks that after SIGTERM the router keeps accepting and answering set-ups. It ends no sooner than
+// after 0.7 s and not before all set-ups are answered.
 func TestShutdown(t *testing.T) {
-	w := play(t, two+"a send INVITE c1 Answer-Within=3000\ns0 expect INVITE c1")
+	w := runScenario(t, twoServers+"a send INVITE c1 Answer-Within=3000\ns0 expect INVITE c1")
 	w.node.Loop.Post(w.node.Shutdown)
-	run := func(line string) { require.NoError(t, w.do(line), line) }
+	run := func(line string) { require.NoError(t, w.execute(line), line) }
 	run("wait 600ms")
 	run("b open")
 	run("b send INVITE c2")
@@ -605,18 +614,18 @@
 	run("s0 send 200 INVITE c1 Body=x")
 	run("a expect 200 INVITE c1")
 	run("wait 50ms")
-	run("b expect closed") // told its end before the process ends
+	run("b expect closed") // the connection is closed before the process ends
 	run("wait 100ms")
 	require.NoError(t, <-w.ended)
 	w.ended <- nil
 	require.Contains(t, w.log(), "requests=2 repeated=0 left=0 stood=2")
 }
 
-// SIGHUP has the configuration read anew: the router goes on with its calls and its servers, asks the new name
-// service at once and counts the lists on from the last; a bad file changes nothing.
+// TestReload checks that SIGHUP reloads the configuration: the router keeps its calls and servers, queries the new
+// name service at once and still ignores lists older than the last. An invalid file changes nothing.
 func TestReload(t *testing.T) {
-	w := play(t, stands+"a send INVITE c2\ns0 expect INVITE c2")
-	run := func(line string) { t.Helper(); require.NoError(t, w.do(line), "%s\n%s", line, w.log()) }
+	w := runScenario(t, callEstablished+"a send INVITE c2\ns0 expect INVITE c2")
+	run := func(line string) { t.Helper(); require.NoError(t, w.execute(line), "%s\n%s", line, w.log()) }
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("NODE_CONFIG", path)
 	w.node.HandleSignals()
@@ -625,8 +634,8 @@
 		require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	}
 	old := w.names
-	old.Close() // the old one answers no more
-	w.names = nameService(t)
+	old.Close() // the old service no longer answers
+	w.names = startNameService(t)
 	hup(strings.Replace(w.config, old.Addr(), w.names.Addr(), 1))
 	run(`log "configuration read anew"`)
 	run("list serial=3 s1")
@@ -643,16 +652,16 @@
 	run(`log "list: server s1 number 1 state 0"`)
 }
 
-// counters are those of the node, asked on its loop.
-func (w *world) counters() string {
+// counters returns the node's counters, read by its event loop.
+func (w *scenarioRun) counters() string {
 	counters := make(chan string, 1)
 	w.node.Loop.Post(func() { counters <- w.node.Counters() })
 	return <-counters
 }
 
-// A flood on one connection gets its refusals at once; the other connections are served as ever.
+// TestFlood checks that a flood on one connection is refused at once and that other connections are still served.
 func TestFlood(t *testing.T) {
-	w := play(t, open+"b open")
+	w := runScenario(t, oneServer+"b open")
 	var flood strings.Builder
 	for n := range 400 {
 		fmt.Fprintf(&flood, "INVITE sip:%d@net SIP/2.0\r\nCall-ID: %016x\r\nCSeq: 1 INVITE\r\nCall-Kind: voice\r\n"+
@@ -668,13 +677,14 @@
 		refused++
 	}
 	require.Contains(t, w.counters(), fmt.Sprintf("Flooded:%d", 400-64))
-	require.NoError(t, w.do("b send OPTIONS x"))
-	require.NoError(t, w.do("b expect 200 OPTIONS x"))
+	require.NoError(t, w.execute("b send OPTIONS x"))
+	require.NoError(t, w.execute("b expect 200 OPTIONS x"))
 }
 
-// Every table by call, connection or server id is empty again once what it held is over, whatever way it ended.
+// TestTablesEmpty guards against leaks: each table by call, connection or server is empty again once its entries have
+// ended, whatever the outcome.
 func TestTablesEmpty(t *testing.T) {
-	w := play(t, two+`
+	w := runScenario(t, twoServers+`
 a send INVITE c1
 s0 expect INVITE c1
 s0 send 200 INVITE c1 Body=x
@@ -703,28 +713,31 @@
 list s1
 log "list: server s1"`)
 	text := w.counters()
-	for _, size := range []string{" calls=0 ", " known=0 ", " servers=1 ", "Open:0 ", "Owed:0}", "Peers:1 ", "Legs:0 ", "Given:0}"} {
+	for _, size := range []string{
+		" calls=0 ", " known=0 ", " servers=1 ", "Open:0 ", "Owed:0}", "Peers:1 ", "Legs:0 ", "Given:0}",
+	} {
 		require.Contains(t, text, size)
 	}
 }
 
-// No call has two attempts at once or more than six, however often every server fails it.
+// TestAttemptsAreBounded checks that a call has neither two attempts at once nor more than six, however often servers
+// fail it.
 func TestAttemptsAreBounded(t *testing.T) {
-	w := play(t, two+"a send INVITE c1 Answer-Within=5000")
+	w := runScenario(t, twoServers+"a send INVITE c1 Answer-Within=5000")
 	sent, at := 0, "s0"
 	for sent < 7 {
-		if w.do(at+" expect INVITE c1") != nil {
+		if w.execute(at+" expect INVITE c1") != nil {
 			break
 		}
 		sent++
-		require.NoError(t, w.do(at+" send 504 INVITE c1"))
-		require.NoError(t, w.do("wait 300ms"))
+		require.NoError(t, w.execute(at+" send 504 INVITE c1"))
+		require.NoError(t, w.execute("wait 300ms"))
 		at = map[string]string{"s0": "s1", "s1": "s0"}[at]
 		if sent == 6 {
-			require.NoError(t, w.do("a expect 500 INVITE c1"))
+			require.NoError(t, w.execute("a expect 500 INVITE c1"))
 			break
 		}
 	}
 	require.Equal(t, 6, sent, w.log())
-	require.NoError(t, w.do(at+" expect silence"))
+	require.NoError(t, w.execute(at+" expect silence"))
 }
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -14,71 +14,80 @@
 	"time"
 )
 
-// LoadConfig says what callers ask of a router.
+// LoadConfig configures the call load that Load puts on a router.
 type LoadConfig struct {
-	Target      func() string // where to connect; asked for each connection
+	Target      func() string // returns the address to dial; called for each connection
 	Connections int
 	Seed        uint64
-	// Rate is set-ups a second over all connections, by the clock whatever the answers (open loop). 0: each connection
-	// keeps Window set-ups unanswered instead (closed loop).
+	// Rate is the number of set-ups per second over all connections, sent by the clock regardless of the answers
+	// (open loop). At 0, each connection keeps Window set-ups pending instead (closed loop).
 	Rate     float64
-	Window   int
-	Most     int // set-ups in all; 0: until the context ends
+	Window   int // set-ups pending per connection in a closed loop; 0: 16
+	Most     int // total number of set-ups; 0: no limit until the context ends
 	Classes  []string
-	Numbers  []string // beginnings of the numbers called
-	Servers  int      // calls ask for the case servers numbered below; 0: 2
-	Within   time.Duration
-	HangUp   float64 // share of standing calls that their callers release
-	HangUpIn time.Duration
-	Repeats  float64 // share of set-ups that are marked as repeats
-	Record   bool    // keep what became of each call
-	// Redials is how often a caller who is refused calls again, marked as a repeat, each time within RedialIn.
+	Numbers  []string      // prefixes of the called numbers
+	Servers  int           // calls request case servers numbered from 0 to Servers-1; 0: 2
+	Within   time.Duration // answer timeout that callers send; 0: 3 s
+	HangUp   float64       // share of established calls that their callers release
+	HangUpIn time.Duration // delay of that release after the answer
+	Repeats  float64       // share of set-ups that are marked as repeats
+	Record   bool          // keep the outcome of each call
+	// MaxRedials is how often a refused caller calls again, marked as a repeat. A redial follows the refusal
+	// by a random delay between half of MaxRedialDelay and MaxRedialDelay.
 	Redials  int
 	RedialIn time.Duration
-	Firsts   bool // keep each first try
+	Firsts   bool // keep the first try of each caller
 }
 
-// Try is a caller's first try: when, and whether the call stood.
+// FirstTry is the first try of a caller: when it was sent and whether the call was established.
 type Try struct {
 	At    time.Time
 	Stood bool
 }
 
-// LoadCounts are totals of what callers saw. Odd counts what breaks the rules: a second final answer.
+// LoadCounts are totals over all callers.
 type LoadCounts struct {
-	Offered, Stood, Refused, Failed, Lost, Released, Cut, HungUp, Odd int
-	Latency                                                           []time.Duration // of final answers, where recorded
+	Offered  int             // set-ups sent
+	Stood    int             // calls established
+	Refused  int             // set-ups answered with 503 or 480
+	Failed   int             // set-ups answered with another final status
+	Lost     int             // set-ups pending as their connection ended
+	Released int             // calls released from the router's side
+	Cut      int             // of those, calls released with another cause than normal clearing
+	HungUp   int             // calls released by their callers
+	Odd      int             // protocol violations: final answers to set-ups that are not pending
+	Latency  []time.Duration // of final answers, where recorded
 }
 
-// Load is callers at work.
+// Load is a set of callers that send set-ups to a router. Its methods may be called from several goroutines.
 type Load struct {
-	cfg    LoadConfig
-	mu     sync.Mutex
-	count  LoadCounts
-	ends   map[string]string    // call to what became of it, where recorded
-	acked  map[string]time.Time // when releases of callers were answered
-	byes   map[string]int       // releases that came, by call, where recorded
-	hung   map[string]bool      // calls whose callers have released them, or tried to
-	conns  map[*callerConn]bool
-	tries  map[string]int // redials that came before a call that is open
-	firsts map[string]*Try
-	rate   atomic.Uint64 // bits of Rate in force
-	next   uint64
-	prefix uint64
-	done   sync.WaitGroup
+	cfg            LoadConfig
+	mu             sync.Mutex
+	counts         LoadCounts
+	outcomes       map[string]string    // by call, where recorded
+	releaseAckedAt map[string]time.Time // when the release by the caller was answered, by call
+	releaseCounts  map[string]int       // releases received, by call, where recorded
+	released       map[string]bool      // calls that either side has released, or tried to
+	conns          map[*callerConn]bool
+	redials        map[string]int  // redials before this set-up, by pending call
+	firstTries     map[string]*Try // by call
+	rateBits       atomic.Uint64   // current rate, as the bits of a float64
+	lastID         uint64
+	idPrefix       uint64
+	done           sync.WaitGroup
 }
 
 // callerConn is one connection of callers.
 type callerConn struct {
-	l      *Load
-	w      *wire
-	random *rand.Rand
-	mu     sync.Mutex
-	open   map[string]time.Time // unanswered
-	room   chan bool            // one for each set-up that may be sent, in a closed loop
+	load    *Load
+	conn    *lockedConn
+	random  *rand.Rand
+	mu      sync.Mutex
+	pending map[string]time.Time // when each set-up without a final answer was sent, by call
+	window  chan bool            // in a closed loop, one token for each set-up that may be sent
 }
 
-// StartLoad has callers call until the context ends; Wait waits for the last answers.
+// StartLoad starts callers that send set-ups until the context ends. Wait waits for the last answers.
 func StartLoad(ctx context.Context, cfg LoadConfig) *Load {
 	if cfg.Within == 0 {
 		cfg.Within = 3 * time.Second
@@ -89,23 +98,33 @@
 	if cfg.Servers == 0 {
 		cfg.Servers = 2
 	}
-	l := &Load{cfg: cfg, ends: map[string]string{}, acked: map[string]time.Time{}, byes: map[string]int{}, hung: map[string]bool{}, conns: map[*callerConn]bool{}, tries: map[string]int{}, firsts: map[string]*Try{}, prefix: rand.New(rand.NewPCG(cfg.Seed, 1)).Uint64() &^ 0xffffffff}
-	l.SetRate(cfg.Rate)
+	load := &Load{
+		cfg:            cfg,
+		outcomes:       map[string]string{},
+		releaseAckedAt: map[string]time.Time{},
+		releaseCounts:  map[string]int{},
+		released:       map[string]bool{},
+		conns:          map[*callerConn]bool{},
+		redials:        map[string]int{},
+		firstTries:     map[string]*Try{},
+		idPrefix:       rand.New(rand.NewPCG(cfg.Seed, 1)).Uint64() &^ 0xffffffff,
+	}
+	load.SetRate(cfg.Rate)
 	for i := range cfg.Connections {
-		l.done.Add(1)
-		go l.connection(ctx, i)
+		load.done.Add(1)
+		go load.runConnection(ctx, i)
 	}
-	return l
+	return load
 }
 
-// SetRate changes how many set-ups a second come from now on.
-func (l *Load) SetRate(rate float64) { l.rate.Store(math.Float64bits(rate)) }
+// SetRate changes the number of set-ups per second over all connections, in an open loop.
+func (l *Load) SetRate(rate float64) { l.rateBits.Store(math.Float64bits(rate)) }
 
-// Firsts returns all first tries, where callers redial or they are to be kept.
+// FirstTries returns the first tries of all callers, which are kept with RecordFirstTries or MaxRedials.
 func (l *Load) Firsts() (list []Try) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, t := range l.firsts {
+	for _, t := range l.firstTries {
 		list = append(list, *t)
 	}
 	return list
@@ -121,43 +140,43 @@
 func (l *Load) Counts() LoadCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.count
+	return l.counts
 }
 
-// HungUp tells whether a call was released, by whichever side, as far as its caller knows.
+// IsReleased reports whether a call was released by either side, as far as its caller knows.
 func (l *Load) HungUp(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.hung[id]
+	return l.released[id]
 }
 
-// Heard tells when a caller's release of a call was answered; zero: it was not.
+// ReleaseAckedAt returns when the caller's release of a call was answered, or the zero time if it was not.
 func (l *Load) Heard(id string) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.acked[id]
+	return l.releaseAckedAt[id]
 }
 
-// Byes tells how many releases came of each call.
+// ReleaseCounts returns the number of releases received, by call; they are kept with RecordOutcomes.
 func (l *Load) Byes() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return maps.Clone(l.byes)
+	return maps.Clone(l.releaseCounts)
 }
 
-// Ends tells what became of each call: stood, refused, failed or lost.
+// Outcomes returns the outcome of each call: stood, refused, failed or lost. They are kept with RecordOutcomes.
 func (l *Load) Ends() map[string]string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := make(map[string]string, len(l.ends))
-	for id, end := range l.ends {
-		m[id] = end
+	outcomes := make(map[string]string, len(l.outcomes))
+	for id, outcome := range l.outcomes {
+		outcomes[id] = outcome
 	}
-	return m
+	return outcomes
 }
 
-// connection connects again and again until the context ends.
-func (l *Load) connection(ctx context.Context, number int) {
+// runConnection connects and sends set-ups until the context ends, and reconnects after a disconnect.
+func (l *Load) runConnection(ctx context.Context, number int) {
 	defer l.done.Done()
 	random := rand.New(rand.NewPCG(l.cfg.Seed, uint64(number)+100))
 	for ctx.Err() == nil {
@@ -166,46 +185,53 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		c := &callerConn{l: l, w: &wire{Conn: conn}, random: random, open: map[string]time.Time{}, room: make(chan bool, l.cfg.Window)}
+		caller := &callerConn{
+			load:    l,
+			conn:    &lockedConn{Conn: conn},
+			random:  random,
+			pending: map[string]time.Time{},
+			window:  make(chan bool, l.cfg.Window),
+		}
 		for range l.cfg.Window {
-			c.room <- true
+			caller.window <- true
 		}
 		l.mu.Lock()
-		l.conns[c] = true
+		l.conns[caller] = true
 		l.mu.Unlock()
-		gone := make(chan bool)
-		go func() { c.read(); close(gone) }()
-		if !c.call(ctx, gone) {
-			c.drain(gone)
+		disconnected := make(chan bool)
+		go func() { caller.readMessages(); close(disconnected) }()
+		if !caller.sendInvites(ctx, disconnected) {
+			caller.awaitPending(disconnected)
 			conn.Close()
-			<-gone
+			<-disconnected
 			return
 		}
 		conn.Close()
-		<-gone
+		<-disconnected
 	}
 }
 
-// drain waits for the last answers and releases.
-func (c *callerConn) drain(gone chan bool) {
+// awaitPending waits up to 2 s for the answers to pending set-ups.
+func (c *callerConn) awaitPending(disconnected chan bool) {
 	for range 100 {
 		c.mu.Lock()
-		left := len(c.open)
+		pending := len(c.pending)
 		c.mu.Unlock()
-		if left == 0 {
+		if pending == 0 {
 			break
 		}
 		select {
-		case <-gone:
+		case <-disconnected:
 			return
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// call sends set-ups; true if the connection ended before the context.
-func (c *callerConn) call(ctx context.Context, gone chan bool) bool {
-	cfg := &c.l.cfg
+// sendInvites sends set-ups until the connection or the context ends, or enough were sent. It returns true if the
+// connection ended first.
+func (c *callerConn) sendInvites(ctx context.Context, disconnected chan bool) bool {
+	cfg := &c.load.cfg
 	var tick <-chan time.Time
 	var due float64
 	last := time.Now()
@@ -219,14 +245,14 @@
 			select {
 			case <-ctx.Done():
 				return false
-			case <-gone:
+			case <-disconnected:
 				return true
 			case now := <-tick:
-				due += now.Sub(last).Seconds() * math.Float64frombits(c.l.rate.Load()) / float64(cfg.Connections)
+				due += now.Sub(last).Seconds() * math.Float64frombits(c.load.rateBits.Load()) / float64(cfg.Connections)
 				last = now
 			}
 			for ; due >= 1; due-- {
-				if !c.invite(0) {
+				if !c.sendInvite(0) {
 					return false
 				}
 			}
@@ -235,32 +261,32 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-gone:
+		case <-disconnected:
 			return true
-		case <-c.room:
-			if !c.invite(0) {
+		case <-c.window:
+			if !c.sendInvite(0) {
 				return false
 			}
 		}
 	}
 }
 
-// invite sends one set-up, after so many redials; false if there have been enough.
-func (c *callerConn) invite(redials int) bool {
-	l := c.l
+// sendInvite sends one set-up, which follows the given number of redials. It returns false if enough were sent.
+func (c *callerConn) sendInvite(redials int) bool {
+	l := c.load
 	l.mu.Lock()
-	if l.cfg.Most > 0 && l.count.Offered >= l.cfg.Most {
+	if l.cfg.Most > 0 && l.counts.Offered >= l.cfg.Most {
 		l.mu.Unlock()
 		return false
 	}
-	l.count.Offered++
-	l.next++
-	id := fmt.Sprintf("%016x", l.prefix+l.next)
+	l.counts.Offered++
+	l.lastID++
+	id := fmt.Sprintf("%016x", l.idPrefix+l.lastID)
 	if l.cfg.Redials > 0 {
-		l.tries[id] = redials
+		l.redials[id] = redials
 	}
 	if redials == 0 && (l.cfg.Redials > 0 || l.cfg.Firsts) {
-		l.firsts[id] = &Try{At: time.Now()}
+		l.firstTries[id] = &Try{At: time.Now()}
 	}
 	l.mu.Unlock()
 	c.mu.Lock()
@@ -270,144 +296,149 @@
 	if len(l.cfg.Numbers) > 0 {
 		number = l.cfg.Numbers[c.random.IntN(len(l.cfg.Numbers))] + strconv.Itoa(c.random.IntN(1000))
 	}
-	headers := []string{"Call-Kind", class, "Answer-Within", strconv.Itoa(int(l.cfg.Within.Milliseconds())), "Routing-Data", "dest:" + strconv.Itoa(c.random.IntN(l.cfg.Servers)) + ";width:1;via:-1"}
+	headers := []string{
+		"Call-Kind", class,
+		"Answer-Within", strconv.Itoa(int(l.cfg.Within.Milliseconds())),
+		"Routing-Data", "dest:" + strconv.Itoa(c.random.IntN(l.cfg.Servers)) + ";width:1;via:-1",
+	}
 	if redials > 0 || c.random.Float64() < l.cfg.Repeats {
 		headers = append(headers, "Repeat-Mark", "1")
 	}
-	c.open[id] = time.Now()
-	c.w.send(Request("INVITE", number, id, id+"\r\nc=IN IP4 10.4.7.9\r\n", headers...))
+	c.pending[id] = time.Now()
+	c.conn.send(Request("INVITE", number, id, id+"\r\nc=IN IP4 10.4.7.9\r\n", headers...))
 	return true
 }
 
-// read takes what the router sends until the connection ends; what is unanswered then is lost.
-func (c *callerConn) read() {
-	r := bufio.NewReader(c.w)
+// readMessages handles messages from the router until the connection ends. Set-ups still pending then are lost.
+func (c *callerConn) readMessages() {
+	r := bufio.NewReader(c.conn)
 	for {
 		m, err := Read(r)
 		if err != nil {
 			break
 		}
-		c.take(m)
+		c.handle(m)
 	}
-	c.l.mu.Lock()
-	delete(c.l.conns, c)
-	c.l.mu.Unlock()
+	c.load.mu.Lock()
+	delete(c.load.conns, c)
+	c.load.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for id := range c.open {
-		c.l.final(id, "lost", 0)
+	for id := range c.pending {
+		c.load.recordOutcome(id, "lost", 0)
 	}
-	clear(c.open)
+	clear(c.pending)
 }
 
-func (c *callerConn) take(m Message) {
+// handle processes one message from the router.
+func (c *callerConn) handle(m Message) {
 	id := m.Call()
 	switch {
 	case m.Method() == "INVITE" && m.Status() >= 200:
 		c.mu.Lock()
-		at, open := c.open[id]
-		delete(c.open, id)
+		sentAt, pending := c.pending[id]
+		delete(c.pending, id)
 		c.mu.Unlock()
-		if !open {
-			c.l.mu.Lock()
-			c.l.count.Odd++
-			c.l.mu.Unlock()
+		if !pending {
+			c.load.mu.Lock()
+			c.load.counts.Odd++
+			c.load.mu.Unlock()
 			return
 		}
-		c.w.send(Request("ACK", id, id, ""))
+		c.conn.send(Request("ACK", id, id, ""))
 		switch m.Status() {
 		case 200:
-			c.l.final(id, "stood", time.Since(at))
-			if rand.Float64() < c.l.cfg.HangUp {
-				time.AfterFunc(c.l.cfg.HangUpIn, func() { c.l.hangUp(id) })
+			c.load.recordOutcome(id, "stood", time.Since(sentAt))
+			if rand.Float64() < c.load.cfg.HangUp {
+				time.AfterFunc(c.load.cfg.HangUpIn, func() { c.load.hangUp(id) })
 			}
 		case 503, 480:
-			c.l.final(id, "refused", time.Since(at))
-			c.l.redial(id)
+			c.load.recordOutcome(id, "refused", time.Since(sentAt))
+			c.load.scheduleRedial(id)
 		default:
-			c.l.final(id, "failed", time.Since(at))
+			c.load.recordOutcome(id, "failed", time.Since(sentAt))
 		}
 		select {
-		case c.room <- true:
+		case c.window <- true:
 		default:
 		}
 	case m.Method() == "BYE" && m.Status() == 200:
-		c.l.mu.Lock()
-		c.l.acked[id] = time.Now()
-		c.l.mu.Unlock()
+		c.load.mu.Lock()
+		c.load.releaseAckedAt[id] = time.Now()
+		c.load.mu.Unlock()
 	case m.Method() == "BYE" && m.Status() == 0:
-		c.w.send(Response(200, "BYE", id, ""))
-		c.l.mu.Lock()
-		c.l.hung[id] = true // nothing is left to hang up
-		if c.l.cfg.Record {
-			c.l.byes[id]++
+		c.conn.send(Response(200, "BYE", id, ""))
+		c.load.mu.Lock()
+		c.load.released[id] = true // the caller has nothing left to release
+		if c.load.cfg.Record {
+			c.load.releaseCounts[id]++
 		}
-		c.l.count.Released++
+		c.load.counts.Released++
 		if m.Header["Reason"] != "Q.850;cause=16" {
-			c.l.count.Cut++
+			c.load.counts.Cut++
 		}
-		c.l.mu.Unlock()
+		c.load.mu.Unlock()
 	}
 }
 
-// redial has a refused caller call again, by any connection.
-func (l *Load) redial(id string) {
+// scheduleRedial lets a refused caller call again, on any connection.
+func (l *Load) scheduleRedial(id string) {
 	l.mu.Lock()
-	tries := l.tries[id] + 1
-	delete(l.tries, id)
+	redials := l.redials[id] + 1
+	delete(l.redials, id)
 	l.mu.Unlock()
-	if tries > l.cfg.Redials {
+	if redials > l.cfg.Redials {
 		return
 	}
 	time.AfterFunc(time.Duration((0.5+rand.Float64()/2)*float64(l.cfg.RedialIn)), func() {
 		l.mu.Lock()
-		var any *callerConn
-		for any = range l.conns {
+		var conn *callerConn
+		for conn = range l.conns {
 			break
 		}
 		l.mu.Unlock()
-		if any != nil {
-			any.invite(tries)
+		if conn != nil {
+			conn.sendInvite(redials)
 		}
 	})
 }
 
-// hangUp releases a call that stands, by any connection: none owns it.
+// hangUp releases an established call, on any connection: a call is not bound to the one of its set-up.
 func (l *Load) hangUp(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.hung[id] {
+	if l.released[id] {
 		return
 	}
 	for c := range l.conns {
-		l.hung[id] = true
-		l.count.HungUp++
-		c.w.send(Request("BYE", id, id, "", "Reason", "Q.850;cause=16"))
+		l.released[id] = true
+		l.counts.HungUp++
+		c.conn.send(Request("BYE", id, id, "", "Reason", "Q.850;cause=16"))
 		return
 	}
 }
 
-// final notes what became of a call.
-func (l *Load) final(id, end string, took time.Duration) {
+// recordOutcome counts the outcome of a call, and keeps it where configured.
+func (l *Load) recordOutcome(id, outcome string, latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	switch end {
+	switch outcome {
 	case "stood":
-		l.count.Stood++
-		if t := l.firsts[id]; t != nil {
+		l.counts.Stood++
+		if t := l.firstTries[id]; t != nil {
 			t.Stood = true
 		}
 	case "refused":
-		l.count.Refused++
+		l.counts.Refused++
 	case "failed":
-		l.count.Failed++
+		l.counts.Failed++
 	case "lost":
-		l.count.Lost++
+		l.counts.Lost++
 	}
 	if l.cfg.Record {
-		l.ends[id] = end
-		if took > 0 {
-			l.count.Latency = append(l.count.Latency, took)
+		l.outcomes[id] = outcome
+		if latency > 0 {
+			l.counts.Latency = append(l.counts.Latency, latency)
 		}
 	}
 }
--- a/internal/standin/port.go
+++ b/internal/standin/port.go
@@ -7,13 +7,15 @@
 	"sync/atomic"
 )
 
-var portNext atomic.Uint32
+// lastPortOffset is the offset of the last port tried, modulo the number of ports used.
+var lastPortOffset atomic.Uint32
 
-// Port finds a free address on loopback for a process that is to be started, below the range that outgoing connections take: between this and the start none of them can have it.
+// FreeAddr returns a free address on loopback for a process that is about to start. Its port lies below the range of
+// ephemeral ports, so that no outgoing connection takes it before the process listens.
 func Port() string {
-	portNext.CompareAndSwap(0, rand.Uint32N(12000)+1)
+	lastPortOffset.CompareAndSwap(0, rand.Uint32N(12000)+1)
 	for {
-		n := 18000 + portNext.Add(1)%14000
+		n := 18000 + lastPortOffset.Add(1)%14000
 		l, err := net.Listen("tcp4", fmt.Sprintf("127.0.0.1:%d", n))
 		if err == nil {
 			l.Close()
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -10,73 +10,80 @@
 	"time"
 )
 
-// hungFor is when a set-up that a hung case server took would be answered: its router has given it up long before.
-const hungFor = time.Hour
+// hungAnswerDelay is the answer delay of a hung case server, far beyond the time after which its router gives up.
+const hungAnswerDelay = time.Hour
 
-// ServerConfig says how a case server behaves.
+// ServerConfig configures a case server.
 type ServerConfig struct {
 	ID           string
 	Number       int
 	Seed         uint64
-	AnswerWithin [2]time.Duration // an answer takes between these
-	Hold         [2]time.Duration // a call stands between these
-	Reject       float64          // share of set-ups that are turned away as processor full
-	Cut          float64          // share of standing calls that end by a cut
-	Agents       int              // what it reports to have free; 0: 1000
+	AnswerWithin [2]time.Duration // minimum and maximum delay of an answer
+	Hold         [2]time.Duration // minimum and maximum duration of a call
+	Reject       float64          // share of set-ups that are rejected as overload
+	Cut          float64          // share of established calls that end by a cut
+	Agents       int              // free agents that it reports; 0: 1000
 }
 
-// Seen is what a case server saw of one call.
+// CallRecord is what a case server has seen of one call.
 type Seen struct {
-	Received int // set-ups
-	Rejected int
-	GivenUp  bool // by CANCEL, or as its connection closed
+	Received int  // set-ups received
+	Rejected int  // set-ups rejected as overload
+	GivenUp  bool // by a CANCEL, or because its connection closed
 	Answered bool
-	Released bool // the call has come to its end
-	ByCaller bool // by a release from the router's side
-	Cut      bool
-	Heard    time.Time // when its release was answered; zero: it was not
+	Released bool      // the established call has ended
+	ByCaller bool      // released from the router's side
+	Cut      bool      // ended by a cut
+	Heard    time.Time // when the router answered its release; zero: not yet
 	Class    string
 	Number   string
-	Held     time.Duration
-	First    time.Time // when its first set-up came
-	Last     time.Time // when it was over here, one way or another; zero: it is not
+	Held     time.Duration // from the answer to the release
+	First    time.Time     // when its first set-up was received
+	Last     time.Time     // when it last ended here, by whatever outcome; zero: it has not
 }
 
-// Server is one case server. It keeps a record of every call.
+// Server is a case server that keeps a record of every call. Its methods may be called from several goroutines.
 type Server struct {
-	cfg      ServerConfig
-	listener net.Listener
-	mu       sync.Mutex
-	random   *rand.Rand
-	conns    map[*wire]bool
-	calls    map[string]*seen
-	owed     []release // whose end has not been heard, or perhaps not
-	closed   bool
-	hang     bool
-	slow     float64
-	count    ServerCounts
+	cfg         ServerConfig
+	listener    net.Listener
+	mu          sync.Mutex
+	random      *rand.Rand
+	conns       map[*lockedConn]bool
+	calls       map[string]*callState
+	unacked     []release // releases that the router has not acknowledged, or only just
+	closed      bool
+	hang        bool
+	delayFactor float64
+	counts      ServerCounts
 }
 
-// ServerCounts are totals of what a case server saw. Odd counts what breaks the rules: a second set-up of a call while one is out
-// or stands.
-type ServerCounts struct{ Received, Rejected, Answered, GivenUp, Released, Odd int }
+// ServerCounts are totals over all calls of a case server.
+type ServerCounts struct {
+	Received int // set-ups
+	Rejected int // set-ups rejected as overload
+	Answered int // calls established
+	GivenUp  int // set-ups withdrawn by a CANCEL or the end of their connection
+	Released int // established calls that ended
+	Odd      int // protocol violations: set-ups of a call that is pending or established
+}
 
-type seen struct {
+// callState is the record of a call with what the server needs to continue it.
+type callState struct {
 	Seen
-	on       *wire
-	answered time.Time
-	timer    *time.Timer
+	conn       *lockedConn
+	answeredAt time.Time
+	timer      *time.Timer
 }
 
-// release is one that the router must hear.
+// release is the release of a call, which the router must acknowledge.
 type release struct {
-	call  string
-	cause int
-	at    time.Time
-	heard bool
+	call   string
+	cause  int
+	sentAt time.Time
+	acked  bool
 }
 
-// NewServer serves on loopback until Close.
+// NewServer starts a case server on loopback that runs until Close.
 func NewServer(cfg ServerConfig) (*Server, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -85,17 +92,23 @@
 	if cfg.Agents == 0 {
 		cfg.Agents = 1000
 	}
-	s := &Server{cfg: cfg, listener: l, random: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Number))), conns: map[*wire]bool{}, calls: map[string]*seen{}}
+	s := &Server{
+		cfg:      cfg,
+		listener: l,
+		random:   rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Number))),
+		conns:    map[*lockedConn]bool{},
+		calls:    map[string]*callState{},
+	}
 	go s.accept()
 	return s, nil
 }
 
-// Entry is the server as the name service lists it.
+// Entry returns the server's entry in the list of the name service.
 func (s *Server) Entry() Entry {
 	return Entry{ID: s.cfg.ID, Number: s.cfg.Number, Addr: netip.MustParseAddrPort(s.listener.Addr().String())}
 }
 
-// Close ends the server and its connections.
+// Close stops the server and closes its connections.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -111,28 +124,28 @@
 	}
 }
 
-// Behaviour is how a case server does from some moment on.
+// Behaviour is the part of a case server's behaviour that can change at run time.
 type Behaviour struct {
-	Hang   bool    // it takes set-ups and answers none
-	Slow   float64 // an answer takes so many times as long; 0: as ever
-	Reject float64 // share of set-ups that it turns away as processor full
+	Hang   bool    // accept set-ups and answer none
+	Slow   float64 // factor on the answer delay; 0: 1
+	Reject float64 // share of set-ups that are rejected as overload
 }
 
-// Behave changes how it does. Set-ups that it had left unanswered stay so.
+// SetBehaviour changes the behaviour for new set-ups. Set-ups that a hung server left unanswered stay unanswered.
 func (s *Server) Behave(b Behaviour) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hang, s.slow, s.cfg.Reject = b.Hang, b.Slow, b.Reject
+	s.hang, s.delayFactor, s.cfg.Reject = b.Hang, b.Slow, b.Reject
 }
 
-// Counts returns the totals.
+// Counts returns the totals so far.
 func (s *Server) Counts() ServerCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.count
+	return s.counts
 }
 
-// Calls returns what was seen of every call.
+// Calls returns a copy of the record of every call, by call.
 func (s *Server) Calls() map[string]Seen {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,42 +156,44 @@
 	return m
 }
 
-// Standing is how many calls stand, and Owed how many releases the router has not confirmed.
-func (s *Server) Standing() (standing, owed int) {
+// ActiveCalls returns the number of established calls and the number of releases that the router has not acknowledged.
+func (s *Server) Standing() (established, unacked int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.calls {
 		if c.Answered && !c.Released {
-			standing++
+			established++
 		}
 	}
-	for _, o := range s.owed {
-		if !o.heard {
-			owed++
+	for _, o := range s.unacked {
+		if !o.acked {
+			unacked++
 		}
 	}
-	return standing, owed
+	return established, unacked
 }
 
+// accept serves each new connection, which starts with a state report and the unacknowledged releases.
 func (s *Server) accept() {
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		w := &wire{Conn: conn}
+		w := &lockedConn{Conn: conn}
 		s.mu.Lock()
 		s.conns[w] = true
-		owed := s.owed
-		s.owed = nil
+		unacked := s.unacked
+		s.unacked = nil
 		s.mu.Unlock()
-		w.send(Request("NOTIFY", "state", "0000000000000000", "", "Link-State", fmt.Sprintf("x0:%d;x1:%d", s.cfg.Agents, s.cfg.Agents)))
-		// A release goes also on the next connection opened: what was heard before comes again.
-		for _, o := range owed {
-			w.send(bye(o))
-			if !o.heard {
+		w.send(Request("NOTIFY", "state", "0000000000000000", "", "Link-State",
+			fmt.Sprintf("x0:%d;x1:%d", s.cfg.Agents, s.cfg.Agents)))
+		// A recent release is sent again on the next connection, even if it was acknowledged on another.
+		for _, o := range unacked {
+			w.send(encodeBye(o))
+			if !o.acked {
 				s.mu.Lock()
-				s.owed = append(s.owed, o)
+				s.unacked = append(s.unacked, o)
 				s.mu.Unlock()
 			}
 		}
@@ -186,44 +201,49 @@
 	}
 }
 
-func bye(o release) []byte {
-	return Request("BYE", o.call, o.call, "", "Reason", fmt.Sprintf("Q.850;cause=%d", o.cause))
+// encodeBye encodes the BYE of a release.
+func encodeBye(bye release) []byte {
+	return Request("BYE", bye.call, bye.call, "", "Reason", fmt.Sprintf("Q.850;cause=%d", bye.cause))
 }
 
-func (s *Server) serve(w *wire) {
+// serve handles the messages of a connection until it ends, and withdraws the set-ups pending on it.
+func (s *Server) serve(w *lockedConn) {
 	r := bufio.NewReader(w)
 	for {
 		m, err := Read(r)
 		if err != nil {
 			break
 		}
-		s.take(w, m)
+		s.handle(w, m)
 	}
 	w.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, w)
-	for _, c := range s.calls { // set-ups open on it are given up
-		if c.on == w && !c.Answered && !c.GivenUp && c.timer != nil {
-			c.giveUp(s)
+	for _, c := range s.calls {
+		if c.conn == w && !c.Answered && !c.GivenUp && c.timer != nil {
+			c.abandon(s)
 		}
 	}
 }
 
-func (c *seen) giveUp(s *Server) {
+// abandon withdraws a pending set-up.
+func (c *callState) abandon(s *Server) {
 	c.GivenUp, c.Last = true, time.Now()
 	c.timer.Stop()
-	s.count.GivenUp++
+	s.counts.GivenUp++
 }
 
-func (s *Server) between(span [2]time.Duration) time.Duration {
+// randomBetween returns a random duration between the two of span.
+func (s *Server) randomBetween(span [2]time.Duration) time.Duration {
 	if span[1] <= span[0] {
 		return span[0]
 	}
 	return span[0] + time.Duration(s.random.Int64N(int64(span[1]-span[0])))
 }
 
-func (s *Server) take(w *wire, m Message) {
+// handle processes one message from the router.
+func (s *Server) handle(w *lockedConn, m Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := m.Call()
@@ -231,94 +251,94 @@
 	case m.Method() == "INVITE" && m.Status() == 0:
 		c := s.calls[id]
 		if c == nil {
-			c = &seen{}
+			c = &callState{}
 			c.First = time.Now()
 			s.calls[id] = c
 		}
-		if c.Answered && c.Released && c.ByCaller { // its answer had crossed a CANCEL, and the router has ended it
+		if c.Answered && c.Released && c.ByCaller { // the answer crossed a CANCEL, and the router released the call
 			c.Answered, c.Released, c.ByCaller, c.timer = false, false, false, nil
 		}
 		if c.Answered || c.timer != nil && !c.GivenUp {
-			s.count.Odd++
+			s.counts.Odd++
 			return
 		}
-		s.count.Received++
+		s.counts.Received++
 		c.Received++
-		c.on, c.Class, c.Number, c.GivenUp, c.timer = w, m.Header["Call-Kind"], m.User(), false, nil
+		c.conn, c.Class, c.Number, c.GivenUp, c.timer = w, m.Header["Call-Kind"], m.User(), false, nil
 		if s.random.Float64() < s.cfg.Reject {
-			s.count.Rejected++
+			s.counts.Rejected++
 			c.Rejected++
 			c.Last = time.Now()
 			w.send(Response(503, "INVITE", id, "", "Fail-Word", "swamped"))
 			return
 		}
-		within := s.between(s.cfg.AnswerWithin)
-		if s.slow > 0 {
-			within = time.Duration(float64(within) * s.slow)
+		delay := s.randomBetween(s.cfg.AnswerWithin)
+		if s.delayFactor > 0 {
+			delay = time.Duration(float64(delay) * s.delayFactor)
 		}
 		if s.hang {
-			within = hungFor
+			delay = hungAnswerDelay
 		}
-		c.timer = time.AfterFunc(within, func() { s.answer(id, c) })
+		c.timer = time.AfterFunc(delay, func() { s.answer(id, c) })
 	case m.Method() == "CANCEL":
 		if c := s.calls[id]; c != nil && c.timer != nil && !c.Answered && !c.GivenUp {
-			c.giveUp(s)
+			c.abandon(s)
 			w.send(Response(487, "INVITE", id, ""))
 		}
 	case m.Method() == "BYE" && m.Status() == 0:
 		w.send(Response(200, "BYE", id, ""))
 		if c := s.calls[id]; c != nil && c.Answered && !c.Released {
 			c.timer.Stop()
-			c.Released, c.ByCaller, c.Held, c.Last = true, true, time.Since(c.answered), time.Now()
-			s.count.Released++
+			c.Released, c.ByCaller, c.Held, c.Last = true, true, time.Since(c.answeredAt), time.Now()
+			s.counts.Released++
 		}
 	case m.Method() == "BYE":
 		if c := s.calls[id]; c != nil && c.Released && !c.ByCaller && c.Heard.IsZero() {
 			c.Heard = time.Now()
 		}
-		for i := range s.owed {
-			if s.owed[i].call == id {
-				s.owed[i].heard = true
+		for i := range s.unacked {
+			if s.unacked[i].call == id {
+				s.unacked[i].acked = true
 			}
 		}
-		for len(s.owed) > 0 && s.owed[0].heard && time.Since(s.owed[0].at) > time.Second {
-			s.owed = s.owed[1:]
+		for len(s.unacked) > 0 && s.unacked[0].acked && time.Since(s.unacked[0].sentAt) > time.Second {
+			s.unacked = s.unacked[1:]
 		}
 	}
 }
 
-// answer has a call stand.
-func (s *Server) answer(id string, c *seen) {
+// answer establishes a call.
+func (s *Server) answer(id string, c *callState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || c.GivenUp || c.Answered {
 		return
 	}
-	c.Answered, c.answered = true, time.Now()
-	s.count.Answered++
-	c.on.send(Response(200, "INVITE", id, id+"\r\nc=IN IP4 10.0.0.1\r\n"))
-	c.timer = time.AfterFunc(s.between(s.cfg.Hold), func() { s.end(id, c) })
+	c.Answered, c.answeredAt = true, time.Now()
+	s.counts.Answered++
+	c.conn.send(Response(200, "INVITE", id, id+"\r\nc=IN IP4 10.0.0.1\r\n"))
+	c.timer = time.AfterFunc(s.randomBetween(s.cfg.Hold), func() { s.end(id, c) })
 }
 
-// end releases a call: on its set-up's connection, otherwise on any that is open, and on the next one opened.
-func (s *Server) end(id string, c *seen) {
+// end releases a call: on the connection of its set-up, or else on any open one, and again on the next one opened.
+func (s *Server) end(id string, c *callState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || c.Released {
 		return
 	}
-	c.Released, c.Cut, c.Held, c.Last = true, s.random.Float64() < s.cfg.Cut, time.Since(c.answered), time.Now()
-	s.count.Released++
-	o := release{id, 16, time.Now(), false}
+	c.Released, c.Cut, c.Held, c.Last = true, s.random.Float64() < s.cfg.Cut, time.Since(c.answeredAt), time.Now()
+	s.counts.Released++
+	bye := release{id, 16, time.Now(), false}
 	if c.Cut {
-		o.cause = 41
+		bye.cause = 41
 	}
-	s.owed = append(s.owed, o)
-	if s.conns[c.on] && c.on.send(bye(o)) {
+	s.unacked = append(s.unacked, bye)
+	if s.conns[c.conn] && c.conn.send(encodeBye(bye)) {
 		return
 	}
-	for w := range s.conns { // one that this side has just closed is not open, though it may still be listed
-		if w.send(bye(o)) {
+	for w := range s.conns { // sending fails on a connection that was just closed but is still listed
+		if w.send(encodeBye(bye)) {
 			return
 		}
 	}
--- a/internal/standin/sip.go
+++ b/internal/standin/sip.go
@@ -1,6 +1,7 @@
-// Package standin plays the other sides of the call router on loopback: case servers and callers that speak the platform's SIP
-// and count what they saw, and the name service. It is for tests and load tools: what ships in serve must never import it, and
-// it shares no code with what it checks, so that a mistake in one is not hidden by the same in the other.
+// Package standin simulates the peers of the call router on loopback: case servers and callers, which speak the
+// platform's SIP and count what they see, and the name service. It is for tests and load tools, and the serve
+// command must never import it. It shares no code with the router, so that a mistake in the router is not hidden
+// by the same one here.
 package standin
 
 import (
@@ -14,14 +15,15 @@
 	"sync"
 )
 
-// Message is one SIP message as it came.
+// Message is a received SIP message.
 type Message struct {
 	Start  string
 	Header map[string]string
 	Body   string
 }
 
-// Read reads one message.
+// ReadMessage reads one message. It returns an error at the end of the stream, and for a Content-Length that is
+// missing, invalid or above 1 MiB.
 func Read(r *bufio.Reader) (Message, error) {
 	m := Message{Header: map[string]string{}}
 	for {
@@ -35,7 +37,7 @@
 		case line == "":
 			n, err := strconv.Atoi(m.Header["Content-Length"])
 			if err != nil || n < 0 || n > 1<<20 {
-				return m, fmt.Errorf("a length of %q", m.Header["Content-Length"])
+				return m, fmt.Errorf("invalid Content-Length %q", m.Header["Content-Length"])
 			}
 			body := make([]byte, n)
 			_, err = io.ReadFull(r, body)
@@ -48,10 +50,10 @@
 	}
 }
 
-// Call is the id of the message's call.
+// CallID returns the Call-ID of the message.
 func (m Message) Call() string { return m.Header["Call-ID"] }
 
-// Status is that of a response; 0 for a request.
+// Status returns the status of a response, or 0 for a request.
 func (m Message) Status() int {
 	if rest, ok := strings.CutPrefix(m.Start, "SIP/2.0 "); ok {
 		n, _ := strconv.Atoi(rest[:min(3, len(rest))])
@@ -60,7 +62,7 @@
 	return 0
 }
 
-// Method is the method of a request, or the one that a response answers.
+// Method returns the method of a request, or of the request that a response answers.
 func (m Message) Method() string {
 	if m.Status() != 0 {
 		_, method, _ := strings.Cut(m.Header["CSeq"], " ")
@@ -70,46 +72,49 @@
 	return method
 }
 
-// User is the number in the first line of a request.
+// User returns the number called, from the start line of a request.
 func (m Message) User() string {
 	_, rest, _ := strings.Cut(m.Start, "sip:")
 	user, _, _ := strings.Cut(rest, "@")
 	return user
 }
 
-// Request writes a request; headers are name and value in turn.
+// Request encodes a request. Headers are pairs of a name and a value.
 func Request(method, user, call, body string, headers ...string) []byte {
-	b := fmt.Appendf(nil, "%s sip:%s@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: %s\r\nCSeq: 1 %s\r\n", method, user, call, method)
-	return finish(b, body, headers)
+	b := fmt.Appendf(nil, "%s sip:%s@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: %s\r\nCSeq: 1 %s\r\n",
+		method, user, call, method)
+	return appendHeadersAndBody(b, body, headers)
 }
 
-// Response writes an answer to a method. Case servers say CSeq 1 whatever they were sent.
+// Response encodes a response to a method. Its CSeq is always 1: case servers do not echo the one of the request.
 func Response(status int, method, call, body string, headers ...string) []byte {
 	b := fmt.Appendf(nil, "SIP/2.0 %d Whatever\r\nCall-ID: %s\r\nCSeq: 1 %s\r\n", status, call, method)
-	return finish(b, body, headers)
+	return appendHeadersAndBody(b, body, headers)
 }
 
-func finish(b []byte, body string, headers []string) []byte {
+// appendHeadersAndBody appends the headers, the Content-Length and the body.
+func appendHeadersAndBody(b []byte, body string, headers []string) []byte {
 	for i := 0; i+1 < len(headers); i += 2 {
 		b = fmt.Appendf(b, "%s: %s\r\n", headers[i], headers[i+1])
 	}
 	return fmt.Appendf(b, "Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// CallID is the id of a call by a name.
+// CallID returns the Call-ID that stands for a name: its FNV-1a hash in hex.
 func CallID(name string) string {
 	h := fnv.New64a()
 	io.WriteString(h, name)
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// wire is one connection that several goroutines write to.
-type wire struct {
+// lockedConn is a connection that several goroutines may write to.
+type lockedConn struct {
 	net.Conn
 	mu sync.Mutex
 }
 
-func (w *wire) send(b []byte) bool {
+// send writes a message and reports whether the write succeeded.
+func (w *lockedConn) send(b []byte) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	_, err := w.Conn.Write(b)
