--- a/cmd/threadglade/acceptance_test.go
+++ b/cmd/threadglade/acceptance_test.go
@@ -46,11 +46,11 @@
 		return 0
 	}
 	for {
-		m, err := standin.Read(c.r)
+		m, err := standin.ReadMessage(c.r)
 		if err != nil {
 			return 0
 		}
-		if m.Method() == method && m.Status() >= 200 && m.Call() == id {
+		if m.Method() == method && m.Status() >= 200 && m.CallID() == id {
 			return m.Status()
 		}
 	}
@@ -71,7 +71,7 @@
 // learns of only once the name service is back, must serve new callers, and must not spin meanwhile.
 func TestIdleCallersFillTheDescriptors(t *testing.T) {
 	const sockets, servers = 160, 60
-	s := newTestbed(t, servers, standin.ServerConfig{Seed: 3, Hold: [2]time.Duration{time.Second, time.Second}})
+	s := newTestbed(t, servers, standin.ServerConfig{Seed: 3, HoldTime: [2]time.Duration{time.Second, time.Second}})
 	var all []standin.Entry
 	for _, one := range s.servers {
 		all = append(all, one.Entry())
@@ -83,7 +83,7 @@
 	config["known"], config["limits"] = knownConfig["known"], map[string]any{"memory_mb": 192, "sockets": sockets}
 	text, err := json.Marshal(config)
 	require.NoError(t, err)
-	s.names.Down(true)
+	s.names.SetDown(true)
 	router := startChild(t, []string{"NODE_CONFIG=" + s.writeFile("n0.json", string(text))}, "serve")
 	router.waitReady(t)
 	require.NoError(t, unix.Prlimit(router.cmd.Process.Pid, unix.RLIMIT_NOFILE,
@@ -105,8 +105,8 @@
 	time.Sleep(time.Second)
 	require.Less(t, cpuTime(t, router.cmd.Process.Pid)-from, 300*time.Millisecond, "the idle process uses CPU time")
 
-	s.names.Set(8, all)
-	s.names.Down(false)
+	s.names.SetServers(8, all)
+	s.names.SetDown(false)
 	require.Eventually(t, func() bool {
 		return strings.Contains(router.log(), fmt.Sprintf("server s%d number %d", servers-1, servers-1))
 	}, 3*time.Second, 10*time.Millisecond, "the server list is not applied")
@@ -133,7 +133,7 @@
 // with the name service down. Nine in ten must be ready within 10 s: they answer OPTIONS and establish a call.
 func TestRestartedProcessesAreReady(t *testing.T) {
 	const routers, timeout = 30, 10 * time.Second
-	s := newTestbed(t, 2, standin.ServerConfig{Seed: 4, Hold: [2]time.Duration{200 * time.Millisecond, time.Second}})
+	s := newTestbed(t, 2, standin.ServerConfig{Seed: 4, HoldTime: [2]time.Duration{200 * time.Millisecond, time.Second}})
 	var envs [][]string
 	var addrs []string
 	var old []*child
@@ -145,7 +145,7 @@
 	for _, v := range old {
 		v.waitReady(t)
 	}
-	s.names.Down(true)
+	s.names.SetDown(true)
 	stop := make(chan bool)
 	var flood sync.WaitGroup
 	for i := range routers { // a new caller every 5 ms, each with a set-up
@@ -218,15 +218,15 @@
 		}
 		go func() {
 			for r := bufio.NewReader(conn); ; {
-				m, err := standin.Read(r)
+				m, err := standin.ReadMessage(r)
 				if err != nil {
 					return
 				}
 				if m.Status() == 0 && m.Method() == "INVITE" {
 					s.mu.Lock()
-					s.arrivals[m.Call()] = append(s.arrivals[m.Call()], time.Now())
+					s.arrivals[m.CallID()] = append(s.arrivals[m.CallID()], time.Now())
 					s.mu.Unlock()
-					conn.Write(standin.Response(504, "INVITE", m.Call(), ""))
+					conn.Write(standin.Response(504, "INVITE", m.CallID(), ""))
 				}
 			}
 		}()
@@ -308,7 +308,7 @@
 		list = append(list, standin.Entry{ID: fmt.Sprintf("s%d", i), Number: i,
 			Addr: netip.MustParseAddrPort(l.Addr().String())})
 	}
-	s.names.Set(7, list)
+	s.names.SetServers(7, list)
 	listen := freeAddress(t)
 	router := startChild(t, []string{"NODE_CONFIG=" + s.writeFile("n0.json",
 		string(standin.RouterConfig("n0", listen, s.names.Addr(), 7, list)))}, "serve")
@@ -395,7 +395,7 @@
 // the patience ends.
 func TestOutputGateDropsSetUpsOfCallersThatLeft(t *testing.T) {
 	t.Parallel()
-	s := newTestbed(t, 1, standin.ServerConfig{Hold: [2]time.Duration{time.Second, time.Second}})
+	s := newTestbed(t, 1, standin.ServerConfig{HoldTime: [2]time.Duration{time.Second, time.Second}})
 	listen, dir := freeAddress(t), t.TempDir()
 	router := startChild(t, append(s.writeConfig("n0", listen), "KILL=slow journal 1"), "serve", "--settings",
 		s.writeFile("settings", ledgerSettings(dir, dir+"/out", `(patience "1s")`)))
@@ -425,7 +425,7 @@
 	}
 	invite(stay, "stay")
 	stay.SetDeadline(time.Now().Add(3 * time.Second))
-	m, err := standin.Read(stay.r)
+	m, err := standin.ReadMessage(stay.r)
 	require.NoError(t, err)
 	require.Equal(t, 200, m.Status())
 	require.Contains(t, router.log(), "ledger_trouble", "the disk was not slow enough for the test to be meaningful")
--- a/cmd/threadglade/bench_test.go
+++ b/cmd/threadglade/bench_test.go
@@ -45,8 +45,8 @@
 // measure runs a router in a mode under load for a span. rate is in calls a second; 0 means as many calls as it can
 // carry.
 func measure(b *testing.B, program, mode string, rate float64, span time.Duration) measurement {
-	s := newTestbed(b, 3, standin.ServerConfig{Seed: 1, Hold: [2]time.Duration{time.Millisecond, 3 * time.Millisecond},
-		Agents: 1 << 19})
+	s := newTestbed(b, 3, standin.ServerConfig{Seed: 1, HoldTime: [2]time.Duration{time.Millisecond, 3 * time.Millisecond},
+		FreeAgents: 1 << 19})
 	listen, args := freeAddress(b), []string{"serve"}
 	dir := filepath.Join(s.dir, "ledger")
 	switch mode {
@@ -74,7 +74,7 @@
 	ctx, cancel := context.WithTimeout(b.Context(), span)
 	defer cancel()
 	cfg := standin.LoadConfig{Target: func() string { return listen }, Connections: 64, Window: 6, Rate: rate, Seed: 2,
-		Classes: []string{"voice"}, Numbers: []string{"92"}, Record: rate > 0}
+		Classes: []string{"voice"}, NumberPrefixes: []string{"92"}, RecordOutcomes: rate > 0}
 	start := time.Now()
 	n := standin.StartLoad(ctx, cfg).Wait()
 	took := time.Since(start)
@@ -328,7 +328,7 @@
 	const routers, rate = 8, 1570.0
 	for b.Loop() {
 		s := newTestbed(b, 3, standin.ServerConfig{Seed: 1,
-			Hold: [2]time.Duration{20 * time.Millisecond, 60 * time.Millisecond}, Agents: 1 << 19})
+			HoldTime: [2]time.Duration{20 * time.Millisecond, 60 * time.Millisecond}, FreeAgents: 1 << 19})
 		ctx, cancel := context.WithTimeout(b.Context(), span)
 		var loads []*standin.Load
 		var children []*child
@@ -341,7 +341,7 @@
 			children = append(children, c)
 			loads = append(loads, standin.StartLoad(ctx, standin.LoadConfig{Target: func() string { return listen },
 				Connections: 8, Rate: rate, Seed: uint64(i + 1),
-				Classes: []string{"voice", "data"}, Numbers: []string{"92", "94"}, Repeats: 0.1}))
+				Classes: []string{"voice", "data"}, NumberPrefixes: []string{"92", "94"}, RepeatShare: 0.1}))
 		}
 		offered := 0
 		for _, l := range loads {
--- a/cmd/threadglade/child_test.go
+++ b/cmd/threadglade/child_test.go
@@ -208,7 +208,7 @@
 type testbed struct {
 	t       testing.TB
 	dir     string
-	names   *standin.Names
+	names   *standin.NameService
 	servers []*standin.Server
 }
 
@@ -216,7 +216,7 @@
 func newTestbed(t testing.TB, servers int, cfg standin.ServerConfig) *testbed {
 	s := &testbed{t: t, dir: t.TempDir()}
 	var err error
-	s.names, err = standin.NewNames(7, false)
+	s.names, err = standin.NewNameService(7, false)
 	require.NoError(t, err)
 	t.Cleanup(s.names.Close)
 	var list []standin.Entry
@@ -228,12 +228,12 @@
 		s.servers = append(s.servers, one)
 		list = append(list, one.Entry())
 	}
-	s.names.Set(7, list)
+	s.names.SetServers(7, list)
 	return s
 }
 
 // freeAddress returns a loopback address that nobody listens on.
-func freeAddress(testing.TB) string { return standin.Port() }
+func freeAddress(testing.TB) string { return standin.FreeAddr() }
 
 // writeConfig writes a router's configuration and returns the environment that refers to it.
 func (s *testbed) writeConfig(name, listen string) []string {
@@ -260,7 +260,7 @@
 	require.Eventually(s.t, func() bool {
 		pending = nil
 		for _, one := range s.servers {
-			if established, unacknowledged := one.Standing(); established+unacknowledged > 0 {
+			if established, unacknowledged := one.ActiveCalls(); established+unacknowledged > 0 {
 				pending = append(pending, fmt.Sprintf("%s: %d calls established, %d releases unacknowledged",
 					one.Entry().ID, established,
 					unacknowledged))
--- a/cmd/threadglade/fleet_test.go
+++ b/cmd/threadglade/fleet_test.go
@@ -84,7 +84,7 @@
 func TestVerdictCommands(t *testing.T) {
 	t.Parallel()
 	s := newTestbed(t, 3, standin.ServerConfig{Seed: 4,
-		Hold: [2]time.Duration{50 * time.Millisecond, 100 * time.Millisecond}})
+		HoldTime: [2]time.Duration{50 * time.Millisecond, 100 * time.Millisecond}})
 	keeper, dir := freeAddress(t), filepath.Join(s.dir, "keepers")
 	section := func(more string) string {
 		return fmt.Sprintf(`(threadglade (fleet (name "f") (directory %q) (lease 1s) (renew 300ms) (keeper "k" (address %q)) (members "n*") %s`,
@@ -117,7 +117,7 @@
 		out, code = verdicts()
 		return code == 0 && strings.Contains(out, "nobody finds fault") && !strings.Contains(out, "no answer")
 	}, 15*time.Second, 200*time.Millisecond, "%s", out)
-	s.servers[1].Behave(standin.Behaviour{Hang: true})
+	s.servers[1].SetBehaviour(standin.Behaviour{Hang: true})
 	require.Eventually(t, func() bool {
 		out, _ = verdicts()
 		return strings.Contains(out, "s1") && strings.Contains(out, "gone")
@@ -129,7 +129,7 @@
 	require.Zero(t, code, out)
 	require.Contains(t, out, `"server":"s1"`)
 	require.NotContains(t, out, `"server":"s0"`)
-	s.servers[1].Behave(standin.Behaviour{})
+	s.servers[1].SetBehaviour(standin.Behaviour{})
 	out, code = verdicts("hold", "s0", "--for", "48h", "--why", "too long")
 	require.Equal(t, exitUsage, code, out)
 	out, code = verdicts("hold", "s0", "--for", "1m", "--why", "its disk is changed")
--- a/cmd/threadglade/ledger_test.go
+++ b/cmd/threadglade/ledger_test.go
@@ -64,9 +64,9 @@
 			}
 			hungUp := false
 			for _, l := range loads {
-				hungUp = hungUp || l.HungUp(id)
+				hungUp = hungUp || l.IsReleased(id)
 			}
-			if c.ByCaller && !hungUp {
+			if c.ReleasedByCaller && !hungUp {
 				t.crossed++
 				continue
 			}
@@ -74,7 +74,7 @@
 			require.False(s.t, t.established[key], "%s was established twice", id)
 			t.established[key] = true
 			t.establishedByKey[ledger.Key{Tenant: tenantOf(c.Number), Class: c.Class}]++
-			t.held += c.Held
+			t.held += c.HoldTime
 		}
 	}
 	return t
@@ -131,8 +131,8 @@
 func TestLedgerSurvivesKills(t *testing.T) {
 	t.Parallel()
 	s := newTestbed(t, 3, standin.ServerConfig{Seed: 3,
-		AnswerWithin: [2]time.Duration{time.Millisecond, 6 * time.Millisecond},
-		Hold:         [2]time.Duration{10 * time.Millisecond, 400 * time.Millisecond}, Reject: 0.05, Cut: 0.05})
+		AnswerDelay: [2]time.Duration{time.Millisecond, 6 * time.Millisecond},
+		HoldTime:    [2]time.Duration{10 * time.Millisecond, 400 * time.Millisecond}, RejectShare: 0.05, CutShare: 0.05})
 	listen := freeAddress(t)
 	dir, out := filepath.Join(s.dir, "ledger"), filepath.Join(s.dir, "out")
 	env := s.writeConfig("n0", listen)
@@ -149,8 +149,8 @@
 	defer cancel()
 	load := standin.StartLoad(ctx, standin.LoadConfig{Target: func() string { return listen }, Connections: 6, Seed: 5,
 		Rate:    600,
-		Classes: []string{"voice", "data"}, Numbers: []string{"92", "93", "94", "95"}, HangUp: 0.2,
-		HangUpIn: 100 * time.Millisecond, Repeats: 0.1})
+		Classes: []string{"voice", "data"}, NumberPrefixes: []string{"92", "93", "94", "95"}, HangUpShare: 0.2,
+		HangUpDelay: 100 * time.Millisecond, RepeatShare: 0.1})
 	random := rand.New(rand.NewPCG(11, 1))
 	byStep, steady := 0, 0
 	for run := range 56 {
@@ -202,8 +202,8 @@
 func TestAcknowledgedReleasesAreStored(t *testing.T) {
 	t.Parallel()
 	s := newTestbed(t, 3, standin.ServerConfig{Seed: 8,
-		AnswerWithin: [2]time.Duration{time.Millisecond, 6 * time.Millisecond},
-		Hold:         [2]time.Duration{50 * time.Millisecond, 1500 * time.Millisecond}})
+		AnswerDelay: [2]time.Duration{time.Millisecond, 6 * time.Millisecond},
+		HoldTime:    [2]time.Duration{50 * time.Millisecond, 1500 * time.Millisecond}})
 	listen := freeAddress(t)
 	dir, out := filepath.Join(s.dir, "ledger"), filepath.Join(s.dir, "out")
 	env := s.writeConfig("n0", listen)
@@ -212,8 +212,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	load := standin.StartLoad(ctx, standin.LoadConfig{Target: func() string { return listen }, Connections: 6, Seed: 6,
-		Rate: 1500, Classes: []string{"voice", "data"}, Numbers: []string{"92"}, HangUp: 0.9,
-		HangUpIn: 200 * time.Millisecond})
+		Rate: 1500, Classes: []string{"voice", "data"}, NumberPrefixes: []string{"92"}, HangUpShare: 0.9,
+		HangUpDelay: 200 * time.Millisecond})
 	troubledRuns := 0
 	var troubledSpans [][2]time.Time
 	random := rand.New(rand.NewPCG(12, 1))
@@ -266,12 +266,12 @@
 			calls++
 			if c.Answered && !stated[ledger.CallKey(id)] {
 				unstated++
-				if !troubledAt(c.First) && !troubledAt(c.Last) {
+				if !troubledAt(c.FirstInviteAt) && !troubledAt(c.EndedAt) {
 					open = append(open, fmt.Sprintf("%s, set up at %v, was established but is in no statement", id,
-						c.First))
+						c.FirstInviteAt))
 				}
 			}
-			acked := slices.DeleteFunc([]time.Time{c.Heard, load.Heard(id)}, time.Time.IsZero)
+			acked := slices.DeleteFunc([]time.Time{c.ReleaseAckedAt, load.ReleaseAckedAt(id)}, time.Time.IsZero)
 			if len(acked) == 0 {
 				continue
 			}
@@ -282,7 +282,7 @@
 			case unknown[id] && troubled:
 				lost++
 			case unknown[id]:
-				open = append(open, fmt.Sprintf("%s answered at %v, released by its caller %v", id, acked, c.ByCaller))
+				open = append(open, fmt.Sprintf("%s answered at %v, released by its caller %v", id, acked, c.ReleasedByCaller))
 			}
 		}
 	}
@@ -297,8 +297,8 @@
 func TestTwoRouters(t *testing.T) {
 	t.Parallel()
 	s := newTestbed(t, 2, standin.ServerConfig{Seed: 4,
-		AnswerWithin: [2]time.Duration{time.Millisecond, 3 * time.Millisecond},
-		Hold:         [2]time.Duration{50 * time.Millisecond, 200 * time.Millisecond}, Reject: 0.3})
+		AnswerDelay: [2]time.Duration{time.Millisecond, 3 * time.Millisecond},
+		HoldTime:    [2]time.Duration{50 * time.Millisecond, 200 * time.Millisecond}, RejectShare: 0.3})
 	var loads []*standin.Load
 	var outs []string
 	ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
@@ -313,7 +313,7 @@
 		routers, outs = append(routers, c), append(outs, out)
 		loads = append(loads, standin.StartLoad(ctx, standin.LoadConfig{Target: func() string { return listen },
 			Connections: 3, Seed: uint64(20 + i), Rate: 200,
-			Classes: []string{"voice", "data"}, Numbers: []string{"92", "94", "96"}, Repeats: 0.3}))
+			Classes: []string{"voice", "data"}, NumberPrefixes: []string{"92", "94", "96"}, RepeatShare: 0.3}))
 	}
 	stood := 0
 	for _, l := range loads {
@@ -360,15 +360,15 @@
 func TestCorrect(t *testing.T) {
 	t.Parallel()
 	s := newTestbed(t, 2, standin.ServerConfig{Seed: 4,
-		Hold: [2]time.Duration{20 * time.Millisecond, 30 * time.Millisecond}})
+		HoldTime: [2]time.Duration{20 * time.Millisecond, 30 * time.Millisecond}})
 	listen, dir, out := freeAddress(t), filepath.Join(s.dir, "ledger"), filepath.Join(s.dir, "out")
 	args := []string{"serve", "--settings", s.writeFile("settings", ledgerSettings(dir, out, `(precedence number)`))}
 	env := s.writeConfig("n0", listen)
 	c := startChild(t, env, args...)
 	c.waitReady(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	load := standin.StartLoad(ctx, standin.LoadConfig{Target: func() string { return listen }, Connections: 1, Most: 20,
-		Rate: 400, Classes: []string{"voice"}, Numbers: []string{"92"}})
+	load := standin.StartLoad(ctx, standin.LoadConfig{Target: func() string { return listen }, Connections: 1, MaxInvites: 20,
+		Rate: 400, Classes: []string{"voice"}, NumberPrefixes: []string{"92"}})
 	load.Wait()
 	cancel()
 	s.waitIdle()
@@ -472,7 +472,7 @@
 // file and line. Logs are JSON if the settings say so.
 func TestReload(t *testing.T) {
 	t.Parallel()
-	s := newTestbed(t, 2, standin.ServerConfig{Hold: [2]time.Duration{5 * time.Millisecond, 9 * time.Millisecond}})
+	s := newTestbed(t, 2, standin.ServerConfig{HoldTime: [2]time.Duration{5 * time.Millisecond, 9 * time.Millisecond}})
 	listen, dir := freeAddress(t), filepath.Join(s.dir, "ledger")
 	text := fmt.Sprintf("(threadglade\n (log (form json))\n (ledger (directory %q)\n  (tenant \"one\" (numbers \"92\"))))",
 		dir)
@@ -481,7 +481,7 @@
 	c.waitReady(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	load := standin.StartLoad(ctx, standin.LoadConfig{Target: func() string { return listen }, Connections: 2,
-		Rate: 300, Classes: []string{"voice"}, Numbers: []string{"92"}})
+		Rate: 300, Classes: []string{"voice"}, NumberPrefixes: []string{"92"}})
 	hup := func(text, logged string) {
 		s.writeFile("settings", text)
 		time.Sleep(100 * time.Millisecond)
@@ -513,7 +513,7 @@
 // patience plus what a busy machine adds, and the ledger is complete in the end.
 func TestSlowDisk(t *testing.T) {
 	t.Parallel()
-	s := newTestbed(t, 2, standin.ServerConfig{Hold: [2]time.Duration{5 * time.Millisecond, 9 * time.Millisecond}})
+	s := newTestbed(t, 2, standin.ServerConfig{HoldTime: [2]time.Duration{5 * time.Millisecond, 9 * time.Millisecond}})
 	listen, dir, out := freeAddress(t), filepath.Join(s.dir, "ledger"), filepath.Join(s.dir, "out")
 	c := startChild(t, append(s.writeConfig("n0", listen), "KILL=slow journal 20"), "serve", "--settings",
 		s.writeFile("settings", ledgerSettings(dir, out, "")))
@@ -521,7 +521,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 	defer cancel()
 	load := standin.StartLoad(ctx, standin.LoadConfig{Target: func() string { return listen }, Connections: 2,
-		Rate: 200, Classes: []string{"voice"}, Numbers: []string{"92"}, Record: true})
+		Rate: 200, Classes: []string{"voice"}, NumberPrefixes: []string{"92"}, RecordOutcomes: true})
 	n := load.Wait()
 	require.Zero(t, n.Failed+n.Lost+n.Odd)
 	require.Greater(t, n.Offered, 600)
--- a/cmd/threadglade/trace_test.go
+++ b/cmd/threadglade/trace_test.go
@@ -24,8 +24,8 @@
 func TestTrace(t *testing.T) {
 	t.Parallel()
 	s := newTestbed(t, 2, standin.ServerConfig{Seed: 9,
-		AnswerWithin: [2]time.Duration{time.Millisecond, 5 * time.Millisecond},
-		Hold:         [2]time.Duration{50 * time.Millisecond, 300 * time.Millisecond}, Reject: 0.1})
+		AnswerDelay: [2]time.Duration{time.Millisecond, 5 * time.Millisecond},
+		HoldTime:    [2]time.Duration{50 * time.Millisecond, 300 * time.Millisecond}, RejectShare: 0.1})
 	start := time.Now()
 	var loads []*standin.Load
 	var routers []*child
@@ -41,7 +41,7 @@
 		routers = append(routers, c)
 		loads = append(loads, standin.StartLoad(ctx, standin.LoadConfig{Target: func() string { return listen },
 			Connections: 3, Seed: uint64(40 + i), Rate: 250,
-			Classes: []string{"voice", "data"}, Numbers: []string{"92", "94"}, Repeats: 0.2, Record: true}))
+			Classes: []string{"voice", "data"}, NumberPrefixes: []string{"92", "94"}, RepeatShare: 0.2, RecordOutcomes: true}))
 	}
 	time.Sleep(1200 * time.Millisecond)
 	require.NoError(t, routers[0].cmd.Process.Signal(syscall.SIGUSR2))
@@ -103,7 +103,7 @@
 	file.Close()
 	require.Len(t, ends, offered)
 	for _, l := range loads {
-		for call, end := range l.Ends() {
+		for call, end := range l.Outcomes() {
 			require.Equal(t, end, ends[call])
 		}
 	}
--- a/cmd/threadglade/upgrade_test.go
+++ b/cmd/threadglade/upgrade_test.go
@@ -41,7 +41,7 @@
 
 func newUpgrade(t *testing.T) *upgradeTest {
 	s := newTestbed(t, 2, standin.ServerConfig{Seed: 9,
-		Hold: [2]time.Duration{200 * time.Millisecond, 900 * time.Millisecond}})
+		HoldTime: [2]time.Duration{200 * time.Millisecond, 900 * time.Millisecond}})
 	u := &upgradeTest{t: t, testbed: s, listen: freeAddress(t), tmpDir: t.TempDir()}
 	u.env = s.writeConfig("n0", u.listen)
 	return u
@@ -80,8 +80,8 @@
 	ctx, cancel := context.WithCancel(u.t.Context())
 	u.load = standin.StartLoad(ctx, standin.LoadConfig{Target: func() string { return u.listen }, Connections: 12,
 		Seed: 5, Rate: 300,
-		Classes: []string{"voice", "data"}, Numbers: []string{"92"}, HangUp: 0.4, HangUpIn: 100 * time.Millisecond,
-		Record: true})
+		Classes: []string{"voice", "data"}, NumberPrefixes: []string{"92"}, HangUpShare: 0.4, HangUpDelay: 100 * time.Millisecond,
+		RecordOutcomes: true})
 	u.stop = cancel
 }
 
@@ -386,13 +386,13 @@
 				var calls []string
 				r := bufio.NewReader(conn)
 				for {
-					m, err := standin.Read(r)
+					m, err := standin.ReadMessage(r)
 					if err != nil {
 						break
 					}
 					if m.Status() == 0 && m.Method() == "INVITE" {
-						calls = append(calls, m.Call())
-						conn.Write(standin.Response(200, "INVITE", m.Call(), "x=1\r\n"))
+						calls = append(calls, m.CallID())
+						conn.Write(standin.Response(200, "INVITE", m.CallID(), "x=1\r\n"))
 					}
 				}
 				for _, id := range calls {
@@ -411,7 +411,7 @@
 	t.Parallel()
 	s := newTestbed(t, 0, standin.ServerConfig{})
 	list := []standin.Entry{{ID: "s0", Addr: netip.MustParseAddrPort(newReleaseOnCloseServer(t).Addr().String())}}
-	s.names.Set(7, list)
+	s.names.SetServers(7, list)
 	u := &upgradeTest{t: t, testbed: s, listen: freeAddress(t), tmpDir: t.TempDir()}
 	u.env = []string{"NODE_CONFIG=" + s.writeFile("n0.json", string(standin.RouterConfig("n0", u.listen, s.names.Addr(),
 		7, list)))}
@@ -427,9 +427,9 @@
 	old.cmd.Process.Signal(syscall.SIGTERM)
 	c.SetDeadline(time.Now().Add(3 * time.Second))
 	for {
-		m, err := standin.Read(c.r)
+		m, err := standin.ReadMessage(c.r)
 		require.NoError(t, err, "the caller never received the release: %s", old.log())
-		if m.Method() == "BYE" && m.Status() == 0 && m.Call() == id {
+		if m.Method() == "BYE" && m.Status() == 0 && m.CallID() == id {
 			break
 		}
 	}
--- a/internal/drill/books.go
+++ b/internal/drill/books.go
@@ -14,7 +14,7 @@
 
 // stood are the calls that stood for their callers and have come to their end at a case server.
 func (s *stage) stood() map[string]bool {
-	ends := s.load.Ends()
+	ends := s.load.Outcomes()
 	m := map[string]bool{}
 	for _, one := range append(slices.Clone(s.servers), s.gone...) {
 		for id, c := range one.Calls() {
@@ -83,7 +83,7 @@
 	if s.load == nil {
 		return "there are no callers", nil
 	}
-	byes, stood := s.load.Byes(), s.stood()
+	byes, stood := s.load.ReleaseCounts(), s.stood()
 	none, twice := 0, 0
 	example := ""
 	for id := range stood {
--- a/internal/drill/judge.go
+++ b/internal/drill/judge.go
@@ -212,10 +212,10 @@
 	case "stood-within":
 		from, to := within(h.Args[0], h.Args[1])
 		tried, stood := 0, 0
-		for _, t := range s.load.Firsts() {
-			if at := t.At.Sub(s.start); at >= from && at < to {
+		for _, t := range s.load.FirstTries() {
+			if at := t.SentAt.Sub(s.start); at >= from && at < to {
 				tried++
-				if t.Stood {
+				if t.Established {
 					stood++
 				}
 			}
@@ -248,7 +248,7 @@
 		}
 		var times []time.Duration
 		for _, c := range s.servers[at].Calls() {
-			times = append(times, c.First.Sub(s.start))
+			times = append(times, c.FirstInviteAt.Sub(s.start))
 		}
 		slices.Sort(times)
 		from, to := within(h.Args[2], h.Args[3])
@@ -298,7 +298,7 @@
 	all, own, when := 0, 0, []time.Duration(nil)
 	for i, one := range s.servers {
 		for _, c := range one.Calls() {
-			if first := c.First.Sub(s.start); first >= from && first < to {
+			if first := c.FirstInviteAt.Sub(s.start); first >= from && first < to {
 				all++
 				if i == at {
 					own++
@@ -459,8 +459,8 @@
 const jitter = 100 * time.Millisecond
 
 // calls of a class (any: all; digits: numbers that begin so) as the case servers saw them, each once, however many attempts it took.
-func (s *stage) calls(class string) map[string]standin.Seen {
-	all := map[string]standin.Seen{}
+func (s *stage) calls(class string) map[string]standin.CallRecord {
+	all := map[string]standin.CallRecord{}
 	for _, one := range append(s.gone, s.servers...) {
 		for id, c := range one.Calls() {
 			if number := class[0] >= '0' && class[0] <= '9'; class != "any" && c.Class != class && !(number && strings.HasPrefix(c.Number, class)) {
@@ -468,11 +468,11 @@
 			}
 			if was, ok := all[id]; ok {
 				c.Received += was.Received
-				if was.First.Before(c.First) {
-					c.First = was.First
+				if was.FirstInviteAt.Before(c.FirstInviteAt) {
+					c.FirstInviteAt = was.FirstInviteAt
 				}
-				if !was.Last.IsZero() && !c.Last.IsZero() && was.Last.After(c.Last) || was.Last.IsZero() {
-					c.Last = was.Last
+				if !was.EndedAt.IsZero() && !c.EndedAt.IsZero() && was.EndedAt.After(c.EndedAt) || was.EndedAt.IsZero() {
+					c.EndedAt = was.EndedAt
 				}
 			}
 			all[id] = c
@@ -484,7 +484,7 @@
 // setUps is when each call's first set-up came, in order.
 func (s *stage) setUps(class string) (times []time.Duration) {
 	for _, c := range s.calls(class) {
-		times = append(times, c.First.Sub(s.start))
+		times = append(times, c.FirstInviteAt.Sub(s.start))
 	}
 	slices.Sort(times)
 	return times
@@ -530,12 +530,12 @@
 	const window = 500 * time.Millisecond
 	tried, stood := map[int]float64{}, map[int]float64{}
 	last := 0
-	for _, t := range s.load.Firsts() {
-		if at := t.At.Sub(s.start); at >= from && at < r.Over-2*time.Second { // the last have no time to be answered
+	for _, t := range s.load.FirstTries() {
+		if at := t.SentAt.Sub(s.start); at >= from && at < r.Over-2*time.Second { // the last have no time to be answered
 			i := int((at - from) / window)
 			tried[i]++
 			last = max(last, i)
-			if t.Stood {
+			if t.Established {
 				stood[i]++
 			}
 		}
@@ -562,9 +562,9 @@
 	}
 	var edges []edge
 	for _, c := range s.calls(h.Args[0]) {
-		edges = append(edges, edge{c.First, 1})
-		if !c.Last.IsZero() {
-			edges = append(edges, edge{c.Last, -1})
+		edges = append(edges, edge{c.FirstInviteAt, 1})
+		if !c.EndedAt.IsZero() {
+			edges = append(edges, edge{c.EndedAt, -1})
 		}
 	}
 	slices.SortFunc(edges, func(a, b edge) int {
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -112,7 +112,7 @@
 	start   time.Time // of the witness's clock
 	zero    time.Duration
 	witness *witness
-	names   map[string]*standin.Names // by router's process
+	names   map[string]*standin.NameService // by router's process
 	servers []*standin.Server
 	gone    []*standin.Server // replaced
 	began   string            // Unix milliseconds, of the latest replacement
@@ -198,7 +198,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	s := &stage{plan: plan, opt: opt, start: time.Now(), held: map[string]time.Duration{}, names: map[string]*standin.Names{}, procs: map[string]*proc{}, wires: map[[2]string]*wire{}}
+	s := &stage{plan: plan, opt: opt, start: time.Now(), held: map[string]time.Duration{}, names: map[string]*standin.NameService{}, procs: map[string]*proc{}, wires: map[[2]string]*wire{}}
 	defer s.close()
 	if err := s.set(); err != nil {
 		return nil, err
@@ -275,8 +275,8 @@
 		return err
 	}
 	for i := range s.plan.Servers {
-		one, err := standin.NewServer(standin.ServerConfig{ID: fmt.Sprintf("s%d", i), Number: i, Seed: uint64(s.plan.Seed), AnswerWithin: s.plan.Answer,
-			Hold: s.plan.Stand, Agents: s.plan.Agents})
+		one, err := standin.NewServer(standin.ServerConfig{ID: fmt.Sprintf("s%d", i), Number: i, Seed: uint64(s.plan.Seed), AnswerDelay: s.plan.Answer,
+			HoldTime: s.plan.Stand, FreeAgents: s.plan.Agents})
 		if err != nil {
 			return err
 		}
@@ -287,14 +287,14 @@
 		id := fmt.Sprintf("k%d", i+1)
 		terms.Keepers = append(terms.Keepers, id)
 		s.order = append(s.order, id)
-		s.procs[id] = &proc{id: id, name: id, listen: standin.Port(), dir: filepath.Join(s.opt.Dir, id)}
+		s.procs[id] = &proc{id: id, name: id, listen: standin.FreeAddr(), dir: filepath.Join(s.opt.Dir, id)}
 	}
 	for i := range s.plan.Routers {
 		id := fmt.Sprintf("r%d", i+1)
 		s.order = append(s.order, id)
-		s.procs[id] = &proc{id: id, name: id, listen: standin.Port(), dir: filepath.Join(s.opt.Dir, id)}
+		s.procs[id] = &proc{id: id, name: id, listen: standin.FreeAddr(), dir: filepath.Join(s.opt.Dir, id)}
 		if s.plan.Zones > 0 {
-			s.procs[id].talks = standin.Port()
+			s.procs[id].talks = standin.FreeAddr()
 		}
 	}
 	founded, err := fleet.Bootstrap(terms, rand.New(rand.NewPCG(1, 1)))
@@ -403,11 +403,11 @@
 		e.Addr = netip.MustParseAddrPort(w.addr())
 		list = append(list, e)
 	}
-	names, err := standin.NewNames(listSerial, false)
+	names, err := standin.NewNameService(listSerial, false)
 	if err != nil {
 		return err
 	}
-	names.Set(listSerial, list)
+	names.SetServers(listSerial, list)
 	s.names[p.id] = names
 	if _, err := s.wire("c0", p.id, func() string { return p.listen }); err != nil {
 		return err
@@ -494,12 +494,12 @@
 	s.flaps = append(s.flaps, stop)
 	w := s.wires[[2]string{"c0", ids[0]}]
 	s.floods = append(s.floods, standin.StartLoad(ctx, standin.LoadConfig{Target: w.addr, Connections: 2 + rate/300, Seed: uint64(s.plan.Seed) + 1000 + uint64(len(s.floods)), Rate: float64(rate), Classes: []string{"voice", "data"},
-		Numbers: []string{number}, Servers: s.plan.Servers}))
+		NumberPrefixes: []string{number}, Servers: s.plan.Servers}))
 	return nil
 }
 
 // behaviours of case servers by name.
-var behaviours = map[string]standin.Behaviour{"fit": {}, "hang": {Hang: true}, "slow4": {Slow: 4}, "slow40": {Slow: 40}, "full": {Reject: 1}, "full-half": {Reject: 0.5}}
+var behaviours = map[string]standin.Behaviour{"fit": {}, "hang": {Hang: true}, "slow4": {DelayFactor: 4}, "slow40": {DelayFactor: 40}, "full": {RejectShare: 1}, "full-half": {RejectShare: 0.5}}
 
 func (s *stage) behave(ids []string, how string) error {
 	b, ok := behaviours[how]
@@ -511,7 +511,7 @@
 		if id[0] != 's' || at >= len(s.servers) {
 			return fmt.Errorf("no case server %q", id)
 		}
-		s.servers[at].Behave(b)
+		s.servers[at].SetBehaviour(b)
 	}
 	return nil
 }
@@ -520,8 +520,8 @@
 func (s *stage) call(ctx context.Context) {
 	var turn atomic.Uint64
 	// A router takes 400 set-ups a second from one connection: who redials wants more of them.
-	s.load = standin.StartLoad(ctx, standin.LoadConfig{Connections: (2 + min(s.plan.Redials, 6)) * s.plan.Routers, Seed: uint64(s.plan.Seed), Rate: float64(s.plan.Load), Classes: []string{"voice", "data"}, Redials: s.plan.Redials, RedialIn: time.Second, Firsts: true, Record: true,
-		Numbers: s.plan.Numbers, Servers: s.plan.Servers,
+	s.load = standin.StartLoad(ctx, standin.LoadConfig{Connections: (2 + min(s.plan.Redials, 6)) * s.plan.Routers, Seed: uint64(s.plan.Seed), Rate: float64(s.plan.Load), Classes: []string{"voice", "data"}, MaxRedials: s.plan.Redials, MaxRedialDelay: time.Second, RecordFirstTries: true, RecordOutcomes: true,
+		NumberPrefixes: s.plan.Numbers, Servers: s.plan.Servers,
 		Target: func() string {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -567,7 +567,7 @@
 			return fmt.Errorf("no case server %q", id)
 		}
 		old := s.servers[at]
-		one, err := standin.NewServer(standin.ServerConfig{ID: id + "x", Number: at, Seed: uint64(s.plan.Seed) + 99, AnswerWithin: s.plan.Answer, Hold: s.plan.Stand, Agents: s.plan.Agents})
+		one, err := standin.NewServer(standin.ServerConfig{ID: id + "x", Number: at, Seed: uint64(s.plan.Seed) + 99, AnswerDelay: s.plan.Answer, HoldTime: s.plan.Stand, FreeAgents: s.plan.Agents})
 		if err != nil {
 			return err
 		}
@@ -588,7 +588,7 @@
 			}
 			list = append(list, e)
 		}
-		names.Set(0, list)
+		names.SetServers(0, list)
 	}
 	return nil
 }
@@ -782,7 +782,7 @@
 	id := p.id + "+"
 	other := s.procs[id]
 	if other == nil {
-		other = &proc{id: id, name: p.name, listen: standin.Port(), talks: p.talks, dir: filepath.Join(s.opt.Dir, p.id+"-twin")}
+		other = &proc{id: id, name: p.name, listen: standin.FreeAddr(), talks: p.talks, dir: filepath.Join(s.opt.Dir, p.id+"-twin")}
 		s.procs[id] = other
 		if err := s.settings(other); err != nil {
 			return err
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -39,7 +39,7 @@
 // another question, truncated or cut ones, ones with a lower or the same serial and ones of a previous name service
 // are ignored.
 func TestOnlyNewerAnswersToOwnQuestion(t *testing.T) {
-	names, err := standin.NewNames(7, false) // its answers are used as they are, and corrupted
+	names, err := standin.NewNameService(7, false) // its answers are used as they are, and corrupted
 	require.NoError(t, err)
 	defer names.Close()
 	ask := func(serial uint32, servers ...string) []byte {
@@ -47,7 +47,7 @@
 		for i, id := range servers {
 			list = append(list, standin.Entry{ID: id, Number: i, Addr: netip.MustParseAddrPort("127.0.0.1:9")})
 		}
-		names.Set(serial, list)
+		names.SetServers(serial, list)
 		conn, err := net.Dial("udp4", names.Addr())
 		require.NoError(t, err)
 		defer conn.Close()
--- a/internal/scenario/crossings_test.go
+++ b/internal/scenario/crossings_test.go
@@ -256,9 +256,9 @@
 			return ids
 		}
 		if m.Method() == "INVITE" {
-			ids = append(ids, m.Call())
+			ids = append(ids, m.CallID())
 		}
-		if m.Call() == last {
+		if m.CallID() == last {
 			return ids
 		}
 	}
--- a/internal/scenario/customers_test.go
+++ b/internal/scenario/customers_test.go
@@ -57,7 +57,7 @@
 	}
 	for _, p := range w.peers {
 		for p.listener != nil && len(p.received) > 0 {
-			if m, is := (<-p.received).(standin.Message); is && m.Method() == "INVITE" && m.Call() == callID(call) {
+			if m, is := (<-p.received).(standin.Message); is && m.Method() == "INVITE" && m.CallID() == callID(call) {
 				require.Nil(w.t, found, "two attempts at once")
 				found = p
 			}
--- a/internal/scenario/mixed_test.go
+++ b/internal/scenario/mixed_test.go
@@ -36,7 +36,7 @@
 			require.NoError(t, err)
 			m, ok := got.(standin.Message)
 			require.True(t, ok, "%s: %v", name, got)
-			id, words := m.Header["Call-ID"], strings.Fields(m.Start)
+			id, words := m.Header["Call-ID"], strings.Fields(m.StartLine)
 			switch words[0] {
 			case "SIP/2.0":
 				return // the answer to the barrier: all earlier messages are processed
@@ -81,7 +81,7 @@
 			got, err := p.next()
 			require.NoError(t, err)
 			m := got.(standin.Message)
-			words := strings.Fields(m.Start)
+			words := strings.Fields(m.StartLine)
 			if strings.HasSuffix(m.Header["CSeq"], "OPTIONS") {
 				return
 			}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -92,7 +92,7 @@
 	logOffset       int // into logged, after the last match of log
 	peers           map[string]*peer
 	vars            map[string]string // call ids by the names that scripts use as $NAME
-	names           *standin.Names
+	names           *standin.NameService
 	serverList      []string
 	callControlAddr netip.AddrPort
 	config          string // as the router last accepted it
@@ -201,7 +201,7 @@
 		if n, _ := fmt.Sscanf(rest, "serial=%d", &serial); n == 1 {
 			w.serverList = w.serverList[1:]
 		}
-		w.names.Set(serial, w.entries())
+		w.names.SetServers(serial, w.entries())
 		return nil
 	case "config":
 		return w.reconfigure(rest)
@@ -278,7 +278,7 @@
 				return fmt.Errorf("connection ended: %v", got)
 			}
 			method, call, _ := strings.Cut(rest, " ")
-			if m.Status() == 200 && m.Method() == method && m.Call() == callID(call) {
+			if m.Status() == 200 && m.Method() == method && m.CallID() == callID(call) {
 				return nil
 			}
 		}
@@ -462,7 +462,7 @@
 		}, c.Settings.Classes, w.verifyToken)
 	}
 	w.config = config
-	w.names.Set(w.names.Serial(), w.entries())
+	w.names.SetServers(w.names.Serial(), w.entries())
 	go func() { w.ended <- w.node.Run() }()
 	return err
 }
@@ -639,7 +639,7 @@
 	}
 }
 
-func readSIP(r *bufio.Reader) (any, error) { return standin.Read(r) }
+func readSIP(r *bufio.Reader) (any, error) { return standin.ReadMessage(r) }
 
 func (p *peer) write(b []byte) error {
 	conn, err := p.connected()
@@ -754,8 +754,8 @@
 }
 
 // startNameService starts a name service that answers every other query.
-func startNameService(t *testing.T) *standin.Names {
-	names, err := standin.NewNames(7, true)
+func startNameService(t *testing.T) *standin.NameService {
+	names, err := standin.NewNameService(7, true)
 	require.NoError(t, err)
 	return names
 }
@@ -880,7 +880,7 @@
 		if !ok {
 			return fmt.Errorf("connection ended: %v", got)
 		}
-		words := strings.Fields(m.Start)
+		words := strings.Fields(m.StartLine)
 		gotStatus, gotMethod := "", words[0]
 		if words[0] == "SIP/2.0" {
 			gotStatus, gotMethod = words[1], strings.Fields(m.Header["CSeq"])[1]
@@ -898,7 +898,7 @@
 		}
 		ignorable := gotMethod == "ACK" || gotStatus == "200" && (gotMethod == "BYE" || gotMethod == "CANCEL")
 		if !ignorable {
-			return fmt.Errorf("got %s %v %q", m.Start, m.Header, m.Body)
+			return fmt.Errorf("got %s %v %q", m.StartLine, m.Header, m.Body)
 		}
 	}
 }
--- a/internal/scenario/sip_test.go
+++ b/internal/scenario/sip_test.go
@@ -672,7 +672,7 @@
 	for refused < 400-64 {
 		m, err := w.peers["a"].next()
 		require.NoError(t, err)
-		require.Contains(t, m.(standin.Message).Start, "503")
+		require.Contains(t, m.(standin.Message).StartLine, "503")
 		require.Equal(t, "1000", m.(standin.Message).Header["Come-Back-Ms"])
 		refused++
 	}
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -21,28 +21,28 @@
 	Seed        uint64
 	// Rate is the number of set-ups per second over all connections, sent by the clock regardless of the answers
 	// (open loop). At 0, each connection keeps Window set-ups pending instead (closed loop).
-	Rate     float64
-	Window   int // set-ups pending per connection in a closed loop; 0: 16
-	Most     int // total number of set-ups; 0: no limit until the context ends
-	Classes  []string
-	Numbers  []string      // prefixes of the called numbers
-	Servers  int           // calls request case servers numbered from 0 to Servers-1; 0: 2
-	Within   time.Duration // answer timeout that callers send; 0: 3 s
-	HangUp   float64       // share of established calls that their callers release
-	HangUpIn time.Duration // delay of that release after the answer
-	Repeats  float64       // share of set-ups that are marked as repeats
-	Record   bool          // keep the outcome of each call
+	Rate           float64
+	Window         int // set-ups pending per connection in a closed loop; 0: 16
+	MaxInvites     int // total number of set-ups; 0: no limit until the context ends
+	Classes        []string
+	NumberPrefixes []string      // prefixes of the called numbers
+	Servers        int           // calls request case servers numbered from 0 to Servers-1; 0: 2
+	AnswerTimeout  time.Duration // answer timeout that callers send; 0: 3 s
+	HangUpShare    float64       // share of established calls that their callers release
+	HangUpDelay    time.Duration // delay of that release after the answer
+	RepeatShare    float64       // share of set-ups that are marked as repeats
+	RecordOutcomes bool          // keep the outcome of each call
 	// MaxRedials is how often a refused caller calls again, marked as a repeat. A redial follows the refusal
 	// by a random delay between half of MaxRedialDelay and MaxRedialDelay.
-	Redials  int
-	RedialIn time.Duration
-	Firsts   bool // keep the first try of each caller
+	MaxRedials       int
+	MaxRedialDelay   time.Duration
+	RecordFirstTries bool // keep the first try of each caller
 }
 
 // FirstTry is the first try of a caller: when it was sent and whether the call was established.
-type Try struct {
-	At    time.Time
-	Stood bool
+type FirstTry struct {
+	SentAt      time.Time
+	Established bool
 }
 
 // LoadCounts are totals over all callers.
@@ -69,9 +69,9 @@
 	releaseCounts  map[string]int       // releases received, by call, where recorded
 	released       map[string]bool      // calls that either side has released, or tried to
 	conns          map[*callerConn]bool
-	redials        map[string]int  // redials before this set-up, by pending call
-	firstTries     map[string]*Try // by call
-	rateBits       atomic.Uint64   // current rate, as the bits of a float64
+	redials        map[string]int       // redials before this set-up, by pending call
+	firstTries     map[string]*FirstTry // by call
+	rateBits       atomic.Uint64        // current rate, as the bits of a float64
 	lastID         uint64
 	idPrefix       uint64
 	done           sync.WaitGroup
@@ -89,8 +89,8 @@
 
 // StartLoad starts callers that send set-ups until the context ends. Wait waits for the last answers.
 func StartLoad(ctx context.Context, cfg LoadConfig) *Load {
-	if cfg.Within == 0 {
-		cfg.Within = 3 * time.Second
+	if cfg.AnswerTimeout == 0 {
+		cfg.AnswerTimeout = 3 * time.Second
 	}
 	if cfg.Window == 0 {
 		cfg.Window = 16
@@ -106,7 +106,7 @@
 		released:       map[string]bool{},
 		conns:          map[*callerConn]bool{},
 		redials:        map[string]int{},
-		firstTries:     map[string]*Try{},
+		firstTries:     map[string]*FirstTry{},
 		idPrefix:       rand.New(rand.NewPCG(cfg.Seed, 1)).Uint64() &^ 0xffffffff,
 	}
 	load.SetRate(cfg.Rate)
@@ -121,7 +121,7 @@
 func (l *Load) SetRate(rate float64) { l.rateBits.Store(math.Float64bits(rate)) }
 
 // FirstTries returns the first tries of all callers, which are kept with RecordFirstTries or MaxRedials.
-func (l *Load) Firsts() (list []Try) {
+func (l *Load) FirstTries() (list []FirstTry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, t := range l.firstTries {
@@ -144,28 +144,28 @@
 }
 
 // IsReleased reports whether a call was released by either side, as far as its caller knows.
-func (l *Load) HungUp(id string) bool {
+func (l *Load) IsReleased(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.released[id]
 }
 
 // ReleaseAckedAt returns when the caller's release of a call was answered, or the zero time if it was not.
-func (l *Load) Heard(id string) time.Time {
+func (l *Load) ReleaseAckedAt(id string) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.releaseAckedAt[id]
 }
 
 // ReleaseCounts returns the number of releases received, by call; they are kept with RecordOutcomes.
-func (l *Load) Byes() map[string]int {
+func (l *Load) ReleaseCounts() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.releaseCounts)
 }
 
 // Outcomes returns the outcome of each call: stood, refused, failed or lost. They are kept with RecordOutcomes.
-func (l *Load) Ends() map[string]string {
+func (l *Load) Outcomes() map[string]string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	outcomes := make(map[string]string, len(l.outcomes))
@@ -275,33 +275,33 @@
 func (c *callerConn) sendInvite(redials int) bool {
 	l := c.load
 	l.mu.Lock()
-	if l.cfg.Most > 0 && l.counts.Offered >= l.cfg.Most {
+	if l.cfg.MaxInvites > 0 && l.counts.Offered >= l.cfg.MaxInvites {
 		l.mu.Unlock()
 		return false
 	}
 	l.counts.Offered++
 	l.lastID++
 	id := fmt.Sprintf("%016x", l.idPrefix+l.lastID)
-	if l.cfg.Redials > 0 {
+	if l.cfg.MaxRedials > 0 {
 		l.redials[id] = redials
 	}
-	if redials == 0 && (l.cfg.Redials > 0 || l.cfg.Firsts) {
-		l.firstTries[id] = &Try{At: time.Now()}
+	if redials == 0 && (l.cfg.MaxRedials > 0 || l.cfg.RecordFirstTries) {
+		l.firstTries[id] = &FirstTry{SentAt: time.Now()}
 	}
 	l.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	class := l.cfg.Classes[c.random.IntN(len(l.cfg.Classes))]
 	number := "4711"
-	if len(l.cfg.Numbers) > 0 {
-		number = l.cfg.Numbers[c.random.IntN(len(l.cfg.Numbers))] + strconv.Itoa(c.random.IntN(1000))
+	if len(l.cfg.NumberPrefixes) > 0 {
+		number = l.cfg.NumberPrefixes[c.random.IntN(len(l.cfg.NumberPrefixes))] + strconv.Itoa(c.random.IntN(1000))
 	}
 	headers := []string{
 		"Call-Kind", class,
-		"Answer-Within", strconv.Itoa(int(l.cfg.Within.Milliseconds())),
+		"Answer-Within", strconv.Itoa(int(l.cfg.AnswerTimeout.Milliseconds())),
 		"Routing-Data", "dest:" + strconv.Itoa(c.random.IntN(l.cfg.Servers)) + ";width:1;via:-1",
 	}
-	if redials > 0 || c.random.Float64() < l.cfg.Repeats {
+	if redials > 0 || c.random.Float64() < l.cfg.RepeatShare {
 		headers = append(headers, "Repeat-Mark", "1")
 	}
 	c.pending[id] = time.Now()
@@ -313,7 +313,7 @@
 func (c *callerConn) readMessages() {
 	r := bufio.NewReader(c.conn)
 	for {
-		m, err := Read(r)
+		m, err := ReadMessage(r)
 		if err != nil {
 			break
 		}
@@ -332,7 +332,7 @@
 
 // handle processes one message from the router.
 func (c *callerConn) handle(m Message) {
-	id := m.Call()
+	id := m.CallID()
 	switch {
 	case m.Method() == "INVITE" && m.Status() >= 200:
 		c.mu.Lock()
@@ -349,8 +349,8 @@
 		switch m.Status() {
 		case 200:
 			c.load.recordOutcome(id, "stood", time.Since(sentAt))
-			if rand.Float64() < c.load.cfg.HangUp {
-				time.AfterFunc(c.load.cfg.HangUpIn, func() { c.load.hangUp(id) })
+			if rand.Float64() < c.load.cfg.HangUpShare {
+				time.AfterFunc(c.load.cfg.HangUpDelay, func() { c.load.hangUp(id) })
 			}
 		case 503, 480:
 			c.load.recordOutcome(id, "refused", time.Since(sentAt))
@@ -370,7 +370,7 @@
 		c.conn.send(Response(200, "BYE", id, ""))
 		c.load.mu.Lock()
 		c.load.released[id] = true // the caller has nothing left to release
-		if c.load.cfg.Record {
+		if c.load.cfg.RecordOutcomes {
 			c.load.releaseCounts[id]++
 		}
 		c.load.counts.Released++
@@ -387,10 +387,10 @@
 	redials := l.redials[id] + 1
 	delete(l.redials, id)
 	l.mu.Unlock()
-	if redials > l.cfg.Redials {
+	if redials > l.cfg.MaxRedials {
 		return
 	}
-	time.AfterFunc(time.Duration((0.5+rand.Float64()/2)*float64(l.cfg.RedialIn)), func() {
+	time.AfterFunc(time.Duration((0.5+rand.Float64()/2)*float64(l.cfg.MaxRedialDelay)), func() {
 		l.mu.Lock()
 		var conn *callerConn
 		for conn = range l.conns {
@@ -426,7 +426,7 @@
 	case "stood":
 		l.counts.Stood++
 		if t := l.firstTries[id]; t != nil {
-			t.Stood = true
+			t.Established = true
 		}
 	case "refused":
 		l.counts.Refused++
@@ -435,7 +435,7 @@
 	case "lost":
 		l.counts.Lost++
 	}
-	if l.cfg.Record {
+	if l.cfg.RecordOutcomes {
 		l.outcomes[id] = outcome
 		if latency > 0 {
 			l.counts.Latency = append(l.counts.Latency, latency)
--- a/internal/standin/nameservice.go
+++ b/internal/standin/nameservice.go
@@ -20,7 +20,7 @@
 
 // NameService is a name service: a DNS server on UDP that answers every query with its list of case servers. Its
 // methods may be called from several goroutines.
-type Names struct {
+type NameService struct {
 	conn    *net.UDPConn
 	mu      sync.Mutex
 	serial  uint32
@@ -33,21 +33,21 @@
 }
 
 // NewNameService starts a name service on loopback that runs until Close. With lossy, it ignores every other query.
-func NewNames(serial uint32, lossy bool) (*Names, error) {
+func NewNameService(serial uint32, lossy bool) (*NameService, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, err
 	}
-	n := &Names{conn: conn, serial: serial, lossy: lossy}
+	n := &NameService{conn: conn, serial: serial, lossy: lossy}
 	go n.serve()
 	return n, nil
 }
 
 // Addr returns the address at which the service answers.
-func (n *Names) Addr() string { return n.conn.LocalAddr().String() }
+func (n *NameService) Addr() string { return n.conn.LocalAddr().String() }
 
 // Close stops the service.
-func (n *Names) Close() {
+func (n *NameService) Close() {
 	n.mu.Lock()
 	n.closed = true
 	n.mu.Unlock()
@@ -55,7 +55,7 @@
 }
 
 // SetServers replaces the list. A serial of 0 stands for the current one plus 1.
-func (n *Names) Set(serial uint32, list []Entry) {
+func (n *NameService) SetServers(serial uint32, list []Entry) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if serial == 0 {
@@ -65,27 +65,27 @@
 }
 
 // SetDown makes the service ignore all queries, or answer again.
-func (n *Names) Down(down bool) {
+func (n *NameService) SetDown(down bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.down = down
 }
 
 // Serial returns the serial of the current list.
-func (n *Names) Serial() uint32 {
+func (n *NameService) Serial() uint32 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.serial
 }
 
 // Counts returns the number of queries received and answered, and whether the service is still open.
-func (n *Names) Counts() (asked, answered uint64, open bool) {
+func (n *NameService) Counts() (asked, answered uint64, open bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.queries, n.answers, !n.closed
 }
 
-func (n *Names) serve() {
+func (n *NameService) serve() {
 	b := make([]byte, 1024)
 	for lost := n.lossy; ; lost = n.lossy && !lost {
 		size, from, err := n.conn.ReadFromUDP(b)
@@ -117,7 +117,7 @@
 
 // encodeAnswer answers a query with an SRV, an A and a TXT record for each case server, and an SOA record with the
 // serial. Owner names are compressed to pointers to the question or to the host name of the SRV record.
-func (n *Names) encodeAnswer(query []byte) []byte {
+func (n *NameService) encodeAnswer(query []byte) []byte {
 	b := append([]byte(nil), query...)
 	if len(b) < 12 {
 		return b
--- a/internal/standin/port.go
+++ b/internal/standin/port.go
@@ -12,7 +12,7 @@
 
 // FreeAddr returns a free address on loopback for a process that is about to start. Its port lies below the range of
 // ephemeral ports, so that no outgoing connection takes it before the process listens.
-func Port() string {
+func FreeAddr() string {
 	lastPortOffset.CompareAndSwap(0, rand.Uint32N(12000)+1)
 	for {
 		n := 18000 + lastPortOffset.Add(1)%14000
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -15,31 +15,31 @@
 
 // ServerConfig configures a case server.
 type ServerConfig struct {
-	ID           string
-	Number       int
-	Seed         uint64
-	AnswerWithin [2]time.Duration // minimum and maximum delay of an answer
-	Hold         [2]time.Duration // minimum and maximum duration of a call
-	Reject       float64          // share of set-ups that are rejected as overload
-	Cut          float64          // share of established calls that end by a cut
-	Agents       int              // free agents that it reports; 0: 1000
+	ID          string
+	Number      int
+	Seed        uint64
+	AnswerDelay [2]time.Duration // minimum and maximum delay of an answer
+	HoldTime    [2]time.Duration // minimum and maximum duration of a call
+	RejectShare float64          // share of set-ups that are rejected as overload
+	CutShare    float64          // share of established calls that end by a cut
+	FreeAgents  int              // free agents that it reports; 0: 1000
 }
 
 // CallRecord is what a case server has seen of one call.
-type Seen struct {
-	Received int  // set-ups received
-	Rejected int  // set-ups rejected as overload
-	GivenUp  bool // by a CANCEL, or because its connection closed
-	Answered bool
-	Released bool      // the established call has ended
-	ByCaller bool      // released from the router's side
-	Cut      bool      // ended by a cut
-	Heard    time.Time // when the router answered its release; zero: not yet
-	Class    string
-	Number   string
-	Held     time.Duration // from the answer to the release
-	First    time.Time     // when its first set-up was received
-	Last     time.Time     // when it last ended here, by whatever outcome; zero: it has not
+type CallRecord struct {
+	Received         int  // set-ups received
+	Rejected         int  // set-ups rejected as overload
+	Abandoned        bool // by a CANCEL, or because its connection closed
+	Answered         bool
+	Released         bool      // the established call has ended
+	ReleasedByCaller bool      // released from the router's side
+	Cut              bool      // ended by a cut
+	ReleaseAckedAt   time.Time // when the router answered its release; zero: not yet
+	Class            string
+	Number           string
+	HoldTime         time.Duration // from the answer to the release
+	FirstInviteAt    time.Time     // when its first set-up was received
+	EndedAt          time.Time     // when it last ended here, by whatever outcome; zero: it has not
 }
 
 // Server is a case server that keeps a record of every call. Its methods may be called from several goroutines.
@@ -69,7 +69,7 @@
 
 // callState is the record of a call with what the server needs to continue it.
 type callState struct {
-	Seen
+	CallRecord
 	conn       *lockedConn
 	answeredAt time.Time
 	timer      *time.Timer
@@ -89,8 +89,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if cfg.Agents == 0 {
-		cfg.Agents = 1000
+	if cfg.FreeAgents == 0 {
+		cfg.FreeAgents = 1000
 	}
 	s := &Server{
 		cfg:      cfg,
@@ -126,16 +126,16 @@
 
 // Behaviour is the part of a case server's behaviour that can change at run time.
 type Behaviour struct {
-	Hang   bool    // accept set-ups and answer none
-	Slow   float64 // factor on the answer delay; 0: 1
-	Reject float64 // share of set-ups that are rejected as overload
+	Hang        bool    // accept set-ups and answer none
+	DelayFactor float64 // factor on the answer delay; 0: 1
+	RejectShare float64 // share of set-ups that are rejected as overload
 }
 
 // SetBehaviour changes the behaviour for new set-ups. Set-ups that a hung server left unanswered stay unanswered.
-func (s *Server) Behave(b Behaviour) {
+func (s *Server) SetBehaviour(b Behaviour) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hang, s.delayFactor, s.cfg.Reject = b.Hang, b.Slow, b.Reject
+	s.hang, s.delayFactor, s.cfg.RejectShare = b.Hang, b.DelayFactor, b.RejectShare
 }
 
 // Counts returns the totals so far.
@@ -146,18 +146,18 @@
 }
 
 // Calls returns a copy of the record of every call, by call.
-func (s *Server) Calls() map[string]Seen {
+func (s *Server) Calls() map[string]CallRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m := make(map[string]Seen, len(s.calls))
+	m := make(map[string]CallRecord, len(s.calls))
 	for id, c := range s.calls {
-		m[id] = c.Seen
+		m[id] = c.CallRecord
 	}
 	return m
 }
 
 // ActiveCalls returns the number of established calls and the number of releases that the router has not acknowledged.
-func (s *Server) Standing() (established, unacked int) {
+func (s *Server) ActiveCalls() (established, unacked int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.calls {
@@ -187,7 +187,7 @@
 		s.unacked = nil
 		s.mu.Unlock()
 		w.send(Request("NOTIFY", "state", "0000000000000000", "", "Link-State",
-			fmt.Sprintf("x0:%d;x1:%d", s.cfg.Agents, s.cfg.Agents)))
+			fmt.Sprintf("x0:%d;x1:%d", s.cfg.FreeAgents, s.cfg.FreeAgents)))
 		// A recent release is sent again on the next connection, even if it was acknowledged on another.
 		for _, o := range unacked {
 			w.send(encodeBye(o))
@@ -210,7 +210,7 @@
 func (s *Server) serve(w *lockedConn) {
 	r := bufio.NewReader(w)
 	for {
-		m, err := Read(r)
+		m, err := ReadMessage(r)
 		if err != nil {
 			break
 		}
@@ -221,7 +221,7 @@
 	defer s.mu.Unlock()
 	delete(s.conns, w)
 	for _, c := range s.calls {
-		if c.conn == w && !c.Answered && !c.GivenUp && c.timer != nil {
+		if c.conn == w && !c.Answered && !c.Abandoned && c.timer != nil {
 			c.abandon(s)
 		}
 	}
@@ -229,7 +229,7 @@
 
 // abandon withdraws a pending set-up.
 func (c *callState) abandon(s *Server) {
-	c.GivenUp, c.Last = true, time.Now()
+	c.Abandoned, c.EndedAt = true, time.Now()
 	c.timer.Stop()
 	s.counts.GivenUp++
 }
@@ -246,33 +246,33 @@
 func (s *Server) handle(w *lockedConn, m Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	id := m.Call()
+	id := m.CallID()
 	switch {
 	case m.Method() == "INVITE" && m.Status() == 0:
 		c := s.calls[id]
 		if c == nil {
 			c = &callState{}
-			c.First = time.Now()
+			c.FirstInviteAt = time.Now()
 			s.calls[id] = c
 		}
-		if c.Answered && c.Released && c.ByCaller { // the answer crossed a CANCEL, and the router released the call
-			c.Answered, c.Released, c.ByCaller, c.timer = false, false, false, nil
+		if c.Answered && c.Released && c.ReleasedByCaller { // the answer crossed a CANCEL, and the router released the call
+			c.Answered, c.Released, c.ReleasedByCaller, c.timer = false, false, false, nil
 		}
-		if c.Answered || c.timer != nil && !c.GivenUp {
+		if c.Answered || c.timer != nil && !c.Abandoned {
 			s.counts.Odd++
 			return
 		}
 		s.counts.Received++
 		c.Received++
-		c.conn, c.Class, c.Number, c.GivenUp, c.timer = w, m.Header["Call-Kind"], m.User(), false, nil
-		if s.random.Float64() < s.cfg.Reject {
+		c.conn, c.Class, c.Number, c.Abandoned, c.timer = w, m.Header["Call-Kind"], m.User(), false, nil
+		if s.random.Float64() < s.cfg.RejectShare {
 			s.counts.Rejected++
 			c.Rejected++
-			c.Last = time.Now()
+			c.EndedAt = time.Now()
 			w.send(Response(503, "INVITE", id, "", "Fail-Word", "swamped"))
 			return
 		}
-		delay := s.randomBetween(s.cfg.AnswerWithin)
+		delay := s.randomBetween(s.cfg.AnswerDelay)
 		if s.delayFactor > 0 {
 			delay = time.Duration(float64(delay) * s.delayFactor)
 		}
@@ -281,7 +281,7 @@
 		}
 		c.timer = time.AfterFunc(delay, func() { s.answer(id, c) })
 	case m.Method() == "CANCEL":
-		if c := s.calls[id]; c != nil && c.timer != nil && !c.Answered && !c.GivenUp {
+		if c := s.calls[id]; c != nil && c.timer != nil && !c.Answered && !c.Abandoned {
 			c.abandon(s)
 			w.send(Response(487, "INVITE", id, ""))
 		}
@@ -289,12 +289,12 @@
 		w.send(Response(200, "BYE", id, ""))
 		if c := s.calls[id]; c != nil && c.Answered && !c.Released {
 			c.timer.Stop()
-			c.Released, c.ByCaller, c.Held, c.Last = true, true, time.Since(c.answeredAt), time.Now()
+			c.Released, c.ReleasedByCaller, c.HoldTime, c.EndedAt = true, true, time.Since(c.answeredAt), time.Now()
 			s.counts.Released++
 		}
 	case m.Method() == "BYE":
-		if c := s.calls[id]; c != nil && c.Released && !c.ByCaller && c.Heard.IsZero() {
-			c.Heard = time.Now()
+		if c := s.calls[id]; c != nil && c.Released && !c.ReleasedByCaller && c.ReleaseAckedAt.IsZero() {
+			c.ReleaseAckedAt = time.Now()
 		}
 		for i := range s.unacked {
 			if s.unacked[i].call == id {
@@ -311,13 +311,13 @@
 func (s *Server) answer(id string, c *callState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || c.GivenUp || c.Answered {
+	if s.closed || c.Abandoned || c.Answered {
 		return
 	}
 	c.Answered, c.answeredAt = true, time.Now()
 	s.counts.Answered++
 	c.conn.send(Response(200, "INVITE", id, id+"\r\nc=IN IP4 10.0.0.1\r\n"))
-	c.timer = time.AfterFunc(s.randomBetween(s.cfg.Hold), func() { s.end(id, c) })
+	c.timer = time.AfterFunc(s.randomBetween(s.cfg.HoldTime), func() { s.end(id, c) })
 }
 
 // end releases a call: on the connection of its set-up, or else on any open one, and again on the next one opened.
@@ -327,7 +327,7 @@
 	if s.closed || c.Released {
 		return
 	}
-	c.Released, c.Cut, c.Held, c.Last = true, s.random.Float64() < s.cfg.Cut, time.Since(c.answeredAt), time.Now()
+	c.Released, c.Cut, c.HoldTime, c.EndedAt = true, s.random.Float64() < s.cfg.CutShare, time.Since(c.answeredAt), time.Now()
 	s.counts.Released++
 	bye := release{id, 16, time.Now(), false}
 	if c.Cut {
--- a/internal/standin/sip.go
+++ b/internal/standin/sip.go
@@ -17,14 +17,14 @@
 
 // Message is a received SIP message.
 type Message struct {
-	Start  string
-	Header map[string]string
-	Body   string
+	StartLine string
+	Header    map[string]string
+	Body      string
 }
 
 // ReadMessage reads one message. It returns an error at the end of the stream, and for a Content-Length that is
 // missing, invalid or above 1 MiB.
-func Read(r *bufio.Reader) (Message, error) {
+func ReadMessage(r *bufio.Reader) (Message, error) {
 	m := Message{Header: map[string]string{}}
 	for {
 		line, err := r.ReadString('\n')
@@ -32,8 +32,8 @@
 			return m, err
 		}
 		switch line = strings.TrimSuffix(line, "\r\n"); {
-		case m.Start == "":
-			m.Start = line
+		case m.StartLine == "":
+			m.StartLine = line
 		case line == "":
 			n, err := strconv.Atoi(m.Header["Content-Length"])
 			if err != nil || n < 0 || n > 1<<20 {
@@ -51,11 +51,11 @@
 }
 
 // CallID returns the Call-ID of the message.
-func (m Message) Call() string { return m.Header["Call-ID"] }
+func (m Message) CallID() string { return m.Header["Call-ID"] }
 
 // Status returns the status of a response, or 0 for a request.
 func (m Message) Status() int {
-	if rest, ok := strings.CutPrefix(m.Start, "SIP/2.0 "); ok {
+	if rest, ok := strings.CutPrefix(m.StartLine, "SIP/2.0 "); ok {
 		n, _ := strconv.Atoi(rest[:min(3, len(rest))])
 		return n
 	}
@@ -68,13 +68,13 @@
 		_, method, _ := strings.Cut(m.Header["CSeq"], " ")
 		return method
 	}
-	method, _, _ := strings.Cut(m.Start, " ")
+	method, _, _ := strings.Cut(m.StartLine, " ")
 	return method
 }
 
 // User returns the number called, from the start line of a request.
 func (m Message) User() string {
-	_, rest, _ := strings.Cut(m.Start, "sip:")
+	_, rest, _ := strings.Cut(m.StartLine, "sip:")
 	user, _, _ := strings.Cut(rest, "@")
 	return user
 }
