--- /dev/null
+++ b/internal/drill/accounts.go
@@ -0,0 +1,113 @@
+package drill
+
+import (
+	"fmt"
+	"path/filepath"
+	"slices"
+
+	"threadglade.example/threadglade/internal/durable"
+	"threadglade.example/threadglade/internal/ledgerio"
+	"threadglade.example/threadglade/ledger"
+)
+
+// This file checks how established calls were accounted for and released, by what callers and case servers saw and by
+// the ledger files that all routers of a drill have written.
+
+// establishedCalls returns the IDs of the calls that were established for their callers and released at a case
+// server.
+func (d *drillRun) establishedCalls() map[string]bool {
+	ends := d.load.Outcomes()
+	established := map[string]bool{}
+	for _, server := range append(slices.Clone(d.servers), d.replacedServers...) {
+		for id, c := range server.Calls() {
+			if c.Released && ends[id] == "stood" {
+				established[id] = true
+			}
+		}
+	}
+	return established
+}
+
+// checkBilledOnce checks that each call that was established for its caller is in the ledger of exactly one router,
+// as an established call. Up to maxMissing calls may be in no ledger and up to maxDuplicate in two.
+func (d *drillRun) checkBilledOnce(r *Result, maxMissing, maxDuplicate int) (string, *float64) {
+	if d.load == nil {
+		return "there are no callers", nil
+	}
+	counted, unknown, open := map[uint64][]string{}, map[uint64][]string{}, map[uint64][]string{}
+	dirs, _ := filepath.Glob(filepath.Join(d.options.Dir, "r*", "ledger"))
+	for _, dir := range dirs {
+		countedHere, unknownHere, openHere, err := ledgerio.ReadCallStates(durable.OS{}, dir)
+		if err != nil {
+			return err.Error(), nil
+		}
+		name := filepath.Base(filepath.Dir(dir))
+		for _, group := range []struct {
+			from map[uint64]bool
+			to   map[uint64][]string
+		}{{countedHere, counted}, {unknownHere, unknown}, {openHere, open}} {
+			for call := range group.from {
+				group.to[call] = append(group.to[call], name)
+			}
+		}
+	}
+	var missing, duplicate []string
+	established := d.establishedCalls()
+	for id := range established {
+		key := ledger.CallKey(id)
+		switch n := len(counted[key]); {
+		case n == 0:
+			missing = append(missing, fmt.Sprintf("%s unknown at %v open at %v", id, unknown[key], open[key]))
+		case n > 1 || len(unknown[key]) > 0:
+			duplicate = append(duplicate, fmt.Sprintf("%s counted by %v, unknown at %v", id, counted[key], unknown[key]))
+		}
+	}
+	slices.Sort(missing)
+	slices.Sort(duplicate)
+	r.Measured["calls that stood and ended"] = Figures{N: len(established)}
+	r.Measured["of them in nobody's books"] = Figures{N: len(missing)}
+	r.Measured["of them in two books"] = Figures{N: len(duplicate)}
+	switch {
+	case len(dirs) == 0:
+		return "no router has a ledger", nil
+	case len(established) == 0:
+		return "no call was established", nil
+	case len(duplicate) > maxDuplicate:
+		return fmt.Sprintf("%d of %d calls are in two ledgers: %v",
+			len(duplicate), len(established), duplicate[:min(3, len(duplicate))]), nil
+	case len(missing) > maxMissing:
+		return fmt.Sprintf("%d of %d calls are in no ledger, %d may be: %v",
+			len(missing), len(established), maxMissing, missing[:min(3, len(missing))]), nil
+	}
+	slack := float64(maxMissing - len(missing))
+	return "", &slack
+}
+
+// checkReleasedOnce checks that each established call that ended was released towards its caller exactly once. Up to
+// maxMissing calls may not have been released and up to maxDuplicate twice.
+func (d *drillRun) checkReleasedOnce(r *Result, maxMissing, maxDuplicate int) (string, *float64) {
+	if d.load == nil {
+		return "there are no callers", nil
+	}
+	releases, established := d.load.ReleaseCounts(), d.establishedCalls()
+	missing, duplicate := 0, 0
+	example := ""
+	for id := range established {
+		switch n := releases[id]; {
+		case n == 0:
+			missing++
+			example = id
+		case n > 1:
+			duplicate++
+			example = id
+		}
+	}
+	r.Measured["callers who never heard of the end"] = Figures{N: missing}
+	r.Measured["callers who heard of it twice"] = Figures{N: duplicate}
+	if len(established) == 0 || duplicate > maxDuplicate || missing > maxMissing {
+		return fmt.Sprintf("of %d calls %d were released twice, %d never, %d may be: %s",
+			len(established), duplicate, missing, maxMissing, example), nil
+	}
+	slack := float64(maxMissing - missing)
+	return "", &slack
+}
--- a/internal/drill/links.go
+++ b/internal/drill/links.go
@@ -7,201 +7,211 @@
 	"time"
 )
 
-// way is one direction of a link between two processes: what holds for bytes on it now.
-type way struct {
-	mu     sync.Mutex
-	cond   *sync.Cond
-	shut   bool
-	half   bool // the next piece goes through by half, then it shuts
-	delay  time.Duration
-	spread time.Duration
-	rate   int // bytes a second; 0: as fast as it goes
-	random *rand.Rand
-	bytes  uint64
+// linkDirection is one direction of a link between two processes, with the faults that apply to its bytes now.
+type linkDirection struct {
+	mu             sync.Mutex
+	cond           *sync.Cond
+	blocked        bool // bytes are held back
+	stallHalfway   bool // block after half of the next chunk
+	delay          time.Duration
+	jitter         time.Duration // maximum random delay in addition to delay
+	bytesPerSecond int           // 0: unlimited
+	random         *rand.Rand
+	bytesCarried   uint64
 }
 
-func newWay(seed uint64) *way {
-	w := &way{random: rand.New(rand.NewPCG(seed, 11))}
-	w.cond = sync.NewCond(&w.mu)
-	return w
+func newLinkDirection(seed uint64) *linkDirection {
+	d := &linkDirection{random: rand.New(rand.NewPCG(seed, 11))}
+	d.cond = sync.NewCond(&d.mu)
+	return d
 }
 
-func (w *way) set(f func(*way)) {
-	w.mu.Lock()
-	f(w)
-	w.mu.Unlock()
-	w.cond.Broadcast()
+// update changes the faults and wakes bytes that wait.
+func (d *linkDirection) update(change func(*linkDirection)) {
+	d.mu.Lock()
+	change(d)
+	d.mu.Unlock()
+	d.cond.Broadcast()
 }
 
-// due is when a piece that came now may go on.
-func (w *way) due(now time.Time) time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	d := w.delay
-	if w.spread > 0 {
-		d += time.Duration(w.random.Int64N(int64(w.spread)))
+// deliveryTime returns when a chunk that arrived now may be forwarded.
+func (d *linkDirection) deliveryTime(now time.Time) time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delay := d.delay
+	if d.jitter > 0 {
+		delay += time.Duration(d.random.Int64N(int64(d.jitter)))
 	}
-	return now.Add(d)
+	return now.Add(delay)
 }
 
-// pass waits until the way is open, and returns how many of n bytes go through now.
-func (w *way) pass(n int, gone func() bool) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for w.shut && !gone() {
-		w.cond.Wait()
+// admit waits while the direction is blocked and returns how many of n bytes may be forwarded now. It stops waiting
+// when isClosed returns true.
+func (d *linkDirection) admit(n int, isClosed func() bool) int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for d.blocked && !isClosed() {
+		d.cond.Wait()
 	}
-	if w.half && n > 1 {
-		w.half, w.shut = false, true
+	if d.stallHalfway && n > 1 {
+		d.stallHalfway, d.blocked = false, true
 		n /= 2
 	}
-	w.bytes += uint64(n)
-	if w.rate > 0 {
-		pause := time.Duration(n) * time.Second / time.Duration(w.rate)
-		w.mu.Unlock()
+	d.bytesCarried += uint64(n)
+	if d.bytesPerSecond > 0 {
+		pause := time.Duration(n) * time.Second / time.Duration(d.bytesPerSecond)
+		d.mu.Unlock()
 		time.Sleep(pause)
-		w.mu.Lock()
+		d.mu.Lock()
 	}
 	return n
 }
 
-// wire is the link from a process that connects to one that listens: a relay on loopback with a way for each direction.
-type wire struct {
-	to       func() string // where the listener really is
-	listener net.Listener
-	out, in  *way // from who connects; to who connects
-	mu       sync.Mutex
-	pairs    map[*pair]bool
-	closed   bool
+// link is a TCP relay on loopback from a connecting process to a listening one, with faults for each direction.
+type link struct {
+	target            func() string // address of the listening process
+	listener          net.Listener
+	forward, backward *linkDirection // from and to the connecting process
+	mu                sync.Mutex
+	connections       map[*connection]bool
+	closed            bool
 }
 
-type pair struct {
+// connection is one relayed TCP connection: near is the connecting process's side, far the listening one's.
+type connection struct {
 	near, far net.Conn
 	once      sync.Once
-	gone      bool
-	w         *wire
+	closed    bool
+	link      *link
 }
 
-func newWire(seed uint64, to func() string) (*wire, error) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+// newLink starts a relay to the address that to returns at each connection.
+func newLink(seed uint64, to func() string) (*link, error) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &wire{to: to, listener: l, out: newWay(seed), in: newWay(seed + 1), pairs: map[*pair]bool{}}
-	go w.accept()
-	return w, nil
+	relay := &link{target: to, listener: listener, forward: newLinkDirection(seed), backward: newLinkDirection(seed + 1),
+		connections: map[*connection]bool{}}
+	go relay.accept()
+	return relay, nil
 }
 
-func (w *wire) addr() string { return w.listener.Addr().String() }
+// addr returns the address to connect to.
+func (l *link) addr() string { return l.listener.Addr().String() }
 
-func (w *wire) accept() {
+func (l *link) accept() {
 	for {
-		near, err := w.listener.Accept()
+		near, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
 		go func() {
-			far, err := net.DialTimeout("tcp4", w.to(), 2*time.Second)
-			if err != nil { // nobody listens: as if this address were the process's own
+			far, err := net.DialTimeout("tcp4", l.target(), 2*time.Second)
+			if err != nil { // nothing listens: reset, as the kernel does for a closed port
 				near.(*net.TCPConn).SetLinger(0)
 				near.Close()
 				return
 			}
-			p := &pair{near: near, far: far, w: w}
-			w.mu.Lock()
-			if w.closed {
-				w.mu.Unlock()
-				p.end(true)
+			c := &connection{near: near, far: far, link: l}
+			l.mu.Lock()
+			if l.closed {
+				l.mu.Unlock()
+				c.close(true)
 				return
 			}
-			w.pairs[p] = true
-			w.mu.Unlock()
-			go p.carry(near, far, w.out)
-			go p.carry(far, near, w.in)
+			l.connections[c] = true
+			l.mu.Unlock()
+			go c.relay(near, far, l.forward)
+			go c.relay(far, near, l.backward)
 		}()
 	}
 }
 
-// end closes both sides; with reset, without a word.
-func (p *pair) end(reset bool) {
+// close closes both sides, with a TCP reset if reset is true.
+func (p *connection) close(reset bool) {
 	p.once.Do(func() {
-		p.w.mu.Lock()
-		p.gone = true
-		delete(p.w.pairs, p)
-		p.w.mu.Unlock()
+		p.link.mu.Lock()
+		p.closed = true
+		delete(p.link.connections, p)
+		p.link.mu.Unlock()
 		if reset {
 			p.near.(*net.TCPConn).SetLinger(0)
 			p.far.(*net.TCPConn).SetLinger(0)
 		}
 		p.near.Close()
 		p.far.Close()
-		p.w.out.cond.Broadcast()
-		p.w.in.cond.Broadcast()
+		p.link.forward.cond.Broadcast()
+		p.link.backward.cond.Broadcast()
 	})
 }
 
-func (p *pair) ended() bool {
-	p.w.mu.Lock()
-	defer p.w.mu.Unlock()
-	return p.gone
+func (p *connection) isClosed() bool {
+	p.link.mu.Lock()
+	defer p.link.mu.Unlock()
+	return p.closed
 }
 
-type piece struct {
-	due time.Time
-	b   []byte
+// chunk is a piece of data in transit.
+type chunk struct {
+	deliverAt time.Time
+	data      []byte
 }
 
-// carry takes bytes from one side to the other, in order, by the way's rules.
-func (p *pair) carry(from, to net.Conn, w *way) {
-	pieces := make(chan piece, 512)
+// relay copies bytes from one side to the other, in order, with the delays and limits of the direction.
+func (p *connection) relay(from, to net.Conn, direction *linkDirection) {
+	chunks := make(chan chunk, 512)
 	go func() {
-		defer close(pieces)
+		defer close(chunks)
 		for {
 			b := make([]byte, 16<<10)
 			n, err := from.Read(b)
 			if n > 0 {
-				pieces <- piece{w.due(time.Now()), b[:n]}
+				chunks <- chunk{direction.deliveryTime(time.Now()), b[:n]}
 			}
 			if err != nil {
 				return
 			}
 		}
 	}()
-	for one := range pieces {
-		time.Sleep(time.Until(one.due))
-		for len(one.b) > 0 {
-			n := w.pass(len(one.b), p.ended)
-			if _, err := to.Write(one.b[:n]); err != nil {
-				p.end(false)
-				for range pieces {
+	for next := range chunks {
+		time.Sleep(time.Until(next.deliverAt))
+		for len(next.data) > 0 {
+			n := direction.admit(len(next.data), p.isClosed)
+			if _, err := to.Write(next.data[:n]); err != nil {
+				p.close(false)
+				for range chunks { // drain, so that the reader can end
+					continue
 				}
 				return
 			}
-			one.b = one.b[n:]
+			next.data = next.data[n:]
 		}
 	}
-	w.pass(0, p.ended) // an end does not overtake what a cut holds back
-	p.end(false)
+	direction.admit(0, p.isClosed) // the close must not overtake bytes that a blocked direction holds back
+	p.close(false)
 }
 
-func (w *wire) reset() {
-	w.mu.Lock()
-	var all []*pair
-	for p := range w.pairs {
-		all = append(all, p)
+// reset closes all open connections with a TCP reset.
+func (l *link) reset() {
+	l.mu.Lock()
+	var open []*connection
+	for c := range l.connections {
+		open = append(open, c)
 	}
-	w.mu.Unlock()
-	for _, p := range all {
-		p.end(true)
+	l.mu.Unlock()
+	for _, c := range open {
+		c.close(true)
 	}
 }
 
-func (w *wire) close() {
-	w.mu.Lock()
-	w.closed = true
-	w.mu.Unlock()
-	w.listener.Close()
-	w.reset()
-	w.out.set(func(w *way) { w.shut = false })
-	w.in.set(func(w *way) { w.shut = false })
+// close stops the relay and closes its connections.
+func (l *link) close() {
+	l.mu.Lock()
+	l.closed = true
+	l.mu.Unlock()
+	l.listener.Close()
+	l.reset()
+	l.forward.update(func(direction *linkDirection) { direction.blocked = false })
+	l.backward.update(func(direction *linkDirection) { direction.blocked = false })
 }
--- /dev/null
+++ b/internal/drill/observer.go
@@ -0,0 +1,93 @@
+package drill
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"sync"
+	"time"
+)
+
+// Observation is one beacon that the observer received.
+type Seen struct {
+	At          time.Duration `json:"at"`           // arrival, since the observer's start
+	What        string        `json:"what"`         // act, lead or lost
+	Who         string        `json:"who"`          // name of the sender
+	Of          string        `json:"of,omitempty"` // name of the lost router
+	Incarnation uint64        `json:"incarnation,omitempty"`
+	Process     uint64        `json:"process,omitempty"`
+	Term        uint64        `json:"term,omitempty"`
+}
+
+// observer receives the beacons of all processes over UDP and keeps them in the order of their arrival. Its methods
+// may be called concurrently.
+type observer struct {
+	conn         *net.UDPConn
+	start        time.Time
+	mu           sync.Mutex
+	observations []Seen
+	malformed    int    // datagrams that could not be parsed
+	lastLeader   string // keeper that last reported that it leads
+}
+
+func newObserver(start time.Time) (*observer, error) {
+	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		return nil, err
+	}
+	c.SetReadBuffer(4 << 20)
+	w := &observer{conn: c, start: start}
+	go w.listen()
+	return w, nil
+}
+
+func (w *observer) listen() {
+	b := make([]byte, 512)
+	for {
+		n, _, err := w.conn.ReadFromUDP(b)
+		if err != nil {
+			return
+		}
+		w.record(time.Since(w.start), string(b[:n]))
+	}
+}
+
+func (w *observer) record(at time.Duration, text string) {
+	observation := Seen{At: at}
+	observation.What, _, _ = strings.Cut(text, " ")
+	var err error
+	var number uint64
+	switch observation.What {
+	case "act":
+		_, err = fmt.Sscanf(text, "act %s %d %d %d",
+			&observation.Who, &observation.Incarnation, &observation.Process, &number)
+	case "lead":
+		_, err = fmt.Sscanf(text, "lead %s %d", &observation.Who, &observation.Term)
+	case "lost":
+		_, err = fmt.Sscanf(text, "lost %s %s %d", &observation.Who, &observation.Of, &observation.Incarnation)
+	default:
+		err = fmt.Errorf("%q", text)
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if err != nil {
+		w.malformed++
+		return
+	}
+	if observation.What == "lead" {
+		w.lastLeader = observation.Who
+	}
+	w.observations = append(w.observations, observation)
+}
+
+func (w *observer) leader() string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.lastLeader
+}
+
+func (w *observer) allObservations() []Seen {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return append([]Seen(nil), w.observations...)
+}
--- a/internal/drill/report.go
+++ b/internal/drill/report.go
@@ -15,34 +15,40 @@
 )
 
 //go:embed report.html.tmpl
-var page string
+var reportTemplate string
 
-// report is made when a drill is over: a process that runs none pays nothing for it.
-var report = sync.OnceValue(func() *template.Template { return template.Must(template.New("report").Parse(page)) })
+// parsedReport parses the report's templates on first use, so that processes that run no drill don't pay for it.
+var parsedReport = sync.OnceValue(func() *template.Template {
+	return template.Must(template.New("report").Parse(reportTemplate))
+})
 
-// rowHeight and width are of the timeline, in pixels.
+// Dimensions of the timeline, in pixels.
 const (
-	rowHeight = 22
-	width     = 960
-	margin    = 90
+	rowHeight   = 22
+	chartWidth  = 960
+	chartMargin = 90
 )
 
+// bar is a span of one process in the timeline.
 type bar struct {
 	X, Y, W int
 	Kind    string
 	Tip     string
 }
 
+// mark is a point in time: a fault or a tick of the time axis.
 type mark struct {
 	X, Y int
 	Tip  string
 }
 
+// row is the label of a process.
 type row struct {
 	Y    int
 	Name string
 }
 
+// chart is the data of the timeline's template, in pixels.
 type chart struct {
 	Width, Height, Bottom, Margin int
 	Rows                          []row
@@ -51,35 +57,44 @@
 	Ticks                         []mark
 }
 
-// timeline draws who acted, who led, and what was done to whom.
+// timeline lays out which processes acted and led when, and when each fault was caused.
 func (r *Result) timeline() chart {
 	names := map[string]bool{}
 	for _, s := range r.Spans {
 		names[s.Who] = true
 	}
-	c := chart{Width: width + margin + 10, Margin: margin}
-	at := func(t time.Duration) int { return margin + int(int64(width)*int64(max(t, 0))/int64(max(r.Over, 1))) }
+	timeline := chart{Width: chartWidth + chartMargin + 10, Margin: chartMargin}
+	x := func(t time.Duration) int {
+		return chartMargin + int(int64(chartWidth)*int64(max(t, 0))/int64(max(r.Over, 1)))
+	}
 	y := map[string]int{}
 	for i, name := range slices.Sorted(maps.Keys(names)) {
 		y[name] = 20 + i*rowHeight
-		c.Rows = append(c.Rows, row{y[name] + 13, name})
+		timeline.Rows = append(timeline.Rows, row{y[name] + 13, name})
 	}
-	c.Bottom = 20 + len(names)*rowHeight + 10
-	c.Height = c.Bottom + 30
+	timeline.Bottom = 20 + len(names)*rowHeight + 10
+	timeline.Height = timeline.Bottom + 30
 	for _, s := range r.Spans {
-		c.Bars = append(c.Bars, bar{at(s.From), y[s.Who], max(at(s.To)-at(s.From), 2), fmt.Sprintf("%s%d", s.Kind, s.Number%2), fmt.Sprintf("%s: %s %d, %.2f s to %.2f s", s.Who, s.Kind, s.Number, (s.From - r.Zero).Seconds(), (s.To - r.Zero).Seconds())})
+		timeline.Bars = append(timeline.Bars, bar{
+			x(s.From), y[s.Who], max(x(s.To)-x(s.From), 2), fmt.Sprintf("%s%d", s.Kind, s.Number%2),
+			fmt.Sprintf("%s: %s %d, %.2f s to %.2f s",
+				s.Who, s.Kind, s.Number, (s.From - r.Zero).Seconds(), (s.To - r.Zero).Seconds()),
+		})
 	}
 	for _, h := range r.Happened {
-		c.Marks = append(c.Marks, mark{at(h.At), c.Bottom, fmt.Sprintf("%.2f s: %s (%s)", (h.At - r.Zero).Seconds(), h.What, strings.Join(h.Who, " "))})
+		timeline.Marks = append(timeline.Marks, mark{
+			x(h.At), timeline.Bottom,
+			fmt.Sprintf("%.2f s: %s (%s)", (h.At - r.Zero).Seconds(), h.What, strings.Join(h.Who, " ")),
+		})
 	}
 	step := max(time.Second, (r.Over / 20).Round(time.Second))
 	for t := time.Duration(0); r.Zero+t <= r.Over; t += step {
-		c.Ticks = append(c.Ticks, mark{at(r.Zero + t), c.Bottom + 18, fmt.Sprint(t)})
+		timeline.Ticks = append(timeline.Ticks, mark{x(r.Zero + t), timeline.Bottom + 18, fmt.Sprint(t)})
 	}
-	return c
+	return timeline
 }
 
-// Write puts a result into a folder: verdict.json, timeline.svg and index.html beside the processes' logs.
+// Write writes a result to verdict.json, timeline.svg and index.html in dir, next to the processes' logs.
 func (r *Result) Write(dir string) error {
 	b, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -91,7 +106,7 @@
 	data := map[string]any{"R": r, "Chart": r.timeline()}
 	for name, file := range map[string]string{"svg": "timeline.svg", "html": "index.html"} {
 		var text strings.Builder
-		if err := report().ExecuteTemplate(&text, name, data); err != nil {
+		if err := parsedReport().ExecuteTemplate(&text, name, data); err != nil {
 			return err
 		}
 		if err := os.WriteFile(filepath.Join(dir, file), []byte(text.String()), 0o644); err != nil {
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -26,166 +26,169 @@
 )
 
 const (
-	// formWithin is how long a fleet may take until its drill begins.
-	formWithin = 20 * time.Second
-	// endWithin is how long processes have to end by themselves, at the end.
-	endWithin  = 3 * time.Second
-	toldMost   = 6 // processes' last words are told where a fleet does not form
-	fleetName  = "drill"
-	listSerial = 7
+	formTimeout      = 20 * time.Second // until a keeper leads and every router acts
+	exitTimeout      = 3 * time.Second  // from SIGTERM until a process is killed
+	maxReportedLogs  = 6                // processes whose log is part of the error if a fleet does not form
+	fleetName        = "drill"
+	serverListSerial = 7
 )
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
-	Program string // of this project
-	Env     []string
-	Dir     string // for logs, files and what comes out
-	Say     func(format string, args ...any)
+	Program string                           // path of the program that all processes run
+	Env     []string                         // added to the processes' environment
+	Dir     string                           // for the processes' logs and files and for the result
+	Say     func(format string, args ...any) // reports progress; may be nil
 }
 
-// Happened is a fault that was caused.
+// FaultEvent is a fault that was injected.
 type Happened struct {
-	At    time.Duration `json:"at"`
-	What  string        `json:"what"`
-	Who   []string      `json:"who"`             // after patterns are resolved: the first argument's
-	Other []string      `json:"other,omitempty"` // the second's
-	Lead  bool          `json:"lead,omitempty"`  // it was aimed at the leading keeper
-	Error string        `json:"error,omitempty"`
-}
-
-// proc is one real process.
-type proc struct {
-	id, name string // r1+ is a second process of r1
-	cmd      *exec.Cmd
-	log      *lines
-	ended    chan struct{}
-	code     int
-	killed   bool // by the drill
-	listen   string
-	talks    string // where a router hears its neighbours
-	dir      string
-	env      []string
-	args     []string
-	dying    string // at which step of its files its next life ends, in a build for tests
-}
-
-func (p *proc) runs() bool {
+	At    time.Duration `json:"at"`              // since the observer's start
+	What  string        `json:"what"`            // as in the drill file
+	Who   []string      `json:"who"`             // what the first argument's pattern resolved to
+	Other []string      `json:"other,omitempty"` // the same of the second argument
+	Lead  bool          `json:"lead,omitempty"`  // its target was the leading keeper
+	Error string        `json:"error,omitempty"` // why it could not be injected
+}
+
+// childProcess is a router or keeper of the drill. It may be started several times.
+type childProcess struct {
+	id, name      string // the ID r1+ is a second process of the name r1
+	cmd           *exec.Cmd
+	log           *logBuffer
+	exited        chan struct{}
+	exitCode      int
+	killed        bool // signalled by the drill to end
+	listenAddr    string
+	neighbourAddr string // where a router accepts links from other routers; empty without zones
+	dir           string
+	env           []string
+	args          []string
+	killStep      string // file operation at which its next incarnation kills itself; in test builds only
+}
+
+func (p *childProcess) running() bool {
 	if p.cmd == nil {
 		return false
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return true
 	}
 }
 
-// lines is a process's log.
-type lines struct {
-	mu sync.Mutex
-	f  *os.File
-	b  bytes.Buffer
+// logBuffer writes a process's log to its file and keeps the first megabyte in memory.
+type logBuffer struct {
+	mu     sync.Mutex
+	file   *os.File
+	buffer bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+// Write implements io.Writer.
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.b.Len() < 1<<20 {
-		l.b.Write(b)
+	if l.buffer.Len() < 1<<20 {
+		l.buffer.Write(b)
 	}
-	return l.f.Write(b)
+	return l.file.Write(b)
 }
 
-func (l *lines) tail(n int) string {
+// tail returns the last n bytes that are kept.
+func (l *logBuffer) tail(n int) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	text := l.b.String()
+	text := l.buffer.String()
 	return text[max(0, len(text)-n):]
 }
 
-// stage is everything of one run.
-type stage struct {
-	held    map[string]time.Duration // case servers by when the operator's command that holds them had ended
-	plan    *Plan
-	opt     Options
-	start   time.Time // of the witness's clock
-	zero    time.Duration
-	witness *witness
-	names   map[string]*standin.NameService // by router's process
-	servers []*standin.Server
-	gone    []*standin.Server // replaced
-	began   string            // Unix milliseconds, of the latest replacement
-	procs   map[string]*proc
-	order   []string
-	wires   map[[2]string]*wire // from, to
-	happen  []Happened
-	only    []string // routers that callers connect to; nil: all
-	led     string   // whom "leader" meant last
-	load    *standin.Load
-	floods  []*standin.Load
-	intrud  []Intrusion
-	flaps   []context.CancelFunc
-	before  use
-	aside   sync.WaitGroup // intruders at work
-	mu      sync.Mutex
-}
-
-// use is what the processes that run have used so far.
-type use struct {
-	cpu   map[string]time.Duration
-	bytes uint64 // over the fleet's links
-}
-
-func (s *stage) use() use {
-	u := use{cpu: map[string]time.Duration{}}
-	for id, p := range s.procs {
-		if !p.runs() {
+// drillRun is the state of one run.
+type drillRun struct {
+	heldSince       map[string]time.Duration // by case server: when the operator's command that holds it ended
+	plan            *Plan
+	options         Options
+	start           time.Time     // of the observer's clock
+	formedAt        time.Duration // since start; faults are timed from here
+	observer        *observer
+	nameServices    map[string]*standin.NameService // by router process ID
+	servers         []*standin.Server
+	replacedServers []*standin.Server
+	replacedAt      string // time of the latest replacement in Unix milliseconds
+	processes       map[string]*childProcess
+	processOrder    []string
+	links           map[[2]string]*link // by IDs of the connecting and the listening side
+	faultEvents     []Happened
+	callOnly        []string // routers that callers connect to; nil: all
+	lastLeader      string   // what "leader" resolved to last
+	load            *standin.Load
+	floods          []*standin.Load
+	intrusions      []Intrusion
+	stopFuncs       []context.CancelFunc // end floods and flapping links
+	usageBefore     usage
+	intruders       sync.WaitGroup // running beside the faults
+	mu              sync.Mutex     // protects links, callOnly, intrusions and faultEvents
+}
+
+// usage is the resource consumption of the running processes so far.
+type usage struct {
+	cpuTimes  map[string]time.Duration // by ID and PID
+	linkBytes uint64                   // over the fleet's links
+}
+
+// measureUsage reads the CPU times of the running processes and the byte counters of the fleet's links.
+func (d *drillRun) measureUsage() usage {
+	total := usage{cpuTimes: map[string]time.Duration{}}
+	for id, p := range d.processes {
+		if !p.running() {
 			continue
 		}
 		b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 		if err != nil {
 			continue
 		}
-		var user, system int64 // in ticks of 10 ms, the 14th and 15th field; the second is a name in brackets
+		var user, system int64 // fields 14 and 15, in ticks of 10 ms; field 2 is a name in brackets
 		fields := strings.Fields(string(b[bytes.LastIndexByte(b, ')')+1:]))
 		if len(fields) > 12 {
 			fmt.Sscan(fields[11], &user)
 			fmt.Sscan(fields[12], &system)
 		}
-		u.cpu[fmt.Sprint(id, " ", p.cmd.Process.Pid)] = time.Duration(user+system) * 10 * time.Millisecond
+		total.cpuTimes[fmt.Sprint(id, " ", p.cmd.Process.Pid)] = time.Duration(user+system) * 10 * time.Millisecond
 	}
-	for key, w := range s.wires {
+	for key, l := range d.links {
 		if key[1][0] == 'k' || key[0][0] == 'r' && key[1][0] == 'r' {
-			for _, one := range []*way{w.out, w.in} {
-				one.set(func(w *way) { u.bytes += w.bytes })
+			for _, direction := range []*linkDirection{l.forward, l.backward} {
+				direction.update(func(l *linkDirection) { total.linkBytes += l.bytesCarried })
 			}
 		}
 	}
-	return u
+	return total
 }
 
-// Use is what a fleet used a second, of processes that lived through the drill.
+// ResourceUsage is the consumption of a fleet per second, counting the processes that ran during the whole drill.
 type Use struct {
-	LinkBytes            float64 // over all links of the fleet
-	KeeperCPU, RouterCPU float64 // milliseconds a second, of one process, in the mean
+	LinkBytes            float64 // bytes over all links of the fleet
+	KeeperCPU, RouterCPU float64 // CPU milliseconds of one process, mean
 }
 
-func (u use) since(before use, span time.Duration) Use {
-	r := Use{LinkBytes: float64(u.bytes-before.bytes) / span.Seconds()}
-	n := map[byte]float64{}
-	sum := map[byte]float64{}
-	for id, cpu := range u.cpu {
-		if was, ok := before.cpu[id]; ok {
-			n[id[0]]++
-			sum[id[0]] += float64((cpu - was).Microseconds()) / 1000 / span.Seconds()
+// since returns the consumption per second between two measurements that are span apart.
+func (u usage) since(before usage, span time.Duration) Use {
+	result := Use{LinkBytes: float64(u.linkBytes-before.linkBytes) / span.Seconds()}
+	processCount := map[byte]float64{}
+	cpuSum := map[byte]float64{}
+	for id, cpu := range u.cpuTimes {
+		if earlier, ok := before.cpuTimes[id]; ok {
+			processCount[id[0]]++
+			cpuSum[id[0]] += float64((cpu - earlier).Microseconds()) / 1000 / span.Seconds()
 		}
 	}
-	r.KeeperCPU, r.RouterCPU = sum['k']/max(n['k'], 1), sum['r']/max(n['r'], 1)
-	return r
+	result.KeeperCPU, result.RouterCPU = cpuSum['k']/max(processCount['k'], 1), cpuSum['r']/max(processCount['r'], 1)
+	return result
 }
 
-// Run carries a drill out and judges it. An error means that it could not be carried out; what did not hold is in the result.
+// Run carries out a drill and evaluates its checks. An error means that it could not be carried out. Checks that
+// failed are in the result.
 func Run(ctx context.Context, plan *Plan, opt Options) (*Result, error) {
 	if opt.Say == nil {
 		opt.Say = func(string, ...any) {}
@@ -198,189 +201,194 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	s := &stage{plan: plan, opt: opt, start: time.Now(), held: map[string]time.Duration{}, names: map[string]*standin.NameService{}, procs: map[string]*proc{}, wires: map[[2]string]*wire{}}
-	defer s.close()
-	if err := s.set(); err != nil {
+	run := &drillRun{plan: plan, options: opt, start: time.Now(), heldSince: map[string]time.Duration{},
+		nameServices: map[string]*standin.NameService{}, processes: map[string]*childProcess{}, links: map[[2]string]*link{}}
+	defer run.close()
+	if err := run.prepare(); err != nil {
 		return nil, err
 	}
-	for _, id := range s.order {
-		if err := s.launch(s.procs[id]); err != nil {
+	for _, id := range run.processOrder {
+		if err := run.launch(run.processes[id]); err != nil {
 			return nil, err
 		}
 	}
-	if err := s.form(ctx); err != nil {
+	if err := run.waitFormed(ctx); err != nil {
 		return nil, err
 	}
-	s.zero = time.Since(s.start)
-	s.before = s.use()
-	opt.Say("the fleet has formed in %v", s.zero.Round(time.Millisecond))
-	calls, hangUp := context.WithCancel(ctx)
-	defer hangUp()
+	run.formedAt = time.Since(run.start)
+	run.usageBefore = run.measureUsage()
+	opt.Say("the fleet has formed in %v", run.formedAt.Round(time.Millisecond))
+	calls, stopCalls := context.WithCancel(ctx)
+	defer stopCalls()
 	if plan.Load > 0 && plan.Routers > 0 {
-		s.call(calls)
+		run.startCallers(calls)
 	}
 	for _, f := range plan.Faults {
-		if err := s.until(ctx, f.At); err != nil {
+		if err := run.waitUntil(ctx, f.At); err != nil {
 			return nil, err
 		}
-		s.fault(f)
+		run.injectFault(f)
 	}
-	if err := s.until(ctx, plan.For); err != nil {
+	if err := run.waitUntil(ctx, plan.For); err != nil {
 		return nil, err
 	}
-	for _, stop := range s.flaps {
+	for _, stop := range run.stopFuncs {
 		stop()
 	}
-	s.aside.Wait()
-	over := time.Since(s.start)
-	after := s.use()
-	s.heal(s.order, s.order)
-	for _, p := range s.procs { // nothing is stopped while callers wait for their last answers
-		if p.runs() {
+	run.intruders.Wait()
+	endedAt := time.Since(run.start)
+	usageAfter := run.measureUsage()
+	run.heal(run.processOrder, run.processOrder)
+	for _, p := range run.processes { // no process may be suspended while callers wait for their last answers
+		if p.running() {
 			p.cmd.Process.Signal(syscall.SIGCONT)
 		}
 	}
-	hangUp()
+	stopCalls()
 	var counts standin.LoadCounts
-	if s.load != nil {
-		counts = s.load.Wait()
+	if run.load != nil {
+		counts = run.load.Wait()
 	}
-	for _, one := range s.floods {
-		counts.Odd += one.Wait().Odd
+	for _, flood := range run.floods {
+		counts.Odd += flood.Wait().Odd
 	}
 	exits := map[string]int{}
-	for id, p := range s.procs {
-		if p.cmd != nil && !p.runs() && !p.killed {
-			exits[id] = p.code
+	for id, p := range run.processes {
+		if p.cmd != nil && !p.running() && !p.killed {
+			exits[id] = p.exitCode
 		}
 	}
-	s.endAll()
-	r := s.judge(over, counts, exits)
-	r.Use = after.since(s.before, over-s.zero)
+	run.stopAll()
+	r := run.evaluate(endedAt, counts, exits)
+	r.Use = usageAfter.since(run.usageBefore, endedAt-run.formedAt)
 	return r, nil
 }
 
-func (s *stage) until(ctx context.Context, at time.Duration) error {
+// waitUntil waits until a time after the fleet has formed.
+func (d *drillRun) waitUntil(ctx context.Context, at time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(time.Until(s.start.Add(s.zero + at))):
+	case <-time.After(time.Until(d.start.Add(d.formedAt + at))):
 		return nil
 	}
 }
 
-// set makes stand-ins, wires, folders and settings.
-func (s *stage) set() (err error) {
-	if s.witness, err = newWitness(s.start); err != nil {
+// prepare creates stand-ins, links, folders and settings.
+func (d *drillRun) prepare() (err error) {
+	if d.observer, err = newObserver(d.start); err != nil {
 		return err
 	}
-	for i := range s.plan.Servers {
-		one, err := standin.NewServer(standin.ServerConfig{ID: fmt.Sprintf("s%d", i), Number: i, Seed: uint64(s.plan.Seed), AnswerDelay: s.plan.Answer,
-			HoldTime: s.plan.Stand, FreeAgents: s.plan.Agents})
+	for i := range d.plan.Servers {
+		server, err := standin.NewServer(standin.ServerConfig{ID: fmt.Sprintf("s%d", i), Number: i,
+			Seed: uint64(d.plan.Seed), AnswerDelay: d.plan.Answer, HoldTime: d.plan.Stand, FreeAgents: d.plan.Agents})
 		if err != nil {
 			return err
 		}
-		s.servers = append(s.servers, one)
+		d.servers = append(d.servers, server)
 	}
-	terms := fleet.Settings{Fleet: fleetName}
-	for i := range s.plan.Keepers {
+	fleetSettings := fleet.Settings{Fleet: fleetName}
+	for i := range d.plan.Keepers {
 		id := fmt.Sprintf("k%d", i+1)
-		terms.Keepers = append(terms.Keepers, id)
-		s.order = append(s.order, id)
-		s.procs[id] = &proc{id: id, name: id, listen: standin.FreeAddr(), dir: filepath.Join(s.opt.Dir, id)}
+		fleetSettings.Keepers = append(fleetSettings.Keepers, id)
+		d.processOrder = append(d.processOrder, id)
+		d.processes[id] = &childProcess{id: id, name: id, listenAddr: standin.FreeAddr(),
+			dir: filepath.Join(d.options.Dir, id)}
 	}
-	for i := range s.plan.Routers {
+	for i := range d.plan.Routers {
 		id := fmt.Sprintf("r%d", i+1)
-		s.order = append(s.order, id)
-		s.procs[id] = &proc{id: id, name: id, listen: standin.FreeAddr(), dir: filepath.Join(s.opt.Dir, id)}
-		if s.plan.Zones > 0 {
-			s.procs[id].talks = standin.FreeAddr()
+		d.processOrder = append(d.processOrder, id)
+		d.processes[id] = &childProcess{id: id, name: id, listenAddr: standin.FreeAddr(),
+			dir: filepath.Join(d.options.Dir, id)}
+		if d.plan.Zones > 0 {
+			d.processes[id].neighbourAddr = standin.FreeAddr()
 		}
 	}
-	founded, err := fleet.Bootstrap(terms, rand.New(rand.NewPCG(1, 1)))
+	bootstrapped, err := fleet.Bootstrap(fleetSettings, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
 		return err
 	}
-	for _, one := range founded {
-		p := s.procs[one.Identity.Name]
+	for _, keeper := range bootstrapped {
+		p := d.processes[keeper.Identity.Name]
 		if err := os.RemoveAll(p.dir); err != nil {
 			return err
 		}
-		if err := fleetio.CreateKeeperFiles(durable.OS{}, filepath.Join(p.dir, "log"), one); err != nil {
+		if err := fleetio.CreateKeeperFiles(durable.OS{}, filepath.Join(p.dir, "log"), keeper); err != nil {
 			return err
 		}
 	}
-	for _, id := range s.order {
-		if id[0] == 'r' { // what an earlier run has left is none of this one's
-			if err := os.RemoveAll(s.procs[id].dir); err != nil {
+	for _, id := range d.processOrder {
+		if id[0] == 'r' { // remove the files of an earlier run
+			if err := os.RemoveAll(d.processes[id].dir); err != nil {
 				return err
 			}
 		}
-		if err := s.settings(s.procs[id]); err != nil {
+		if err := d.writeSettings(d.processes[id]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// wire makes the link from a process to another, once.
-func (s *stage) wire(from, to string, addr func() string) (*wire, error) {
+// linkBetween returns the link from one process to another and creates it on first use.
+func (d *drillRun) linkBetween(from, to string, addr func() string) (*link, error) {
 	key := [2]string{from, to}
-	if w := s.wires[key]; w != nil {
-		return w, nil
+	if l := d.links[key]; l != nil {
+		return l, nil
 	}
-	w, err := newWire(uint64(s.plan.Seed)*1000+uint64(len(s.wires))*2, addr)
+	l, err := newLink(uint64(d.plan.Seed)*1000+uint64(len(d.links))*2, addr)
 	if err == nil {
-		s.wires[key] = w
+		d.links[key] = l
 	}
-	return w, err
+	return l, err
 }
 
-// settings writes what a process is started with.
-func (s *stage) settings(p *proc) error {
+// writeSettings writes the settings of a process and sets its arguments and environment.
+func (d *drillRun) writeSettings(p *childProcess) error {
 	if err := os.MkdirAll(p.dir, 0o755); err != nil {
 		return err
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "(threadglade\n  (log (level debug) (form json))\n  (fleet (name %q) (lease %q) (renew %q) (members \"r*\") (beacon %q) (beacon-every %q) (file-kb 64)\n", fleetName,
-		s.plan.Lease, s.plan.Renew, s.witness.conn.LocalAddr(), s.plan.Every)
+	fmt.Fprintf(&b, "(threadglade\n  (log (level debug) (form json))\n  "+
+		"(fleet (name %q) (lease %q) (renew %q) (members \"r*\") (beacon %q) (beacon-every %q) (file-kb 64)\n",
+		fleetName, d.plan.Lease, d.plan.Renew, d.observer.conn.LocalAddr(), d.plan.Every)
 	keeper := strings.HasPrefix(p.id, "k")
 	if keeper {
-		fmt.Fprintf(&b, "    (directory %q) (listen %q)\n", filepath.Join(p.dir, "log"), p.listen)
+		fmt.Fprintf(&b, "    (directory %q) (listen %q)\n", filepath.Join(p.dir, "log"), p.listenAddr)
 	}
-	for i := range s.plan.Keepers {
+	for i := range d.plan.Keepers {
 		id := fmt.Sprintf("k%d", i+1)
-		addr := p.listen
+		addr := p.listenAddr
 		if id != p.id {
-			to := s.procs[id]
-			w, err := s.wire(p.id, id, func() string { return to.listen })
+			to := d.processes[id]
+			l, err := d.linkBetween(p.id, id, func() string { return to.listenAddr })
 			if err != nil {
 				return err
 			}
-			addr = w.addr()
+			addr = l.addr()
 		}
 		fmt.Fprintf(&b, "    (keeper %q (address %q))\n", id, addr)
 	}
-	if p.talks != "" {
-		fmt.Fprintf(&b, "    (listen %q) (zone \"z%d\")\n", p.talks, count(p.name[1:])%s.plan.Zones)
-		for i := range s.plan.Routers {
-			to := s.procs[fmt.Sprintf("r%d", i+1)]
+	if p.neighbourAddr != "" {
+		fmt.Fprintf(&b, "    (listen %q) (zone \"z%d\")\n", p.neighbourAddr, parseInt(p.name[1:])%d.plan.Zones)
+		for i := range d.plan.Routers {
+			to := d.processes[fmt.Sprintf("r%d", i+1)]
 			if to.name == p.name {
 				continue
 			}
-			w, err := s.wire(p.id, to.id, func() string { return to.talks })
+			l, err := d.linkBetween(p.id, to.id, func() string { return to.neighbourAddr })
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(&b, "    (reach %q (address %q))\n", to.name, w.addr())
+			fmt.Fprintf(&b, "    (reach %q (address %q))\n", to.name, l.addr())
 		}
 	}
-	fmt.Fprintf(&b, ")\n%s", s.plan.More)
+	fmt.Fprintf(&b, ")\n%s", d.plan.More)
 	if !keeper {
-		if p.talks != "" {
+		if p.neighbourAddr != "" {
 			b.WriteString("  (verdicts)\n")
 		}
-		b.WriteString(strings.ReplaceAll(s.plan.Own, "$DIR", p.dir))
+		b.WriteString(strings.ReplaceAll(d.plan.Own, "$DIR", p.dir))
 		fmt.Fprintf(&b, "  (trace (directory %q) (file-mb 8) (total-mb 64))\n", filepath.Join(p.dir, "trace"))
 	}
 	b.WriteString(")\n")
@@ -388,36 +396,37 @@
 	if err := os.WriteFile(path, []byte(b.String()), 0o600); err != nil {
 		return err
 	}
-	p.env = append(slices.Clone(s.opt.Env), "FLEET_WALL="+filepath.Join(p.dir, "wall"))
+	p.env = append(slices.Clone(d.options.Env), "FLEET_WALL="+filepath.Join(p.dir, "wall"))
 	if keeper {
 		p.args = []string{"fleet", "keeper", "--settings", path, "--name", p.name}
 		return nil
 	}
 	var list []standin.Entry
-	for i, one := range s.servers {
-		e := one.Entry()
-		w, err := s.wire(p.id, fmt.Sprintf("s%d", i), func() string { return one.Entry().Addr.String() })
+	for i, server := range d.servers {
+		entry := server.Entry()
+		l, err := d.linkBetween(p.id, fmt.Sprintf("s%d", i), func() string { return server.Entry().Addr.String() })
 		if err != nil {
 			return err
 		}
-		e.Addr = netip.MustParseAddrPort(w.addr())
-		list = append(list, e)
+		entry.Addr = netip.MustParseAddrPort(l.addr())
+		list = append(list, entry)
 	}
-	names, err := standin.NewNameService(listSerial, false)
+	names, err := standin.NewNameService(serverListSerial, false)
 	if err != nil {
 		return err
 	}
-	names.SetServers(listSerial, list)
-	s.names[p.id] = names
-	if _, err := s.wire("c0", p.id, func() string { return p.listen }); err != nil {
+	names.SetServers(serverListSerial, list)
+	d.nameServices[p.id] = names
+	if _, err := d.linkBetween("c0", p.id, func() string { return p.listenAddr }); err != nil {
 		return err
 	}
 	config := filepath.Join(p.dir, "config.json")
-	if err := os.WriteFile(config, standin.RouterConfig(p.name, p.listen, names.Addr(), listSerial, list), 0o600); err != nil {
+	if err := os.WriteFile(config,
+		standin.RouterConfig(p.name, p.listenAddr, names.Addr(), serverListSerial, list), 0o600); err != nil {
 		return err
 	}
 	p.env = append(p.env, "NODE_CONFIG="+config)
-	if !strings.HasSuffix(p.id, "+") && count(p.name[1:]) <= s.plan.Liars { // in a build for tests
+	if !strings.HasSuffix(p.id, "+") && parseInt(p.name[1:]) <= d.plan.Liars { // has an effect in test builds only
 		p.env = append(p.env, "VERDICT_MUTANT=liar")
 	}
 	p.args = []string{"serve", "--settings", path}
@@ -425,20 +434,20 @@
 }
 
 // launch starts a process.
-func (s *stage) launch(p *proc) error {
-	if p.runs() {
-		return fmt.Errorf("%s runs already", p.id)
+func (d *drillRun) launch(p *childProcess) error {
+	if p.running() {
+		return fmt.Errorf("%s is already running", p.id)
 	}
 	f, err := os.OpenFile(filepath.Join(p.dir, "log.json"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	p.log, p.ended, p.killed = &lines{f: f}, make(chan struct{}), false
-	p.cmd = exec.Command(s.opt.Program, p.args...)
+	p.log, p.exited, p.killed = &logBuffer{file: f}, make(chan struct{}), false
+	p.cmd = exec.Command(d.options.Program, p.args...)
 	p.cmd.Env = append(os.Environ(), p.env...)
-	if p.dying != "" {
-		p.cmd.Env = append(p.cmd.Env, "KILL="+p.dying)
-		p.dying = ""
+	if p.killStep != "" {
+		p.cmd.Env = append(p.cmd.Env, "KILL="+p.killStep)
+		p.killStep = ""
 	}
 	p.cmd.Stderr, p.cmd.Stdout = p.log, p.log
 	if err := p.cmd.Start(); err != nil {
@@ -447,109 +456,118 @@
 	}
 	go func(cmd *exec.Cmd, ended chan struct{}) {
 		cmd.Wait()
-		p.code = cmd.ProcessState.ExitCode()
+		p.exitCode = cmd.ProcessState.ExitCode()
 		f.Close()
 		close(ended)
-	}(p.cmd, p.ended)
+	}(p.cmd, p.exited)
 	return nil
 }
 
-// form waits until a keeper leads and each router acts.
-func (s *stage) form(ctx context.Context) error {
-	for time.Since(s.start) < formWithin && ctx.Err() == nil {
-		ended := slices.ContainsFunc(s.order, func(id string) bool { return !s.procs[id].runs() })
-		if ended {
+// waitFormed waits until a keeper leads and each router acts. Its error has the end of some processes' logs.
+func (d *drillRun) waitFormed(ctx context.Context) error {
+	for time.Since(d.start) < formTimeout && ctx.Err() == nil {
+		anyExited := slices.ContainsFunc(d.processOrder, func(id string) bool { return !d.processes[id].running() })
+		if anyExited {
 			break
 		}
-		acts := map[string]bool{}
-		for _, one := range s.witness.all() {
-			acts[one.What+one.Who] = true
+		acting := map[string]bool{}
+		for _, observation := range d.observer.allObservations() {
+			acting[observation.What+observation.Who] = true
 		}
-		n := 0
-		for _, id := range s.order {
-			if acts["act"+id] {
-				n++
+		actingRouters := 0
+		for _, id := range d.processOrder {
+			if acting["act"+id] {
+				actingRouters++
 			}
 		}
-		if n == s.plan.Routers && s.witness.leader() != "" {
+		if actingRouters == d.plan.Routers && d.observer.leader() != "" {
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	var b strings.Builder
-	for i, id := range s.order {
-		if i < toldMost || !s.procs[id].runs() && b.Len() < 4096 {
-			fmt.Fprintf(&b, "\n%s: %s", id, s.procs[id].log.tail(400))
+	for i, id := range d.processOrder {
+		if i < maxReportedLogs || !d.processes[id].running() && b.Len() < 4096 {
+			fmt.Fprintf(&b, "\n%s: %s", id, d.processes[id].log.tail(400))
 		}
 	}
-	return fmt.Errorf("the fleet has not formed within %v:%s", time.Since(s.start).Round(time.Second), b.String())
+	return fmt.Errorf("the fleet has not formed within %v:%s", time.Since(d.start).Round(time.Second), b.String())
 }
 
-// flood has callers call numbers that begin so at one router, so often a second, beside the others and until the drill is over.
-func (s *stage) flood(ids []string, number string, rate int) error {
-	if s.load == nil || len(ids) != 1 || s.wires[[2]string{"c0", ids[0]}] == nil {
+// startFlood adds callers that call numbers with a prefix at one router, at a rate per second, until the end of the
+// drill.
+func (d *drillRun) startFlood(ids []string, number string, rate int) error {
+	if d.load == nil || len(ids) != 1 || d.links[[2]string{"c0", ids[0]}] == nil {
 		return fmt.Errorf("no router to call")
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	s.flaps = append(s.flaps, stop)
-	w := s.wires[[2]string{"c0", ids[0]}]
-	s.floods = append(s.floods, standin.StartLoad(ctx, standin.LoadConfig{Target: w.addr, Connections: 2 + rate/300, Seed: uint64(s.plan.Seed) + 1000 + uint64(len(s.floods)), Rate: float64(rate), Classes: []string{"voice", "data"},
-		NumberPrefixes: []string{number}, Servers: s.plan.Servers}))
+	d.stopFuncs = append(d.stopFuncs, stop)
+	l := d.links[[2]string{"c0", ids[0]}]
+	d.floods = append(d.floods, standin.StartLoad(ctx, standin.LoadConfig{Target: l.addr, Connections: 2 + rate/300,
+		Seed: uint64(d.plan.Seed) + 1000 + uint64(len(d.floods)), Rate: float64(rate),
+		Classes: []string{"voice", "data"}, NumberPrefixes: []string{number}, Servers: d.plan.Servers}))
 	return nil
 }
 
-// behaviours of case servers by name.
-var behaviours = map[string]standin.Behaviour{"fit": {}, "hang": {Hang: true}, "slow4": {DelayFactor: 4}, "slow40": {DelayFactor: 40}, "full": {RejectShare: 1}, "full-half": {RejectShare: 0.5}}
+// behaviours has the behaviours of case servers by the name that a drill file gives them.
+var behaviours = map[string]standin.Behaviour{
+	"fit": {}, "hang": {Hang: true}, "slow4": {DelayFactor: 4}, "slow40": {DelayFactor: 40},
+	"full": {RejectShare: 1}, "full-half": {RejectShare: 0.5},
+}
 
-func (s *stage) behave(ids []string, how string) error {
-	b, ok := behaviours[how]
+// setBehaviour changes the behaviour of case servers.
+func (d *drillRun) setBehaviour(ids []string, name string) error {
+	b, ok := behaviours[name]
 	if !ok {
-		return fmt.Errorf("%q is none of %s", how, strings.Join(slices.Sorted(mapKeys(behaviours)), ", "))
+		return fmt.Errorf("unknown behaviour %q, expected one of %s",
+			name, strings.Join(slices.Sorted(mapKeys(behaviours)), ", "))
 	}
 	for _, id := range ids {
-		at := count(strings.TrimPrefix(id, "s"))
-		if id[0] != 's' || at >= len(s.servers) {
+		index := parseInt(strings.TrimPrefix(id, "s"))
+		if id[0] != 's' || index >= len(d.servers) {
 			return fmt.Errorf("no case server %q", id)
 		}
-		s.servers[at].SetBehaviour(b)
+		d.servers[index].SetBehaviour(b)
 	}
 	return nil
 }
 
-// call has callers at work, through links of their own to each router.
-func (s *stage) call(ctx context.Context) {
-	var turn atomic.Uint64
-	// A router takes 400 set-ups a second from one connection: who redials wants more of them.
-	s.load = standin.StartLoad(ctx, standin.LoadConfig{Connections: (2 + min(s.plan.Redials, 6)) * s.plan.Routers, Seed: uint64(s.plan.Seed), Rate: float64(s.plan.Load), Classes: []string{"voice", "data"}, MaxRedials: s.plan.Redials, MaxRedialDelay: time.Second, RecordFirstTries: true, RecordOutcomes: true,
-		NumberPrefixes: s.plan.Numbers, Servers: s.plan.Servers,
+// startCallers starts the callers, which have a link of their own to each router.
+func (d *drillRun) startCallers(ctx context.Context) {
+	var next atomic.Uint64
+	// A router accepts 400 set-ups a second from one connection, so callers that redial need more connections.
+	d.load = standin.StartLoad(ctx, standin.LoadConfig{Connections: (2 + min(d.plan.Redials, 6)) * d.plan.Routers,
+		Seed: uint64(d.plan.Seed), Rate: float64(d.plan.Load), Classes: []string{"voice", "data"},
+		MaxRedials: d.plan.Redials, MaxRedialDelay: time.Second, RecordFirstTries: true, RecordOutcomes: true,
+		NumberPrefixes: d.plan.Numbers, Servers: d.plan.Servers,
 		Target: func() string {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			id := fmt.Sprintf("r%d", turn.Add(1)%uint64(s.plan.Routers)+1)
-			if len(s.only) > 0 {
-				id = s.only[turn.Load()%uint64(len(s.only))]
+			d.mu.Lock()
+			defer d.mu.Unlock()
+			id := fmt.Sprintf("r%d", next.Add(1)%uint64(d.plan.Routers)+1)
+			if len(d.callOnly) > 0 {
+				id = d.callOnly[next.Load()%uint64(len(d.callOnly))]
 			}
-			return s.wires[[2]string{"c0", id}].addr()
+			return d.links[[2]string{"c0", id}].addr()
 		}})
 }
 
-// resolve turns a pattern into processes and stand-ins.
-func (s *stage) resolve(pattern string) (ids []string, lead bool) {
+// resolvePattern returns the IDs of the processes and stand-ins that a pattern matches, and whether it is "leader".
+func (d *drillRun) resolvePattern(pattern string) (ids []string, isLeader bool) {
 	switch {
 	case pattern == "leader":
-		s.led = s.witness.leader()
-		return []string{s.led}, true
+		d.lastLeader = d.observer.leader()
+		return []string{d.lastLeader}, true
 	case pattern == "was-leader":
-		return []string{s.led}, false
+		return []string{d.lastLeader}, false
 	case pattern == "all":
-		return slices.Clone(s.order), false
+		return slices.Clone(d.processOrder), false
 	case strings.HasSuffix(pattern, "*"):
 		if pattern == "s*" {
-			for i := range s.servers {
+			for i := range d.servers {
 				ids = append(ids, fmt.Sprintf("s%d", i))
 			}
 		}
-		for _, id := range s.order {
+		for _, id := range d.processOrder {
 			if id[0] == pattern[0] {
 				ids = append(ids, id)
 			}
@@ -559,97 +577,109 @@
 	return strings.Split(pattern, "&"), false
 }
 
-// replace puts new case servers in the place of others, cold, under names of their own: s1 becomes s1x. Every router's name service says so at once.
-func (s *stage) replace(ids []string) error {
+// replaceServers replaces case servers by new ones without any load history, under names of their own: s1 becomes
+// s1x. Every router's name service lists them at once.
+func (d *drillRun) replaceServers(ids []string) error {
 	for _, id := range ids {
-		at := count(strings.TrimPrefix(id, "s"))
-		if id[0] != 's' || at >= len(s.servers) {
+		index := parseInt(strings.TrimPrefix(id, "s"))
+		if id[0] != 's' || index >= len(d.servers) {
 			return fmt.Errorf("no case server %q", id)
 		}
-		old := s.servers[at]
-		one, err := standin.NewServer(standin.ServerConfig{ID: id + "x", Number: at, Seed: uint64(s.plan.Seed) + 99, AnswerDelay: s.plan.Answer, HoldTime: s.plan.Stand, FreeAgents: s.plan.Agents})
+		old := d.servers[index]
+		server, err := standin.NewServer(standin.ServerConfig{ID: id + "x", Number: index,
+			Seed: uint64(d.plan.Seed) + 99, AnswerDelay: d.plan.Answer, HoldTime: d.plan.Stand, FreeAgents: d.plan.Agents})
 		if err != nil {
 			return err
 		}
-		s.servers[at] = one
-		s.gone = append(s.gone, old)
-		s.began = strconv.FormatInt(time.Now().UnixMilli(), 10)
+		d.servers[index] = server
+		d.replacedServers = append(d.replacedServers, old)
+		d.replacedAt = strconv.FormatInt(time.Now().UnixMilli(), 10)
 	}
-	for from, names := range s.names {
+	for from, names := range d.nameServices {
 		var list []standin.Entry
-		for i, one := range s.servers {
-			e := one.Entry()
-			w, err := s.wire(from, e.ID, func() string { return one.Entry().Addr.String() })
+		for i, server := range d.servers {
+			entry := server.Entry()
+			l, err := d.linkBetween(from, entry.ID, func() string { return server.Entry().Addr.String() })
 			if err != nil {
 				return err
 			}
-			if e.Addr = netip.MustParseAddrPort(w.addr()); e.ID != fmt.Sprintf("s%d", i) {
-				e.Started = s.began
+			if entry.Addr = netip.MustParseAddrPort(l.addr()); entry.ID != fmt.Sprintf("s%d", i) {
+				entry.Started = d.replacedAt
 			}
-			list = append(list, e)
+			list = append(list, entry)
 		}
 		names.SetServers(0, list)
 	}
 	return nil
 }
 
-// between calls f for every link from one of the first to one of the others: toward is the way that carries from a to b, and back the other.
-func (s *stage) between(first, others []string, f func(w *wire, toward, back *way)) {
-	for key, w := range s.wires {
+// eachLink calls visit for every link between one of first and one of others. forward is the direction from first to
+// others, and backward the opposite one, whichever side connected.
+func (d *drillRun) eachLink(first, others []string, visit func(l *link, forward, backward *linkDirection)) {
+	for key, l := range d.links {
 		switch {
 		case slices.Contains(first, key[0]) && slices.Contains(others, key[1]):
-			f(w, w.out, w.in)
+			visit(l, l.forward, l.backward)
 		case slices.Contains(first, key[1]) && slices.Contains(others, key[0]):
-			f(w, w.in, w.out)
+			visit(l, l.backward, l.forward)
 		}
 	}
 }
 
-func (s *stage) heal(first, others []string) {
-	s.between(first, append(slices.Clone(others), "c0", "s0", "s1", "s2", "s3"), func(_ *wire, toward, back *way) {
-		for _, one := range []*way{toward, back} {
-			one.set(func(w *way) { w.shut, w.half, w.delay, w.spread, w.rate = false, false, 0, 0, 0 })
+// heal removes the faults of all links between first and others, and of those between first and the callers and the
+// case servers s0 to s3.
+func (d *drillRun) heal(first, others []string) {
+	d.eachLink(first, append(slices.Clone(others), "c0", "s0", "s1", "s2", "s3"), func(
+		_ *link, forward, backward *linkDirection,
+	) {
+		for _, direction := range []*linkDirection{forward, backward} {
+			direction.update(func(d *linkDirection) {
+				d.blocked, d.stallHalfway, d.delay, d.jitter, d.bytesPerSecond = false, false, 0, 0, 0
+			})
 		}
 	})
 }
 
-// fault causes one.
-func (s *stage) fault(f Fault) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	h := Happened{What: f.String()}
+// injectFault injects a fault and records it, with an error if it could not be injected.
+func (d *drillRun) injectFault(f Fault) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	event := Happened{What: f.String()}
 	if form := faultForms[f.What]; form != "" && form[0] == 'p' {
-		h.Who, h.Lead = s.resolve(f.Args[0])
+		event.Who, event.Lead = d.resolvePattern(f.Args[0])
 	}
 	if form := faultForms[f.What]; len(form) > 1 && form[1] == 'p' {
-		h.Other, _ = s.resolve(f.Args[1])
-		if h.Lead { // whoever leads is not cut off from itself
-			h.Other = slices.DeleteFunc(h.Other, func(id string) bool { return slices.Contains(h.Who, id) })
+		event.Other, _ = d.resolvePattern(f.Args[1])
+		if event.Lead { // the leader is not cut off from itself
+			event.Other = slices.DeleteFunc(event.Other, func(id string) bool { return slices.Contains(event.Who, id) })
 		}
 	}
-	h.At = time.Since(s.start)
+	event.At = time.Since(d.start)
 	var err error
-	each := func(do func(p *proc) error) {
-		for _, id := range h.Who {
-			p := s.procs[id]
+	eachProcess := func(action func(p *childProcess) error) {
+		for _, id := range event.Who {
+			p := d.processes[id]
 			if p == nil {
 				err = fmt.Errorf("no process %q", id)
-			} else if bad := do(p); bad != nil {
-				err = fmt.Errorf("%s: %w", id, bad)
+			} else if actionErr := action(p); actionErr != nil {
+				err = fmt.Errorf("%s: %w", id, actionErr)
 			}
 		}
 	}
 	signal := func(sig syscall.Signal) {
-		each(func(p *proc) error {
-			if !p.runs() {
-				return fmt.Errorf("does not run")
+		eachProcess(func(p *childProcess) error {
+			if !p.running() {
+				return fmt.Errorf("not running")
 			}
 			p.killed = p.killed || sig == syscall.SIGKILL || sig == syscall.SIGTERM
 			return p.cmd.Process.Signal(sig)
 		})
 	}
-	both := func(set func(*way)) {
-		s.between(h.Who, h.Other, func(_ *wire, toward, back *way) { toward.set(set); back.set(set) })
+	updateBoth := func(set func(*linkDirection)) {
+		d.eachLink(event.Who, event.Other, func(_ *link, forward, backward *linkDirection) {
+			forward.update(set)
+			backward.update(set)
+		})
 	}
 	switch f.What {
 	case "kill":
@@ -661,224 +691,240 @@
 	case "term":
 		signal(syscall.SIGTERM)
 	case "start":
-		each(func(p *proc) error {
-			if p.killed && p.ended != nil {
+		eachProcess(func(p *childProcess) error {
+			if p.killed && p.exited != nil {
 				select {
-				case <-p.ended:
-				case <-time.After(endWithin):
+				case <-p.exited:
+				case <-time.After(exitTimeout):
 				}
 			}
-			return s.launch(p)
+			return d.launch(p)
 		})
 	case "twin":
-		each(s.twin)
+		eachProcess(d.startTwin)
 	case "wipe":
-		each(func(p *proc) error { return os.RemoveAll(filepath.Join(p.dir, "log")) })
+		eachProcess(func(p *childProcess) error { return os.RemoveAll(filepath.Join(p.dir, "log")) })
 	case "damage":
-		each(damage)
+		eachProcess(corruptNewestFile)
 	case "fill":
-		each(func(p *proc) error { return p.limit(1) })
+		eachProcess(func(p *childProcess) error { return p.limitFileSize(1) })
 	case "empty":
-		each(func(p *proc) error { return p.limit(unix.RLIM_INFINITY) })
+		eachProcess(func(p *childProcess) error { return p.limitFileSize(unix.RLIM_INFINITY) })
 	case "load":
-		if s.load != nil {
-			s.load.SetRate(float64(count(f.Args[0])))
+		if d.load != nil {
+			d.load.SetRate(float64(parseInt(f.Args[0])))
 		}
 	case "replace":
-		err = s.replace(h.Who)
+		err = d.replaceServers(event.Who)
 	case "flood":
-		err = s.flood(h.Who, f.Args[1], count(f.Args[2]))
+		err = d.startFlood(event.Who, f.Args[1], parseInt(f.Args[2]))
 	case "behave":
-		err = s.behave(h.Who, f.Args[1])
+		err = d.setBehaviour(event.Who, f.Args[1])
 	case "hold-server", "release-server":
 		args := []string{"fleet", "verdicts", "release", f.Args[0]}
 		if f.What == "hold-server" {
 			args = []string{"fleet", "verdicts", "hold", f.Args[0], "--for", f.Args[1]}
 		}
-		err = s.command(append(args, "--why", "drill"))
+		err = d.runCommand(append(args, "--why", "drill"))
 		if f.What == "hold-server" {
-			s.held[f.Args[0]] = time.Since(s.start)
+			d.heldSince[f.Args[0]] = time.Since(d.start)
 		}
 	case "limit-set", "limit-unset":
-		err = s.command(append([]string{"fleet", "limits", strings.TrimPrefix(f.What, "limit-")}, append(slices.Clone(f.Args), "--why", "drill")...))
+		err = d.runCommand(append([]string{"fleet", "limits", strings.TrimPrefix(f.What, "limit-")},
+			append(slices.Clone(f.Args), "--why", "drill")...))
 	case "evacuate":
-		each(func(p *proc) error { return s.command([]string{"fleet", "evacuate", p.name}) })
+		eachProcess(func(p *childProcess) error { return d.runCommand([]string{"fleet", "evacuate", p.name}) })
 	case "call-only":
-		s.only = h.Who
-		s.between([]string{"c0"}, s.order, func(w *wire, _, _ *way) { w.reset() })
+		d.callOnly = event.Who
+		d.eachLink([]string{"c0"}, d.processOrder, func(l *link, _, _ *linkDirection) { l.reset() })
 	case "dying":
-		name := " fleet-" // what the step's file begins with
+		name := " fleet-" // prefix of the name of the file that the operation is on
 		if f.Args[1] == "syncdir" {
 			name = " log"
 		}
-		each(func(p *proc) error { p.dying = f.Args[1] + name + " " + f.Args[2]; return nil })
+		eachProcess(func(p *childProcess) error {
+			p.killStep = f.Args[1] + name + " " + f.Args[2]
+			return nil
+		})
 	case "step":
-		each(func(p *proc) error {
-			return os.WriteFile(filepath.Join(p.dir, "wall"), fmt.Appendf(nil, "%d\n", int(span(f.Args[1]).Seconds())), 0o600)
+		eachProcess(func(p *childProcess) error {
+			return os.WriteFile(filepath.Join(p.dir, "wall"),
+				fmt.Appendf(nil, "%d\n", int(parseDuration(f.Args[1]).Seconds())), 0o600)
 		})
 	case "cut":
-		both(func(w *way) { w.shut = true })
+		updateBoth(func(direction *linkDirection) { direction.blocked = true })
 	case "cut-to":
-		s.between(h.Who, h.Other, func(_ *wire, toward, _ *way) { toward.set(func(w *way) { w.shut = true }) })
+		d.eachLink(event.Who, event.Other, func(_ *link, forward, _ *linkDirection) {
+			forward.update(func(direction *linkDirection) { direction.blocked = true })
+		})
 	case "heal":
-		s.heal(h.Who, h.Other)
+		d.heal(event.Who, event.Other)
 	case "heal-all":
-		s.heal(s.order, s.order)
+		d.heal(d.processOrder, d.processOrder)
 	case "delay":
-		both(func(w *way) { w.delay, w.spread = span(f.Args[2]), span(f.Args[3]) })
+		updateBoth(func(direction *linkDirection) {
+			direction.delay, direction.jitter = parseDuration(f.Args[2]), parseDuration(f.Args[3])
+		})
 	case "slow":
-		both(func(w *way) { w.rate = count(f.Args[2]) })
+		updateBoth(func(direction *linkDirection) { direction.bytesPerSecond = parseInt(f.Args[2]) })
 	case "reset":
-		s.between(h.Who, h.Other, func(w *wire, _, _ *way) { w.reset() })
+		d.eachLink(event.Who, event.Other, func(l *link, _, _ *linkDirection) { l.reset() })
 	case "stall":
-		both(func(w *way) { w.half = true })
+		updateBoth(func(direction *linkDirection) { direction.stallHalfway = true })
 	case "flap":
-		s.flap(h.Who, h.Other, span(f.Args[2]))
+		d.startFlapping(event.Who, event.Other, parseDuration(f.Args[2]))
 	case "intrude":
-		h.Who, _ = s.resolve(f.Args[1])
-		if p := s.procs[h.Who[0]]; p != nil {
-			addr := p.listen
-			if p.talks != "" {
-				addr = p.talks
+		event.Who, _ = d.resolvePattern(f.Args[1])
+		if p := d.processes[event.Who[0]]; p != nil {
+			addr := p.listenAddr
+			if p.neighbourAddr != "" {
+				addr = p.neighbourAddr
 			}
-			if f.Args[0] == "greedy" { // it goes on beside what follows
-				s.aside.Add(1)
+			if f.Args[0] == "greedy" { // runs beside the faults that follow
+				d.intruders.Add(1)
 				go func() {
-					defer s.aside.Done()
-					in := intrude(f.Args[0], addr)
-					in.At = h.At
-					s.mu.Lock()
-					s.intrud = append(s.intrud, in)
-					s.mu.Unlock()
+					defer d.intruders.Done()
+					intrusion := attemptIntrusion(f.Args[0], addr)
+					intrusion.At = event.At
+					d.mu.Lock()
+					d.intrusions = append(d.intrusions, intrusion)
+					d.mu.Unlock()
 				}()
 				break
 			}
-			in := intrude(f.Args[0], addr)
-			in.At = h.At
-			s.intrud = append(s.intrud, in)
+			intrusion := attemptIntrusion(f.Args[0], addr)
+			intrusion.At = event.At
+			d.intrusions = append(d.intrusions, intrusion)
 		} else {
 			err = fmt.Errorf("no process %q", f.Args[1])
 		}
 	}
 	if err != nil {
-		h.Error = err.Error()
+		event.Error = err.Error()
 	}
-	s.opt.Say("%8v %s %v %s", (h.At - s.zero).Round(time.Millisecond), h.What, h.Who, h.Error)
-	s.happen = append(s.happen, h)
+	d.options.Say("%8v %s %v %s", (event.At - d.formedAt).Round(time.Millisecond), event.What, event.Who, event.Error)
+	d.faultEvents = append(d.faultEvents, event)
 }
 
-// command is an operator's, by this program.
-func (s *stage) command(args []string) error {
-	cmd := exec.Command(s.opt.Program, append(args, "--settings", filepath.Join(s.procs["k1"].dir, "settings.edn"))...)
-	cmd.Env = append(os.Environ(), s.opt.Env...)
+// runCommand runs an operator's command of the program, with the settings of keeper k1.
+func (d *drillRun) runCommand(args []string) error {
+	cmd := exec.Command(d.options.Program,
+		append(args, "--settings", filepath.Join(d.processes["k1"].dir, "settings.edn"))...)
+	cmd.Env = append(os.Environ(), d.options.Env...)
 	if out, err := cmd.CombinedOutput(); err != nil {
 		return fmt.Errorf("%w: %s", err, out)
 	}
 	return nil
 }
 
-// twin starts a second process of the same name, with a folder and links of its own.
-func (s *stage) twin(p *proc) error {
+// startTwin starts a second process of the same name, with a folder and links of its own.
+func (d *drillRun) startTwin(p *childProcess) error {
 	id := p.id + "+"
-	other := s.procs[id]
-	if other == nil {
-		other = &proc{id: id, name: p.name, listen: standin.FreeAddr(), talks: p.talks, dir: filepath.Join(s.opt.Dir, p.id+"-twin")}
-		s.procs[id] = other
-		if err := s.settings(other); err != nil {
+	twin := d.processes[id]
+	if twin == nil {
+		twin = &childProcess{id: id, name: p.name, listenAddr: standin.FreeAddr(), neighbourAddr: p.neighbourAddr,
+			dir: filepath.Join(d.options.Dir, p.id+"-twin")}
+		d.processes[id] = twin
+		if err := d.writeSettings(twin); err != nil {
 			return err
 		}
 	}
-	return s.launch(other)
+	return d.launch(twin)
 }
 
-// damage changes one byte in the newest of a keeper's files.
-func damage(p *proc) error {
-	names, err := filepath.Glob(filepath.Join(p.dir, "log", "*.tgl"))
-	if err != nil || len(names) == 0 {
-		return fmt.Errorf("no files: %v", err)
+// corruptNewestFile flips a bit in the newest of a keeper's files.
+func corruptNewestFile(p *childProcess) error {
+	paths, err := filepath.Glob(filepath.Join(p.dir, "log", "*.tgl"))
+	if err != nil || len(paths) == 0 {
+		return fmt.Errorf("no *.tgl files in the keeper's log folder: %v", err)
 	}
-	path := slices.Max(names)
-	b, err := os.ReadFile(path)
+	newest := slices.Max(paths)
+	data, err := os.ReadFile(newest)
 	if err != nil {
 		return err
 	}
-	b[100] ^= 0x40
-	return os.WriteFile(path, b, 0o600)
+	data[100] ^= 0x40
+	return os.WriteFile(newest, data, 0o600)
 }
 
-// limit is a full disk, as far as a process can tell: no write of it goes past the first byte of a file.
-func (p *proc) limit(most uint64) error {
-	if !p.runs() {
-		return fmt.Errorf("does not run")
+// limitFileSize sets RLIMIT_FSIZE of the running process. A limit of one byte looks like a full disk to it.
+func (p *childProcess) limitFileSize(maxBytes uint64) error {
+	if !p.running() {
+		return fmt.Errorf("not running")
 	}
-	var now unix.Rlimit
-	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, nil, &now); err != nil {
+	var limits unix.Rlimit
+	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, nil, &limits); err != nil {
 		return err
 	}
-	now.Cur = min(most, now.Max)
-	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &now, nil)
+	limits.Cur = min(maxBytes, limits.Max)
+	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &limits, nil)
 }
 
-// flap cuts and heals by turns until the drill is over.
-func (s *stage) flap(first, others []string, period time.Duration) {
+// startFlapping alternately blocks and unblocks the links between first and others, for half a period each, until
+// the end of the drill.
+func (d *drillRun) startFlapping(first, others []string, period time.Duration) {
 	ctx, stop := context.WithCancel(context.Background())
-	s.flaps = append(s.flaps, stop)
-	var ways []*way
-	s.between(first, others, func(_ *wire, toward, back *way) { ways = append(ways, toward, back) })
+	d.stopFuncs = append(d.stopFuncs, stop)
+	var directions []*linkDirection
+	d.eachLink(first, others, func(_ *link, forward, backward *linkDirection) {
+		directions = append(directions, forward, backward)
+	})
 	go func() {
-		for shut := true; ctx.Err() == nil; shut = !shut {
-			for _, one := range ways {
-				one.set(func(w *way) { w.shut = shut })
+		for blocked := true; ctx.Err() == nil; blocked = !blocked {
+			for _, direction := range directions {
+				direction.update(func(d *linkDirection) { d.blocked = blocked })
 			}
 			select {
 			case <-ctx.Done():
 			case <-time.After(period / 2):
 			}
 		}
-		for _, one := range ways {
-			one.set(func(w *way) { w.shut = false })
+		for _, direction := range directions {
+			direction.update(func(d *linkDirection) { d.blocked = false })
 		}
 	}()
 }
 
-func (s *stage) endAll() {
-	for _, p := range s.procs {
-		if p.runs() {
+// stopAll sends SIGTERM to all processes, kills those that have not exited after exitTimeout, and waits for them.
+func (d *drillRun) stopAll() {
+	for _, p := range d.processes {
+		if p.running() {
 			p.killed = true
 			p.cmd.Process.Signal(syscall.SIGCONT)
 			p.cmd.Process.Signal(syscall.SIGTERM)
 		}
 	}
-	late := time.After(endWithin)
-	for _, p := range s.procs {
+	timeout := time.After(exitTimeout)
+	for _, p := range d.processes {
 		if p.cmd == nil {
 			continue
 		}
 		select {
-		case <-p.ended:
-		case <-late:
+		case <-p.exited:
+		case <-timeout:
 			p.cmd.Process.Kill()
-			<-p.ended
-			late = time.After(0)
+			<-p.exited
+			timeout = time.After(0)
 		}
 	}
 }
 
-func (s *stage) close() {
-	for _, stop := range s.flaps {
+// close ends all processes, links and stand-ins.
+func (d *drillRun) close() {
+	for _, stop := range d.stopFuncs {
 		stop()
 	}
-	s.endAll()
-	for _, w := range s.wires {
-		w.close()
+	d.stopAll()
+	for _, l := range d.links {
+		l.close()
 	}
-	for _, n := range s.names {
-		n.Close()
+	for _, nameService := range d.nameServices {
+		nameService.Close()
 	}
-	for _, one := range append(s.servers, s.gone...) {
-		one.Close()
+	for _, server := range append(d.servers, d.replacedServers...) {
+		server.Close()
 	}
-	if s.witness != nil {
-		s.witness.conn.Close()
+	if d.observer != nil {
+		d.observer.conn.Close()
 	}
 }
