--- a/cmd/threadglade/drill.go
+++ b/cmd/threadglade/drill.go
@@ -33,7 +33,7 @@
 			w := cmd.OutOrStdout()
 			if check {
 				fmt.Fprintf(w, "%s: %d keepers, %d routers, %d faults, %d things must hold, %v\n", plan.Name,
-					plan.Keepers, plan.Routers, len(plan.Faults), len(plan.Holds), plan.For)
+					plan.Keepers, plan.Routers, len(plan.Faults), len(plan.Checks), plan.Duration)
 				return nil
 			}
 			if out == "" {
@@ -46,7 +46,7 @@
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			r, err := drill.Run(ctx, plan, drill.Options{Program: program, Dir: out,
-				Say: func(format string, args ...any) { fmt.Fprintf(w, format+"\n", args...) }})
+				Logf: func(format string, args ...any) { fmt.Fprintf(w, format+"\n", args...) }})
 			if err != nil {
 				return err
 			}
--- a/cmd/threadglade/drill_test.go
+++ b/cmd/threadglade/drill_test.go
@@ -29,7 +29,7 @@
 	require.NoError(t, err)
 	dir := t.TempDir()
 	r, err := drill.Run(t.Context(), plan, drill.Options{Program: os.Args[0], Env: append(env, "CHILD=1"), Dir: dir,
-		Say: t.Logf})
+		Logf: t.Logf})
 	require.NoError(t, err)
 	require.NoError(t, r.Write(dir))
 	for _, v := range r.Verdicts {
@@ -49,7 +49,7 @@
 	require.NoError(t, err)
 	plan.Zones = 0 // no links between routers, hence no shared verdicts
 	r, err := drill.Run(t.Context(), plan, drill.Options{Program: os.Args[0], Env: []string{"CHILD=1"},
-		Dir: t.TempDir(), Say: t.Logf})
+		Dir: t.TempDir(), Logf: t.Logf})
 	require.NoError(t, err)
 	for _, v := range r.Verdicts {
 		t.Logf("%-40s %v %s", v.What, v.Holds, v.Why)
@@ -66,9 +66,9 @@
 	t.Parallel()
 	plan, err := drill.Load(filepath.Join("..", "..", "docs", "drills", "takeover-kill.edn"))
 	require.NoError(t, err)
-	plan.Own = plan.Own[strings.Index(plan.Own, "(ledger"):]
+	plan.RouterSettings = plan.RouterSettings[strings.Index(plan.RouterSettings, "(ledger"):]
 	r, err := drill.Run(t.Context(), plan, drill.Options{Program: os.Args[0], Env: []string{"CHILD=1"},
-		Dir: t.TempDir(), Say: t.Logf})
+		Dir: t.TempDir(), Logf: t.Logf})
 	require.NoError(t, err)
 	for _, v := range r.Verdicts {
 		t.Logf("%-40s %v %s", v.What, v.Holds, v.Why)
--- a/internal/drill/accounts.go
+++ b/internal/drill/accounts.go
@@ -64,9 +64,9 @@
 	}
 	slices.Sort(missing)
 	slices.Sort(duplicate)
-	r.Measured["calls that stood and ended"] = Figures{N: len(established)}
-	r.Measured["of them in nobody's books"] = Figures{N: len(missing)}
-	r.Measured["of them in two books"] = Figures{N: len(duplicate)}
+	r.Measured["calls that stood and ended"] = Statistics{N: len(established)}
+	r.Measured["of them in nobody's books"] = Statistics{N: len(missing)}
+	r.Measured["of them in two books"] = Statistics{N: len(duplicate)}
 	switch {
 	case len(dirs) == 0:
 		return "no router has a ledger", nil
@@ -102,8 +102,8 @@
 			example = id
 		}
 	}
-	r.Measured["callers who never heard of the end"] = Figures{N: missing}
-	r.Measured["callers who heard of it twice"] = Figures{N: duplicate}
+	r.Measured["callers who never heard of the end"] = Statistics{N: missing}
+	r.Measured["callers who heard of it twice"] = Statistics{N: duplicate}
 	if len(established) == 0 || duplicate > maxDuplicate || missing > maxMissing {
 		return fmt.Sprintf("of %d calls %d were released twice, %d never, %d may be: %s",
 			len(established), duplicate, missing, maxMissing, example), nil
--- a/internal/drill/evaluate.go
+++ b/internal/drill/evaluate.go
@@ -25,33 +25,33 @@
 
 // Result is the outcome of a drill. All times are since the observer's start.
 type Result struct {
-	Name     string             `json:"name"`
-	Seed     int                `json:"seed"`
-	Zero     time.Duration      `json:"zero"` // when the fleet had formed
-	Over     time.Duration      `json:"over"` // end of the drill
-	Verdicts []Verdict          `json:"verdicts"`
-	Happened []Happened         `json:"happened"` // faults in the order of their injection
-	Intruded []Intrusion        `json:"intruded,omitempty"`
-	Calls    standin.LoadCounts `json:"-"`
-	Offered  int                `json:"offered"`         // calls that callers made
-	Stood    int                `json:"stood"`           // calls that were established
-	Lost     int                `json:"lost"`            // calls without an answer
-	Exits    map[string]int     `json:"exits,omitempty"` // exit codes of processes that the drill didn't end, by ID
-	Measured map[string]Figures `json:"measured,omitempty"`
-	Use      Use                `json:"use"`
-	Seen     []Seen             `json:"-"`
-	Spans    []Span             `json:"spans"`
+	Name         string                `json:"name"`
+	Seed         int                   `json:"seed"`
+	FormedAt     time.Duration         `json:"zero"` // when the fleet had formed
+	EndedAt      time.Duration         `json:"over"` // end of the drill
+	Verdicts     []Verdict             `json:"verdicts"`
+	Happened     []FaultEvent          `json:"happened"` // faults in the order of their injection
+	Intruded     []Intrusion           `json:"intruded,omitempty"`
+	Calls        standin.LoadCounts    `json:"-"`
+	Offered      int                   `json:"offered"`         // calls that callers made
+	Stood        int                   `json:"stood"`           // calls that were established
+	Lost         int                   `json:"lost"`            // calls without an answer
+	Exits        map[string]int        `json:"exits,omitempty"` // exit codes of processes that the drill didn't end, by ID
+	Measured     map[string]Statistics `json:"measured,omitempty"`
+	Use          ResourceUsage         `json:"use"`
+	Observations []Observation         `json:"-"`
+	Spans        []Span                `json:"spans"`
 }
 
 // Statistics summarizes samples of one quantity, in milliseconds unless its name says otherwise.
-type Figures struct {
+type Statistics struct {
 	N                      int // number of samples
 	Median, P99, Most, Min float64
 }
 
 // Span is an interval in which one process acted under one incarnation or led in one term.
 type Span struct {
-	Who      string        `json:"who"`    // name of the router or keeper
+	Name     string        `json:"who"`    // name of the router or keeper
 	Kind     string        `json:"kind"`   // act or lead
 	Number   uint64        `json:"number"` // incarnation or term
 	Process  uint64        `json:"process,omitempty"`
@@ -68,34 +68,34 @@
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 // summarize returns the statistics of a list of times, which it sorts.
-func summarize(list []time.Duration) Figures {
+func summarize(list []time.Duration) Statistics {
 	slices.Sort(list)
 	n := len(list)
 	if n == 0 {
-		return Figures{}
+		return Statistics{}
 	}
-	return Figures{n, milliseconds(list[n/2]), milliseconds(list[min(n-1, n*99/100)]),
+	return Statistics{n, milliseconds(list[n/2]), milliseconds(list[min(n-1, n*99/100)]),
 		milliseconds(list[n-1]), milliseconds(list[0])}
 }
 
 // joinSpans joins observations into spans of acting and leading, sorted by their start. Observations that are gap
 // or more apart belong to different spans.
-func joinSpans(observations []Seen, gap time.Duration) (joined []Span) {
+func joinSpans(observations []Observation, gap time.Duration) (joined []Span) {
 	open := map[string]int{}
 	for _, observation := range observations {
 		number := observation.Incarnation
-		if observation.What == "lead" {
+		if observation.Kind == "lead" {
 			number = observation.Term
-		} else if observation.What != "act" {
+		} else if observation.Kind != "act" {
 			continue
 		}
-		key := observation.What + observation.Who + fmt.Sprint(number, observation.Process)
+		key := observation.Kind + observation.Name + fmt.Sprint(number, observation.Process)
 		if i, ok := open[key]; ok && observation.At-joined[i].To < gap {
 			joined[i].To = observation.At
 			continue
 		}
 		open[key] = len(joined)
-		joined = append(joined, Span{Who: observation.Who, Kind: observation.What, Number: number,
+		joined = append(joined, Span{Name: observation.Name, Kind: observation.Kind, Number: number,
 			Process: observation.Process, From: observation.At, To: observation.At})
 	}
 	for i := range joined {
@@ -109,16 +109,16 @@
 func (d *drillRun) evaluate(endedAt time.Duration, calls standin.LoadCounts, exits map[string]int) *Result {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	result := &Result{Name: d.plan.Name, Seed: d.plan.Seed, Zero: d.formedAt, Over: endedAt,
+	result := &Result{Name: d.plan.Name, Seed: d.plan.Seed, FormedAt: d.formedAt, EndedAt: endedAt,
 		Happened: d.faultEvents, Intruded: d.intrusions,
 		Calls: calls, Offered: calls.Offered, Stood: calls.Stood, Lost: calls.Lost, Exits: exits,
-		Measured: map[string]Figures{}, Seen: d.observer.allObservations()}
-	result.Spans = joinSpans(result.Seen, 4*d.plan.Every+300*time.Millisecond)
-	for _, check := range d.plan.Holds {
+		Measured: map[string]Statistics{}, Observations: d.observer.allObservations()}
+	result.Spans = joinSpans(result.Observations, 4*d.plan.BeaconInterval+300*time.Millisecond)
+	for _, check := range d.plan.Checks {
 		verdict := Verdict{What: check.String()}
 		verdict.Why, verdict.Least = d.check(result, check)
 		verdict.Holds, verdict.Unit = verdict.Why == "", "ms"
-		if strings.HasPrefix(check.What, "limit-") || check.What == "sent-most" {
+		if strings.HasPrefix(check.Kind, "limit-") || check.Kind == "sent-most" {
 			verdict.Unit = "calls"
 		}
 		result.Verdicts = append(result.Verdicts, verdict)
@@ -159,21 +159,21 @@
 }
 
 // check evaluates one check. It returns why it failed, or "" if it passed, and the slack to its bound if it has one.
-func (d *drillRun) check(r *Result, check Hold) (why string, slack *float64) {
+func (d *drillRun) check(r *Result, check Check) (why string, slack *float64) {
 	interval := func(from, to string) (time.Duration, time.Duration) {
 		return d.formedAt + parseDuration(from), d.formedAt + parseDuration(to)
 	}
-	switch check.What {
+	switch check.Kind {
 	case "one-acts":
 		return checkOneActs(r)
 	case "one-leads":
 		leaders := map[uint64]string{}
-		for _, observation := range r.Seen {
-			if observation.What == "lead" {
-				if earlier, ok := leaders[observation.Term]; ok && earlier != observation.Who {
-					return fmt.Sprintf("%s and %s both lead in term %d", earlier, observation.Who, observation.Term), nil
+		for _, observation := range r.Observations {
+			if observation.Kind == "lead" {
+				if earlier, ok := leaders[observation.Term]; ok && earlier != observation.Name {
+					return fmt.Sprintf("%s and %s both lead in term %d", earlier, observation.Name, observation.Term), nil
 				}
-				leaders[observation.Term] = observation.Who
+				leaders[observation.Term] = observation.Name
 			}
 		}
 	case "lead-within":
@@ -191,20 +191,20 @@
 	case "acts", "silent", "leads-none":
 		args := check.Args
 		ids := []string{""}
-		if check.What != "leads-none" {
+		if check.Kind != "leads-none" {
 			ids, _ = d.resolvePattern(args[0])
 			args = args[1:]
 		}
 		from, to := interval(args[0], args[1])
 		for _, id := range ids {
 			matches := 0
-			for _, observation := range r.Seen {
+			for _, observation := range r.Observations {
 				if observation.At >= from && observation.At < to &&
-					(observation.What == "act" && observation.Who == id || id == "" && observation.What == "lead") {
+					(observation.Kind == "act" && observation.Name == id || id == "" && observation.Kind == "lead") {
 					matches++
 				}
 			}
-			if (matches > 0) != (check.What == "acts") {
+			if (matches > 0) != (check.Kind == "acts") {
 				return fmt.Sprintf("%s: %d times from %v to %v", id, matches, args[0], args[1]), nil
 			}
 		}
@@ -213,7 +213,7 @@
 	case "sent-most", "carries":
 		from, to := interval(check.Args[1], check.Args[2])
 		// A held server is checked once the command has ended and the routers have applied it.
-		if held, wasHeld := d.heldSince[check.Args[0]]; wasHeld && check.What == "sent-most" {
+		if held, wasHeld := d.heldSince[check.Args[0]]; wasHeld && check.Kind == "sent-most" {
 			from = max(from, held+commandPropagationDelay)
 		}
 		return d.checkServerSetUps(r, check, from, to)
@@ -233,7 +233,7 @@
 			}
 		}
 		r.Measured["first tries that stood from "+check.Args[0]+" to "+check.Args[1]+", in percent"] =
-			Figures{N: tried, Median: 100 * float64(established) / float64(max(tried, 1))}
+			Statistics{N: tried, Median: 100 * float64(established) / float64(max(tried, 1))}
 		if tried == 0 || established*100 < parseInt(check.Args[2])*tried {
 			return fmt.Sprintf("%d of %d first tries were established", established, tried), nil
 		}
@@ -246,7 +246,7 @@
 		bound := float64(parseInt(check.Args[0]))/100*float64(r.Offered) + float64(parseInt(check.Args[1]))
 		slack := bound - float64(attempts-calls)
 		r.Measured[fmt.Sprintf("further attempts (bound %.0f)", bound)] =
-			Figures{N: calls, Most: float64(attempts - calls)}
+			Statistics{N: calls, Most: float64(attempts - calls)}
 		if slack < 0 || attempts == calls {
 			return fmt.Sprintf("%d retry attempts for %d calls, bound %.0f", attempts-calls, calls, bound), nil
 		}
@@ -271,7 +271,7 @@
 		most, _, matches := maxBucketLevel(times, float64(parseInt(check.Args[1])), from, to)
 		slack := bound - most
 		r.Measured[fmt.Sprintf("set-ups to the cold %s above %s a second (bound %.0f)",
-			check.Args[0], check.Args[1], bound)] = Figures{N: matches, Most: most}
+			check.Args[0], check.Args[1], bound)] = Statistics{N: matches, Most: most}
 		if slack < 0 {
 			return fmt.Sprintf("%.0f set-ups above %s a second, bound %.0f", most, check.Args[1], bound), nil
 		}
@@ -290,7 +290,7 @@
 		want := float64(parseInt(check.Args[1])) * (to - from).Seconds() * float64(parseInt(check.Args[4])) / 100
 		slack := float64(matches) - want
 		r.Measured[fmt.Sprintf("set-ups a second of %s from %s to %s", check.Args[0], check.Args[2], check.Args[3])] =
-			Figures{N: matches, Median: float64(matches) / (to - from).Seconds()}
+			Statistics{N: matches, Median: float64(matches) / (to - from).Seconds()}
 		if slack < 0 {
 			return fmt.Sprintf("case servers received %d set-ups, expected at least %.0f", matches, want), nil
 		}
@@ -308,7 +308,7 @@
 
 // checkServerSetUps checks the set-ups that a case server received in an interval: sent-most bounds their number, and
 // carries requires a minimum percentage of the mean over all case servers.
-func (d *drillRun) checkServerSetUps(r *Result, check Hold, from, to time.Duration) (string, *float64) {
+func (d *drillRun) checkServerSetUps(r *Result, check Check, from, to time.Duration) (string, *float64) {
 	index := parseInt(strings.TrimPrefix(check.Args[0], "s"))
 	if check.Args[0][0] != 's' || index >= len(d.servers) {
 		return "no such case server", nil
@@ -327,8 +327,8 @@
 	}
 	bound := parseInt(check.Args[3])
 	r.Measured[fmt.Sprintf("set-ups to %s from %s to %s", check.Args[0], check.Args[1], check.Args[2])] =
-		Figures{N: received, Median: float64(received) / (to - from).Seconds()}
-	if check.What == "sent-most" {
+		Statistics{N: received, Median: float64(received) / (to - from).Seconds()}
+	if check.Kind == "sent-most" {
 		if slack := float64(bound - received); slack >= 0 {
 			return "", &slack
 		}
@@ -350,27 +350,27 @@
 		process uint64
 	}
 	owner := map[uint64]actor{}
-	last := map[string]Seen{}
+	last := map[string]Observation{}
 	var gaps []time.Duration
-	for _, observation := range r.Seen {
-		if observation.What != "act" {
+	for _, observation := range r.Observations {
+		if observation.Kind != "act" {
 			continue
 		}
-		current := actor{observation.Who, observation.Process}
+		current := actor{observation.Name, observation.Process}
 		if earlier, ok := owner[observation.Incarnation]; ok && earlier != current {
 			return fmt.Sprintf("incarnation %d was given to %s (process %d) and to %s (process %d)",
-				observation.Incarnation, earlier.name, earlier.process, observation.Who, observation.Process), nil
+				observation.Incarnation, earlier.name, earlier.process, observation.Name, observation.Process), nil
 		}
 		owner[observation.Incarnation] = current
-		if earlier, ok := last[observation.Who]; ok && earlier.Incarnation != observation.Incarnation {
+		if earlier, ok := last[observation.Name]; ok && earlier.Incarnation != observation.Incarnation {
 			if observation.Incarnation < earlier.Incarnation {
 				return fmt.Sprintf("%s acts under incarnation %d at %v, %v after an act under incarnation %d",
-					observation.Who, observation.Incarnation, (observation.At - r.Zero).Round(time.Millisecond),
+					observation.Name, observation.Incarnation, (observation.At - r.FormedAt).Round(time.Millisecond),
 					(observation.At - earlier.At).Round(time.Millisecond), earlier.Incarnation), nil
 			}
 			gaps = append(gaps, observation.At-earlier.At)
 		}
-		last[observation.Who] = observation
+		last[observation.Name] = observation
 	}
 	if len(owner) == 0 {
 		return "no router acted", nil
@@ -388,25 +388,25 @@
 func (d *drillRun) checkLeadWithin(r *Result, bound time.Duration) (string, *float64) {
 	var times []time.Duration
 	for _, event := range r.Happened {
-		if !event.Lead ||
+		if !event.AtLeader ||
 			event.Other == nil && !slices.Contains([]string{"kill", "stop", "fill", "term"}, firstWord(event.What)) {
 			continue
 		}
 		term, delay := uint64(0), time.Duration(-1)
-		for _, observation := range r.Seen {
-			if observation.What != "lead" {
+		for _, observation := range r.Observations {
+			if observation.Kind != "lead" {
 				continue
 			}
 			if observation.At <= event.At {
 				term = max(term, observation.Term)
-			} else if observation.Who != event.Who[0] && observation.Term > term {
+			} else if observation.Name != event.Who[0] && observation.Term > term {
 				delay = observation.At - event.At
 				break
 			}
 		}
 		if delay < 0 || delay > bound {
 			return fmt.Sprintf("after %s (%s) at %v the next keeper leads after %v", event.What, event.Who[0],
-				(event.At - r.Zero).Round(time.Millisecond), delay.Round(time.Millisecond)), nil
+				(event.At - r.FormedAt).Round(time.Millisecond), delay.Round(time.Millisecond)), nil
 		}
 		times = append(times, delay)
 	}
@@ -439,22 +439,22 @@
 			continue
 		}
 		for _, id := range event.Who {
-			if id[0] != 'r' || slices.ContainsFunc(r.Happened[i+1:], func(later Happened) bool {
+			if id[0] != 'r' || slices.ContainsFunc(r.Happened[i+1:], func(later FaultEvent) bool {
 				return slices.Contains(later.Who, id) && later.At < event.At+bound
 			}) {
 				continue
 			}
-			var lastAct Seen
+			var lastAct Observation
 			acted := map[string]time.Duration{}
-			for _, observation := range r.Seen {
-				if observation.What != "act" {
+			for _, observation := range r.Observations {
+				if observation.Kind != "act" {
 					continue
 				}
-				if observation.Who == id && observation.At <= event.At+50*time.Millisecond {
+				if observation.Name == id && observation.At <= event.At+50*time.Millisecond {
 					lastAct = observation
 				}
 				if observation.At > event.At+bound {
-					acted[observation.Who] = observation.At
+					acted[observation.Name] = observation.At
 				}
 			}
 			if lastAct.Incarnation == 0 {
@@ -465,16 +465,16 @@
 					continue
 				}
 				delay := time.Duration(-1)
-				for _, observation := range r.Seen {
-					if observation.What == "lost" && observation.Who == other &&
-						observation.Of == id && observation.Incarnation == lastAct.Incarnation {
+				for _, observation := range r.Observations {
+					if observation.Kind == "lost" && observation.Name == other &&
+						observation.LostName == id && observation.Incarnation == lastAct.Incarnation {
 						delay = observation.At - lastAct.At
 						break
 					}
 				}
 				if delay < 0 || delay > bound {
 					return fmt.Sprintf("%s reports the loss of %s (at %v) after %v", other, id,
-						(event.At - r.Zero).Round(time.Millisecond), delay.Round(time.Millisecond)), nil
+						(event.At - r.FormedAt).Round(time.Millisecond), delay.Round(time.Millisecond)), nil
 				}
 				times = append(times, delay)
 			}
@@ -549,7 +549,7 @@
 
 // checkLimitRate checks that in any time window W after FROM no more than (1+r) R W + R b + n calls arrived at case
 // servers, plus an allowance for maxSetUpJitter; r is 1%. The arguments are the class, R, b, FROM and n.
-func (d *drillRun) checkLimitRate(r *Result, check Hold) (string, *float64) {
+func (d *drillRun) checkLimitRate(r *Result, check Check) (string, *float64) {
 	rate := float64(parseInt(check.Args[1])) * 1.01
 	bound := float64(parseInt(check.Args[1]))*parseDuration(check.Args[2]).Seconds() +
 		float64(parseInt(check.Args[4])) + rate*maxSetUpJitter.Seconds()
@@ -560,7 +560,7 @@
 	}
 	slack := bound - maxLevel
 	r.Measured["over "+check.Args[1]+" a second of "+check.Args[0]+", in calls (bound "+fmt.Sprintf("%.0f", bound)+")"] =
-		Figures{N: arrivals, Most: maxLevel}
+		Statistics{N: arrivals, Most: maxLevel}
 	if slack < 0 {
 		return fmt.Sprintf("%.1f calls above the limit at %v, bound %.1f",
 			maxLevel, (maxAt - d.formedAt).Round(time.Millisecond), bound), nil
@@ -576,7 +576,7 @@
 	last := 0
 	for _, firstTry := range d.load.FirstTries() {
 		// Tries in the last 2 s may lack the time to be answered.
-		if at := firstTry.SentAt.Sub(d.start); at >= from && at < r.Over-2*time.Second {
+		if at := firstTry.SentAt.Sub(d.start); at >= from && at < r.EndedAt-2*time.Second {
 			i := int((at - from) / window)
 			tried[i]++
 			last = max(last, i)
@@ -600,7 +600,7 @@
 }
 
 // checkLimitCalls checks that the number of concurrent calls of a class at case servers never exceeds a limit.
-func (d *drillRun) checkLimitCalls(r *Result, check Hold) (string, *float64) {
+func (d *drillRun) checkLimitCalls(r *Result, check Check) (string, *float64) {
 	type edge struct {
 		at   time.Time
 		step int
@@ -628,7 +628,7 @@
 	bound := parseInt(check.Args[1])
 	slack := float64(bound - maxActive)
 	r.Measured["most calls of "+check.Args[0]+" at once (bound "+check.Args[1]+")"] =
-		Figures{N: len(edges), Most: float64(maxActive)}
+		Statistics{N: len(edges), Most: float64(maxActive)}
 	if maxActive > bound {
 		return fmt.Sprintf("%d calls at once at %v",
 			maxActive, (maxAt.Sub(d.start) - d.formedAt).Round(time.Millisecond)), nil
--- a/internal/drill/observer.go
+++ b/internal/drill/observer.go
@@ -9,11 +9,11 @@
 )
 
 // Observation is one beacon that the observer received.
-type Seen struct {
+type Observation struct {
 	At          time.Duration `json:"at"`           // arrival, since the observer's start
-	What        string        `json:"what"`         // act, lead or lost
-	Who         string        `json:"who"`          // name of the sender
-	Of          string        `json:"of,omitempty"` // name of the lost router
+	Kind        string        `json:"what"`         // act, lead or lost
+	Name        string        `json:"who"`          // name of the sender
+	LostName    string        `json:"of,omitempty"` // name of the lost router
 	Incarnation uint64        `json:"incarnation,omitempty"`
 	Process     uint64        `json:"process,omitempty"`
 	Term        uint64        `json:"term,omitempty"`
@@ -25,7 +25,7 @@
 	conn         *net.UDPConn
 	start        time.Time
 	mu           sync.Mutex
-	observations []Seen
+	observations []Observation
 	malformed    int    // datagrams that could not be parsed
 	lastLeader   string // keeper that last reported that it leads
 }
@@ -53,18 +53,18 @@
 }
 
 func (w *observer) record(at time.Duration, text string) {
-	observation := Seen{At: at}
-	observation.What, _, _ = strings.Cut(text, " ")
+	observation := Observation{At: at}
+	observation.Kind, _, _ = strings.Cut(text, " ")
 	var err error
 	var number uint64
-	switch observation.What {
+	switch observation.Kind {
 	case "act":
 		_, err = fmt.Sscanf(text, "act %s %d %d %d",
-			&observation.Who, &observation.Incarnation, &observation.Process, &number)
+			&observation.Name, &observation.Incarnation, &observation.Process, &number)
 	case "lead":
-		_, err = fmt.Sscanf(text, "lead %s %d", &observation.Who, &observation.Term)
+		_, err = fmt.Sscanf(text, "lead %s %d", &observation.Name, &observation.Term)
 	case "lost":
-		_, err = fmt.Sscanf(text, "lost %s %s %d", &observation.Who, &observation.Of, &observation.Incarnation)
+		_, err = fmt.Sscanf(text, "lost %s %s %d", &observation.Name, &observation.LostName, &observation.Incarnation)
 	default:
 		err = fmt.Errorf("%q", text)
 	}
@@ -74,8 +74,8 @@
 		w.malformed++
 		return
 	}
-	if observation.What == "lead" {
-		w.lastLeader = observation.Who
+	if observation.Kind == "lead" {
+		w.lastLeader = observation.Name
 	}
 	w.observations = append(w.observations, observation)
 }
@@ -86,8 +86,8 @@
 	return w.lastLeader
 }
 
-func (w *observer) allObservations() []Seen {
+func (w *observer) allObservations() []Observation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]Seen(nil), w.observations...)
+	return append([]Observation(nil), w.observations...)
 }
--- a/internal/drill/plan.go
+++ b/internal/drill/plan.go
@@ -18,51 +18,51 @@
 
 // Plan is a parsed drill file. docs/operators/drill.md describes the format.
 type Plan struct {
-	Name, About string
-	Seed        int
-	For         time.Duration // duration of the drill
-	Keepers     int
-	Routers     int
-	Servers     int // case servers
-	Load        int // set-ups per second from callers, over all routers
-	Lease       time.Duration
-	Renew       time.Duration // interval of lease renewals
-	Every       time.Duration // interval of beacons
-	Cycles      int           // how many times the faults are injected
-	Period      time.Duration // between the starts of cycles
-	Faults      []Fault       // sorted by time, all cycles included
-	Holds       []Hold
-	Agents      int              // number that a case server reports; 0: very many
-	Redials     int              // maximum redials of a refused caller
-	Zones       int              // routers share verdicts and are spread over this many zones; 0: they share none
-	Liars       int              // the first Liars routers report the opposite of what they see; in test builds only
-	Numbers     []string         // prefixes of the called numbers
-	Answer      [2]time.Duration // minimum and maximum answer delay of a case server
-	Stand       [2]time.Duration // minimum and maximum time a call is established at its case server
-	More        string           // further sections of all processes' settings
-	Own         string           // further sections of the routers' settings; $DIR is the router's folder
+	Name, About    string
+	Seed           int
+	Duration       time.Duration // duration of the drill
+	Keepers        int
+	Routers        int
+	Servers        int // case servers
+	CallRate       int // set-ups per second from callers, over all routers
+	Lease          time.Duration
+	RenewInterval  time.Duration // interval of lease renewals
+	BeaconInterval time.Duration // interval of beacons
+	Cycles         int           // how many times the faults are injected
+	Period         time.Duration // between the starts of cycles
+	Faults         []Fault       // sorted by time, all cycles included
+	Checks         []Check
+	Agents         int              // number that a case server reports; 0: very many
+	Redials        int              // maximum redials of a refused caller
+	Zones          int              // routers share verdicts and are spread over this many zones; 0: they share none
+	Liars          int              // the first Liars routers report the opposite of what they see; in test builds only
+	Numbers        []string         // prefixes of the called numbers
+	AnswerDelay    [2]time.Duration // minimum and maximum answer delay of a case server
+	HoldTime       [2]time.Duration // minimum and maximum time a call is established at its case server
+	Settings       string           // further sections of all processes' settings
+	RouterSettings string           // further sections of the routers' settings; $DIR is the router's folder
 }
 
 // Fault is an action at a planned time after the fleet has formed.
 type Fault struct {
 	At   time.Duration
 	Line int
-	What string
+	Kind string
 	Args []string
 }
 
 // Check is a condition that must hold for the drill to pass.
-type Hold struct {
+type Check struct {
 	Line int
-	What string
+	Kind string
 	Args []string
 }
 
 // String returns the fault as in the drill file, without its time.
-func (f Fault) String() string { return strings.TrimSpace(f.What + " " + strings.Join(f.Args, " ")) }
+func (f Fault) String() string { return strings.TrimSpace(f.Kind + " " + strings.Join(f.Args, " ")) }
 
 // String returns the check as in the drill file.
-func (h Hold) String() string { return strings.TrimSpace(h.What + " " + strings.Join(h.Args, " ")) }
+func (h Check) String() string { return strings.TrimSpace(h.Kind + " " + strings.Join(h.Args, " ")) }
 
 // faultForms has the arguments of each kind of fault: p a process or pattern, d a duration, n a number, w a word.
 var faultForms = map[string]string{
@@ -107,11 +107,11 @@
 }
 
 func parsePlan(s *settings.Section) (*Plan, error) {
-	plan := &Plan{Name: s.Label(), Seed: 1, For: 20 * time.Second, Keepers: 3, Routers: 3, Servers: 2, Load: 40,
-		Lease: 3 * time.Second, Every: 10 * time.Millisecond, Cycles: 1}
+	plan := &Plan{Name: s.Label(), Seed: 1, Duration: 20 * time.Second, Keepers: 3, Routers: 3, Servers: 2, CallRate: 40,
+		Lease: 3 * time.Second, BeaconInterval: 10 * time.Millisecond, Cycles: 1}
 	s.String("about", &plan.About)
 	s.Int("seed", &plan.Seed, 0, 1<<31)
-	s.Duration("for", &plan.For, time.Second, 24*time.Hour)
+	s.Duration("for", &plan.Duration, time.Second, 24*time.Hour)
 	s.Int("keepers", &plan.Keepers, 1, 5)
 	s.Int("routers", &plan.Routers, 0, 64)
 	s.Int("servers", &plan.Servers, 1, 16)
@@ -119,19 +119,19 @@
 	s.Int("zones", &plan.Zones, 0, 16)
 	s.Int("liars", &plan.Liars, 0, 64)
 	s.Int("redials", &plan.Redials, 0, 100)
-	s.Int("load", &plan.Load, 0, 100_000)
+	s.Int("load", &plan.CallRate, 0, 100_000)
 	s.Duration("lease", &plan.Lease, 200*time.Millisecond, time.Minute)
-	plan.Renew = plan.Lease / 3
-	s.Duration("renew", &plan.Renew, 50*time.Millisecond, 30*time.Second)
-	s.Duration("beacon-every", &plan.Every, 5*time.Millisecond, time.Second)
+	plan.RenewInterval = plan.Lease / 3
+	s.Duration("renew", &plan.RenewInterval, 50*time.Millisecond, 30*time.Second)
+	s.Duration("beacon-every", &plan.BeaconInterval, 5*time.Millisecond, time.Second)
 	s.Int("cycles", &plan.Cycles, 1, 1000)
 	s.Duration("period", &plan.Period, 0, time.Hour)
-	s.String("settings", &plan.More)
-	s.String("router-settings", &plan.Own)
+	s.String("settings", &plan.Settings)
+	s.String("router-settings", &plan.RouterSettings)
 	plan.Numbers = s.Strings("numbers")
-	plan.Stand, plan.Answer = [2]time.Duration{100 * time.Millisecond, 400 * time.Millisecond},
+	plan.HoldTime, plan.AnswerDelay = [2]time.Duration{100 * time.Millisecond, 400 * time.Millisecond},
 		[2]time.Duration{2 * time.Millisecond, 30 * time.Millisecond}
-	for field, times := range map[string]*[2]time.Duration{"stand": &plan.Stand, "answer": &plan.Answer} {
+	for field, times := range map[string]*[2]time.Duration{"stand": &plan.HoldTime, "answer": &plan.AnswerDelay} {
 		if v := s.Strings(field); v != nil {
 			if len(v) == 2 {
 				*times = [2]time.Duration{parseDuration(v[0]), parseDuration(v[1])}
@@ -161,7 +161,7 @@
 				return
 			}
 			at, err := time.ParseDuration(values[0])
-			if err != nil || at < 0 || at > plan.For {
+			if err != nil || at < 0 || at > plan.Duration {
 				report("%q is not a time within the drill", values[0])
 				return
 			}
@@ -179,12 +179,12 @@
 				report("%s", problem)
 				return
 			}
-			plan.Holds = append(plan.Holds, Hold{line, values[0], values[1:]})
+			plan.Checks = append(plan.Checks, Check{line, values[0], values[1:]})
 		default:
 			report("unknown field %q", name)
 		}
 	})
-	if len(plan.Holds) == 0 {
+	if len(plan.Checks) == 0 {
 		s.Errorf("", "no hold: a drill needs at least one check")
 	}
 	if err := s.Finish(); err != nil {
@@ -198,8 +198,8 @@
 		}
 	}
 	slices.SortStableFunc(plan.Faults, func(a, b Fault) int { return int(a.At - b.At) })
-	if n := len(plan.Faults); n > 0 && plan.Faults[n-1].At >= plan.For {
-		plan.For = plan.Faults[n-1].At + plan.Period
+	if n := len(plan.Faults); n > 0 && plan.Faults[n-1].At >= plan.Duration {
+		plan.Duration = plan.Faults[n-1].At + plan.Period
 	}
 	return plan, nil
 }
--- a/internal/drill/report.go
+++ b/internal/drill/report.go
@@ -61,11 +61,11 @@
 func (r *Result) timeline() chart {
 	names := map[string]bool{}
 	for _, s := range r.Spans {
-		names[s.Who] = true
+		names[s.Name] = true
 	}
 	timeline := chart{Width: chartWidth + chartMargin + 10, Margin: chartMargin}
 	x := func(t time.Duration) int {
-		return chartMargin + int(int64(chartWidth)*int64(max(t, 0))/int64(max(r.Over, 1)))
+		return chartMargin + int(int64(chartWidth)*int64(max(t, 0))/int64(max(r.EndedAt, 1)))
 	}
 	y := map[string]int{}
 	for i, name := range slices.Sorted(maps.Keys(names)) {
@@ -76,20 +76,20 @@
 	timeline.Height = timeline.Bottom + 30
 	for _, s := range r.Spans {
 		timeline.Bars = append(timeline.Bars, bar{
-			x(s.From), y[s.Who], max(x(s.To)-x(s.From), 2), fmt.Sprintf("%s%d", s.Kind, s.Number%2),
+			x(s.From), y[s.Name], max(x(s.To)-x(s.From), 2), fmt.Sprintf("%s%d", s.Kind, s.Number%2),
 			fmt.Sprintf("%s: %s %d, %.2f s to %.2f s",
-				s.Who, s.Kind, s.Number, (s.From - r.Zero).Seconds(), (s.To - r.Zero).Seconds()),
+				s.Name, s.Kind, s.Number, (s.From - r.FormedAt).Seconds(), (s.To - r.FormedAt).Seconds()),
 		})
 	}
 	for _, h := range r.Happened {
 		timeline.Marks = append(timeline.Marks, mark{
 			x(h.At), timeline.Bottom,
-			fmt.Sprintf("%.2f s: %s (%s)", (h.At - r.Zero).Seconds(), h.What, strings.Join(h.Who, " ")),
+			fmt.Sprintf("%.2f s: %s (%s)", (h.At - r.FormedAt).Seconds(), h.What, strings.Join(h.Who, " ")),
 		})
 	}
-	step := max(time.Second, (r.Over / 20).Round(time.Second))
-	for t := time.Duration(0); r.Zero+t <= r.Over; t += step {
-		timeline.Ticks = append(timeline.Ticks, mark{x(r.Zero + t), timeline.Bottom + 18, fmt.Sprint(t)})
+	step := max(time.Second, (r.EndedAt / 20).Round(time.Second))
+	for t := time.Duration(0); r.FormedAt+t <= r.EndedAt; t += step {
+		timeline.Ticks = append(timeline.Ticks, mark{x(r.FormedAt + t), timeline.Bottom + 18, fmt.Sprint(t)})
 	}
 	return timeline
 }
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -38,17 +38,17 @@
 	Program string                           // path of the program that all processes run
 	Env     []string                         // added to the processes' environment
 	Dir     string                           // for the processes' logs and files and for the result
-	Say     func(format string, args ...any) // reports progress; may be nil
+	Logf    func(format string, args ...any) // reports progress; may be nil
 }
 
 // FaultEvent is a fault that was injected.
-type Happened struct {
-	At    time.Duration `json:"at"`              // since the observer's start
-	What  string        `json:"what"`            // as in the drill file
-	Who   []string      `json:"who"`             // what the first argument's pattern resolved to
-	Other []string      `json:"other,omitempty"` // the same of the second argument
-	Lead  bool          `json:"lead,omitempty"`  // its target was the leading keeper
-	Error string        `json:"error,omitempty"` // why it could not be injected
+type FaultEvent struct {
+	At       time.Duration `json:"at"`              // since the observer's start
+	What     string        `json:"what"`            // as in the drill file
+	Who      []string      `json:"who"`             // what the first argument's pattern resolved to
+	Other    []string      `json:"other,omitempty"` // the same of the second argument
+	AtLeader bool          `json:"lead,omitempty"`  // its target was the leading keeper
+	Error    string        `json:"error,omitempty"` // why it could not be injected
 }
 
 // childProcess is a router or keeper of the drill. It may be started several times.
@@ -119,7 +119,7 @@
 	processes       map[string]*childProcess
 	processOrder    []string
 	links           map[[2]string]*link // by IDs of the connecting and the listening side
-	faultEvents     []Happened
+	faultEvents     []FaultEvent
 	callOnly        []string // routers that callers connect to; nil: all
 	lastLeader      string   // what "leader" resolved to last
 	load            *standin.Load
@@ -167,14 +167,14 @@
 }
 
 // ResourceUsage is the consumption of a fleet per second, counting the processes that ran during the whole drill.
-type Use struct {
+type ResourceUsage struct {
 	LinkBytes            float64 // bytes over all links of the fleet
 	KeeperCPU, RouterCPU float64 // CPU milliseconds of one process, mean
 }
 
 // since returns the consumption per second between two measurements that are span apart.
-func (u usage) since(before usage, span time.Duration) Use {
-	result := Use{LinkBytes: float64(u.linkBytes-before.linkBytes) / span.Seconds()}
+func (u usage) since(before usage, span time.Duration) ResourceUsage {
+	result := ResourceUsage{LinkBytes: float64(u.linkBytes-before.linkBytes) / span.Seconds()}
 	processCount := map[byte]float64{}
 	cpuSum := map[byte]float64{}
 	for id, cpu := range u.cpuTimes {
@@ -190,8 +190,8 @@
 // Run carries out a drill and evaluates its checks. An error means that it could not be carried out. Checks that
 // failed are in the result.
 func Run(ctx context.Context, plan *Plan, opt Options) (*Result, error) {
-	if opt.Say == nil {
-		opt.Say = func(string, ...any) {}
+	if opt.Logf == nil {
+		opt.Logf = func(string, ...any) {}
 	}
 	dir, err := filepath.Abs(opt.Dir)
 	if err != nil {
@@ -217,10 +217,10 @@
 	}
 	run.formedAt = time.Since(run.start)
 	run.usageBefore = run.measureUsage()
-	opt.Say("the fleet has formed in %v", run.formedAt.Round(time.Millisecond))
+	opt.Logf("the fleet has formed in %v", run.formedAt.Round(time.Millisecond))
 	calls, stopCalls := context.WithCancel(ctx)
 	defer stopCalls()
-	if plan.Load > 0 && plan.Routers > 0 {
+	if plan.CallRate > 0 && plan.Routers > 0 {
 		run.startCallers(calls)
 	}
 	for _, f := range plan.Faults {
@@ -229,7 +229,7 @@
 		}
 		run.injectFault(f)
 	}
-	if err := run.waitUntil(ctx, plan.For); err != nil {
+	if err := run.waitUntil(ctx, plan.Duration); err != nil {
 		return nil, err
 	}
 	for _, stop := range run.stopFuncs {
@@ -281,7 +281,7 @@
 	}
 	for i := range d.plan.Servers {
 		server, err := standin.NewServer(standin.ServerConfig{ID: fmt.Sprintf("s%d", i), Number: i,
-			Seed: uint64(d.plan.Seed), AnswerDelay: d.plan.Answer, HoldTime: d.plan.Stand, FreeAgents: d.plan.Agents})
+			Seed: uint64(d.plan.Seed), AnswerDelay: d.plan.AnswerDelay, HoldTime: d.plan.HoldTime, FreeAgents: d.plan.Agents})
 		if err != nil {
 			return err
 		}
@@ -351,7 +351,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "(threadglade\n  (log (level debug) (form json))\n  "+
 		"(fleet (name %q) (lease %q) (renew %q) (members \"r*\") (beacon %q) (beacon-every %q) (file-kb 64)\n",
-		fleetName, d.plan.Lease, d.plan.Renew, d.observer.conn.LocalAddr(), d.plan.Every)
+		fleetName, d.plan.Lease, d.plan.RenewInterval, d.observer.conn.LocalAddr(), d.plan.BeaconInterval)
 	keeper := strings.HasPrefix(p.id, "k")
 	if keeper {
 		fmt.Fprintf(&b, "    (directory %q) (listen %q)\n", filepath.Join(p.dir, "log"), p.listenAddr)
@@ -383,12 +383,12 @@
 			fmt.Fprintf(&b, "    (reach %q (address %q))\n", to.name, l.addr())
 		}
 	}
-	fmt.Fprintf(&b, ")\n%s", d.plan.More)
+	fmt.Fprintf(&b, ")\n%s", d.plan.Settings)
 	if !keeper {
 		if p.neighbourAddr != "" {
 			b.WriteString("  (verdicts)\n")
 		}
-		b.WriteString(strings.ReplaceAll(d.plan.Own, "$DIR", p.dir))
+		b.WriteString(strings.ReplaceAll(d.plan.RouterSettings, "$DIR", p.dir))
 		fmt.Fprintf(&b, "  (trace (directory %q) (file-mb 8) (total-mb 64))\n", filepath.Join(p.dir, "trace"))
 	}
 	b.WriteString(")\n")
@@ -472,7 +472,7 @@
 		}
 		acting := map[string]bool{}
 		for _, observation := range d.observer.allObservations() {
-			acting[observation.What+observation.Who] = true
+			acting[observation.Kind+observation.Name] = true
 		}
 		actingRouters := 0
 		for _, id := range d.processOrder {
@@ -537,7 +537,7 @@
 	var next atomic.Uint64
 	// A router accepts 400 set-ups a second from one connection, so callers that redial need more connections.
 	d.load = standin.StartLoad(ctx, standin.LoadConfig{Connections: (2 + min(d.plan.Redials, 6)) * d.plan.Routers,
-		Seed: uint64(d.plan.Seed), Rate: float64(d.plan.Load), Classes: []string{"voice", "data"},
+		Seed: uint64(d.plan.Seed), Rate: float64(d.plan.CallRate), Classes: []string{"voice", "data"},
 		MaxRedials: d.plan.Redials, MaxRedialDelay: time.Second, RecordFirstTries: true, RecordOutcomes: true,
 		NumberPrefixes: d.plan.Numbers, Servers: d.plan.Servers,
 		Target: func() string {
@@ -587,7 +587,7 @@
 		}
 		old := d.servers[index]
 		server, err := standin.NewServer(standin.ServerConfig{ID: id + "x", Number: index,
-			Seed: uint64(d.plan.Seed) + 99, AnswerDelay: d.plan.Answer, HoldTime: d.plan.Stand, FreeAgents: d.plan.Agents})
+			Seed: uint64(d.plan.Seed) + 99, AnswerDelay: d.plan.AnswerDelay, HoldTime: d.plan.HoldTime, FreeAgents: d.plan.Agents})
 		if err != nil {
 			return err
 		}
@@ -644,13 +644,13 @@
 func (d *drillRun) injectFault(f Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	event := Happened{What: f.String()}
-	if form := faultForms[f.What]; form != "" && form[0] == 'p' {
-		event.Who, event.Lead = d.resolvePattern(f.Args[0])
+	event := FaultEvent{What: f.String()}
+	if form := faultForms[f.Kind]; form != "" && form[0] == 'p' {
+		event.Who, event.AtLeader = d.resolvePattern(f.Args[0])
 	}
-	if form := faultForms[f.What]; len(form) > 1 && form[1] == 'p' {
+	if form := faultForms[f.Kind]; len(form) > 1 && form[1] == 'p' {
 		event.Other, _ = d.resolvePattern(f.Args[1])
-		if event.Lead { // the leader is not cut off from itself
+		if event.AtLeader { // the leader is not cut off from itself
 			event.Other = slices.DeleteFunc(event.Other, func(id string) bool { return slices.Contains(event.Who, id) })
 		}
 	}
@@ -681,7 +681,7 @@
 			backward.update(set)
 		})
 	}
-	switch f.What {
+	switch f.Kind {
 	case "kill":
 		signal(syscall.SIGKILL)
 	case "stop":
@@ -722,15 +722,15 @@
 		err = d.setBehaviour(event.Who, f.Args[1])
 	case "hold-server", "release-server":
 		args := []string{"fleet", "verdicts", "release", f.Args[0]}
-		if f.What == "hold-server" {
+		if f.Kind == "hold-server" {
 			args = []string{"fleet", "verdicts", "hold", f.Args[0], "--for", f.Args[1]}
 		}
 		err = d.runCommand(append(args, "--why", "drill"))
-		if f.What == "hold-server" {
+		if f.Kind == "hold-server" {
 			d.heldSince[f.Args[0]] = time.Since(d.start)
 		}
 	case "limit-set", "limit-unset":
-		err = d.runCommand(append([]string{"fleet", "limits", strings.TrimPrefix(f.What, "limit-")},
+		err = d.runCommand(append([]string{"fleet", "limits", strings.TrimPrefix(f.Kind, "limit-")},
 			append(slices.Clone(f.Args), "--why", "drill")...))
 	case "evacuate":
 		eachProcess(func(p *childProcess) error { return d.runCommand([]string{"fleet", "evacuate", p.name}) })
@@ -802,7 +802,7 @@
 	if err != nil {
 		event.Error = err.Error()
 	}
-	d.options.Say("%8v %s %v %s", (event.At - d.formedAt).Round(time.Millisecond), event.What, event.Who, event.Error)
+	d.options.Logf("%8v %s %v %s", (event.At - d.formedAt).Round(time.Millisecond), event.What, event.Who, event.Error)
 	d.faultEvents = append(d.faultEvents, event)
 }
 
