--- a/clone.go
+++ b/clone.go
@@ -36,54 +36,54 @@
 // never change, and a source given to SetRandomSource.
 func (c *Controller) Clone() *Controller {
 	copied := *c
-	servers, calls := map[*server]*server{}, map[*call]*call{}
-	var copyCall func(*call) *call
-	copyServer := func(s *server) *server {
-		if s == nil || servers[s] != nil {
-			return servers[s]
+	servers, calls := map[*serverState]*serverState{}, map[*callState]*callState{}
+	var copyCall func(*callState) *callState
+	copyServer := func(server *serverState) *serverState {
+		if server == nil || servers[server] != nil {
+			return servers[server]
 		}
-		n := *s
-		servers[s] = &n
-		n.overdue = nil
-		for _, k := range s.overdue {
-			n.overdue = append(n.overdue, copyCall(k))
+		duplicate := *server
+		servers[server] = &duplicate
+		duplicate.overdue = nil
+		for _, call := range server.overdue {
+			duplicate.overdue = append(duplicate.overdue, copyCall(call))
 		}
-		return &n
+		return &duplicate
 	}
-	copyCall = func(k *call) *call {
-		if calls[k] != nil {
-			return calls[k]
+	copyCall = func(call *callState) *callState {
+		if calls[call] != nil {
+			return calls[call]
 		}
-		n := *k
-		calls[k] = &n
-		n.countedAt, n.server = copyServer(k.countedAt), copyServer(k.server)
-		return &n
+		duplicate := *call
+		calls[call] = &duplicate
+		duplicate.countedAt, duplicate.server = copyServer(call.countedAt), copyServer(call.server)
+		return &duplicate
 	}
 	copied.random, copied.actions = c.random.clone(), nil
-	copied.servers, copied.byID = make([]*server, len(c.servers)), make(map[string]*server, len(c.byID))
-	for i, s := range c.servers {
-		copied.servers[i] = copyServer(s)
+	copied.servers, copied.byID = make([]*serverState, len(c.servers)), make(map[string]*serverState, len(c.byID))
+	for i, server := range c.servers {
+		copied.servers[i] = copyServer(server)
 	}
-	for id, s := range c.byID {
-		copied.byID[id] = copyServer(s)
+	for id, server := range c.byID {
+		copied.byID[id] = copyServer(server)
 	}
 	copied.remembered = copyServer(c.remembered)
-	copied.calls = make(map[string]*call, len(c.calls))
-	copied.timers = make(map[int64]*call, len(c.timers))
-	copied.waiting = make([]*call, len(c.waiting))
-	for id, k := range c.calls {
-		copied.calls[id] = copyCall(k)
+	copied.calls = make(map[string]*callState, len(c.calls))
+	copied.timers = make(map[int64]*callState, len(c.timers))
+	copied.waiting = make([]*callState, len(c.waiting))
+	for id, call := range c.calls {
+		copied.calls[id] = copyCall(call)
 	}
-	for token, k := range c.timers {
-		copied.timers[token] = copyCall(k)
+	for token, call := range c.timers {
+		copied.timers[token] = copyCall(call)
 	}
-	for i, k := range c.waiting {
-		copied.waiting[i] = copyCall(k)
+	for i, call := range c.waiting {
+		copied.waiting[i] = copyCall(call)
 	}
 	copied.tenants = make(map[string]*tenant, len(c.tenants))
 	for name, t := range c.tenants {
-		n := *t
-		copied.tenants[name] = &n
+		duplicate := *t
+		copied.tenants[name] = &duplicate
 	}
 	copied.firstTries = maps.Clone(c.firstTries)
 	copied.busyNumbers = maps.Clone(c.busyNumbers)
--- a/controller.go
+++ b/controller.go
@@ -1,10 +1,11 @@
 // Package threadglade is the decision module of a border proxy: it decides which central server each call
 // set-up is sent to and which calls are refused. Its interface is in api.go.
 //
-// Admission control follows the published algorithm DEOC: each server has an admission rate that an overload
-// rejection (processor full, a time-out) cuts by a fraction and that otherwise climbs by a square law. Gaps
-// between new calls enforce it. Comments refer to its steps, symbols and equations, and mark departures from
-// them; docs/design.md says which parts were kept, which were changed and why.
+// Admission control follows the published algorithm DEOC. Each server has an admission rate. An overload
+// rejection (processor full, a time-out or a late answer) cuts the rate by a fraction; otherwise the rate
+// climbs by a square law. Gaps, which are minimum times between new calls, enforce it. Comments refer to the
+// algorithm's steps, symbols and equations, and mark departures from them; docs/design.md says which parts
+// were kept, which were changed and why.
 package threadglade
 
 import (
@@ -18,52 +19,61 @@
 	controlInterval = time.Second
 	// maxSpanIntervals limits the intervals without answers that one rate change accounts for.
 	maxSpanIntervals = 10
-	// scarceSpacing is the spacing of admissions above which single answers decide: too few for a rate.
+	// scarceSpacing is the spacing of admissions above which the latest answer alone decides whether a call
+	// would be late: there are too few answers for a rate to control the server.
 	scarceSpacing = controlInterval / 2
-	// latencyMargin times the latest response time is assumed for the next answer.
+	// latencyMargin times the latest response time is the response time assumed for the next set-up.
 	latencyMargin = 1.5
-	// smoothingWeight is w of the algorithm: the weight of the newest spacing of calls.
+	// smoothingWeight is w of the algorithm: the weight of the newest spacing of calls. The loss rate is
+	// smoothed with the same weight.
 	smoothingWeight = 0.1
-	// climbStep is the square root of the first climb, in calls a second: k = 1/2, α = 0.2 in eq. 12.
+	// climbStep squared is how far the rate climbs in the first interval, in calls a second. It follows from
+	// k = 1/2 and α = 0.2 in eq. 12.
 	climbStep = 0.1
-	// nominalRate is the rate in calls a second that climbStep is meant for. Above it, the climb grows.
+	// nominalRate is the arrival rate, in calls a second, that climbStep is meant for. Above it, the climb is
+	// faster in proportion to the arrival rate.
 	nominalRate = 4
-	// isolatedRejectionAdmissions or more per overload rejection mean that the server has no overload.
+	// isolatedRejectionAdmissions is the number of admissions per overload rejection from which rejections
+	// are isolated: the server is not overloaded and its rate is not cut.
 	isolatedRejectionAdmissions = 20
 	// rateCutFraction is β of the algorithm: the part of the rate that an overload rejection removes.
 	rateCutFraction = 1.0 / 8
-	// idleTimeout without an overload rejection ends the control of a server. The paper proposes 100 s.
+	// idleTimeout is the time without an overload rejection after which a server is no longer controlled.
+	// The paper proposes 100 s.
 	idleTimeout = 10 * time.Second
 	// minCoolDown is the shortest cool-down of a server after it rejected a set-up or let it time out.
 	minCoolDown = 200 * time.Millisecond
 	// maxCoolDown is the longest mean cool-down of a server that fails repeatedly.
 	maxCoolDown = 8 * time.Second
-	// lateAimFraction of the aim without an answer makes a set-up count as an overload rejection. Less helps
-	// slightly with many proxies and costs more with few.
+	// lateAimFraction is the fraction of the aim after which a set-up without an answer counts as an overload
+	// rejection. A smaller one helps slightly with many proxies and costs more with few.
 	lateAimFraction = 0.5
 	// maxServerFaults faults in a row start a cool-down of the server; fewer may be caused by the calls.
 	maxServerFaults = 3
 	// maxCallFaults faults are attributed to the call itself: another server would report the same.
 	maxCallFaults = 2
-	// minLossRate is the fraction of lost set-ups from which any one pending for long is taken as lost.
+	// minLossRate is the fraction of lost set-ups from which any set-up that is pending for long is taken as
+	// lost.
 	minLossRate = 0.1
 	// forgetDelay is how long a removed server is remembered in case it comes back.
 	forgetDelay = time.Minute
-	// overdueAimFraction of the aim without an answer blocks the server: a queue has to be detected long
-	// before it costs calls their aim.
+	// overdueAimFraction is the fraction of the aim after which a set-up without an answer blocks its server:
+	// a queue has to be detected long before it makes calls miss their aim.
 	overdueAimFraction = 0.2
-	// maxProbationSetUps answers in time end a probation: about the set-ups in flight at normal load.
+	// maxProbationSetUps answers in time end a probation. About as many set-ups are in flight at normal load.
 	maxProbationSetUps = 4
 	// waitAimFraction of the aim is how long the most valuable call may wait for a server, others in
-	// proportion to their value. Less refuses valuable calls, more makes them late.
+	// proportion to their value. With less, valuable calls are refused; with more, they are late.
 	waitAimFraction = 0.4
-	// maxWaitingCalls bounds the work of one event.
+	// maxWaitingCalls limits the queue of waiting calls, and thereby the work of one event.
 	maxWaitingCalls = 100
 	// waitingPollInterval is how often waiting calls are tried between events.
 	waitingPollInterval = 20 * time.Millisecond
-	// agentReportInterval is the time over which reported free agents are spread: the interval of reports.
+	// agentReportInterval is the interval at which servers report their free agents. Calls to these agents
+	// are spread over it.
 	agentReportInterval = time.Second
-	// retryAfterDelay is the advice to a refused caller. With their own longer delays callers miss the aim.
+	// retryAfterDelay is the advice to a refused caller on when to try again. The delays that callers choose
+	// themselves are longer and make them miss the aim.
 	retryAfterDelay = 100 * time.Millisecond
 	// minBusyDelay is how long a number gets no calls after all its lines were busy for the first time.
 	minBusyDelay = 500 * time.Millisecond
@@ -71,72 +81,74 @@
 	maxBusyNumbers = 1000
 	// maxShareFactor bounds one proxy's share to this multiple of an equal share, and to its reciprocal.
 	maxShareFactor = 4
-	// coldBudgetFraction of the cold-start budget is used. As much may arrive one window late, and the rest
-	// absorbs differences between a server's capacity and what its agents suggest.
+	// coldBudgetFraction is the fraction of the load at which a cold server collapses that the proxies send
+	// it together. As much may arrive one window late, and the rest absorbs differences between a server's
+	// capacity and what its agents suggest.
 	coldBudgetFraction = 0.35
 )
 
 const waitingTimerToken = 0 // token of the timer for waiting calls; timers of calls count from 1
 
 // Controller makes the decisions of one proxy. It is a deterministic state machine without goroutines, clock
-// or I/O. It must not be used by several goroutines at once.
+// or I/O. It must not be used by several goroutines at once. Its points in time are clock times as given
+// to Handle.
 type Controller struct {
-	settings           *Settings // in force; calls keep those they came under
-	classes            map[string]*Class
-	tenants            map[string]*tenant
-	maxWorth           float64 // highest worth of a class
+	settings           *Settings          // in force for new calls; older calls keep those they came under
+	classes            map[string]*Class  // by name
+	tenants            map[string]*tenant // by name
+	maxWorth           float64            // highest worth of a class
 	random             randomness
-	now                time.Duration // clock time of the latest event
-	startedAt          time.Duration // clock time of the first event
-	intervalEnd        time.Duration // end of the current control interval
-	servers            []*server     // in the order in which they were first listed
-	byID               map[string]*server
-	remembered         *server // alternative server, kept while it takes calls
-	redrawn            bool    // remembered was drawn since it was last sent a call
-	calls              map[string]*call
-	timers             map[int64]*call
-	lastToken          int64
-	waiting            []*call                  // the most valuable first
+	now                time.Duration            // time of the latest event
+	startedAt          time.Duration            // time of the first event
+	intervalEnd        time.Duration            // end of the current control interval
+	servers            []*serverState           // in the order in which they were first listed
+	byID               map[string]*serverState  // the same servers by their IDs
+	remembered         *serverState             // alternative server, kept while it takes calls; may be nil
+	redrawn            bool                     // remembered was drawn and no call sent to it since
+	calls              map[string]*callState    // calls in progress by their IDs
+	timers             map[int64]*callState     // calls whose timers are set, by the timers' tokens
+	lastToken          int64                    // token of the timer that was set last
+	waiting            []*callState             // calls that wait for a server, the most valuable first
 	firstTries         map[string]time.Duration // first try for each number without a call established since
-	firstTryOrder      []firstTry               // the same, in order of time
+	firstTryOrder      []firstTry               // first tries, oldest first; some are no longer in firstTries
 	busyNumbers        map[string]busyPeriod    // numbers whose lines were all busy
-	maxDeadline        time.Duration            // of the classes
+	maxDeadline        time.Duration            // longest deadline of a class
 	meanHolding        time.Duration            // mean holding time over the classes
-	lastLateArrival    time.Duration            // when the latest call past its aim came
+	lastLateArrival    time.Duration            // when the latest late call came
 	lossRate           float64                  // smoothed fraction of set-ups that a later one overtook
-	ownArrivals        meter                    // first tries at this proxy
-	agentsInUse        int                      // reported by all servers: calls of all proxies
-	totalAgents        int                      // reported by all servers
-	coldDivided        bool                     // ColdPart assigns fractions of the load of cold servers
-	unassignedFraction float64                  // fraction of a cold server without an assigned one
+	ownArrivals        meter                    // rate of first tries at this proxy
+	agentsInUse        int                      // reported agents with calls of any proxy, at all servers
+	totalAgents        int                      // reported agents, at all servers
+	coldDivided        bool                     // the load of cold servers is divided by ColdPart events
+	unassignedFraction float64                  // of a cold server's load, where no ColdPart names the server
 	retryBudget        Further                  // retry attempts that the proxies agreed on
-	waitingPollAt      time.Duration            // when waiting calls are tried again
-	actions            []Action
+	waitingPollAt      time.Duration            // when the timer for waiting calls expires
+	actions            []Action                 // result of the event that is being handled
 }
 
-// call is one call from its arrival until its answer and the end of its last attempt.
-type call struct {
+// callState is the state of one call from its arrival until it has its answer and its last attempt has ended.
+type callState struct {
 	Arrival
 	settings         *Settings // in force when it arrived
 	class            *Class
-	value            float64 // what it may still earn, as of its arrival
-	deadline         time.Duration
-	attempts         int
-	inFlight         bool          // an attempt is unanswered
-	established      bool          // an attempt was answered and has not ended
-	closed           bool          // it has its answer, or the caller has gone
-	mayHaveRun       bool          // an attempt may have run at a server
-	countedAt        *server       // the server whose arrival rate includes it
-	late             bool          // it can hardly be established within its aim any more
+	value            float64       // what it may still earn, as of its arrival
+	deadline         time.Duration // when its caller gives up
+	attempts         int           // set-ups sent so far
+	inFlight         bool          // the latest attempt is unanswered
+	established      bool          // the latest attempt was answered and has not ended
+	closed           bool          // it has its final answer or is established, or its caller has gone
+	mayHaveRun       bool          // an attempt that has ended may have run at a server
+	countedAt        *serverState  // server that counted it last in its arrival rate; nil: none
+	late             bool          // it is a repeated try or came after the end of its aim
 	aimEnd           time.Duration // end of its aim, counted from its first try
-	server           *server       // of the latest attempt
+	server           *serverState  // server of the latest attempt; nil: none sent yet
 	sentAt           time.Duration // when the latest attempt was sent
-	lost             bool          // the latest attempt was overtaken and taken as lost
+	lost             bool          // the latest attempt is taken as lost (see checkOvertaken)
 	rejectionCounted bool          // the latest attempt was counted as an overload rejection
 	faults           int           // attempts that ended with a fault
 	redirected       bool          // its one redirection for lack of an agent is used
 	retryAt          time.Duration // end of the wait before its retry attempt; 0: none
-	waitUntil        time.Duration // until when it may wait for a server
+	waitUntil        time.Duration // until when it may wait for a server to accept it
 }
 
 // tenant is a tenant and the rate of its calls at this proxy.
@@ -145,60 +157,62 @@
 	meter
 }
 
-// busyPeriod is the time for which a number gets no calls.
+// busyPeriod is a period in which a number gets no calls.
 type busyPeriod struct{ until, length time.Duration }
 
-// firstTry is a first try for a number.
+// firstTry is the first try for a number.
 type firstTry struct {
 	number string
 	at     time.Duration
 }
 
-// server is what this proxy knows of one central server.
-type server struct {
+// serverState is what this proxy knows of one central server.
+type serverState struct {
 	Server
-	coolDownUntil     time.Duration
+	coolDownUntil     time.Duration // it is sent no set-up before then
 	inFlight          int           // unanswered set-ups of this proxy
-	overdue           []*call       // those of them past their overdue timeout
-	answeredSentAt    time.Duration // when the latest sent of the answered set-ups was sent
-	baseLatency       time.Duration // response time of its fastest answers
-	probeAt           time.Duration // no set-up before then while some are overdue
-	failures          int           // failed set-ups in a row
+	overdue           []*callState  // calls whose unanswered set-ups are past their overdue timeout
+	answeredSentAt    time.Duration // send time of the answered set-up that was sent last
+	baseLatency       time.Duration // response time of its fastest answers; slowly follows slower ones
+	probeAt           time.Duration // while set-ups are overdue, none is sent before then
+	failures          int           // cool-downs started since its latest answer in time
 	faults            int           // faults since its latest answer
-	removedAt         time.Duration // when the list first lacked it; 0: listed
+	removedAt         time.Duration // when it was first found removed; 0: listed
 	lastLatency       time.Duration // response time of its latest answer
 	answeredAt        time.Duration // when that answer came
 	probation         int           // set-ups in flight that probation permits; 0: not on probation
 	freeAgents        int           // as last reported
 	totalAgents       int           // as last reported
-	credit            float64       // set-ups left of this proxy's share of free agents
-	creditedAt        time.Duration // when the credit last grew
-	coldFraction      float64       // assigned fraction of its load while cold
+	credit            float64       // set-ups left of this proxy's share (see shareExhausted)
+	creditedAt        time.Duration // when the credit was last brought up to date
+	coldFraction      float64       // this proxy's fraction of its load while cold, as assigned by ColdPart
 	coldFractionUntil time.Duration // when that fraction expires
 	avoidUntil        time.Duration // avoided until then on behalf of all proxies
-	turnPosition      float64       // while cold: this proxy's position in the order of turns, as of turnsAt
-	usedTurns         float64       // turns used or lapsed
-	turnsAt           time.Duration
-	turnAgents        int // number of agents that the turns were computed for; -1: not computed
-	control
+	turnPosition      float64       // this proxy's turns so far (see turnsExhausted), as of turnsAt
+	usedTurns         float64       // how many of these were used or have lapsed
+	turnsAt           time.Duration // when turnPosition was last brought up to date
+	turnAgents        int           // number of agents that the turns were computed for; -1: not computed
+	admissionControl
 }
 
-// control is the admission control of one server (DEOC).
-type control struct {
-	meter
-	active         bool
-	rate           float64       // r, calls a second
+// admissionControl is the admission control of one server (DEOC). Its counts cover the current span: the
+// current control interval and those before it back to the latest one with an answer or an overload
+// rejection.
+type admissionControl struct {
+	meter                        // arrival rate, also of calls that a gap stops
+	active         bool          // calls are controlled: there was an overload rejection lately
+	rate           float64       // r, the admission rate in calls a second
 	climbStart     float64       // r0, the rate at which the climb began
-	climbIntervals int           // n, intervals since
-	rejectionRatio float64       // latest ratio of overload rejections to admissions
-	gap            time.Duration // minimum time between admissions
-	gapUntil       time.Duration
-	admissionMeter meter
-	admissions     int // in the current span
-	answers        int // in time, in the current span
-	rejections     int // overload rejections in the current span
-	spanIntervals  int // intervals since the last one with an answer or an overload rejection
-	lastRejection  time.Duration
+	climbIntervals int           // n, the intervals since the climb began
+	rejectionRatio float64       // overload rejections per admission in the latest span with too many
+	gap            time.Duration // minimum time between admissions; 0: no limit
+	gapUntil       time.Duration // end of the gap after the latest admission
+	admissionMeter meter         // rate of admissions
+	admissions     int           // set-ups sent in the current span
+	answers        int           // answers in time in the current span
+	rejections     int           // overload rejections in the current span
+	spanIntervals  int           // complete intervals in the current span, at most maxSpanIntervals
+	lastRejection  time.Duration // when the latest overload rejection was counted
 }
 
 // New returns a Controller with valid settings. The seed determines its random choices.
@@ -208,7 +222,7 @@
 	}
 	c := &Controller{
 		random: newRandomness(seed),
-		byID:   map[string]*server{}, calls: map[string]*call{}, timers: map[int64]*call{},
+		byID:   map[string]*serverState{}, calls: map[string]*callState{}, timers: map[int64]*callState{},
 		firstTries: map[string]time.Duration{}, busyNumbers: map[string]busyPeriod{},
 	}
 	c.applySettings(&set)
@@ -240,8 +254,8 @@
 	case Further:
 		c.retryBudget = e
 	case Care:
-		if s := c.byID[e.Server]; s != nil && s.Started == e.Started {
-			s.avoidUntil = e.Until
+		if server := c.byID[e.Server]; server != nil && server.Started == e.Started {
+			server.avoidUntil = e.Until
 		}
 	}
 	if len(c.waiting) > 0 {
@@ -250,68 +264,72 @@
 	return c.actions
 }
 
+// emit appends an action to the result of the current event.
 func (c *Controller) emit(action Action) { c.actions = append(c.actions, action) }
 
 // ---- server list ----
 
-func (c *Controller) updateServers(e ServerList) {
-	if c.settings.SubscribeList && (e.Failed || e.Stored) {
+// updateServers applies a server list. A server that is new or was restarted starts with new credit and new
+// turns, and what ColdPart and Care set for its previous process no longer applies.
+func (c *Controller) updateServers(list ServerList) {
+	if c.settings.SubscribeList && (list.Failed || list.Stored) {
 		c.emit(Subscribe{})
 	}
-	if e.Failed {
+	if list.Failed {
 		return
 	}
-	if !e.Delta {
-		for _, s := range c.servers {
-			s.State = Removed
+	if !list.Delta {
+		for _, server := range c.servers {
+			server.State = Removed
 		}
 	}
 	defer c.updateRemoved()
-	for _, entry := range e.Servers {
-		s := c.byID[entry.ID]
-		if s == nil {
-			s = &server{}
-			c.byID[entry.ID] = s
-			c.servers = append(c.servers, s)
+	for _, entry := range list.Servers {
+		server := c.byID[entry.ID]
+		if server == nil {
+			server = &serverState{}
+			c.byID[entry.ID] = server
+			c.servers = append(c.servers, server)
 		}
-		if s.ID == "" || s.Started != entry.Started {
-			s.credit, s.creditedAt, s.coldFractionUntil, s.avoidUntil, s.turnAgents = 1, c.now, 0, 0, -1
+		if server.ID == "" || server.Started != entry.Started {
+			server.credit, server.creditedAt = 1, c.now
+			server.coldFractionUntil, server.avoidUntil, server.turnAgents = 0, 0, -1
 			if entry.Started > 0 {
-				s.credit = c.random.Float64()
+				server.credit = c.random.Float64()
 			}
 		}
-		s.Server = entry
+		server.Server = entry
 	}
 }
 
 // setColdPart stores the assigned fraction of the load of a cold server.
-func (c *Controller) setColdPart(e ColdPart) {
-	if s := c.byID[e.Server]; s != nil && s.Started == e.Started {
-		s.coldFraction, s.coldFractionUntil = e.Fraction, e.Until
-	} else if e.Server == "" {
-		c.coldDivided, c.unassignedFraction = true, e.Fraction
+func (c *Controller) setColdPart(part ColdPart) {
+	if server := c.byID[part.Server]; server != nil && server.Started == part.Started {
+		server.coldFraction, server.coldFractionUntil = part.Fraction, part.Until
+	} else if part.Server == "" {
+		c.coldDivided, c.unassignedFraction = true, part.Fraction
 	}
 }
 
 // updateRemoved subtracts the agents of removed servers from the sums, adds those of servers that are back,
 // and forgets a server forgetDelay after its removal.
 func (c *Controller) updateRemoved() {
-	c.servers = slices.DeleteFunc(c.servers, func(s *server) bool {
+	c.servers = slices.DeleteFunc(c.servers, func(server *serverState) bool {
 		switch {
-		case s.State != Removed && s.removedAt > 0: // it is listed again
-			s.removedAt = 0
-			c.addAgents(s, 1)
-		case s.State == Removed && s.removedAt == 0:
-			s.removedAt = c.now
-			c.addAgents(s, -1)
+		case server.State != Removed && server.removedAt > 0: // it is listed again
+			server.removedAt = 0
+			c.addAgents(server, 1)
+		case server.State == Removed && server.removedAt == 0:
+			server.removedAt = c.now
+			c.addAgents(server, -1)
 		}
-		if s.State != Removed {
+		if server.State != Removed {
 			return false
 		}
-		forget := s.inFlight == 0 && c.now-s.removedAt >= forgetDelay
+		forget := server.inFlight == 0 && c.now-server.removedAt >= forgetDelay
 		if forget {
-			delete(c.byID, s.ID)
-			if c.remembered == s {
+			delete(c.byID, server.ID)
+			if c.remembered == server {
 				c.remembered = nil
 			}
 		}
@@ -320,77 +338,85 @@
 }
 
 // addAgents adds the agents of a server to the sums, or with sign -1 subtracts them.
-func (c *Controller) addAgents(s *server, sign int) {
-	c.agentsInUse += sign * (s.totalAgents - s.freeAgents)
-	c.totalAgents += sign * s.totalAgents
+func (c *Controller) addAgents(server *serverState, sign int) {
+	c.agentsInUse += sign * (server.totalAgents - server.freeAgents)
+	c.totalAgents += sign * server.totalAgents
 }
 
-func (c *Controller) updateAgents(e Agents) {
-	if s := c.byID[e.Server]; s != nil && s.removedAt == 0 {
-		c.addAgents(s, -1)
-		s.freeAgents, s.totalAgents = e.Free, e.Total
-		c.addAgents(s, 1)
+// updateAgents stores a report of free agents, unless the server is unknown or removed.
+func (c *Controller) updateAgents(report Agents) {
+	if server := c.byID[report.Server]; server != nil && server.removedAt == 0 {
+		c.addAgents(server, -1)
+		server.freeAgents, server.totalAgents = report.Free, report.Total
+		c.addAgents(server, 1)
 	}
 }
 
 // ---- calls ----
 
-func (c *Controller) handleArrival(e Arrival) {
-	if c.calls[e.Call] != nil {
+// handleArrival refuses a new call at once or puts it into the queue of waiting calls, which Handle serves
+// next.
+func (c *Controller) handleArrival(arrival Arrival) {
+	if c.calls[arrival.Call] != nil {
 		return
 	}
-	k := &call{Arrival: e, settings: c.settings, class: c.classes[e.Class], deadline: c.now + e.TimeLeft}
-	c.calls[e.Call] = k
-	if k.class == nil || e.TimeLeft <= 0 || c.now < c.busyNumbers[k.Number].until {
-		c.refuse(k, c.arrivalRefusal(k))
+	call := &callState{
+		Arrival: arrival, settings: c.settings,
+		class: c.classes[arrival.Class], deadline: c.now + arrival.TimeLeft,
+	}
+	c.calls[arrival.Call] = call
+	if call.class == nil || arrival.TimeLeft <= 0 || c.now < c.busyNumbers[call.Number].until {
+		c.refuse(call, c.arrivalRefusal(call))
 		return
 	}
-	c.recordTry(k)
-	if t := c.tenants[k.Tenant]; t != nil {
+	c.recordTry(call)
+	if t := c.tenants[call.Tenant]; t != nil {
 		t.recordArrival(c.now)
 	}
-	k.value = c.value(k)
-	k.waitUntil = c.now + min(e.TimeLeft/2, k.aimFraction(waitAimFraction*min(1, k.value/c.maxWorth)))
-	if s := c.serverByNumber(k.Destination); s != nil {
-		c.countArrival(k, s)
+	call.value = c.value(call)
+	call.waitUntil = c.now + min(arrival.TimeLeft/2,
+		call.aimFraction(waitAimFraction*min(1, call.value/c.maxWorth)))
+	if server := c.serverByNumber(call.Destination); server != nil {
+		c.countArrival(call, server)
 	}
-	c.enqueue(k)
+	c.enqueue(call)
 }
 
-func (k *call) aimFraction(part float64) time.Duration {
-	return time.Duration(part * float64(k.class.Aim))
+// aimFraction returns a part of the aim of the call's class.
+func (call *callState) aimFraction(part float64) time.Duration {
+	return time.Duration(part * float64(call.class.Aim))
 }
 
-// value returns what the call may still earn. Calls of a tenant count with a reduced worth while its calls at
-// this proxy exceed an equal part of its quota.
-func (c *Controller) value(k *call) float64 {
-	value := k.class.Worth
-	if k.late {
-		value *= k.class.LateFactor
+// value returns what the call may still earn. The worth of a tenant's calls is reduced while their rate at
+// this proxy exceeds the quota divided by the number of proxies.
+func (c *Controller) value(call *callState) float64 {
+	value := call.class.Worth
+	if call.late {
+		value *= call.class.LateFactor
 	}
-	if t := c.tenants[k.Tenant]; t != nil && t.lambda() > t.Quota/float64(c.settings.Proxies) {
+	if t := c.tenants[call.Tenant]; t != nil && t.lambda() > t.Quota/float64(c.settings.Proxies) {
 		value *= c.settings.OverQuotaFactor
 	}
 	return value
 }
 
-// recordTry sets the end of the call's aim and whether the call is late, that is a repeated try past its aim.
-// Callers mark repeated tries or, where they do not, a try counts as one if the number was called before and
-// no call to it was established since. Many callers of one busy number then count as one caller, whose calls
-// are worth little; that misjudges well-behaved callers who share a number.
-func (c *Controller) recordTry(k *call) {
-	first, known := c.firstTries[k.Number]
-	known = known && c.now-first < k.class.Deadline && (k.Retry || !c.settings.Callers.MarkRetries)
-	if !known && !k.Retry {
+// recordTry sets the end of the call's aim, which counts from the first try, and whether the call is late:
+// marked as a repeated try, or past its aim. Where callers do not mark repeated tries, a try counts as one if
+// the number was called before and no call to it was established since. Many callers of one busy number then
+// count as one caller, whose calls are worth little; that misjudges well-behaved callers who share a number.
+func (c *Controller) recordTry(call *callState) {
+	first, known := c.firstTries[call.Number]
+	known = known && c.now-first < call.class.Deadline && (call.Retry || !c.settings.Callers.MarkRetries)
+	if !known && !call.Retry {
 		c.ownArrivals.recordArrival(c.now)
 	}
 	if !known {
 		first = c.now
-		c.firstTries[k.Number] = first
-		c.firstTryOrder = append(c.firstTryOrder, firstTry{k.Number, first})
+		c.firstTries[call.Number] = first
+		c.firstTryOrder = append(c.firstTryOrder, firstTry{call.Number, first})
 	}
-	k.aimEnd = first + k.class.Aim
-	if k.late = k.Retry || c.now >= k.aimEnd; k.late {
+	call.aimEnd = first + call.class.Aim
+	if call.late = call.Retry || c.now >= call.aimEnd; call.late {
 		c.lastLateArrival = c.now
 	}
 	for len(c.firstTryOrder) > 0 && c.now-c.firstTryOrder[0].at > c.maxDeadline {
@@ -413,23 +439,23 @@
 	c.busyNumbers[number] = busyPeriod{c.now + length, length}
 }
 
-// countArrival counts the call once in the arrival rate of a server: of its first choice on arrival, and of
-// another server when it is sent there instead.
-func (c *Controller) countArrival(k *call, s *server) {
-	if k.countedAt != s {
-		k.countedAt = s
-		s.recordArrival(c.now)
+// countArrival counts the call in the arrival rate of a server, unless that server counted it last. It is
+// called for the first choice on arrival and for the server that the call is sent to.
+func (c *Controller) countArrival(call *callState, server *serverState) {
+	if call.countedAt != server {
+		call.countedAt = server
+		server.recordArrival(c.now)
 	}
 }
 
-// enqueue inserts the call into the queue of waiting calls, ordered by value, then by age (departure from
-// step 6: a call stopped by a gap waits a little, so that the least valuable calls are the ones refused).
-func (c *Controller) enqueue(k *call) {
+// enqueue inserts the call into the queue of waiting calls, ordered by value, then by age. This departs from
+// step 6: a call stopped by a gap waits a little, so that the least valuable calls are the ones refused.
+func (c *Controller) enqueue(call *callState) {
 	i := len(c.waiting)
-	for i > 0 && c.waiting[i-1].value < k.value {
+	for i > 0 && c.waiting[i-1].value < call.value {
 		i--
 	}
-	c.waiting = slices.Insert(c.waiting, i, k)
+	c.waiting = slices.Insert(c.waiting, i, call)
 	if len(c.waiting) > maxWaitingCalls {
 		leastValuable := c.waiting[len(c.waiting)-1]
 		c.waiting = c.waiting[:len(c.waiting)-1]
@@ -437,27 +463,27 @@
 	}
 }
 
-// serveWaiting sends the waiting calls that a server accepts now and refuses those that waited long enough. A
+// serveWaiting sends the waiting calls that a server accepts now and refuses those past their longest wait. A
 // call past its deadline is refused, not sent: with little time left, or after a pause of the proxy, its
 // caller would get no answer.
 func (c *Controller) serveWaiting() {
 	remaining := c.waiting[:0]
-	for _, k := range c.waiting {
-		if k.closed {
+	for _, call := range c.waiting {
+		if call.closed {
 			continue
 		}
-		if c.now >= k.deadline {
-			c.refuse(k, OutOfTime)
+		if c.now >= call.deadline {
+			c.refuse(call, OutOfTime)
 			continue
 		}
-		switch s := c.selectServer(k); {
-		case s != nil:
-			c.countArrival(k, s)
-			c.send(k, s)
-		case c.now >= k.waitUntil:
-			c.refuse(k, c.blockReason(k))
+		switch server := c.selectServer(call); {
+		case server != nil:
+			c.countArrival(call, server)
+			c.send(call, server)
+		case c.now >= call.waitUntil:
+			c.refuse(call, c.blockReason(call))
 		default:
-			remaining = append(remaining, k)
+			remaining = append(remaining, call)
 		}
 	}
 	clear(c.waiting[len(remaining):])
@@ -469,93 +495,103 @@
 }
 
 // selectServer returns the server that the call may be sent to now, or nil.
-func (c *Controller) selectServer(k *call) *server {
-	s := c.route(k)
-	if s != nil && c.inGap(s) {
-		s = c.secondChoice(k, s)
+func (c *Controller) selectServer(call *callState) *serverState {
+	server := c.route(call)
+	if server != nil && c.inGap(server) {
+		server = c.secondChoice(call, server)
 	}
-	return s
+	return server
 }
 
-func (c *Controller) send(k *call, s *server) {
-	s.recordAdmission(c.now)
-	s.credit, s.usedTurns = s.credit-1, s.usedTurns+1
-	k.attempts++
-	k.inFlight, k.server, k.sentAt, k.rejectionCounted, k.lost = true, s, c.now, false, false
-	c.setTimer(k, c.now+k.lateTimeout())
-	c.setTimer(k, c.now+k.overdueTimeout())
-	s.inFlight++
-	c.emit(Send{Call: k.Call, Server: s.ID, Timeout: k.deadline - c.now, Why: c.sendReason(k, s)})
+// send starts the next attempt of the call, with one timer that checks whether it has become overdue and one
+// that checks whether it is late.
+func (c *Controller) send(call *callState, server *serverState) {
+	server.recordAdmission(c.now)
+	server.credit, server.usedTurns = server.credit-1, server.usedTurns+1
+	call.attempts++
+	call.inFlight, call.server, call.sentAt = true, server, c.now
+	call.rejectionCounted, call.lost = false, false
+	c.setTimer(call, c.now+call.lateTimeout())
+	c.setTimer(call, c.now+call.overdueTimeout())
+	server.inFlight++
+	c.emit(Send{
+		Call: call.Call, Server: server.ID, Timeout: call.deadline - c.now, Why: c.sendReason(call, server),
+	})
 }
 
-func (c *Controller) handleEstablished(e Stood) {
-	k := c.calls[e.Call]
-	if k == nil || !k.inFlight || e.Attempt != k.attempts-1 {
+// handleEstablished evaluates the answer to a set-up and what it says about the server and about the set-ups
+// sent before.
+func (c *Controller) handleEstablished(answer Stood) {
+	call := c.calls[answer.Call]
+	if call == nil || !call.inFlight || answer.Attempt != call.attempts-1 {
 		return
 	}
-	c.clearInFlight(k)
-	k.established, k.closed = true, true
-	delete(c.firstTries, k.Number)
-	delete(c.busyNumbers, k.Number)
-	if e.Latency >= k.lateTimeout() {
-		c.countRejection(k)
+	c.clearInFlight(call)
+	call.established, call.closed = true, true
+	delete(c.firstTries, call.Number)
+	delete(c.busyNumbers, call.Number)
+	if answer.Latency >= call.lateTimeout() {
+		c.countRejection(call)
 	}
-	k.server.lastLatency, k.server.answeredAt, k.server.faults = e.Latency, c.now, 0
-	k.server.answeredSentAt = max(k.server.answeredSentAt, k.sentAt)
+	call.server.lastLatency, call.server.answeredAt, call.server.faults = answer.Latency, c.now, 0
+	call.server.answeredSentAt = max(call.server.answeredSentAt, call.sentAt)
 	c.lossRate -= smoothingWeight * c.lossRate
-	for _, older := range slices.Clone(k.server.overdue) {
+	for _, older := range slices.Clone(call.server.overdue) {
 		c.checkOvertaken(older)
 	}
-	k.server.updateProbation(e.Latency < k.overdueTimeout())
-	if k.server.baseLatency == 0 || e.Latency < k.server.baseLatency {
-		k.server.baseLatency = e.Latency
+	call.server.updateProbation(answer.Latency < call.overdueTimeout())
+	if call.server.baseLatency == 0 || answer.Latency < call.server.baseLatency {
+		call.server.baseLatency = answer.Latency
 	}
-	k.server.baseLatency += (e.Latency - k.server.baseLatency) / 500
-	if e.Latency < k.lateTimeout() {
-		k.server.failures = 0
-		k.server.answers++
+	call.server.baseLatency += (answer.Latency - call.server.baseLatency) / 500
+	if answer.Latency < call.lateTimeout() {
+		call.server.failures = 0
+		call.server.answers++
 	}
 }
 
-func (c *Controller) handleEnded(e Ended) {
-	k := c.calls[e.Call]
-	if k == nil || !k.inFlight && !k.established || e.Attempt != k.attempts-1 {
+// handleEnded handles the end of the call's latest attempt. A call that has no final answer yet is retried or
+// refused.
+func (c *Controller) handleEnded(ended Ended) {
+	call := c.calls[ended.Call]
+	if call == nil || !call.inFlight && !call.established || ended.Attempt != call.attempts-1 {
 		return
 	}
-	if k.inFlight {
-		c.clearInFlight(k)
-		c.recordFailure(k, e)
+	if call.inFlight {
+		c.clearInFlight(call)
+		c.recordFailure(call, ended)
 	}
-	k.established = false
-	k.closed = k.closed || e.Final
-	switch e.Outcome {
+	call.established = false
+	call.closed = call.closed || ended.Final
+	switch ended.Outcome {
 	case Concluded, Faulted, TimedOut, Cut, Cancelled:
-		k.mayHaveRun = true
+		call.mayHaveRun = true
 	}
-	if k.closed {
-		delete(c.calls, e.Call)
+	if call.closed {
+		delete(c.calls, ended.Call)
 		return
 	}
-	c.retryOrRefuse(k, e)
+	c.retryOrRefuse(call, ended)
 }
 
-// recordFailure evaluates a set-up that ended unanswered against its server.
-func (c *Controller) recordFailure(k *call, e Ended) {
-	s := k.server
-	if k.lost && e.Outcome == TimedOut {
+// recordFailure evaluates a set-up that ended unanswered: it may count as an overload rejection or a fault
+// and start a cool-down of the server. The time-out of a lost set-up says nothing about the server.
+func (c *Controller) recordFailure(call *callState, ended Ended) {
+	server := call.server
+	if call.lost && ended.Outcome == TimedOut {
 		return
 	}
-	if e.Outcome == Rejected && e.Cause != CauseNoAgent || e.Outcome == TimedOut {
-		c.countRejection(k)
+	if ended.Outcome == Rejected && ended.Cause != CauseNoAgent || ended.Outcome == TimedOut {
+		c.countRejection(call)
 	}
-	fault := e.Outcome == Faulted && e.Cause != CauseLinesBusy
+	fault := ended.Outcome == Faulted && ended.Cause != CauseLinesBusy
 	if fault {
-		k.faults++
-		s.faults++
+		call.faults++
+		server.faults++
 	}
-	if e.Outcome == Rejected || e.Outcome == TimedOut || e.Outcome == Unreachable ||
-		fault && s.faults >= maxServerFaults {
-		c.startCoolDown(s)
+	if ended.Outcome == Rejected || ended.Outcome == TimedOut || ended.Outcome == Unreachable ||
+		fault && server.faults >= maxServerFaults {
+		c.startCoolDown(server)
 	}
 }
 
@@ -564,73 +600,77 @@
 // processor, above all one that receives waiting set-ups again, does no useful work until it is left alone,
 // and hundreds of proxies would each keep probing it. This also covers unresponsive, dead and faulty servers.
 // Where a server recovers at once, capacity is lost: all proxies probe it about once per minCoolDown.
-func (c *Controller) startCoolDown(s *server) {
+func (c *Controller) startCoolDown(server *serverState) {
 	coolDown := minCoolDown
-	if s.failures > 0 {
-		maxMean := min(max(minCoolDown, s.spacing)<<min(s.failures, 6), maxCoolDown,
+	if server.failures > 0 {
+		maxMean := min(max(minCoolDown, server.spacing)<<min(server.failures, 6), maxCoolDown,
 			minCoolDown*time.Duration(c.settings.Proxies))
 		coolDown = max(minCoolDown, time.Duration((0.5+c.random.Float64())*float64(maxMean)))
 	}
-	s.failures++
-	s.coolDownUntil = c.now + coolDown
-	if c.remembered == s {
+	server.failures++
+	server.coolDownUntil = c.now + coolDown
+	if c.remembered == server {
 		c.remembered = nil
 	}
 }
 
-// lateTimeout is the time without an answer after which a set-up counts as an overload rejection (departure
-// from step 2). A processor rejects only when its queue is longer than the aim, when every call is late
-// already. It detects any cause of waiting.
-func (k *call) lateTimeout() time.Duration {
-	return k.aimFraction(lateAimFraction)
+// lateTimeout is the time without an answer after which a set-up counts as an overload rejection. This
+// departs from step 2, as a processor rejects only when its queue is longer than the aim and every call is
+// late already. The time-out detects waiting from any cause.
+func (call *callState) lateTimeout() time.Duration {
+	return call.aimFraction(lateAimFraction)
 }
 
 // overdueTimeout is the time without an answer after which a set-up blocks its server. It is at least twice
 // the server's base latency, so that distance alone blocks none.
-func (k *call) overdueTimeout() time.Duration {
-	return max(k.aimFraction(overdueAimFraction), 2*k.server.baseLatency)
+func (call *callState) overdueTimeout() time.Duration {
+	return max(call.aimFraction(overdueAimFraction), 2*call.server.baseLatency)
 }
 
 // clearInFlight removes the latest attempt of the call from the unanswered set-ups of its server.
-func (c *Controller) clearInFlight(k *call) {
-	k.inFlight = false
-	k.server.inFlight--
-	k.clearOverdue()
+func (c *Controller) clearInFlight(call *callState) {
+	call.inFlight = false
+	call.server.inFlight--
+	call.clearOverdue()
 }
 
-func (k *call) clearOverdue() {
-	k.server.overdue = slices.DeleteFunc(k.server.overdue, func(o *call) bool { return o == k })
+// clearOverdue removes the call from the overdue ones of its server.
+func (call *callState) clearOverdue() {
+	call.server.overdue = slices.DeleteFunc(call.server.overdue,
+		func(other *callState) bool { return other == call })
 }
 
 // checkOvertaken reports whether the pending set-up is taken as lost because one sent later was answered. A
 // processor answers in order, so the set-up or its answer was lost and says nothing about the server. The
-// set-up is withdrawn and sent again if that can be in time. Where many are lost, one that is pending as long
-// is taken as lost without a later answer. This covers connections that lose messages. It misjudges servers
-// that answer out of order.
-func (c *Controller) checkOvertaken(k *call) bool {
-	s := k.server
-	overtaken := s.answeredSentAt > k.sentAt
-	if !overtaken && c.lossRate < minLossRate || c.now-k.sentAt < max(k.overdueTimeout(), 3*s.lastLatency) {
-		return k.lost
-	}
-	if overtaken && !k.lost {
+// set-up is withdrawn and sent again if that can be in time. Where many set-ups are lost (minLossRate), one
+// is taken as lost even if no later one was answered. In both cases it must have been pending for its overdue
+// timeout and for three times the server's latest response time. This covers connections that lose messages.
+// It misjudges servers that answer out of order.
+func (c *Controller) checkOvertaken(call *callState) bool {
+	server := call.server
+	overtaken := server.answeredSentAt > call.sentAt
+	if !overtaken && c.lossRate < minLossRate ||
+		c.now-call.sentAt < max(call.overdueTimeout(), 3*server.lastLatency) {
+		return call.lost
+	}
+	if overtaken && !call.lost {
 		c.lossRate += smoothingWeight * (1 - c.lossRate)
 	}
-	if k.clearOverdue(); len(s.overdue) == 0 {
-		s.probation = 0
+	if call.clearOverdue(); len(server.overdue) == 0 {
+		server.probation = 0
 	}
-	wait := k.settings.Rules.ReleaseWait + s.lastLatency
-	if !k.lost && k.settings.Limits.Cancel && k.class.Repeat == RepeatFree &&
-		k.attempts < k.settings.Limits.MaxAttempts && c.now+wait < k.deadline {
-		c.emit(GiveUp{Call: k.Call, Attempt: k.attempts - 1, Why: Overtaken})
+	wait := call.settings.Rules.ReleaseWait + server.lastLatency
+	if !call.lost && call.settings.Limits.Cancel && call.class.Repeat == RepeatFree &&
+		call.attempts < call.settings.Limits.MaxAttempts && c.now+wait < call.deadline {
+		c.emit(GiveUp{Call: call.Call, Attempt: call.attempts - 1, Why: Overtaken})
 	}
-	k.lost = true
+	call.lost = true
 	return true
 }
 
 // updateProbation updates the server's probation with the answer to a set-up: each answer in time permits one
 // more set-up in flight, a late one resets to one.
-func (s *server) updateProbation(inTime bool) {
+func (s *serverState) updateProbation(inTime bool) {
 	switch {
 	case s.probation == 0:
 	case !inTime:
@@ -643,231 +683,252 @@
 }
 
 // countRejection counts the latest attempt as an overload rejection, at most once.
-func (c *Controller) countRejection(k *call) {
-	if !k.rejectionCounted {
-		k.rejectionCounted = true
-		k.server.recordRejection(c.now)
+func (c *Controller) countRejection(call *callState) {
+	if !call.rejectionCounted {
+		call.rejectionCounted = true
+		call.server.recordRejection(c.now)
 	}
 }
 
 // retryOrRefuse schedules a retry attempt after a failed one, or refuses the call.
-func (c *Controller) retryOrRefuse(k *call, e Ended) {
+func (c *Controller) retryOrRefuse(call *callState, ended Ended) {
 	switch {
-	case e.Outcome == Rejected && e.Cause == CauseNoAgent && !k.redirected:
-		k.redirected = true
-		c.scheduleRetry(k, 0)
-	case e.Outcome == Faulted && e.Cause == CauseLinesBusy:
-		c.blockNumber(k.Number)
-		c.refuse(k, NumberBusy)
-	case e.Outcome == Unreachable, e.Outcome == Faulted && k.faults < maxCallFaults:
-		c.scheduleRetry(k, 0)
-	case e.Outcome == Cut || e.Outcome == TimedOut || e.Outcome == Cancelled:
-		c.scheduleRetry(k, k.settings.Rules.ReleaseWait)
+	case ended.Outcome == Rejected && ended.Cause == CauseNoAgent && !call.redirected:
+		call.redirected = true
+		c.scheduleRetry(call, 0)
+	case ended.Outcome == Faulted && ended.Cause == CauseLinesBusy:
+		c.blockNumber(call.Number)
+		c.refuse(call, NumberBusy)
+	case ended.Outcome == Unreachable, ended.Outcome == Faulted && call.faults < maxCallFaults:
+		c.scheduleRetry(call, 0)
+	case ended.Outcome == Cut || ended.Outcome == TimedOut || ended.Outcome == Cancelled:
+		c.scheduleRetry(call, call.settings.Rules.ReleaseWait)
 	default:
-		c.refuse(k, endRefusal(e))
+		c.refuse(call, endRefusal(ended))
 	}
 }
 
 // scheduleRetry queues the call for a retry attempt after a wait, or refuses it if no attempt or time is
 // left. A call that may have run is retried only where its class may be repeated freely.
-func (c *Controller) scheduleRetry(k *call, wait time.Duration) {
+func (c *Controller) scheduleRetry(call *callState, wait time.Duration) {
 	switch {
-	case k.attempts >= k.settings.Limits.MaxAttempts, k.mayHaveRun && k.class.Repeat != RepeatFree,
-		c.now+wait >= k.deadline, !c.retryBudget.spend():
-		c.refuse(k, NoRetryAttempt)
+	case call.attempts >= call.settings.Limits.MaxAttempts,
+		call.mayHaveRun && call.class.Repeat != RepeatFree,
+		c.now+wait >= call.deadline, !c.retryBudget.spend():
+		c.refuse(call, NoRetryAttempt)
 	case wait > 0:
-		k.retryAt = c.now + wait
-		c.setTimer(k, k.retryAt)
+		call.retryAt = c.now + wait
+		c.setTimer(call, call.retryAt)
 	default:
-		c.enqueue(k)
+		c.enqueue(call)
 	}
 }
 
-func (c *Controller) setTimer(k *call, at time.Duration) {
+// setTimer has handleTimer check the call at a time. Timers are not cancelled: one that has become irrelevant
+// expires without effect.
+func (c *Controller) setTimer(call *callState, at time.Duration) {
 	c.lastToken++
-	c.timers[c.lastToken] = k
+	c.timers[c.lastToken] = call
 	c.emit(SetTimer{At: at, Token: c.lastToken})
 }
 
-func (c *Controller) handleTimer(e Due) {
-	k := c.timers[e.Token]
-	delete(c.timers, e.Token)
+// handleTimer checks a call whose timer has expired: whether its pending set-up is lost, late or overdue, or
+// whether it is time for its retry attempt. The timer for waiting calls has no call, as Handle serves them
+// after each event.
+func (c *Controller) handleTimer(due Due) {
+	call := c.timers[due.Token]
+	delete(c.timers, due.Token)
 	switch {
-	case k == nil || k.established || k.inFlight && c.checkOvertaken(k):
+	case call == nil || call.established || call.inFlight && c.checkOvertaken(call):
 		return
-	case k.inFlight:
-		if c.now-k.sentAt >= k.lateTimeout() {
-			c.countRejection(k)
+	case call.inFlight:
+		if c.now-call.sentAt >= call.lateTimeout() {
+			c.countRejection(call)
 		}
-		if s := k.server; c.now-k.sentAt >= k.overdueTimeout() && !slices.Contains(s.overdue, k) {
-			s.overdue = append(s.overdue, k)
-			s.probation, s.probeAt = 1, c.now+forgetDelay
-			// With many calls, a probe soon shows whether this one was lost.
-			if s.lambda() > 2*nominalRate {
-				s.probeAt = c.now + k.overdueTimeout()<<min(len(s.overdue)-1, 6)
+		if server := call.server; c.now-call.sentAt >= call.overdueTimeout() &&
+			!slices.Contains(server.overdue, call) {
+			server.overdue = append(server.overdue, call)
+			server.probation, server.probeAt = 1, c.now+forgetDelay
+			// The server stays blocked while set-ups are overdue, for forgetDelay at most. With many calls,
+			// one is sent earlier as a probe: its answer shows whether this one was lost.
+			if server.lambda() > 2*nominalRate {
+				server.probeAt = c.now + call.overdueTimeout()<<min(len(server.overdue)-1, 6)
 			}
 		}
 		return
-	case k.closed || k.retryAt == 0 || c.now < k.retryAt:
+	case call.closed || call.retryAt == 0 || c.now < call.retryAt:
 		return
 	}
-	if c.now >= k.deadline {
-		c.refuse(k, OutOfTime)
+	if c.now >= call.deadline {
+		c.refuse(call, OutOfTime)
 		return
 	}
-	k.retryAt = 0
-	k.waitUntil = max(k.waitUntil, c.now)
-	c.enqueue(k)
+	call.retryAt = 0
+	call.waitUntil = max(call.waitUntil, c.now)
+	c.enqueue(call)
 }
 
-func (c *Controller) handleCallerGone(e CallerGone) {
-	k := c.calls[e.Call]
-	if k == nil {
+// handleCallerGone closes the call. A call with an attempt is kept until the attempt ends.
+func (c *Controller) handleCallerGone(gone CallerGone) {
+	call := c.calls[gone.Call]
+	if call == nil {
 		return
 	}
-	k.closed = true
-	if !k.inFlight && !k.established {
-		delete(c.calls, e.Call)
+	call.closed = true
+	if !call.inFlight && !call.established {
+		delete(c.calls, gone.Call)
 	}
 }
 
 // refuse sends the final answer: Refuse, or Fail where an attempt may have run.
-func (c *Controller) refuse(k *call, why Reason) {
-	k.closed = true
-	delete(c.calls, k.Call)
-	if k.mayHaveRun {
-		c.emit(Fail{Call: k.Call, Why: why})
+func (c *Controller) refuse(call *callState, why Reason) {
+	call.closed = true
+	delete(c.calls, call.Call)
+	if call.mayHaveRun {
+		c.emit(Fail{Call: call.Call, Why: why})
 		return
 	}
-	c.emit(Refuse{Call: k.Call, RetryAfter: k.retryAfter(), Why: why})
+	c.emit(Refuse{Call: call.Call, RetryAfter: call.retryAfter(), Why: why})
 }
 
 // retryAfter returns the advice to a refused caller: a short delay, so that a retry can still meet the aim.
-func (k *call) retryAfter() time.Duration {
-	if !k.settings.Limits.RetryAfter {
+func (call *callState) retryAfter() time.Duration {
+	if !call.settings.Limits.RetryAfter {
 		return 0
 	}
-	return min(retryAfterDelay, k.settings.Limits.MaxRetryAfter)
+	return min(retryAfterDelay, call.settings.Limits.MaxRetryAfter)
 }
 
 // ---- routing ----
 
 // route returns the first-choice server if it accepts the call, else an alternative, or nil.
-func (c *Controller) route(k *call) *server {
-	if k.InTransit || !k.redirected {
-		if s := c.serverByNumber(k.Destination); s != nil && c.accepts(s, k) && (s != k.server || k.lost) {
-			return s
+func (c *Controller) route(call *callState) *serverState {
+	if call.InTransit || !call.redirected {
+		if server := c.serverByNumber(call.Destination); server != nil &&
+			c.accepts(server, call) && (server != call.server || call.lost) {
+			return server
 		}
 	}
-	if k.InTransit {
+	if call.InTransit {
 		return nil
 	}
-	return c.alternative(func(s *server) bool { return c.accepts(s, k) && (s != k.server || k.lost) })
+	return c.alternative(func(server *serverState) bool {
+		return c.accepts(server, call) && (server != call.server || call.lost)
+	})
 }
 
 // alternative returns the remembered server while it is fit, else draws another; nil if none is fit.
-func (c *Controller) alternative(fit func(*server) bool) *server {
+func (c *Controller) alternative(fit func(*serverState) bool) *serverState {
 	if c.remembered != nil && fit(c.remembered) {
 		return c.remembered
 	}
 	return c.redraw(fit)
 }
 
-// redraw draws the remembered server among the fit ones, weighted by reported free agents (departure from the
-// algorithm's uniform draw, where the overflow of a large server would overload a small one).
-func (c *Controller) redraw(fit func(*server) bool) *server {
+// redraw draws the remembered server among the fit ones and returns it, or nil if none is fit. The draw is
+// weighted by reported free agents. The algorithm draws uniformly, so that the overflow of a large server
+// would overload a small one.
+func (c *Controller) redraw(fit func(*serverState) bool) *serverState {
 	total := 0
-	for _, s := range c.servers {
-		if fit(s) {
-			total += s.drawWeight()
+	for _, server := range c.servers {
+		if fit(server) {
+			total += server.drawWeight()
 		}
 	}
 	if total == 0 {
 		return nil
 	}
 	ticket := c.random.IntN(total)
-	for _, s := range c.servers {
-		if !fit(s) {
+	for _, server := range c.servers {
+		if !fit(server) {
 			continue
 		}
-		if ticket -= s.drawWeight(); ticket < 0 {
-			c.remembered, c.redrawn = s, true
+		if ticket -= server.drawWeight(); ticket < 0 {
+			c.remembered, c.redrawn = server, true
 			break
 		}
 	}
 	return c.remembered
 }
 
-func (s *server) drawWeight() int { return max(s.freeAgents, 1) }
+// drawWeight returns the server's weight in the draw of an alternative.
+func (s *serverState) drawWeight() int { return max(s.freeAgents, 1) }
 
-// secondChoice returns a server without a gap for a call that a gap stopped (departure from step 6): the
-// remembered server, else a random one. Where all servers have gaps it returns nil.
-func (c *Controller) secondChoice(k *call, gapped *server) *server {
-	ungapped := func(s *server) bool { return s != gapped && s.gap == 0 && !c.isCold(s) && c.accepts(s, k) }
-	if k.InTransit {
+// secondChoice returns a server without a gap for a call that a gap stopped: the remembered server, else a
+// random one. Where all servers have gaps it returns nil. This departs from step 6.
+func (c *Controller) secondChoice(call *callState, gapped *serverState) *serverState {
+	ungapped := func(server *serverState) bool {
+		return server != gapped && server.gap == 0 && !c.isCold(server) && c.accepts(server, call)
+	}
+	if call.InTransit {
 		return nil
 	}
 	return c.alternative(ungapped)
 }
 
 // serverByNumber returns the running server of a number, the latest started of several, or nil.
-func (c *Controller) serverByNumber(number int) *server {
-	var found *server
-	for _, s := range c.servers {
-		if s.Number == number && s.State == Up && (found == nil || s.Started > found.Started) {
-			found = s
+func (c *Controller) serverByNumber(number int) *serverState {
+	var found *serverState
+	for _, server := range c.servers {
+		if server.Number == number && server.State == Up && (found == nil || server.Started > found.Started) {
+			found = server
 		}
 	}
 	return found
 }
 
 // accepts reports whether the server may be sent the call, apart from its gap.
-func (c *Controller) accepts(s *server, k *call) bool {
-	blocked := len(s.overdue) > 0 && c.now < s.probeAt ||
-		s.probation > 0 && s.inFlight-len(s.overdue) >= s.probation
-	return s.State == Up && c.now >= max(s.coolDownUntil, s.avoidUntil) && !blocked &&
-		c.servesClass(s, k.class) && !c.wouldBeLate(s, k) && !c.shareExhausted(s)
+func (c *Controller) accepts(server *serverState, call *callState) bool {
+	blocked := len(server.overdue) > 0 && c.now < server.probeAt ||
+		server.probation > 0 && server.inFlight-len(server.overdue) >= server.probation
+	return server.State == Up && c.now >= max(server.coolDownUntil, server.avoidUntil) && !blocked &&
+		c.servesClass(server, call.class) && !c.wouldBeLate(server, call) && !c.shareExhausted(server)
 }
 
 // wouldBeLate reports whether the latest response time of a controlled server suggests that the call would
-// miss its aim there. Late calls are sent nevertheless: they have nothing to lose, and their answers show
-// when the server has become faster; without any, the latest response time expires. It keeps fresh calls from
-// slow or jammed servers. It applies only where admissions are too scarce for a rate to control, as elsewhere
-// a single slow answer would keep calls away. It costs calls where that one answer was slow by chance.
-func (c *Controller) wouldBeLate(s *server, k *call) bool {
-	expected := time.Duration(latencyMargin * float64(s.lastLatency))
-	current := c.now < max(s.answeredAt+2*expected, c.lastLateArrival+controlInterval)
-	return s.active && s.admissionMeter.spacing > scarceSpacing && current &&
-		!k.late && c.now+expected > k.aimEnd
+// miss its aim there. This keeps fresh calls from slow or unresponsive servers. Late calls are sent
+// nevertheless: they have nothing to lose, and their answers show when the server has become faster. Without
+// late calls, the latest response time expires. The rule applies only where admissions are too scarce for a
+// rate to control the server, as elsewhere a single slow answer would keep calls away. It costs calls where
+// that one answer was slow by chance.
+func (c *Controller) wouldBeLate(server *serverState, call *callState) bool {
+	expected := time.Duration(latencyMargin * float64(server.lastLatency))
+	current := c.now < max(server.answeredAt+2*expected, c.lastLateArrival+controlInterval)
+	return server.active && server.admissionMeter.spacing > scarceSpacing && current &&
+		!call.late && c.now+expected > call.aimEnd
 }
 
-func (c *Controller) servesClass(s *server, class *Class) bool {
-	return c.settings.Network || slices.Contains(class.Servers, s.Number)
+// servesClass reports whether the server may take calls of the class. In a network all servers take all
+// classes.
+func (c *Controller) servesClass(server *serverState, class *Class) bool {
+	return c.settings.Network || slices.Contains(class.Servers, server.Number)
 }
 
 // ---- gaps ----
 
-func (c *Controller) inGap(s *server) bool {
-	return c.now < s.gapUntil
+// inGap reports whether the server is still in the gap after its latest admission.
+func (c *Controller) inGap(server *serverState) bool {
+	return c.now < server.gapUntil
 }
 
 // recordAdmission counts an admission and starts the gap that follows it (step 6).
-func (d *control) recordAdmission(now time.Duration) {
-	d.admissions++
-	d.admissionMeter.recordArrival(now)
-	d.gapUntil = now + d.gap
+func (control *admissionControl) recordAdmission(now time.Duration) {
+	control.admissions++
+	control.admissionMeter.recordArrival(now)
+	control.gapUntil = now + control.gap
 }
 
 // ---- rate adaptation ----
 
-// closeIntervals adapts all rates at the end of each control interval that has passed.
+// closeIntervals adapts all rates at the end of each control interval that has passed. After more than a
+// minute without events it adapts them once and skips the other intervals.
 func (c *Controller) closeIntervals() {
 	if c.intervalEnd == 0 {
 		c.startedAt, c.intervalEnd = c.now, c.now+controlInterval
 	}
 	for ; c.intervalEnd <= c.now; c.intervalEnd += controlInterval {
-		for _, s := range c.servers {
-			s.adaptRate(c.intervalEnd)
+		for _, server := range c.servers {
+			server.adaptRate(c.intervalEnd)
 		}
 		if c.now-c.intervalEnd > time.Minute {
 			c.intervalEnd = c.now
@@ -876,78 +937,81 @@
 }
 
 // recordRejection counts an overload rejection (step 2). The first one starts the control (step 1).
-func (d *control) recordRejection(now time.Duration) {
-	d.rejections++
-	d.lastRejection = now
-	if !d.active {
-		d.active = true
-		d.rate, d.climbStart, d.climbIntervals, d.rejectionRatio, d.gap = d.lambda(), d.lambda(), 0, 0, 0
+func (control *admissionControl) recordRejection(now time.Duration) {
+	control.rejections++
+	control.lastRejection = now
+	if !control.active {
+		control.active = true
+		control.rate, control.climbStart = control.lambda(), control.lambda()
+		control.climbIntervals, control.rejectionRatio, control.gap = 0, 0, 0
 	}
 }
 
-// adaptRate sets the admission rate at the end of an interval (steps 3 to 6). Intervals without an answer or
-// an overload rejection are merged with the next one that has some (departure from T): they carry no
-// information, and with much less than one call per interval, climbing in them would undo every cut.
-func (d *control) adaptRate(now time.Duration) {
-	if d.active && now-d.lastRejection >= idleTimeout {
-		d.active, d.gap = false, 0
+// adaptRate sets the admission rate at the end of an interval (steps 3 to 6). In a departure from the fixed
+// interval T, intervals without an answer or an overload rejection are merged with the next one that has
+// some: they carry no information, and with much less than one call per interval, climbing in them would undo
+// every cut.
+func (control *admissionControl) adaptRate(now time.Duration) {
+	if control.active && now-control.lastRejection >= idleTimeout {
+		control.active, control.gap = false, 0
 	}
-	d.spanIntervals = min(d.spanIntervals+1, maxSpanIntervals)
-	if d.active && d.answers+d.rejections == 0 {
+	control.spanIntervals = min(control.spanIntervals+1, maxSpanIntervals)
+	if control.active && control.answers+control.rejections == 0 {
 		return
 	}
-	admissions, rejections, span := d.admissions, d.rejections, d.spanIntervals
-	d.admissions, d.answers, d.rejections, d.spanIntervals = 0, 0, 0, 0
-	if !d.active {
+	admissions, rejections, span := control.admissions, control.rejections, control.spanIntervals
+	control.admissions, control.answers, control.rejections, control.spanIntervals = 0, 0, 0, 0
+	if !control.active {
 		return
 	}
-	lambda := d.lambda()
+	lambda := control.lambda()
 	switch {
 	case rejections > 0 && rejections*isolatedRejectionAdmissions > admissions:
 		newRatio := 1.0
 		if admissions > 0 {
 			newRatio = float64(rejections) / float64(admissions)
 		}
-		if newRatio >= d.rejectionRatio {
-			d.rate *= math.Pow(1-rateCutFraction, float64(span))
+		if newRatio >= control.rejectionRatio {
+			control.rate *= math.Pow(1-rateCutFraction, float64(span))
 		}
-		d.rejectionRatio, d.climbStart, d.climbIntervals = newRatio, d.rate, 0
-	case lambda <= d.rate:
-		d.rate, d.climbStart, d.climbIntervals = lambda, lambda, 0
+		control.rejectionRatio, control.climbStart, control.climbIntervals = newRatio, control.rate, 0
+	case lambda <= control.rate:
+		control.rate, control.climbStart, control.climbIntervals = lambda, lambda, 0
 	default:
-		d.climbIntervals += span
-		step := climbStep * float64(d.climbIntervals)
-		d.rate = d.climbStart + step*step*max(min(1, lambda), lambda/nominalRate)
+		control.climbIntervals += span
+		step := climbStep * float64(control.climbIntervals)
+		control.rate = control.climbStart + step*step*max(min(1, lambda), lambda/nominalRate)
 	}
-	d.gap = 0
-	if d.rate < lambda && d.rate > 0 {
-		d.gap = time.Duration((1/d.rate - 1/lambda) * float64(time.Second))
+	control.gap = 0
+	if control.rate < lambda && control.rate > 0 {
+		control.gap = time.Duration((1/control.rate - 1/lambda) * float64(time.Second))
 	}
 }
 
 // ---- guards ----
 
 // isCold reports whether the server may still be warming up after its start.
-func (c *Controller) isCold(s *server) bool {
-	return s.Started > 0 && c.now < s.Started+c.settings.Rules.WarmUpTime
+func (c *Controller) isCold(server *serverState) bool {
+	return server.Started > 0 && c.now < server.Started+c.settings.Rules.WarmUpTime
 }
 
-// shareExhausted reports whether this proxy has used up its share of what the server can take. Credit grows
-// at the share's rate, up to a second's worth or one call. After a server's start it begins with a random
-// part of one call, so that hundreds of proxies do not call at once when an agent becomes free. This protects
-// servers that run out of agents. It refuses too much where a few proxies carry all calls.
-func (c *Controller) shareExhausted(s *server) bool {
+// shareExhausted reports whether this proxy has used up its share of what the server can take. The share is
+// kept as credit in set-ups, which grows at the share's rate, up to a second's worth or one call. After a
+// server's start it begins with a random part of one call, so that hundreds of proxies do not call at once
+// when an agent becomes free. This protects servers that run out of agents. It refuses too much where a few
+// proxies carry all calls.
+func (c *Controller) shareExhausted(server *serverState) bool {
 	rate, spread := math.Inf(1), min(agentReportInterval, c.meanHolding) // short calls free agents sooner
-	if s.totalAgents > 0 && c.meanHolding > 0 {
-		freed := float64(s.totalAgents-s.freeAgents) / c.meanHolding.Seconds()
-		rate = (float64(s.freeAgents)/spread.Seconds() + freed) * c.share()
+	if server.totalAgents > 0 && c.meanHolding > 0 {
+		freed := float64(server.totalAgents-server.freeAgents) / c.meanHolding.Seconds()
+		rate = (float64(server.freeAgents)/spread.Seconds() + freed) * c.share()
 	}
-	if c.isCold(s) && c.turnsExhausted(s) {
+	if c.isCold(server) && c.turnsExhausted(server) {
 		return true
 	}
-	credit := s.credit + rate*max(c.now-s.creditedAt, time.Microsecond).Seconds()
-	s.credit, s.creditedAt = min(credit, max(1, rate*spread.Seconds())), c.now
-	return s.credit < 1
+	credit := server.credit + rate*max(c.now-server.creditedAt, time.Microsecond).Seconds()
+	server.credit, server.creditedAt = min(credit, max(1, rate*spread.Seconds())), c.now
+	return server.credit < 1
 }
 
 // share returns this proxy's fraction of what a server can take: its first tries relative to the agents in
@@ -964,46 +1028,49 @@
 		maxShareFactor*equal)
 }
 
-// turnsExhausted reports whether this proxy has used its turns at a cold server. The turns of all proxies
-// together are what the rules guarantee that the server can take since its start, dealt out by proxy index.
-// The order follows from names and times alone, so a proxy that has just restarted knows it too and counts
-// earlier turns as used. A turn lapses after the window of the rule, as turns saved by idle proxies would
-// otherwise be used at once. docs/design.md has the bound and its proof. Too few calls are sent where few
-// proxies carry all.
-func (c *Controller) turnsExhausted(s *server) bool {
-	rate, rules := c.coldRate(s), &c.settings.Rules
+// turnsExhausted reports whether this proxy has used its turns at a cold server. A turn permits one set-up.
+// The turns of all proxies together are what the rules guarantee that the server can take since its start,
+// dealt out by proxy index. The order of turns follows from names and times alone, so a proxy that has just
+// restarted knows it too and counts earlier turns as used. A turn lapses after Rules.CollapseWindow, as turns
+// saved by idle proxies would otherwise be used at once. docs/design.md has the bound and its proof. Too few
+// calls are sent where few proxies carry all.
+func (c *Controller) turnsExhausted(server *serverState) bool {
+	rate, rules := c.coldRate(server), &c.settings.Rules
 	turnsUntil := func(at time.Duration) float64 { // turns up to a time, for one call a second when warm
-		age, coldCapacity := max(at-s.Started, 0).Seconds(), rules.ColdCapacity
+		age, coldCapacity := max(at-server.Started, 0).Seconds(), rules.ColdCapacity
 		meanCapacity := coldCapacity + (1-coldCapacity)*age/rules.WarmUpTime.Seconds()/2
 		return min(1, coldBudgetFraction*rules.CollapseMultiple) * meanCapacity * age
 	}
-	if s.turnPosition += rate * (turnsUntil(c.now) - turnsUntil(s.turnsAt)); s.turnAgents != s.totalAgents {
+	server.turnPosition += rate * (turnsUntil(c.now) - turnsUntil(server.turnsAt))
+	if server.turnAgents != server.totalAgents {
 		offset := float64(c.settings.Index) / float64(c.settings.Proxies)
-		s.turnAgents, s.turnPosition = s.totalAgents, s.turnPhase()+offset+rate*turnsUntil(c.now)
-		if s.usedTurns = 0; c.startedAt >= s.Started || s.admissionMeter.lastCall >= s.Started {
-			s.usedTurns = math.Floor(s.turnPosition)
+		server.turnAgents = server.totalAgents
+		server.turnPosition = server.turnPhase() + offset + rate*turnsUntil(c.now)
+		server.usedTurns = 0
+		if c.startedAt >= server.Started || server.admissionMeter.lastCall >= server.Started {
+			server.usedTurns = math.Floor(server.turnPosition)
 		}
 	}
-	s.turnsAt = c.now
-	s.usedTurns = max(s.usedTurns,
-		math.Floor(s.turnPosition-rate*(turnsUntil(c.now)-turnsUntil(c.now-rules.CollapseWindow))))
-	return math.Floor(s.turnPosition) <= s.usedTurns
+	server.turnsAt = c.now
+	server.usedTurns = max(server.usedTurns,
+		math.Floor(server.turnPosition-rate*(turnsUntil(c.now)-turnsUntil(c.now-rules.CollapseWindow))))
+	return math.Floor(server.turnPosition) <= server.usedTurns
 }
 
 // coldRate returns this proxy's fraction of the calls a second that a cold server can take when warm. By
 // Little's law that is its agents divided by the mean holding time, and proxies have equal fractions unless
 // ColdPart assigned others. Before the agents are reported, it is this proxy's calls divided by the number of
 // servers. Too few calls are sent where the processor is fast for its few agents.
-func (c *Controller) coldRate(s *server) float64 {
+func (c *Controller) coldRate(server *serverState) float64 {
 	fraction := 1 / float64(c.settings.Proxies)
 	switch {
-	case c.coldDivided && c.now < s.coldFractionUntil:
-		fraction = s.coldFraction
+	case c.coldDivided && c.now < server.coldFractionUntil:
+		fraction = server.coldFraction
 	case c.coldDivided:
 		fraction = c.unassignedFraction
 	}
-	if s.totalAgents > 0 && c.meanHolding > 0 || c.coldDivided && fraction == 0 {
-		return fraction * float64(s.totalAgents) / max(c.meanHolding, 1).Seconds()
+	if server.totalAgents > 0 && c.meanHolding > 0 || c.coldDivided && fraction == 0 {
+		return fraction * float64(server.totalAgents) / max(c.meanHolding, 1).Seconds()
 	}
 	return c.ownArrivals.lambda() / float64(len(c.servers))
 }
--- a/fingerprint.go
+++ b/fingerprint.go
@@ -17,11 +17,11 @@
 	if token == waitingTimerToken {
 		return "", true
 	}
-	k := c.timers[token]
-	if k == nil || k.closed && !k.inFlight {
+	pending := c.timers[token]
+	if pending == nil || pending.closed && !pending.inFlight {
 		return "", false
 	}
-	return k.Call, true
+	return pending.Call, true
 }
 
 // stateEncoder encodes a state in canonical form, with times relative to now.
@@ -72,63 +72,64 @@
 	f.pastTime(m.lastCall)
 }
 
-func (f *stateEncoder) server(s *server, born time.Duration) {
-	f.text(s.ID)
-	f.integers(int64(s.Number), int64(s.State), int64(s.inFlight), int64(s.baseLatency),
-		int64(s.failures), int64(s.faults), int64(s.lastLatency), int64(s.probation),
-		int64(s.freeAgents), int64(s.totalAgents), int64(s.climbIntervals), int64(s.gap),
-		int64(s.admissions), int64(s.answers), int64(s.rejections), int64(s.spanIntervals))
-	f.pastTime(s.Started)
-	if s.inFlight > 0 { // compared with the send times of set-ups in flight
-		f.pastTime(s.answeredSentAt)
-	}
-	f.pastTime(s.removedAt)
-	f.pastTime(s.answeredAt)
-	f.pastTime(s.creditedAt)
-	f.pastTime(s.lastRejection)
-	f.remaining(s.coolDownUntil)
-	f.remaining(s.probeAt)
-	f.remaining(s.gapUntil)
-	f.remaining(s.coldFractionUntil)
-	f.remaining(s.avoidUntil)
-	f.float(s.credit)
-	f.float(s.coldFraction)
-	if s.Started > 0 { // may be cold
-		f.pastTime(s.turnsAt)
-		f.integers(int64(s.turnAgents))
-		f.float(s.turnPosition)
-		f.float(s.usedTurns)
-		f.bools(born >= s.Started)
-	}
-	f.float(s.rate)
-	f.float(s.climbStart)
-	f.float(s.rejectionRatio)
-	f.bools(s.active)
-	f.meter(&s.meter)
-	f.meter(&s.admissionMeter)
-	f.integers(int64(len(s.overdue)))
-	for _, k := range s.overdue {
-		f.text(k.Call)
+func (f *stateEncoder) server(server *serverState, startedAt time.Duration) {
+	f.text(server.ID)
+	f.integers(int64(server.Number), int64(server.State), int64(server.inFlight), int64(server.baseLatency),
+		int64(server.failures), int64(server.faults), int64(server.lastLatency), int64(server.probation),
+		int64(server.freeAgents), int64(server.totalAgents), int64(server.climbIntervals), int64(server.gap),
+		int64(server.admissions), int64(server.answers), int64(server.rejections), int64(server.spanIntervals))
+	f.pastTime(server.Started)
+	if server.inFlight > 0 { // compared with the send times of set-ups in flight
+		f.pastTime(server.answeredSentAt)
+	}
+	f.pastTime(server.removedAt)
+	f.pastTime(server.answeredAt)
+	f.pastTime(server.creditedAt)
+	f.pastTime(server.lastRejection)
+	f.remaining(server.coolDownUntil)
+	f.remaining(server.probeAt)
+	f.remaining(server.gapUntil)
+	f.remaining(server.coldFractionUntil)
+	f.remaining(server.avoidUntil)
+	f.float(server.credit)
+	f.float(server.coldFraction)
+	if server.Started > 0 { // may be cold
+		f.pastTime(server.turnsAt)
+		f.integers(int64(server.turnAgents))
+		f.float(server.turnPosition)
+		f.float(server.usedTurns)
+		f.bools(startedAt >= server.Started)
+	}
+	f.float(server.rate)
+	f.float(server.climbStart)
+	f.float(server.rejectionRatio)
+	f.bools(server.active)
+	f.meter(&server.meter)
+	f.meter(&server.admissionMeter)
+	f.integers(int64(len(server.overdue)))
+	for _, call := range server.overdue {
+		f.text(call.Call)
 	}
 }
 
-func (f *stateEncoder) call(k *call, set *Settings) {
-	f.text(k.Call)
-	f.text(k.Class)
-	f.text(k.Tenant)
-	f.text(k.Number)
-	f.integers(int64(k.Destination), int64(k.attempts), int64(k.faults),
-		int64(k.deadline-f.now), int64(k.aimEnd-f.now), int64(max(0, k.waitUntil-f.now)))
-	f.bools(k.Retry, k.InTransit, k.inFlight, k.established, k.closed, k.mayHaveRun, k.late, k.lost,
-		k.rejectionCounted, k.redirected, k.settings == set, k.countedAt != nil, k.server != nil)
-	f.float(k.value)
-	f.pastTime(k.sentAt)
-	f.pastTime(k.retryAt) // 0: none
-	if k.countedAt != nil {
-		f.text(k.countedAt.ID)
-	}
-	if k.server != nil {
-		f.text(k.server.ID)
+func (f *stateEncoder) call(call *callState, set *Settings) {
+	f.text(call.Call)
+	f.text(call.Class)
+	f.text(call.Tenant)
+	f.text(call.Number)
+	f.integers(int64(call.Destination), int64(call.attempts), int64(call.faults),
+		int64(call.deadline-f.now), int64(call.aimEnd-f.now), int64(max(0, call.waitUntil-f.now)))
+	f.bools(call.Retry, call.InTransit, call.inFlight, call.established, call.closed, call.mayHaveRun,
+		call.late, call.lost,
+		call.rejectionCounted, call.redirected, call.settings == set, call.countedAt != nil, call.server != nil)
+	f.float(call.value)
+	f.pastTime(call.sentAt)
+	f.pastTime(call.retryAt) // 0: none
+	if call.countedAt != nil {
+		f.text(call.countedAt.ID)
+	}
+	if call.server != nil {
+		f.text(call.server.ID)
 	}
 }
 
@@ -146,8 +147,8 @@
 	enc.integers(int64(c.retryBudget.Remaining))
 	enc.meter(&c.ownArrivals)
 	enc.integers(int64(len(c.servers)))
-	for _, s := range c.servers {
-		enc.server(s, c.startedAt)
+	for _, server := range c.servers {
+		enc.server(server, c.startedAt)
 	}
 	if enc.bools(c.remembered != nil); c.remembered != nil {
 		enc.text(c.remembered.ID)
@@ -157,9 +158,9 @@
 		enc.call(c.calls[id], c.settings)
 	}
 	enc.integers(int64(len(c.waiting)))
-	for _, k := range c.waiting {
-		enc.text(k.Call)
-		enc.bools(k.closed)
+	for _, call := range c.waiting {
+		enc.text(call.Call)
+		enc.bools(call.closed)
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.tenants)) {
 		enc.meter(&c.tenants[name].meter)
--- a/reason.go
+++ b/reason.go
@@ -19,16 +19,16 @@
 }
 
 // sendReason returns why the call is sent to the server.
-func (c *Controller) sendReason(k *call, s *server) Reason {
-	firstChoice := c.serverByNumber(k.Destination)
+func (c *Controller) sendReason(call *callState, server *serverState) Reason {
+	firstChoice := c.serverByNumber(call.Destination)
 	switch drawn := c.redrawn; {
-	case firstChoice == s:
+	case firstChoice == server:
 		return FirstChoice
-	case firstChoice != nil && firstChoice != k.server &&
+	case firstChoice != nil && firstChoice != call.server &&
 		c.now < firstChoice.avoidUntil && c.now >= firstChoice.coolDownUntil:
 		c.redrawn = false
 		return Avoided
-	case drawn && s == c.remembered:
+	case drawn && server == c.remembered:
 		c.redrawn = false
 		return Drawn
 	}
@@ -36,19 +36,19 @@
 }
 
 // arrivalRefusal returns why a call is refused on arrival.
-func (c *Controller) arrivalRefusal(k *call) Reason {
+func (c *Controller) arrivalRefusal(call *callState) Reason {
 	switch {
-	case k.class == nil:
+	case call.class == nil:
 		return UnknownClass
-	case k.TimeLeft <= 0:
+	case call.TimeLeft <= 0:
 		return OutOfTime
 	}
 	return NumberBusy
 }
 
 // endRefusal returns why a call is refused after a failed attempt.
-func endRefusal(e Ended) Reason {
-	if e.Outcome == Faulted {
+func endRefusal(ended Ended) Reason {
+	if ended.Outcome == Faulted {
 		return CallFaulted
 	}
 	return ServerRejected
@@ -56,35 +56,36 @@
 
 // blockReason returns what keeps the first-choice server, or without one the remembered server, from taking the
 // call now.
-func (c *Controller) blockReason(k *call) Reason {
-	s := c.serverByNumber(k.Destination)
-	if s == nil || k.redirected {
-		s = c.remembered
+func (c *Controller) blockReason(call *callState) Reason {
+	server := c.serverByNumber(call.Destination)
+	if server == nil || call.redirected {
+		server = c.remembered
 	}
-	if s == nil {
+	if server == nil {
 		for _, other := range c.servers {
-			if other.Number == k.Destination {
+			if other.Number == call.Destination {
 				return NotUp
 			}
 		}
 		return NoServer
 	}
 	switch {
-	case s.State != Up:
+	case server.State != Up:
 		return NotUp
-	case !c.servesClass(s, k.class):
+	case !c.servesClass(server, call.class):
 		return NotSkilled
-	case c.now < s.coolDownUntil:
+	case c.now < server.coolDownUntil:
 		return InCoolDown
-	case c.now < s.avoidUntil:
+	case c.now < server.avoidUntil:
 		return SharedVerdict
-	case len(s.overdue) > 0 && c.now < s.probeAt || s.probation > 0 && s.inFlight-len(s.overdue) >= s.probation:
+	case len(server.overdue) > 0 && c.now < server.probeAt ||
+		server.probation > 0 && server.inFlight-len(server.overdue) >= server.probation:
 		return OnProbation
-	case c.wouldBeLate(s, k):
+	case c.wouldBeLate(server, call):
 		return WouldBeLate
-	case c.inGap(s):
+	case c.inGap(server):
 		return Gapped
-	case s.credit < 1: // as of the last check; checking again would add credit
+	case server.credit < 1: // as of the last check; checking again would add credit
 		return ShareExhausted
 	}
 	return ServerRejected
@@ -98,17 +99,17 @@
 // BlockReason returns why a call waits that has neither a pending attempt nor its final answer, and its
 // first-choice server. It returns false if the call is not known to wait.
 func (c *Controller) BlockReason(id string) (server string, why Reason, waits bool) {
-	k := c.calls[id]
-	if k == nil || k.inFlight || k.closed || k.retryAt > 0 || k.class == nil {
+	call := c.calls[id]
+	if call == nil || call.inFlight || call.closed || call.retryAt > 0 || call.class == nil {
 		return "", NoReason, false
 	}
-	return c.FirstChoiceServer(k.Destination), c.blockReason(k), true
+	return c.FirstChoiceServer(call.Destination), c.blockReason(call), true
 }
 
 // FirstChoiceServer returns the ID of the running server of a number, or "" if there is none.
 func (c *Controller) FirstChoiceServer(number int) string {
-	if s := c.serverByNumber(number); s != nil {
-		return s.ID
+	if server := c.serverByNumber(number); server != nil {
+		return server.ID
 	}
 	return ""
 }
@@ -146,24 +147,27 @@
 
 // View returns what the Controller knows of a server, or false if the server is unknown.
 func (c *Controller) View(id string) (View, bool) {
-	s := c.byID[id]
-	if s == nil {
+	server := c.byID[id]
+	if server == nil {
 		return View{}, false
 	}
-	view := View{Rate: -1, Lambda: s.lambda(), InFlight: s.inFlight, CoolDown: max(0, s.coolDownUntil-c.now)}
+	view := View{
+		Rate: -1, Lambda: server.lambda(), InFlight: server.inFlight,
+		CoolDown: max(0, server.coolDownUntil-c.now),
+	}
 	switch {
-	case s.active && s.climbIntervals == 0 && s.rejectionRatio > 0 && s.gap > 0:
+	case server.active && server.climbIntervals == 0 && server.rejectionRatio > 0 && server.gap > 0:
 		view.Phase = CutBack
-	case s.active:
+	case server.active:
 		view.Phase = Climbing
 	}
-	if s.active {
-		view.Rate = s.rate
+	if server.active {
+		view.Rate = server.rate
 	}
 	switch {
 	case view.CoolDown > 0:
 		view.Phase = CoolDown
-	case s.probation > 0:
+	case server.probation > 0:
 		view.Phase = Probation
 	}
 	return view, true
