--- a/cmd/threadglade/child_test.go
+++ b/cmd/threadglade/child_test.go
@@ -247,7 +247,7 @@
 	return []string{"NODE_CONFIG=" + path}
 }
 
-// writeFile writes a file into the testbed's folder and returns its path.
+// writeFile writes a file into the testbed's directory and returns its path.
 func (s *testbed) writeFile(name, text string) string {
 	path := filepath.Join(s.dir, name)
 	require.NoError(s.t, os.WriteFile(path, []byte(text), 0o600))
--- a/cmd/threadglade/fleet.go
+++ b/cmd/threadglade/fleet.go
@@ -137,7 +137,7 @@
 	return keeper.Close()
 }
 
-// foundFleet draws the keepers' identities and creates a folder for each below out.
+// foundFleet draws the keepers' identities and creates a directory for each below out.
 func foundFleet(w io.Writer, path, out string) error {
 	_, o, err := fleetSettings(path, "")
 	if err != nil {
@@ -257,7 +257,7 @@
 	return errors.New("no keeper that answers leads")
 }
 
-// showLog reads and checks a keeper's folder and prints a summary, with printEntries also its snapshot and entries.
+// showLog reads and checks a keeper's directory and prints a summary, with printEntries also its snapshot and entries.
 func showLog(w io.Writer, dir string, asJSON, printEntries bool) error {
 	contents, err := fleetio.Load(fileSystem, dir)
 	if err != nil {
--- a/cmd/threadglade/ledger.go
+++ b/cmd/threadglade/ledger.go
@@ -277,7 +277,7 @@
 	})
 }
 
-// exportLedger closes the periods that are due, exports every closed period to the folder to, and removes exported
+// exportLedger closes the periods that are due, exports every closed period to the directory to, and removes exported
 // segments older than keep from the ledger.
 func exportLedger(w io.Writer, dir, to string, keep time.Duration, asJSON bool) error {
 	wall := func() int64 { return time.Now().UnixMilli() }
@@ -324,8 +324,8 @@
 	Corrected map[string]int64 `json:"mended"`
 }
 
-// mergeExportFiles merges export files, or folders of them, and returns the report and the number of duplicate files.
-// It keeps the files' usage lines in memory, but reads their call lists through a buffer each.
+// mergeExportFiles merges export files, or directories of them, and returns the report and the number of duplicate
+// files. It keeps the files' usage lines in memory, but reads their call lists through a buffer each.
 func mergeExportFiles(f durable.FS, files []string) (ledger.Report, int, error) {
 	all, copies := ledger.Merged{}, 0
 	var paths []string
@@ -333,7 +333,7 @@
 	var findings []ledger.Finding
 	for i := 0; i < len(files); i++ {
 		path := files[i]
-		// a folder is replaced by its exports
+		// a directory is replaced by its exports
 		if within, err := filepath.Glob(filepath.Join(path, "*.tgx")); err == nil && len(within) > 0 {
 			files = append(files[:i:i], append(within, files[i+1:]...)...)
 			path = files[i]
--- a/cmd/threadglade/ledger_test.go
+++ b/cmd/threadglade/ledger_test.go
@@ -80,7 +80,7 @@
 	return t
 }
 
-// compareExports requires the merged exports in the folders outs to agree with what the case servers observed: the
+// compareExports requires the merged exports in the directories outs to agree with what the case servers observed: the
 // same calls, each once, by tenant and class. It returns the total usage.
 func (s *testbed) compareExports(outs []string, loads ...*standin.Load) ledger.Usage {
 	var files []string
@@ -355,7 +355,7 @@
 }
 
 // TestCorrect checks that a correction leaves exported files unchanged and goes into the next export, under the
-// period it corrects. It also checks that a ledger's folder is locked and bound to its router, and that damage is
+// period it corrects. It also checks that a ledger's directory is locked and bound to its router, and that damage is
 // reported with file and offset.
 func TestCorrect(t *testing.T) {
 	t.Parallel()
@@ -418,7 +418,7 @@
 	require.Zero(t, code)
 	require.Contains(t, text, "corrected")
 
-	// The folder is locked by the process that uses it, and belongs to one router.
+	// The directory is locked by the process that uses it, and belongs to one router.
 	one := startChild(t, env, args...)
 	one.waitReady(t)
 	_, code = runTool(t, "ledger", "verify", dir) // beside a running router
@@ -455,7 +455,8 @@
 	require.Contains(t, two.log(), filepath.Base(path)+": offset ")
 }
 
-// TestUsage checks that an invalid command line exits with exitUsage, and a folder without a ledger with exitFinding.
+// TestUsage checks that an invalid command line exits with exitUsage, and a directory without a ledger with
+// exitFinding.
 func TestUsage(t *testing.T) {
 	for _, args := range [][]string{{"ledger"}, {"ledger", "verify"}, {"ledger", "show", "x", "--nonsense"},
 		{"ledger", "export", "x"},
--- a/cmd/threadglade/upgrade_test.go
+++ b/cmd/threadglade/upgrade_test.go
@@ -310,7 +310,7 @@
 }
 
 // TestUpgradeStart checks that an invalid or used address of the management server fails the start, and that the
-// socket works in a folder whose path is longer than a socket address can hold.
+// socket works in a directory whose path is longer than a socket address can hold.
 func TestUpgradeStart(t *testing.T) {
 	t.Parallel()
 	u := newUpgrade(t)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,6 +1,9 @@
 // Package fleet decides which process acts under each router's name in a fleet of call routers. It implements the
 // members with their incarnations and leases, and the replicated state machine of the raft log that the keepers agree
-// on. The package is a library without I/O: events and absolute times go in; data to store, frames to send and
+// on. A member is a router; an incarnation is the numbered period for which the log assigns a member's name to one
+// process; a fact is a versioned key-value pair in the log; an ask is a member's request to the leading keeper.
+//
+// The package is a library without I/O: events and absolute times go in; data to store, frames to send and
 // notifications come out. It does no I/O, starts no goroutine, reads no clock, and knows nothing of limits, verdicts,
 // calls or program versions, which are facts in its log or observers of it.
 // docs/design/fleet-floor.md states its guarantees and the argument for them.
--- a/fleet/keeper.go
+++ b/fleet/keeper.go
@@ -44,7 +44,7 @@
 	maxRaftMessageBytes = 512 << 10
 )
 
-// Stored is the content of a keeper's folder.
+// Stored is the content of a keeper's directory.
 type Stored struct {
 	Identity  *fleetpb.Identity
 	Snapshot  *raftpb.Snapshot
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// Bootstrap draws raft IDs for the keepers of a new fleet and returns the initial content of each one's folder, in the
-// order of the settings. It is called once per fleet: a second call makes a different fleet.
+// Bootstrap draws raft IDs for the keepers of a new fleet and returns the initial content of each one's directory, in
+// the order of the settings. It is called once per fleet: a second call makes a different fleet.
 func Bootstrap(settings Settings, random *rand.Rand) ([]Stored, error) {
 	state := &fleetpb.State{Fleet: settings.Fleet, Index: 1}
 	conf := &raftpb.ConfState{}
@@ -193,7 +193,7 @@
 // discardLogger discards raft's log lines; notes report the events that matter.
 var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
-// NewKeeper returns a keeper that resumes from the content of its folder. It fails if the content is incomplete,
+// NewKeeper returns a keeper that resumes from the content of its directory. It fails if the content is incomplete,
 // damaged or of another fleet, or if the keeper is not one of the bootstrap and the settings.
 func NewKeeper(settings Settings, stored Stored, random *rand.Rand, now time.Duration) (*Keeper, error) {
 	if stored.Identity == nil || stored.Snapshot == nil || stored.HardState == nil {
@@ -369,8 +369,9 @@
 	return k.node.Step(m)
 }
 
-// HandleAsk processes an ask of the member name that arrived on link. The answer comes by Output, at once or after a
-// confirmation round; an ask that exceeds a limit gets none, and the member repeats it.
+// HandleAsk processes an ask of the member name that arrived on link: a request for a lease, for its renewal or its
+// end, or for a fact to be written. The answer comes by Output, at once or after a confirmation round; an ask that
+// exceeds a limit gets none, and the member repeats it.
 func (k *Keeper) HandleAsk(now time.Duration, link Link, name string, a *fleetpb.Ask) {
 	if k.halted {
 		return
@@ -717,8 +718,8 @@
 	}, err
 }
 
-// Checkpoint returns everything that the keeper's folder has to hold from now on, to start a new log file: a snapshot,
-// the hard state and the entries that are not yet applied.
+// Checkpoint returns everything that the keeper's directory has to hold from now on, to start a new log file: a
+// snapshot, the hard state and the entries that are not yet applied.
 func (k *Keeper) Checkpoint() (Stored, error) {
 	snap, err := k.snapshot()
 	if err != nil {
--- a/internal/durable/durabletest/durabletest.go
+++ b/internal/durable/durabletest/durabletest.go
@@ -74,7 +74,6 @@
 type file struct {
 	data   []byte
 	synced int // bytes that survive a power failure
-	whole  []byte
 }
 
 // New returns an empty file system. The seed determines what a power failure leaves of unsynced data.
--- a/internal/durable/log.go
+++ b/internal/durable/log.go
@@ -173,7 +173,6 @@
 	cfg         LogConfig
 	header      Header // of the current segment, or of the previous one while none is open
 	segmentOpen bool
-	size        int64
 	framePosition
 	buf []byte
 
--- a/internal/fleetio/settings.go
+++ b/internal/fleetio/settings.go
@@ -23,7 +23,7 @@
 	Address         string             // address that other routers connect to; empty: the address listened on
 	Zone            string             // zone of this process
 	RouterAddresses map[string]string  // addresses that override those advertised by other routers, by router name
-	Verdicts        *verdict.Settings  // nil: each router judges case servers by itself
+	Verdicts        *verdict.Settings  // nil: each router relies on its own evidence about case servers
 	Takeover        *takeover.Settings // nil: calls are not replicated
 	Beacon          netip.AddrPort     // where to send a UDP datagram for each act under a lease; zero value: none
 	BeaconInterval  time.Duration      // interval between beacon datagrams
--- a/internal/fleetio/work.go
+++ b/internal/fleetio/work.go
@@ -523,7 +523,7 @@
 	releasedEnd uint64 // the latest end whose notification has been released
 }
 
-// Commit implements loop.Gate.
+// Commit implements loop.OutputGate.
 func (g *replicationGate) Commit() uint64 {
 	state := g.f.takeover
 	var inner uint64
@@ -541,7 +541,7 @@
 	return state.lastTicket
 }
 
-// Passed implements loop.Gate.
+// Released implements loop.OutputGate.
 func (g *replicationGate) Released() uint64 {
 	state := g.f.takeover
 	inner := uint64(math.MaxUint64)
@@ -570,8 +570,8 @@
 	return state.lastTicket - uint64(len(state.waiting))
 }
 
-// Left implements loop.Gate: it records the ends whose notifications have been sent, so that replica holders learn of
-// them.
+// Flushed implements loop.OutputGate: it records the ends whose notifications have been sent, so that replica holders
+// learn of them.
 func (g *replicationGate) Flushed() {
 	state := g.f.takeover
 	if g.inner != nil {
@@ -600,7 +600,7 @@
 	f.flushBatch(batch{evacuate: true})
 }
 
-// Patience implements loop.Gate.
+// PollInterval implements loop.OutputGate.
 func (g *replicationGate) PollInterval() time.Duration {
 	p := g.f.takeover.settings.ConfirmTimeout
 	if g.inner != nil {
--- a/internal/ledgerio/recorder.go
+++ b/internal/ledgerio/recorder.go
@@ -223,7 +223,7 @@
 // RemoveCall removes a call that another router has taken over and now records.
 func (r *Recorder) RemoveCall(id string) { r.keeper.RemoveCall(ledger.CallKey(id)) }
 
-// SuspendOpenCalls suspends the calls left open by an earlier process until ResumeOpenCalls, and returns their ids.
+// SuspendOpenCalls suspends the calls left open by an earlier process until ResumeOpenCalls, and returns their IDs.
 func (r *Recorder) SuspendOpenCalls() []string { return r.keeper.SuspendOpenCalls() }
 
 // ResumeOpenCalls ends the suspension; taken names the calls that other routers have taken over.
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -39,7 +39,7 @@
 
 	keyTree any // the decoded file without the server list, to detect keys that a later file lacks
 
-	HandoverDir string // folder shared with the process that replaces this one; empty disables hot restart
+	HandoverDir string // directory shared with the process that replaces this one; empty disables hot restart
 
 	Product ProductSettings // the product's own settings; subsystems that they don't mention are off
 	FS      durable.FS      // nil means the operating system's file system
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -27,7 +27,7 @@
 	frameTakenOver = sip.FirstOwnerFrame + 1
 	// busyRetryInterval is the delay before a process asks again that found another one about to take over.
 	busyRetryInterval = 100 * time.Millisecond
-	// standbyReachTimeout bounds how long a process in standby waits to hear from all case servers before it reports
+	// standbyReachTimeout bounds how long a process in standby waits for data from all case servers before it reports
 	// itself ready.
 	standbyReachTimeout = time.Second
 	// lingerTimeout after the longest deadline, a process that has handed its callers over exits even if calls
@@ -51,7 +51,7 @@
 // handoverCounters count the events of hot restarts.
 type handoverCounters struct {
 	Refused   uint64 // connections refused at the handover socket
-	Taken     uint64 // take-overs from an old process
+	Taken     uint64 // takeovers from an old process
 	Handed    uint64 // callers handed over to a new process
 	Lost      uint64 // new processes whose link was lost
 	Malformed uint64 // frames of an unknown kind or form
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -38,8 +38,8 @@
 	// minShutdownDelay is how long a router goes on accepting requests after Shutdown, so that callers can switch to
 	// another one.
 	minShutdownDelay = 750 * time.Millisecond
-	// closeGracePeriod is how long the process lives on after it has closed idle connections: a caller sends a set-up
-	// again that crosses the close within 50 ms.
+	// closeGracePeriod is how long the process keeps running after it has closed idle connections: a caller sends a
+	// set-up again that crosses the close within 50 ms.
 	closeGracePeriod = 60 * time.Millisecond
 	// shutdownPollInterval is how often a process in shutdown checks whether it may exit.
 	shutdownPollInterval = 20 * time.Millisecond
--- a/internal/sip/front.go
+++ b/internal/sip/front.go
@@ -146,7 +146,10 @@
 // a pending set-up if callers hold too many.
 func (f *Front) ReserveForServers(servers int) {
 	f.serverCount = servers
-	for len(f.conns) > f.maxConns() && f.evict() {
+	for len(f.conns) > f.maxConns() {
+		if !f.evict() {
+			break
+		}
 	}
 }
 
@@ -387,11 +390,11 @@
 	return appendRequest(b, "BYE", id, id, cseq, "BYE").addHeader("Reason", cause).addBody(nil)
 }
 
-// callerConn is the connection of one caller. It implements loop.Handler and loop.Leaver.
+// callerConn is the connection of one caller. It implements loop.Handler and loop.PeerCloseHandler.
 type callerConn struct {
 	front            *Front
 	conn             *loop.Conn
-	setups           map[string]*inboundLeg // pending set-ups by call id; nil while there is none
+	setups           map[string]*inboundLeg // pending set-ups by call ID; nil while there is none
 	lifetime         lifecycle.CallerConn   // timeouts
 	lastReceived     time.Duration
 	spreadPosition   float64         // position in the order of a drain, from 0 to 1
@@ -401,7 +404,7 @@
 	unusableMessages int
 	setupRate        loop.Bucket
 	handOverID       uint32          // number under which it was handed over to the successor; 0: it was not
-	oldProcessSetups map[string]bool // call ids of set-ups pending in the old process; nil while there is none
+	oldProcessSetups map[string]bool // call IDs of set-ups pending in the old process; nil while there is none
 	oldProcess       ProcessLink     // link to the old process
 	oldProcessID     uint32          // number under which the old process handed it over
 	msg              message
@@ -427,7 +430,7 @@
 	conn      *callerConn
 	arrivedAt time.Duration
 	routing   messageBuffer // headers that answers copy from the INVITE
-	checksum  uint64        // of number, class and description; tells a repeat from another set-up with the same id
+	checksum  uint64        // of number, class and description; tells a repeat from another set-up with the same ID
 }
 
 // Opened implements loop.Handler. Callers' connections are open from the start.
@@ -458,8 +461,8 @@
 	c.resendUnacked()
 }
 
-// Leaving implements loop.Leaver: the caller has closed the connection. No set-up is started for it any more;
-// releases that it sent before and that are still unread are handled.
+// PeerClosed implements loop.PeerCloseHandler: the caller has closed the connection. No set-up is started for it any
+// more; releases that it sent before and that are still unread are handled.
 func (c *callerConn) PeerClosed(*loop.Conn) {
 	c.peerClosed = true
 	c.notifyOldProcess()
@@ -573,7 +576,7 @@
 	case "ACK":
 	case "CANCEL":
 		c.reply(appendReply(c.front.buf[:0], 200, m))
-		// A set-up can only be cancelled on its own connection: others may send its id by mistake or on purpose.
+		// A set-up can only be cancelled on its own connection: others may send its ID by mistake or on purpose.
 		id := string(m.callID)
 		if leg := c.setups[id]; leg != nil {
 			delete(c.setups, id)
@@ -717,7 +720,7 @@
 // Failed implements router.Front.
 func (l *inboundLeg) Failed(id string, reason router.Failure) {
 	status := 500
-	if reason == router.DuplicateID { // another request with that id goes on
+	if reason == router.DuplicateID { // another request with that ID goes on
 		l.conn.front.counters.Malformed++
 		status = 400
 	}
--- a/internal/sip/handover.go
+++ b/internal/sip/handover.go
@@ -36,7 +36,7 @@
 // they had unsent bytes.
 const handOverRetryInterval = 10 * time.Millisecond
 
-// callIDSize is the length in bytes of a call's id in frames.
+// callIDSize is the length in bytes of a call's ID in frames.
 const callIDSize = 16
 
 // ---- old process ----
@@ -66,7 +66,7 @@
 	}
 }
 
-// handOverConn sends one connection to the successor: the descriptor, the state, the ids of pending set-ups and the
+// handOverConn sends one connection to the successor: the descriptor, the state, the IDs of pending set-ups and the
 // bytes that were read and not parsed yet. It does nothing if the connection can't be handed over now.
 func (f *Front) handOverConn(conn *callerConn) {
 	// A closing connection ends by itself. One with set-ups of this process's own predecessor has to wait for their
--- a/internal/sip/message.go
+++ b/internal/sip/message.go
@@ -246,7 +246,7 @@
 	return 0, false
 }
 
-// isCallID reports whether b is a call's id, which is 16 hexadecimal digits.
+// isCallID reports whether b is a call's ID, which is 16 hexadecimal digits.
 func isCallID(b []byte) bool {
 	for _, d := range b {
 		if (d < '0' || d > '9') && (d < 'a' || d > 'f') && (d < 'A' || d > 'F') {
--- a/internal/sip/trunk.go
+++ b/internal/sip/trunk.go
@@ -74,14 +74,14 @@
 }
 
 // Trunk sends attempts to case servers and reports their outcome to the router. It implements router.Trunk. A server
-// is identified by its id, as its address may be assigned to another one later. A Trunk runs on the event loop's
+// is identified by its ID, as its address may be assigned to another one later. A Trunk runs on the event loop's
 // goroutine; no method may be called from another one.
 type Trunk struct {
 	cfg       TrunkConfig
 	router    *router.Router
 	peers     map[string]*serverPeer
-	legs      map[string]*outboundLeg     // the one pending or established attempt of each call, by call id
-	cancelled map[string]cancelledAttempt // attempts cancelled before their answer, by call id
+	legs      map[string]*outboundLeg     // the one pending or established attempt of each call, by call ID
+	cancelled map[string]cancelledAttempt // attempts cancelled before their answer, by call ID
 	unsent    []*outboundLeg              // attempts for the next Flush; input handled before may withdraw them
 	closing   bool                        // connections are only opened for pending set-ups
 	buf       messageBuffer
@@ -133,13 +133,13 @@
 	lastDial          time.Duration
 	unreachableSince  time.Duration  // when it became unreachable; 0: it is reachable
 	pending           []*outboundLeg // attempts that wait for a connection
-	pendingReleases   []string       // ids of calls whose release waits for a connection
+	pendingReleases   []string       // IDs of calls whose release waits for a connection
 	legCount          int            // its attempts in Trunk.legs
 	malformedLoggedAt time.Duration  // when an unusable connection was last logged; 0: never
 	reportIntervals   silence.ReportIntervals
 }
 
-// serverConn is one connection to a server. It implements loop.Handler, loop.Leaver and loop.Drainer.
+// serverConn is one connection to a server. It implements loop.Handler, loop.PeerCloseHandler and loop.Drainer.
 type serverConn struct {
 	peer          *serverPeer
 	conn          *loop.Conn
@@ -442,8 +442,8 @@
 	p.pending = nil
 }
 
-// Leaving implements loop.Leaver: the server has closed the connection and reads nothing more from it. What it sent
-// before is still handled.
+// PeerClosed implements loop.PeerCloseHandler: the server has closed the connection and reads nothing more from it.
+// What it sent before is still handled.
 func (c *serverConn) PeerClosed(*loop.Conn) {
 	if c.peerClosed = true; c.peer.conn == c {
 		c.peer.retire()
--- a/internal/traceio/file.go
+++ b/internal/traceio/file.go
@@ -1,5 +1,5 @@
 // Package traceio reads and writes trace files. file.go implements the file format, recorder.go records the
-// decisions of a running router, and tools.go cuts, merges, anonymises and verifies whole files. The package owns
+// decisions of a running router, and tools.go cuts, merges, anonymizes and verifies whole files. The package owns
 // the frames of the files, their rotation and the writer goroutine. It takes no routing decisions, never blocks
 // the event loop and never holds a whole file in memory.
 package traceio
@@ -200,8 +200,8 @@
 }
 
 // Open opens a trace file. If a crash truncated the file, the complete blocks are kept and the index is rebuilt
-// from them. For a corrupt file it returns a *durable.Damage with file and offset, for a file of a
-// newer format version an error that wraps durable.ErrNewer.
+// from them. For a corrupt file it returns a *durable.DamageError with file and offset, for a file of a newer format
+// version an error that wraps durable.ErrNewerVersion.
 func Open(fileSystem durable.FS, path string) (*File, error) {
 	r, err := durable.OpenBuffered(fileSystem, path, kindTrace, 16<<10)
 	if err != nil {
--- a/internal/traceio/recorder.go
+++ b/internal/traceio/recorder.go
@@ -548,7 +548,7 @@
 var actions = [32]trace.Action{router.Sent: trace.ActionSent, router.Held: trace.ActionHeld, router.Withdrawn: trace.ActionWithdrawn,
 	router.Refused: trace.ActionRefused, router.Failed: trace.ActionFailed}
 
-// recordDecision records a decision with what the router knew of the server then, after a Turn record if the
+// recordDecision records a decision with what the router knew of the server then, after a ControlChange record if the
 // server's phase has changed.
 func (r *Recorder) recordDecision(call *trackedCall, event *router.Event) {
 	var server *serverState
--- a/internal/traceio/traceio_test.go
+++ b/internal/traceio/traceio_test.go
@@ -35,7 +35,7 @@
 	day    = 1_700_000_000 * second
 )
 
-// incompressibleID returns an id that, like the ids of callers, doesn't compress.
+// incompressibleID returns an ID that, like the IDs of callers, doesn't compress.
 func incompressibleID(n int) string { return fmt.Sprintf("%016x", 0x9e3779b97f4a7c15*uint64(n)) }
 
 // callRecords returns the four records of call n, which lasts 30 s.
@@ -249,7 +249,7 @@
 	require.Zero(t, none.Records)
 }
 
-// TestAnonymizeFile anonymises a file: no original value may remain in its bytes or its decoded records, the same
+// TestAnonymizeFile anonymizes a file: no original value may remain in its bytes or its decoded records, the same
 // key must give the same bytes, and equal values must stay equal.
 func TestAnonymizeFile(t *testing.T) {
 	f := durabletest.New(1)
--- a/lifecycle/handover.go
+++ b/lifecycle/handover.go
@@ -29,7 +29,7 @@
 // SuccessorLost records that the successor is gone.
 func (e *OldProcess) SuccessorLost() { *e = OldProcess{} }
 
-// RequestTakeover begins the hand-over when the process is told to shut down. It returns false if there is no
+// RequestTakeover begins the handover when the process is told to shut down. It returns false if there is no
 // successor or it was asked before.
 func (e *OldProcess) RequestTakeover(now time.Duration) bool {
 	if !e.hasSuccessor || e.requestedAt > 0 {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -164,7 +164,7 @@
 		(l.Number == "" || strings.HasPrefix(number, l.Number))
 }
 
-// Claim is what a router reports of one limit with a lease request.
+// Claim is what a router reports of one limit with a lease request, the ask in package fleet.
 type Claim struct {
 	Limit  string
 	Demand float64 // set-ups a second that arrived, or concurrent calls wanted
--- a/quota/rider.go
+++ b/quota/rider.go
@@ -13,8 +13,8 @@
 	"threadglade.example/threadglade/quota/quotapb"
 )
 
-// This file encodes claims and grants as payloads of lease messages, and connects the Allocator to the replicated
-// log.
+// This file encodes claims and grants as payloads of lease requests and their answers, and connects the Allocator to
+// the replicated log.
 
 // Prefixes of the keys of facts in the log.
 const (
@@ -24,8 +24,8 @@
 	ceilingKeyPrefix = fleet.LeaderKeyPrefix + "quota/"
 )
 
-// Rider connects the Allocator of a keeper to lease renewals and to the log. It implements fleet.Rider and is not
-// safe for concurrent use.
+// Rider connects the Allocator of a keeper to lease renewals and to the log. It implements fleet.LeaseExtension and is
+// not safe for concurrent use.
 type Rider struct {
 	Allocator        *Allocator
 	machine          func() *fleet.Machine
@@ -34,7 +34,7 @@
 	proposedVersions map[string]uint64 // by key: 1 + the version that the latest put expects
 }
 
-// NewRider returns the rider of a keeper. limits returns the limits in force; it is called when the keeper begins to
+// NewRider returns the Rider of a keeper. limits returns the limits in force; it is called when the keeper begins to
 // lead and when the log changes them.
 func NewRider(t fleet.Settings, machine func() *fleet.Machine, limits func() []Limit) *Rider {
 	return &Rider{
@@ -43,7 +43,8 @@
 	}
 }
 
-// Office implements fleet.Rider. The allocator starts a term with the ceilings and the live routers of the log.
+// StartTerm implements fleet.LeaseExtension. The allocator starts a term with the ceilings and the live routers of the
+// log.
 func (r *Rider) StartTerm(now time.Duration) {
 	live, ceilings := map[string]uint64{}, map[string][]Ceiling{}
 	for _, m := range r.machine().Members() {
@@ -61,23 +62,23 @@
 	r.pendingPuts, r.proposedVersions = nil, map[string]uint64{}
 }
 
-// Resign implements fleet.Rider. The allocator ends its term.
+// EndTerm implements fleet.LeaseExtension. The allocator ends its term.
 func (r *Rider) EndTerm() { r.Allocator.EndTerm() }
 
-// Over implements fleet.Rider. The lease of an incarnation has expired on every clock.
+// EndIncarnation implements fleet.LeaseExtension. The lease of an incarnation has expired on every clock.
 func (r *Rider) EndIncarnation(now time.Duration, name string, incarnation uint64) {
 	r.Allocator.EndIncarnation(now, name, incarnation)
 }
 
-// Applied implements fleet.Rider. It updates the limits when an operator's limit is committed.
+// HandleEntry implements fleet.LeaseExtension. It updates the limits when an operator's limit is committed.
 func (r *Rider) HandleEntry(_ time.Duration, e *fleetpb.Entry) {
 	if strings.HasPrefix(e.GetPut().GetKey(), OperatorKeyPrefix) {
 		r.Allocator.SetLimits(r.limits())
 	}
 }
 
-// Renewed implements fleet.Rider. It decodes the claims of a lease request and returns the encoded grants for the
-// answer, nil if there are no valid claims. Changed ceilings are queued for Puts.
+// HandleRenewal implements fleet.LeaseExtension. It decodes the claims of a lease request and returns the encoded
+// grants for the answer, nil if there are no valid claims. Changed ceilings are queued for TakePuts.
 func (r *Rider) HandleRenewal(now time.Duration, name string, incarnation, process, seq uint64, payload []byte) []byte {
 	var request quotapb.Claims
 	if payload == nil || proto.Unmarshal(payload, &request) != nil {
@@ -107,7 +108,7 @@
 	return encoded
 }
 
-// Puts implements fleet.Rider. It returns the queued writes of ceilings and empties the queue.
+// TakePuts implements fleet.LeaseExtension. It returns the queued writes of ceilings and empties the queue.
 func (r *Rider) TakePuts() []*fleetpb.Put {
 	puts := r.pendingPuts
 	r.pendingPuts = nil
@@ -120,7 +121,7 @@
 	maxReportedShares = 8 // of each limit, the largest
 )
 
-// Report implements fleet.Rider. It returns the encoded status of the limits. If there are more than
+// Report implements fleet.LeaseExtension. It returns the encoded status of the limits. If there are more than
 // maxReportedLimits, it contains those with the most demand.
 func (r *Rider) Report() []byte {
 	var report quotapb.Standings
--- a/takeover/holder.go
+++ b/takeover/holder.go
@@ -50,20 +50,20 @@
 	firstAt     time.Duration        // when the first of them arrived
 	calls       map[string]bool      // all calls taken over so far
 	incoming    map[string]callTable // replicas that are being received, by replica holder
-	reportedAt  time.Duration        // when the owner was last told which calls were taken
-	closed      bool                 // the owner was told: nothing more is taken, what remains belongs to it again
+	reportedAt  time.Duration        // when the owner was last notified which calls were taken
+	closed      bool                 // the owner was notified: nothing more is taken, what remains belongs to it again
 	settled     bool                 // the owner has dropped the taken calls from its ledger
 	pendingAcks                      // answered and dropped once the taken calls are replicated
 }
 
-// pendingAcks are the effects of a take-over that wait until the taken calls are replicated: acknowledgements to the
+// pendingAcks are the effects of a takeover that wait until the taken calls are replicated: acknowledgements to the
 // routers that handed replicas over, and this router's own replicas, which are kept until then.
 type pendingAcks struct {
 	replies []Send
 	own     []*replica
 }
 
-// mustReport reports whether the owner has yet to be told which calls were taken, once that is known.
+// mustReport reports whether the owner has yet to be notified which calls were taken, once that is known.
 func (t *takeoverState) mustReport() bool {
 	return !t.settled && len(t.replicas) == 0 && (t.number > 0 || len(t.calls) > 0)
 }
@@ -407,7 +407,7 @@
 	state.replies, state.own = nil, nil
 }
 
-// stateOf returns the take-over state of an incarnation, which it creates if there is none.
+// stateOf returns the takeover state of an incarnation, which it creates if there is none.
 func (h *ReplicaHolder) stateOf(key ownerKey) *takeoverState {
 	state := h.taken[key]
 	if state == nil {
@@ -451,7 +451,7 @@
 		}
 		state.calls[id] = true
 		h.takenCount++
-		for _, origin := range call.Origins { // earlier owners are told, too
+		for _, origin := range call.Origins { // earlier owners are notified, too
 			if earlier := h.stateOf(ownerKey{origin.Owner, origin.Incarnation}); !earlier.calls[id] &&
 				!earlier.closed {
 				earlier.calls[id] = true
@@ -470,7 +470,7 @@
 	}
 }
 
-// reportTaken tells an owner that is back which calls were taken from it.
+// reportTaken notifies an owner that is back which calls were taken from it.
 func (h *ReplicaHolder) reportTaken(key ownerKey, state *takeoverState) {
 	ids := slices.Sorted(maps.Keys(state.calls))
 	for first := true; first || len(ids) > 0; first = false {
@@ -631,7 +631,7 @@
 	return list
 }
 
-// HasReported reports whether the successor of an earlier incarnation of this router has told it which calls it took.
+// HasReported reports whether the successor of an earlier incarnation of this router has reported which calls it took.
 func (h *ReplicaHolder) HasReported(incarnation uint64) bool {
 	return h.reported[ownerKey{h.Name, incarnation}]
 }
--- a/takeover/owner.go
+++ b/takeover/owner.go
@@ -31,7 +31,7 @@
 	confirmed       uint64        // number of the latest record that it has confirmed
 	lastSent        time.Duration // when the latest frame was sent to it, 0 if none was
 	guaranteedUntil time.Duration // until then it does not hand its replica over
-	dropSent        bool          // it was told to drop its replica
+	dropSent        bool          // the request to drop its replica was sent to it
 }
 
 // Owner replicates this router's calls to its replica holders. It must be used by one goroutine at a time.
@@ -285,7 +285,7 @@
 
 // Evacuate gives up the established calls and returns the last frames of this incarnation, after which replica
 // holders need not wait for their guarantees to expire. Set-ups in flight continue under the next incarnation;
-// replica holders are told that they are over, so that nobody withdraws them.
+// replica holders are notified that they are over, so that no router withdraws them.
 func (o *Owner) Evacuate(now time.Duration) (sends []Send) {
 	pending, number := callTable{}, o.number
 	var over []Record
@@ -307,7 +307,7 @@
 	return sends
 }
 
-// AnnounceLeave returns frames that tell the replica holders that the router has stopped acting: they need not wait
+// AnnounceLeave returns frames that notify the replica holders that the router has stopped acting: they need not wait
 // for their guarantees to expire.
 func (o *Owner) AnnounceLeave(now time.Duration) (sends []Send) {
 	sends = o.Tick(now)
--- a/takeover/rules_test.go
+++ b/takeover/rules_test.go
@@ -125,7 +125,7 @@
 		_, more := h.Output()
 		return len(acts.Adopt) == 2 && fmt.Sprint(append(late.Drop, more.Drop...)) == "[b]"
 	},
-	"never-closed": func() bool { // the owner was told that a was taken, and owns b itself
+	"never-closed": func() bool { // the owner was notified that a was taken, and owns b itself
 		l := &fakeLog{over: true}
 		h := NewReplicaHolder(DefaultSettings(), "me", l)
 		sendPass(h, time.Second, "r2", 5, "a")
--- a/takeover/takeover.go
+++ b/takeover/takeover.go
@@ -22,12 +22,12 @@
 	maxHeldCalls      = 1 << 16 // in all replicas that one router holds
 	maxOwners         = 4096    // incarnations that one router holds replicas of
 	maxRememberedEnds = 1 << 16 // ends of unknown calls
-	maxTakenCalls     = 1 << 17 // taken calls of which the owners have yet to be told
+	maxTakenCalls     = 1 << 17 // taken calls of which the owners have yet to be notified
 	maxOrigins        = 4       // earlier owners of a call that are kept
 	maxSlots          = 1 << 20
 )
 
-// Settings are the parameters of replication and take-over. All routers of a fleet have to agree on them.
+// Settings are the parameters of replication and takeover. All routers of a fleet have to agree on them.
 type Settings struct {
 	Replicas       int             // number of routers that hold a replica
 	GuaranteeTTL   time.Duration   // V: how long a replica is not handed over, from before the guarantee was requested
--- a/takeover/takeover_test.go
+++ b/takeover/takeover_test.go
@@ -661,7 +661,7 @@
 }
 
 // TestZoneLost loses a whole zone, a third of all routers, at once while all have established calls. It guards
-// against take-overs that need longer than the lease and two seconds or go to few routers, and against calls that end
+// against takeovers that need longer than the lease and two seconds or go to few routers, and against calls that end
 // twice.
 func TestZoneLost(t *testing.T) {
 	routers, callsPerRouter := envInt("TAKEOVER_ROUTERS", 45), envInt("TAKEOVER_CALLS", 20)
--- a/trace/index.go
+++ b/trace/index.go
@@ -169,7 +169,7 @@
 	return set.ToArray()
 }
 
-// footer is the JSON form of an index at the end of a file; Sets holds serialised Roaring bitmaps.
+// footer is the JSON form of an index at the end of a file; Sets holds serialized Roaring bitmaps.
 type footer struct {
 	Blocks []BlockInfo                  `json:"blocks"`
 	Sets   map[string]map[string][]byte `json:"sets"`
--- a/trace/record.go
+++ b/trace/record.go
@@ -1,5 +1,5 @@
 // Package trace defines the trace of a router's decisions: records, their encoding in blocks of columns, the index of
-// blocks, and the tools that work on them, which select, merge (by estimated clocks), anonymise, summarise, export
+// blocks, and the tools that work on them, which select, merge (by estimated clocks), anonymize, summarize, export
 // and report records, explain a call, and diagnose a drop in service. It owns the formats of blocks and index. It
 // must never do I/O on its own, read a clock, start a goroutine, or trust a length that it reads. internal/traceio
 // reads and writes the files.
@@ -69,7 +69,7 @@
 // String returns the name that is written to JSON.
 func (t Text) String() string { return textNames[t] }
 
-// isPersonal reports whether a column holds personal data, which anonymising replaces.
+// isPersonal reports whether a column holds personal data, which anonymizing replaces.
 func (t Text) isPersonal() bool {
 	switch t {
 	case Call, Number, Identity, Caller:
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -43,8 +43,8 @@
 	ReportInterval time.Duration
 	// FlushInterval is the longest time until received records are forwarded.
 	FlushInterval time.Duration
-	// ProbeInterval is the time in which one router of the fleet sends a call to a condemned server, or twice as many
-	// routers as have had an answer since.
+	// ProbeInterval is the time in which one router of the fleet sends a call, as a probe, to a server that verdicts
+	// have the routers avoid. Once some routers have had an answer since, twice as many routers as those probe in it.
 	ProbeInterval time.Duration
 	// MaxClockDrift is the bound on the relative rate error of any clock in the fleet.
 	MaxClockDrift float64
--- a/verdict/verdict_test.go
+++ b/verdict/verdict_test.go
@@ -128,7 +128,7 @@
 	require.Equal(t, []string{"r1"}, v[0].Sources)
 }
 
-// TestAnswersInTransit guards against answers in transit that keep a failed server from being condemned: of three
+// TestAnswersInTransit guards against answers in transit that keep a failed server from being avoided: of three
 // routers that miss answers, two had one a few milliseconds after the onset, to an attempt sent before. Answers that
 // other routers get later count against the verdict.
 func TestAnswersInTransit(t *testing.T) {
--- a/verdict/watch.go
+++ b/verdict/watch.go
@@ -20,7 +20,7 @@
 	maxResponseTimeout = 2 * time.Second
 	// maxSlots bounds the pending requests that are watched.
 	maxSlots = 1 << 20
-	// probeTimeout is how long a router whose turn it is to probe a condemned server waits for a call to probe with.
+	// probeTimeout is how long a router whose turn it is to probe an avoided server waits for a call to probe with.
 	probeTimeout = time.Second
 	// minCallProbability is the assumed minimum of the probability that a router has a call for the server within
 	// probeTimeout.
@@ -65,7 +65,7 @@
 	returnAt    time.Duration // when this router uses the recovered server again; 0: not drawn
 	avoidUntil  time.Duration // end of the latest Avoidance returned
 	phase       time.Duration // offset in slowCycle, so that servers and routers differ
-	drawnAt     time.Duration // when the probe was last drawn for; 0: not since it was condemned
+	drawnAt     time.Duration // when the probe was last drawn for; 0: not since the server became avoided
 }
 
 // attempt is a pending set-up request to a server.
@@ -93,7 +93,7 @@
 // WatchCounts counts the decisions of a Watch.
 type WatchCounts struct {
 	Cares       uint64 // servers avoided, and renewals
-	Trials      uint64 // probes of condemned servers
+	Trials      uint64 // probes of avoided servers
 	Returns     uint64 // servers used again
 	Disregarded uint64 // verdicts disregarded because more than the permitted share of a class was affected
 }
@@ -448,7 +448,7 @@
 	if v.Kind == Held {
 		return min(v.Until, now+avoidTTL), false
 	}
-	// The server is condemned: one router of the fleet probes it in each ProbeInterval, or twice as many routers as
+	// The server is to be avoided: one router of the fleet probes it in each ProbeInterval, or twice as many routers as
 	// have had an answer since.
 	if s.probing {
 		return now + avoidTTL, false
@@ -473,7 +473,7 @@
 	return now + avoidTTL, false
 }
 
-// probeProbability returns the probability with which this router probes a condemned server within a span, such that
+// probeProbability returns the probability with which this router probes an avoided server within a span, such that
 // all routers together probe at the intended rate: once in each ProbeInterval at first, up to maxProbeBackoff times
 // more rarely while a server stays gone. Once some routers have had answers since, twice their number of routers probe
 // in each ProbeInterval.
