--- a/cmd/threadglade/explore.go
+++ b/cmd/threadglade/explore.go
@@ -37,9 +37,9 @@
 	root.Flags().BoolVar(&coarse, "coarse", false,
 		"let events come only where time has brought something about, or 0.1 s has gone by: far fewer states")
 	root.Flags().IntVar(&limits.Workers, "workers", 0, "states worked on at once; 0: as many as there are processors")
-	root.Flags().Int64Var(&limits.States, "states", 1_000_000,
+	root.Flags().Int64Var(&limits.MaxStates, "states", 1_000_000,
 		"end after so many distinct states, which bounds the memory to some 8 kB each; 0: no bound")
-	root.Flags().DurationVar(&limits.Time, "time", 10*time.Minute, "end after about this time; 0: no bound")
+	root.Flags().DurationVar(&limits.MaxDuration, "time", 10*time.Minute, "end after about this time; 0: no bound")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
 	root.RunE = func(cmd *cobra.Command, _ []string) error {
 		if list {
@@ -47,7 +47,7 @@
 				map[string]any{"worlds": explore.Worlds(), "properties": explore.Properties, "mutants": mutants},
 				printWorlds)
 		}
-		w, err := explore.Find(world)
+		w, err := explore.FindWorld(world)
 		if err != nil {
 			return usageError(fmt.Errorf("%w: %q; see --list", err, world))
 		}
@@ -65,11 +65,11 @@
 				*n.target = n.value
 			}
 		}
-		w.Coarse = w.Coarse || coarse
+		w.CoarseTime = w.CoarseTime || coarse
 		switch draw {
 		case "least":
 		case "most":
-			w.Draw = ^uint64(0)
+			w.RandomValue = ^uint64(0)
 		default:
 			return usageError(fmt.Errorf("--draw: %q is neither least nor most", draw))
 		}
@@ -89,7 +89,7 @@
 			return err
 		}
 		switch {
-		case res.Broken != "":
+		case res.Violation != "":
 			return exitError{exitFinding, errors.New("a property does not hold")}
 		case !res.Complete:
 			return exitError{exitFinding, errors.New("a bound was reached before all states were")}
@@ -104,7 +104,7 @@
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "world\tcalls\tservers\tattempts\t")
 	for _, w := range explore.Worlds() {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%s\n", w.Name, w.Calls, w.Servers, w.Attempts, w.About)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%s\n", w.Name, w.Calls, w.Servers, w.Attempts, w.Description)
 	}
 	t.Flush()
 	fmt.Fprintln(out, "\nproperties")
@@ -123,10 +123,10 @@
 func printResult(out io.Writer, r explore.Result) {
 	fmt.Fprintf(out, "world %s: %d distinct states, %d transitions, %d ends, depth %d, at most %d at one depth, %v, %.0f transitions a second\n",
 		r.World, r.Distinct,
-		r.Transitions, r.Ends, r.Depth, r.Widest, r.Took.Round(time.Millisecond),
-		float64(r.Transitions)/r.Took.Seconds())
-	if r.Broken != "" {
-		fmt.Fprintln(out, "broken:", r.Broken)
+		r.Transitions, r.FinalStates, r.Depth, r.MaxWidth, r.Duration.Round(time.Millisecond),
+		float64(r.Transitions)/r.Duration.Seconds())
+	if r.Violation != "" {
+		fmt.Fprintln(out, "broken:", r.Violation)
 		for i, what := range r.Path {
 			fmt.Fprintf(out, "  %2d %s\n", i+1, what)
 		}
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -13,14 +13,14 @@
 )
 
 // ErrUnknownWorld reports that no world has the given name.
-var ErrUnknown = errors.New("explore: no such world")
+var ErrUnknownWorld = errors.New("explore: no such world")
 
 // Limits bounds an exploration. Zero means no bound.
 type Limits struct {
 	Workers int // zero means GOMAXPROCS
 	// Distinct states. This bounds memory as well: a state on the frontier takes about 8 kB.
-	States int64
-	Time   time.Duration
+	MaxStates   int64
+	MaxDuration time.Duration
 }
 
 // Result reports what an exploration found.
@@ -28,12 +28,12 @@
 	World       string        `json:"world"`
 	Transitions int64         `json:"transitions"` // events applied
 	Distinct    int64         `json:"distinct"`    // distinct states by canonical form
-	Ends        int64         `json:"ends"`        // distinct states without successors
+	FinalStates int64         `json:"ends"`        // distinct states without successors
 	Depth       int           `json:"depth"`       // greatest distance of a state from the initial one, in events
-	Widest      int           `json:"widest"`      // most states at one depth
+	MaxWidth    int           `json:"widest"`      // most states at one depth
 	Complete    bool          `json:"complete"`    // no bound was reached and no property was violated
-	Took        time.Duration `json:"took_ns"`
-	Broken      string        `json:"broken,omitempty"` // the violated property, with details
+	Duration    time.Duration `json:"took_ns"`
+	Violation   string        `json:"broken,omitempty"` // the violated property, with details
 	Path        []string      `json:"path,omitempty"`   // a shortest sequence of events that leads to the violation
 }
 
@@ -79,8 +79,8 @@
 	frontier := []node{{initial, nil}}
 	shared := &sharedSearch{limits: limits, start: start, seen: seen}
 	shared.distinctStates.Store(1)
-	for len(frontier) > 0 && result.Broken == "" && !shared.limitReached.Load() {
-		result.Widest = max(result.Widest, len(frontier))
+	for len(frontier) > 0 && result.Violation == "" && !shared.limitReached.Load() {
+		result.MaxWidth = max(result.MaxWidth, len(frontier))
 		workers := make([]worker, limits.Workers)
 		var nextIndex atomic.Int64
 		var wait sync.WaitGroup
@@ -95,12 +95,12 @@
 				return result, worker.err
 			}
 			result.Transitions += worker.transitions
-			result.Ends += worker.finalStates
+			result.FinalStates += worker.finalStates
 			frontier = append(frontier, worker.discovered...)
 			// Of several violations at one depth, report the one with the smallest path, independently of scheduling.
-			if worker.violation != "" && (result.Broken == "" ||
+			if worker.violation != "" && (result.Violation == "" ||
 				strings.Join(worker.path, "\n") < strings.Join(result.Path, "\n")) {
-				result.Broken, result.Path = worker.violation, worker.path
+				result.Violation, result.Path = worker.violation, worker.path
 			}
 		}
 		result.Distinct += int64(len(frontier))
@@ -108,7 +108,7 @@
 			result.Depth++
 		}
 	}
-	result.Complete, result.Took = result.Broken == "" && !shared.limitReached.Load(), time.Since(start)
+	result.Complete, result.Duration = result.Violation == "" && !shared.limitReached.Load(), time.Since(start)
 	return result, nil
 }
 
@@ -136,8 +136,8 @@
 // expandFrontier claims batches of the frontier and expands them until none is left or a bound is reached.
 func (p *worker) expandFrontier(shared *sharedSearch, frontier []node, nextIndex *atomic.Int64) {
 	for p.err == nil && !shared.limitReached.Load() {
-		if shared.limits.States > 0 && shared.distinctStates.Load() >= shared.limits.States ||
-			shared.limits.Time > 0 && time.Since(shared.start) > shared.limits.Time {
+		if shared.limits.MaxStates > 0 && shared.distinctStates.Load() >= shared.limits.MaxStates ||
+			shared.limits.MaxDuration > 0 && time.Since(shared.start) > shared.limits.MaxDuration {
 			shared.limitReached.Store(true)
 			return
 		}
@@ -183,11 +183,11 @@
 }
 
 // FindWorld returns the world with the given name, or ErrUnknownWorld.
-func Find(name string) (World, error) {
+func FindWorld(name string) (World, error) {
 	for _, w := range Worlds() {
 		if w.Name == name {
 			return w, nil
 		}
 	}
-	return World{}, ErrUnknown
+	return World{}, ErrUnknownWorld
 }
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -21,7 +21,7 @@
 }
 
 func findWorld(t *testing.T, name string) World {
-	w, err := Find(name)
+	w, err := FindWorld(name)
 	require.NoError(t, err)
 	return w
 }
@@ -35,17 +35,17 @@
 			w.Calls, w.Attempts = 1, 2
 			one, err := Run(w, Limits{Workers: 1})
 			require.NoError(t, err)
-			require.Empty(t, one.Broken, strings.Join(one.Path, "\n"))
+			require.Empty(t, one.Violation, strings.Join(one.Path, "\n"))
 			require.True(t, one.Complete)
 			four, err := Run(w, Limits{Workers: 4})
 			require.NoError(t, err)
-			one.Took, four.Took = 0, 0
+			one.Duration, four.Duration = 0, 0
 			require.Greater(t, one.Distinct, int64(100))
 			require.Equal(t, one, four)
-			w.Draw = ^uint64(0)
+			w.RandomValue = ^uint64(0)
 			other, err := Run(w, Limits{})
 			require.NoError(t, err)
-			require.Empty(t, other.Broken, strings.Join(other.Path, "\n"))
+			require.Empty(t, other.Violation, strings.Join(other.Path, "\n"))
 		})
 	}
 }
@@ -55,18 +55,18 @@
 func TestStricterRulesAreViolated(t *testing.T) {
 	for _, c := range []struct {
 		world, want string
-		rules       Rules
+		rules       Requirements
 		steps       int
 	}{
-		{"drain", "the wait before a resend", Rules{ReleaseWait: releaseWait + time.Millisecond}, 4},
-		{"drain", "attempts are bounded", Rules{Attempts: 1}, 3},
-		{"small", "an answer in time", Rules{Late: -time.Millisecond}, 0},
+		{"drain", "the wait before a resend", Requirements{ReleaseWait: releaseWait + time.Millisecond}, 4},
+		{"drain", "attempts are bounded", Requirements{Attempts: 1}, 3},
+		{"small", "an answer in time", Requirements{AnswerGrace: -time.Millisecond}, 0},
 	} {
 		w := findWorld(t, c.world)
-		w.Calls, w.Rules = 1, c.rules
+		w.Calls, w.Requirements = 1, c.rules
 		res, err := Run(w, Limits{})
 		require.NoError(t, err)
-		require.True(t, strings.HasPrefix(res.Broken, c.want), "%s: %q", c.want, res.Broken)
+		require.True(t, strings.HasPrefix(res.Violation, c.want), "%s: %q", c.want, res.Violation)
 		if c.steps > 0 {
 			require.LessOrEqual(t, len(res.Path), c.steps, strings.Join(res.Path, "\n"))
 		}
@@ -111,22 +111,22 @@
 
 // TestBounds checks that a bound ends an exploration and that the result is then marked incomplete.
 func TestBounds(t *testing.T) {
-	res, err := Run(findWorld(t, "small"), Limits{States: 2000})
+	res, err := Run(findWorld(t, "small"), Limits{MaxStates: 2000})
 	require.NoError(t, err)
 	require.False(t, res.Complete)
-	require.Empty(t, res.Broken)
+	require.Empty(t, res.Violation)
 	require.Less(t, res.Distinct, int64(20_000))
-	_, err = Find("nowhere")
-	require.ErrorIs(t, err, ErrUnknown)
+	_, err = FindWorld("nowhere")
+	require.ErrorIs(t, err, ErrUnknownWorld)
 }
 
 // TestTwoCalls explores two calls completely, with coarse time.
 func TestTwoCalls(t *testing.T) {
 	w := findWorld(t, "cold")
-	w.Coarse = true
+	w.CoarseTime = true
 	res, err := Run(w, Limits{})
 	require.NoError(t, err)
-	require.Empty(t, res.Broken, strings.Join(res.Path, "\n"))
+	require.Empty(t, res.Violation, strings.Join(res.Path, "\n"))
 	require.True(t, res.Complete)
 	require.Greater(t, res.Distinct, int64(10_000))
 }
@@ -135,7 +135,7 @@
 // omitted part of the state would hide orders of events from the search.
 func TestEqualFormsBehaveAlike(t *testing.T) {
 	for _, w := range Worlds() {
-		w.Coarse = true
+		w.CoarseTime = true
 		first, err := newModel(&w)
 		require.NoError(t, err)
 		seen := map[string]node{string(first.appendState(nil)): {first, nil}}
--- a/internal/explore/model.go
+++ b/internal/explore/model.go
@@ -17,25 +17,25 @@
 // World describes what an exploration allows: the numbers of calls, servers and attempts, and the events that
 // callers, servers and the server list may cause.
 type World struct {
-	Name     string
-	About    string `json:"About"`
-	Calls    int
-	Servers  int
-	Attempts int  // per call, as the settings allow
-	Leave    bool `json:"Leave"`   // callers may cancel requests
-	Release  bool `json:"Release"` // callers may release established calls
+	Name           string
+	Description    string `json:"About"`
+	Calls          int
+	Servers        int
+	Attempts       int  // per call, as the settings allow
+	CallersCancel  bool `json:"Leave"`   // callers may cancel requests
+	CallersRelease bool `json:"Release"` // callers may release established calls
 	// Servers may answer or end attempts that are over, and release calls that are not established.
-	Stale bool `json:"Stale"`
-	Lists int  `json:"Lists"` // changes of the server list: drains, removals, restarts and returns
+	StaleMessages bool `json:"Stale"`
+	ListChanges   int  `json:"Lists"` // changes of the server list: drains, removals, restarts and returns
 	// A step of time serves all timers until one has an effect, for at most 100 ms. This reduces the number of states.
-	Coarse   bool `json:"Coarse"`
-	Lates    int  `json:"Lates"`    // timers that may be served 3 ms late
-	Idles    int  `json:"Idles"`    // periods of 1.1 s that may pass without an active call
-	Cold     bool `json:"Cold"`     // the servers have just started
-	Unlisted int  `json:"Unlisted"` // servers that are missing from the first server list
-	Endings  []Ending
-	Draw     uint64 `json:"Draw"` // the result of every random draw: 0 is the least, ^0 the greatest
-	Rules    Rules  `json:"Rules"`
+	CoarseTime      bool `json:"Coarse"`
+	LateTimers      int  `json:"Lates"`    // timers that may be served 3 ms late
+	IdlePeriods     int  `json:"Idles"`    // periods of 1.1 s that may pass without an active call
+	ColdServers     bool `json:"Cold"`     // the servers have just started
+	UnlistedServers int  `json:"Unlisted"` // servers that are missing from the first server list
+	Endings         []Ending
+	RandomValue     uint64       `json:"Draw"` // the result of every random draw: 0 is the least, ^0 the greatest
+	Requirements    Requirements `json:"Rules"`
 }
 
 // Ending is one way in which a set-up may end without an answer.
@@ -46,11 +46,11 @@
 
 // Requirements are the values that the properties require of the router. Zero stands for the value of its settings;
 // tests set stricter values to see a property violated.
-type Rules struct {
+type Requirements struct {
 	ReleaseWait time.Duration // between an attempt that may still hold resources and the next one
 	DrainGrace  time.Duration // after the notice of a drain
 	Attempts    int
-	Late        time.Duration `json:"Late"` // how long after its deadline a request may be answered
+	AnswerGrace time.Duration `json:"Late"` // how long after its deadline a request may be answered
 }
 
 var allEndings = []Ending{{threadglade.Rejected, threadglade.CauseProcessorFull},
@@ -62,17 +62,17 @@
 func Worlds() []World {
 	someEndings := []Ending{allEndings[0], allEndings[4], allEndings[5]}
 	return []World{
-		{Name: "drain", About: "a list that drains, removes and restarts servers while calls are out", Calls: 2,
-			Servers: 2, Attempts: 3, Lists: 1, Idles: 1, Lates: 1, Endings: someEndings},
-		{Name: "small", About: "every way in which a set-up may end", Calls: 2, Servers: 2, Attempts: 2, Lates: 1,
+		{Name: "drain", Description: "a list that drains, removes and restarts servers while calls are out", Calls: 2,
+			Servers: 2, Attempts: 3, ListChanges: 1, IdlePeriods: 1, LateTimers: 1, Endings: someEndings},
+		{Name: "small", Description: "every way in which a set-up may end", Calls: 2, Servers: 2, Attempts: 2, LateTimers: 1,
 			Endings: allEndings},
-		{Name: "cancel", About: "callers that leave and release, servers that answer late and twice", Calls: 2,
-			Servers: 2, Attempts: 2, Leave: true, Release: true, Stale: true,
-			Lates: 1, Endings: someEndings},
-		{Name: "list", About: "a server that the list names only later, or never", Calls: 2, Servers: 2,
-			Attempts: 3, Unlisted: 1, Lists: 1, Lates: 1, Endings: someEndings},
-		{Name: "cold", About: "servers that have just started", Calls: 2, Servers: 2, Attempts: 2, Cold: true,
-			Lists: 1, Lates: 1, Endings: someEndings},
+		{Name: "cancel", Description: "callers that leave and release, servers that answer late and twice", Calls: 2,
+			Servers: 2, Attempts: 2, CallersCancel: true, CallersRelease: true, StaleMessages: true,
+			LateTimers: 1, Endings: someEndings},
+		{Name: "list", Description: "a server that the list names only later, or never", Calls: 2, Servers: 2,
+			Attempts: 3, UnlistedServers: 1, ListChanges: 1, LateTimers: 1, Endings: someEndings},
+		{Name: "cold", Description: "servers that have just started", Calls: 2, Servers: 2, Attempts: 2, ColdServers: true,
+			ListChanges: 1, LateTimers: 1, Endings: someEndings},
 	}
 }
 
@@ -103,8 +103,8 @@
 }
 
 // rules returns the requirements with defaults filled in.
-func (w *World) rules() Rules {
-	r := w.Rules
+func (w *World) rules() Requirements {
+	r := w.Requirements
 	if r.ReleaseWait == 0 {
 		r.ReleaseWait = releaseWait
 	}
@@ -114,8 +114,8 @@
 	if r.Attempts == 0 {
 		r.Attempts = w.Attempts
 	}
-	if r.Late == 0 {
-		r.Late = answerGrace
+	if r.AnswerGrace == 0 {
+		r.AnswerGrace = answerGrace
 	}
 	return r
 }
@@ -155,7 +155,7 @@
 // model is one state of a world.
 type model struct {
 	world           *World
-	rules           Rules
+	rules           Requirements
 	now             time.Duration
 	router          *router.Router
 	calls           []call
@@ -174,17 +174,17 @@
 // newModel returns the initial state of a world.
 func newModel(w *World) (*model, error) {
 	m := &model{world: w, rules: w.rules(), now: startTime, calls: make([]call, w.Calls),
-		servers: make([]caseServer, w.Servers), listChangesLeft: w.Lists, lateTimersLeft: w.Lates,
-		idlePeriodsLeft: w.Idles}
+		servers: make([]caseServer, w.Servers), listChangesLeft: w.ListChanges, lateTimersLeft: w.LateTimers,
+		idlePeriodsLeft: w.IdlePeriods}
 	r, err := router.New(m.config(w.settings()))
 	if err != nil {
 		return nil, err
 	}
 	m.router = r
-	r.SetRandomSource(constantSource(w.Draw))
+	r.SetRandomSource(constantSource(w.RandomValue))
 	for i := range m.servers {
-		m.servers[i].listed = i < w.Servers-w.Unlisted
-		if w.Cold {
+		m.servers[i].listed = i < w.Servers-w.UnlistedServers
+		if w.ColdServers {
 			m.servers[i].started = startTime - time.Second
 		}
 	}
@@ -300,7 +300,7 @@
 	switch {
 	case c.phase != waiting:
 		m.reportViolation("one final answer: %s is %s as well", id, how)
-	case m.now > c.deadline+m.rules.Late:
+	case m.now > c.deadline+m.rules.AnswerGrace:
 		m.reportViolation("an answer in time: %s is %s %v after its deadline", id, how, m.now-c.deadline)
 	}
 	return c
@@ -372,7 +372,7 @@
 		case c.phase == waiting || c.phase == established:
 			active = true
 		}
-		if c.phase == waiting && m.world.Leave {
+		if c.phase == waiting && m.world.CallersCancel {
 			add(func(m *model) {
 				m.calls[i].phase = cancelled
 				m.router.Cancel((*front)(m), id)
@@ -399,16 +399,16 @@
 			add(func(m *model) {
 				m.router.Ended(id, c.attemptIndex, threadglade.Concluded, 0)
 			}, "s%d releases call %d", c.attemptServer, i)
-			if m.world.Release {
+			if m.world.CallersRelease {
 				add(func(m *model) { m.router.Release(id) }, "caller %d releases", i)
 			}
 		}
-		if m.world.Stale && c.pendingAt > 0 && c.attemptIndex > 0 {
+		if m.world.StaleMessages && c.pendingAt > 0 && c.attemptIndex > 0 {
 			add(func(m *model) {
 				m.router.Ended(id, c.attemptIndex-1, threadglade.Cut, 0)
 			}, "s%d ends the attempt of call %d before the present one again", c.attemptServer, i)
 		}
-		if m.world.Stale && c.sends > 0 && c.pendingAt == 0 {
+		if m.world.StaleMessages && c.sends > 0 && c.pendingAt == 0 {
 			add(func(m *model) { m.router.Answered(id, c.attemptIndex, nil) }, "s%d answers call %d again",
 				c.attemptServer, i)
 			if c.phase != established {
@@ -457,7 +457,7 @@
 			m.now = max(m.now, at)
 			m.router.Tick()
 			// With coarse time, serve the timers of the next 100 ms as well, until one has an effect.
-			for from, was := m.now, m.router.Counters(); m.world.Coarse && m.violation == "" &&
+			for from, was := m.now, m.router.Counters(); m.world.CoarseTime && m.violation == "" &&
 				m.now < from+coarseInterval; {
 				next, ok := m.router.NextActiveTimer()
 				have := m.router.Counters()
@@ -485,7 +485,7 @@
 // possible.
 func (m *model) finished() bool {
 	for i := range m.calls {
-		if c := &m.calls[i]; m.world.Stale || c.pendingAt > 0 || c.phase == notArrived || c.phase == waiting ||
+		if c := &m.calls[i]; m.world.StaleMessages || c.pendingAt > 0 || c.phase == notArrived || c.phase == waiting ||
 			c.phase == established {
 			return false
 		}
@@ -508,7 +508,7 @@
 			continue
 		}
 		unanswered++
-		if m.now > c.deadline+m.rules.Late {
+		if m.now > c.deadline+m.rules.AnswerGrace {
 			m.reportViolation("an answer in time: %s has none %v after its deadline", callID(i), m.now-c.deadline)
 		}
 		if at, ok := m.router.NextActiveTimer(); !ok || at > c.deadline+answerGrace {
@@ -537,7 +537,7 @@
 	}
 	for _, c := range m.calls {
 		b = append(b, byte(c.phase))
-		if !m.world.Stale && c.pendingAt == 0 && c.phase > established {
+		if !m.world.StaleMessages && c.pendingAt == 0 && c.phase > established {
 			continue // the call is over and no late message about it is possible
 		}
 		b = append(b, byte(c.sends), byte(c.pendingAt), byte(c.attemptIndex), byte(c.attemptServer))
--- a/internal/explore/mutant_test.go
+++ b/internal/explore/mutant_test.go
@@ -52,14 +52,14 @@
 				w.Calls = 2
 			}
 			w.Attempts = 2
-			r, err := Run(w, Limits{States: 300_000})
+			r, err := Run(w, Limits{MaxStates: 300_000})
 			require.NoError(t, err)
-			if r.Broken != "" && (res.Broken == "" || len(r.Path) < len(res.Path)) {
+			if r.Violation != "" && (res.Violation == "" || len(r.Path) < len(res.Path)) {
 				res = r
 			}
 		}
-		t.Logf("%-15s %-8s %2d steps  %s", name, res.World, len(res.Path), res.Broken)
-		assert.NotEmpty(t, res.Broken, "%s: nothing finds it", name)
-		assert.True(t, strings.HasPrefix(res.Broken, found[name]), "%s: %s", name, res.Broken)
+		t.Logf("%-15s %-8s %2d steps  %s", name, res.World, len(res.Path), res.Violation)
+		assert.NotEmpty(t, res.Violation, "%s: nothing finds it", name)
+		assert.True(t, strings.HasPrefix(res.Violation, found[name]), "%s: %s", name, res.Violation)
 	}
 }
--- a/internal/fleetsim/calls.go
+++ b/internal/fleetsim/calls.go
@@ -19,65 +19,65 @@
 // verdict watches and tables, and limiters are the code that ships.
 
 // CallConfig describes the callers and case servers of a simulation.
-type Calls struct {
-	Servers  int
-	Zones    int
-	Rate     float64       // set-ups per second at a router
-	Serve    time.Duration // processing time of a set-up; each case server processes one at a time
-	Stand    time.Duration // mean duration of an established call
-	Agents   int           // per server
-	Redials  int           // how often a refused caller tries again, marked as a retry, within 1 s each
-	Alone    bool          // verdicts are not shared; for comparison in the same world
-	Proxies  int           // number of proxies in each router's settings; 0: the number of members
-	Rates    []RateAt
-	Bad      []Bad
-	Liars    int              // the first so many routers report the opposite of what they observe
-	LinkLoss float64          // share of frames between neighbours that are lost together with their link
-	LinkWait time.Duration    // greatest additional delay of frames between neighbours
-	Terms    verdict.Settings // zero: the defaults
+type CallConfig struct {
+	Servers      int
+	Zones        int
+	Rate         float64       // set-ups per second at a router
+	ServiceTime  time.Duration // processing time of a set-up; each case server processes one at a time
+	MeanHoldTime time.Duration // mean duration of an established call
+	Agents       int           // per server
+	MaxRedials   int           // how often a refused caller tries again, marked as a retry, within 1 s each
+	NoSharing    bool          // verdicts are not shared; for comparison in the same world
+	Proxies      int           // number of proxies in each router's settings; 0: the number of members
+	RateChanges  []RateChange
+	Faults       []ServerFault
+	LyingRouters int              // the first so many routers report the opposite of what they observe
+	LinkLoss     float64          // share of frames between neighbours that are lost together with their link
+	MaxLinkDelay time.Duration    // greatest additional delay of frames between neighbours
+	Settings     verdict.Settings // zero: the defaults
 }
 
 // RateChange multiplies the rate of set-ups by a factor from a time on.
-type RateAt struct {
+type RateChange struct {
 	At     time.Duration
 	Factor float64
 }
 
 // ServerFault is a fault of one case server.
-type Bad struct {
-	At, For time.Duration
-	Server  int
-	How     string  // hang, slow, flap, replace
-	By      float64 // for slow: factor of the processing time
-	Zone    string  // only routers of this zone are affected; empty: all
-	Router  int     // only this router is affected, counted from 1; 0: all
+type ServerFault struct {
+	At, Duration time.Duration
+	Server       int
+	Kind         string  // hang, slow, flap, replace
+	SlowFactor   float64 // for slow: factor of the processing time
+	Zone         string  // only routers of this zone are affected; empty: all
+	Router       int     // only this router is affected, counted from 1; 0: all
 }
 
 // CallResults reports what became of the calls.
-type Called struct {
-	Offered  int
-	InTime   int
-	Late     int
-	Refused  int
-	Failed   int
-	Firsts   []int // first tries by second
-	FirstsIn []int // first tries that were established in time, by second
-	Wasted   int   // set-ups that a faulty server never answered
+type CallResults struct {
+	Offered          int
+	InTime           int
+	Late             int
+	Refused          int
+	Failed           int
+	FirstTries       []int // first tries by second
+	FirstTriesInTime []int // first tries that were established in time, by second
+	Wasted           int   // set-ups that a faulty server never answered
 	// For each fault: from its beginning to the last set-up that was wasted on the server.
-	Last []time.Duration
+	LastWasted []time.Duration
 	// For each fault: from its end until the server got half of its share of set-ups again.
-	Again     []time.Duration
-	Sent      [][]int         // set-ups that reached each server, by 100 ms
-	Wrong     time.Duration   // time for which routers avoided healthy servers, summed over routers and servers
-	WrongMost time.Duration   // longest time for which one router avoided a healthy server
-	Watched   time.Duration   // observed time, summed over routers and servers
-	Ages      []time.Duration // from the report of evidence to its arrival at another router
-	Over      time.Duration   // greatest amount by which evidence was assumed to be younger than it was
-	Lifts     []int           // avoidances that routers lifted early, by 100 ms
+	Recoveries        []time.Duration
+	SentByServer      [][]int         // set-ups that reached each server, by 100 ms
+	WrongAvoidance    time.Duration   // time for which routers avoided healthy servers, summed over routers and servers
+	MaxWrongAvoidance time.Duration   // longest time for which one router avoided a healthy server
+	ObservedTime      time.Duration   // observed time, summed over routers and servers
+	EvidenceDelays    []time.Duration // from the report of evidence to its arrival at another router
+	MaxAgeError       time.Duration   // greatest amount by which evidence was assumed to be younger than it was
+	LiftedAvoidances  []int           // avoidances that routers lifted early, by 100 ms
 	// Frames of evidence between routers, and their bytes.
 	Frames, FrameBytes uint64
-	Cold               float64 // greatest excess of set-ups at a cold server over its rule
-	ColdSent           int     // set-ups sent to cold servers
+	MaxColdExcess      float64 // greatest excess of set-ups at a cold server over its rule
+	SentToCold         int     // set-ups sent to cold servers
 }
 
 // caseServer is a simulated case server.
@@ -128,15 +128,15 @@
 func (w *world) wallClock() time.Duration { return wallClockBase + w.now }
 
 // activeFault returns the fault of a server that affects a router now, or nil.
-func (w *world) activeFault(server *caseServer, r *routerSim) (found *Bad) {
-	for i := range w.cfg.Calls.Bad {
-		fault := &w.cfg.Calls.Bad[i]
-		if fault.Server != server.number || fault.How == "replace" || w.now < fault.At ||
-			w.now >= fault.At+fault.For || fault.Zone != "" && (r == nil || r.zone != fault.Zone) ||
+func (w *world) activeFault(server *caseServer, r *routerSim) (found *ServerFault) {
+	for i := range w.cfg.Calls.Faults {
+		fault := &w.cfg.Calls.Faults[i]
+		if fault.Server != server.number || fault.Kind == "replace" || w.now < fault.At ||
+			w.now >= fault.At+fault.Duration || fault.Zone != "" && (r == nil || r.zone != fault.Zone) ||
 			fault.Router != 0 && (r == nil || r.index != fault.Router-1) {
 			continue
 		}
-		if fault.How == "flap" && int((w.now-fault.At)/time.Second)%2 == 1 {
+		if fault.Kind == "flap" && int((w.now-fault.At)/time.Second)%2 == 1 {
 			continue
 		}
 		return fault
@@ -149,7 +149,7 @@
 	calls := w.cfg.Calls
 	r := &routerSim{w: w, p: p, index: index, zone: fmt.Sprintf("z%d", index%max(calls.Zones, 1)),
 		pending: map[string]*callerRequest{}, avoidedUntil: map[string]time.Duration{},
-		wronglyAvoidedSince: map[string]time.Duration{}, linkedTo: map[string]bool{}, liar: index < calls.Liars}
+		wronglyAvoidedSince: map[string]time.Duration{}, linkedTo: map[string]bool{}, liar: index < calls.LyingRouters}
 	p.routerSim = r
 	if p.member != nil {
 		p.member.Zone, p.member.Address = r.zone, "sim"
@@ -164,7 +164,7 @@
 			WarmUpTime: 10 * time.Second, CollapseMultiple: 2, CollapseWindow: time.Second},
 		Callers: threadglade.Callers{MarkRetries: true},
 		Classes: []threadglade.Class{{Name: "x", Aim: time.Second, Deadline: 10 * time.Second,
-			HoldingTime: calls.Stand, Worth: 1, LateFactor: 0.5}}}
+			HoldingTime: calls.MeanHoldTime, Worth: 1, LateFactor: 0.5}}}
 	for i := range calls.Servers {
 		settings.Classes[0].Servers = append(settings.Classes[0].Servers, i)
 	}
@@ -175,11 +175,11 @@
 		w.reportViolation("router: %v", err)
 		return
 	}
-	verdictSettings := calls.Terms
+	verdictSettings := calls.Settings
 	if verdictSettings.Quorum == 0 {
 		verdictSettings = verdict.DefaultSettings()
 	}
-	if !calls.Alone {
+	if !calls.NoSharing {
 		r.watch = verdict.NewWatch(verdictSettings, r.zone, w.random.Uint64())
 		r.table = verdict.NewTable(verdictSettings, p.name)
 		r.table.SetIncarnation(uint64(p.generation)<<16 + 1)
@@ -238,7 +238,7 @@
 // scheduleCall schedules the next first try at a router.
 func (w *world) scheduleCall(r *routerSim) {
 	rate := w.cfg.Calls.Rate
-	for _, change := range w.cfg.Calls.Rates {
+	for _, change := range w.cfg.Calls.RateChanges {
 		if w.now >= change.At {
 			rate = w.cfg.Calls.Rate * change.Factor
 		}
@@ -251,13 +251,13 @@
 
 // placeCall makes one try of a caller.
 func (w *world) placeCall(r *routerSim, request *callerRequest) {
-	results := &w.result.Called
+	results := &w.result.Calls
 	results.Offered++
 	if request.redials == 0 {
 		at := int(request.firstTryAt / time.Second)
-		results.Firsts, results.FirstsIn = extendTo(results.Firsts, at),
-			extendTo(results.FirstsIn, at)
-		results.Firsts[at]++
+		results.FirstTries, results.FirstTriesInTime = extendTo(results.FirstTries, at),
+			extendTo(results.FirstTriesInTime, at)
+		results.FirstTries[at]++
 	}
 	r.lastCallID++
 	id := r.p.name + "-" + strconv.Itoa(r.p.generation) + "-" + strconv.FormatUint(r.lastCallID, 10)
@@ -343,7 +343,7 @@
 // handleSetUp processes a set-up at its case server.
 func (w *world) handleSetUp(r *routerSim, a router.Attempt, generation int) {
 	serverIndex := slices.IndexFunc(w.servers, func(server *caseServer) bool { return server.id == a.Server })
-	results := &w.result.Called
+	results := &w.result.Calls
 	reply := func(after time.Duration, f func()) {
 		w.schedule(after, r.p, func() {
 			if r.p.generation == generation {
@@ -360,19 +360,19 @@
 	}
 	server := w.servers[serverIndex]
 	slot := int(w.now / (100 * time.Millisecond))
-	results.Sent[serverIndex] = extendTo(results.Sent[serverIndex], slot)
-	results.Sent[serverIndex][slot]++
+	results.SentByServer[serverIndex] = extendTo(results.SentByServer[serverIndex], slot)
+	results.SentByServer[serverIndex][slot]++
 	if server.started > 0 {
 		w.trackColdExcess(server)
 	}
-	serve := w.cfg.Calls.Serve
+	serve := w.cfg.Calls.ServiceTime
 	if fault := w.activeFault(server, r); fault != nil {
-		if fault.How == "slow" {
-			serve = time.Duration(float64(serve) * fault.By)
+		if fault.Kind == "slow" {
+			serve = time.Duration(float64(serve) * fault.SlowFactor)
 		} else {
 			results.Wasted++
-			faultIndex := slices.IndexFunc(w.cfg.Calls.Bad, func(o Bad) bool { return o == *fault })
-			results.Last[faultIndex] = w.now - fault.At
+			faultIndex := slices.IndexFunc(w.cfg.Calls.Faults, func(o ServerFault) bool { return o == *fault })
+			results.LastWasted[faultIndex] = w.now - fault.At
 			return
 		}
 	}
@@ -387,7 +387,7 @@
 	server.busyUntil = max(server.busyUntil, w.now) + serve
 	reply(wait+serve+time.Millisecond, func() {
 		r.router.Answered(a.ID, a.Index, nil)
-		holdingTime := time.Duration(w.random.ExpFloat64() * float64(w.cfg.Calls.Stand))
+		holdingTime := time.Duration(w.random.ExpFloat64() * float64(w.cfg.Calls.MeanHoldTime))
 		server.establishedCalls++
 		w.schedule(holdingTime, nil, func() { server.establishedCalls-- })
 		reply(holdingTime, func() { r.router.Ended(a.ID, a.Index, threadglade.Concluded, threadglade.CauseNone) })
@@ -401,33 +401,33 @@
 	if uptime > 10*time.Second {
 		return
 	}
-	w.result.Called.ColdSent++
+	w.result.Calls.SentToCold++
 	rate := 0.5 * 2 * (0.2 + 0.8*float64(uptime)/float64(10*time.Second)) *
-		float64(w.cfg.Calls.Agents) / w.cfg.Calls.Stand.Seconds()
+		float64(w.cfg.Calls.Agents) / w.cfg.Calls.MeanHoldTime.Seconds()
 	server.coldExcess = max(0, server.coldExcess-rate*(w.now-server.coldExcessAt).Seconds()) + 1
 	server.coldExcessAt = w.now
-	w.result.Called.Cold = max(w.result.Called.Cold, server.coldExcess)
+	w.result.Calls.MaxColdExcess = max(w.result.Calls.MaxColdExcess, server.coldExcess)
 }
 
 // Established implements router.Front.
 func (r *routerSim) Established(id string, _ []byte) {
 	request := r.pending[id]
 	delete(r.pending, id)
-	results := &r.w.result.Called
+	results := &r.w.result.Calls
 	if r.w.now-request.firstTryAt > time.Second {
 		results.Late++
 		return
 	}
 	results.InTime++
-	results.FirstsIn[int(request.firstTryAt/time.Second)]++
+	results.FirstTriesInTime[int(request.firstTryAt/time.Second)]++
 }
 
 // Refused implements router.Front. The caller may try again.
 func (r *routerSim) Refused(id string, after time.Duration) {
 	request := r.pending[id]
 	delete(r.pending, id)
-	r.w.result.Called.Refused++
-	if request.redials < r.w.cfg.Calls.Redials {
+	r.w.result.Calls.Refused++
+	if request.redials < r.w.cfg.Calls.MaxRedials {
 		request.redials++
 		r.w.schedule(max(after, time.Duration(r.w.random.Int64N(int64(time.Second)))), r.p,
 			func() { r.w.placeCall(r, request) })
@@ -437,7 +437,7 @@
 // Failed implements router.Front.
 func (r *routerSim) Failed(id string, _ router.Failure) {
 	delete(r.pending, id)
-	r.w.result.Called.Failed++
+	r.w.result.Calls.Failed++
 }
 
 // Released implements router.Front.
@@ -527,8 +527,8 @@
 		until := max(c.Until-now, 0)
 		if slot := int(w.now / (100 * time.Millisecond)); until == 0 && c.Verdict == nil &&
 			w.now < r.avoidedUntil[c.Server] {
-			w.result.Called.Lifts = extendTo(w.result.Called.Lifts, slot)
-			w.result.Called.Lifts[slot]++
+			w.result.Calls.LiftedAvoidances = extendTo(w.result.Calls.LiftedAvoidances, slot)
+			w.result.Calls.LiftedAvoidances[slot]++
 		}
 		r.router.Avoid(threadglade.Care{Server: c.Server, Started: c.Started, Until: w.wallClock() + until},
 			router.AvoidanceEvidence{})
@@ -555,11 +555,11 @@
 // RecoverySpread and 7 s after the end of its fault, so that evidence of its recovery can spread, unless it is
 // replaced.
 func (w *world) trackWrongAvoidance(r *routerSim, server *caseServer) {
-	w.result.Called.Watched += fleet.TickInterval
+	w.result.Calls.ObservedTime += fleet.TickInterval
 	faulty := false
-	for _, fault := range w.cfg.Calls.Bad {
+	for _, fault := range w.cfg.Calls.Faults {
 		if fault.Server == server.number && server.started <= fault.At && w.now >= fault.At &&
-			w.now < fault.At+fault.For+w.cfg.Calls.Terms.RecoverySpread+7*time.Second &&
+			w.now < fault.At+fault.Duration+w.cfg.Calls.Settings.RecoverySpread+7*time.Second &&
 			(fault.Zone == "" || fault.Zone == r.zone) && (fault.Router == 0 || fault.Router-1 == r.index) {
 			faulty = true
 		}
@@ -571,8 +571,8 @@
 	if r.wronglyAvoidedSince[server.id] == 0 {
 		r.wronglyAvoidedSince[server.id] = w.now
 	}
-	w.result.Called.Wrong += fleet.TickInterval
-	w.result.Called.WrongMost = max(w.result.Called.WrongMost,
+	w.result.Calls.WrongAvoidance += fleet.TickInterval
+	w.result.Calls.MaxWrongAvoidance = max(w.result.Calls.MaxWrongAvoidance,
 		w.now-r.wronglyAvoidedSince[server.id]+fleet.TickInterval)
 }
 
@@ -582,8 +582,8 @@
 	for _, output := range r.table.Tick(now) {
 		to := w.routerNamed(output.To)
 		encoded := output.Frame.Marshal()
-		w.result.Called.Frames++
-		w.result.Called.FrameBytes += uint64(len(encoded))
+		w.result.Calls.Frames++
+		w.result.Calls.FrameBytes += uint64(len(encoded))
 		if w.blocked[[2]*process{r.p, to}] {
 			continue
 		}
@@ -598,8 +598,8 @@
 			continue
 		}
 		wait := time.Duration(0)
-		if w.cfg.Calls.LinkWait > 0 {
-			wait = time.Duration(w.random.Int64N(int64(w.cfg.Calls.LinkWait)))
+		if w.cfg.Calls.MaxLinkDelay > 0 {
+			wait = time.Duration(w.random.Int64N(int64(w.cfg.Calls.MaxLinkDelay)))
 		}
 		name := r.p.name
 		w.send(r.p, to, &fleetpb.Frame{What: &fleetpb.Frame_Talk{Talk: encoded}}, func(received *fleetpb.Frame) {
@@ -641,14 +641,14 @@
 	if !ok || observer == nil || observer.routerSim.liar {
 		return
 	}
-	results := &w.result.Called
-	if len(results.Ages) < 1<<20 {
-		results.Ages = append(results.Ages, w.now-sent.sentAt)
+	results := &w.result.Calls
+	if len(results.EvidenceDelays) < 1<<20 {
+		results.EvidenceDelays = append(results.EvidenceDelays, w.now-sent.sentAt)
 	}
 	actualAge, assumedAge := w.now-sent.sentAt+sent.age, now-record.LastSeen()
-	if underestimate := actualAge - assumedAge; underestimate > results.Over {
-		results.Over = underestimate
-		if bound := time.Duration(float64(actualAge)*3*w.cfg.Terms.ClockDrift) + time.Millisecond; underestimate > bound {
+	if underestimate := actualAge - assumedAge; underestimate > results.MaxAgeError {
+		results.MaxAgeError = underestimate
+		if bound := time.Duration(float64(actualAge)*3*w.cfg.Settings.ClockDrift) + time.Millisecond; underestimate > bound {
 			w.reportViolation("evidence of %s, %v old, is assumed to be %v old", record.Observer, actualAge,
 				assumedAge)
 		}
@@ -661,10 +661,10 @@
 	for i := range calls.Servers {
 		w.servers = append(w.servers, &caseServer{id: fmt.Sprintf("s%d", i), number: i})
 	}
-	w.result.Called.Sent = make([][]int, calls.Servers)
-	w.result.Called.Last = make([]time.Duration, len(calls.Bad))
-	for i, b := range calls.Bad {
-		if b.How != "replace" {
+	w.result.Calls.SentByServer = make([][]int, calls.Servers)
+	w.result.Calls.LastWasted = make([]time.Duration, len(calls.Faults))
+	for i, b := range calls.Faults {
+		if b.Kind != "replace" {
 			continue
 		}
 		w.schedule(b.At, nil, func() {
@@ -686,10 +686,10 @@
 }
 
 // loadShare returns the set-ups sent to a server in the second before a time, relative to the mean of all servers.
-func (c *Called) loadShare(server int, at time.Duration) float64 {
+func (c *CallResults) loadShare(server int, at time.Duration) float64 {
 	to := int(at / (100 * time.Millisecond))
 	sum, own := 0.0, 0.0
-	for i, list := range c.Sent {
+	for i, list := range c.SentByServer {
 		for slot := max(0, to-10); slot < to; slot++ {
 			if slot < len(list) {
 				sum += float64(list[slot])
@@ -702,14 +702,14 @@
 	if sum == 0 {
 		return math.NaN()
 	}
-	return own * float64(len(c.Sent)) / sum
+	return own * float64(len(c.SentByServer)) / sum
 }
 
 // RecoveryTime returns how long after a fault's end the server got half of the mean load again, at most the given
 // time.
-func (c *Called) Back(b Bad, most time.Duration) time.Duration {
+func (c *CallResults) RecoveryTime(b ServerFault, most time.Duration) time.Duration {
 	for after := time.Duration(0); after < most; after += 100 * time.Millisecond {
-		if c.loadShare(b.Server, b.At+b.For+after+time.Second) >= 0.5 {
+		if c.loadShare(b.Server, b.At+b.Duration+after+time.Second) >= 0.5 {
 			return after
 		}
 	}
--- a/internal/fleetsim/calls_test.go
+++ b/internal/fleetsim/calls_test.go
@@ -16,20 +16,20 @@
 
 // faultFreeConfig returns a configuration without faults.
 func faultFreeConfig(seed uint64, members int) Config {
-	cfg := Default(seed)
-	cfg.Members, cfg.Cuts, cfg.Pauses, cfg.Kills, cfg.Twins,
-		cfg.Islands, cfg.Loss, cfg.Twice, cfg.Puts, cfg.Quiet =
+	cfg := DefaultConfig(seed)
+	cfg.Members, cfg.PartitionRate, cfg.PauseRate, cfg.KillRate, cfg.DuplicateMemberRate,
+		cfg.IsolatedLeaderRate, cfg.LossRate, cfg.DuplicationRate, cfg.PutRate, cfg.QuietPeriod =
 		members, 0, 0, 0, 0, 0, 0, 0, 0, 0
-	cfg.Keepers, cfg.For = 1, 45*time.Second
+	cfg.Keepers, cfg.Duration = 1, 45*time.Second
 	return cfg
 }
 
 // callConfig returns a configuration with calls that load the servers to half of their capacity.
-func callConfig(seed uint64, members, servers int, rate float64, bad ...Bad) Config {
+func callConfig(seed uint64, members, servers int, rate float64, bad ...ServerFault) Config {
 	cfg := faultFreeConfig(seed, members)
-	cfg.Calls = &Calls{Servers: servers, Zones: 3, Rate: rate, Stand: 2 * time.Second, Agents: 1000,
-		Terms: verdict.DefaultSettings(), Bad: bad}
-	cfg.Calls.Serve = min(time.Duration(0.5*float64(servers)/(float64(members)*rate)*float64(time.Second)),
+	cfg.Calls = &CallConfig{Servers: servers, Zones: 3, Rate: rate, MeanHoldTime: 2 * time.Second, Agents: 1000,
+		Settings: verdict.DefaultSettings(), Faults: bad}
+	cfg.Calls.ServiceTime = min(time.Duration(0.5*float64(servers)/(float64(members)*rate)*float64(time.Second)),
 		30*time.Millisecond)
 	return cfg
 }
@@ -53,29 +53,29 @@
 	members, servers := envInt("VERDICT_MEMBERS", 60), envInt("VERDICT_SERVERS", 36)
 	for _, alone := range []bool{true, false} {
 		cfg := callConfig(1, members, servers, float64(envInt("VERDICT_RATE", 20)),
-			Bad{At: 10 * time.Second, For: 15 * time.Second, Server: 1, How: how, By: 4})
-		cfg.Calls.Alone = alone
+			ServerFault{At: 10 * time.Second, Duration: 15 * time.Second, Server: 1, Kind: how, SlowFactor: 4})
+		cfg.Calls.NoSharing = alone
 		began := time.Now()
 		r := Run(cfg)
-		require.Empty(t, r.Broken)
-		c := r.Called
-		slices.Sort(c.Ages)
+		require.Empty(t, r.Violation)
+		c := r.Calls
+		slices.Sort(c.EvidenceDelays)
 		age := func(q int) time.Duration {
-			if len(c.Ages) == 0 {
+			if len(c.EvidenceDelays) == 0 {
 				return 0
 			}
-			return c.Ages[min(len(c.Ages)-1, len(c.Ages)*q/100)].Round(time.Millisecond)
+			return c.EvidenceDelays[min(len(c.EvidenceDelays)-1, len(c.EvidenceDelays)*q/100)].Round(time.Millisecond)
 		}
 		t.Logf("not shared %v: offered %d in time %d late %d refused %d failed %d; wasted %d, last after %v, "+
 			"recovered after %v; wrongly avoided %v, longest %v, of %v; ages p50 %v p99 %v; frames %d bytes %d; took %v",
-			alone, c.Offered, c.InTime, c.Late, c.Refused, c.Failed, c.Wasted, c.Last,
-			c.Back(cfg.Calls.Bad[0], 15*time.Second), c.Wrong, c.WrongMost, c.Watched,
+			alone, c.Offered, c.InTime, c.Late, c.Refused, c.Failed, c.Wasted, c.LastWasted,
+			c.RecoveryTime(cfg.Calls.Faults[0], 15*time.Second), c.WrongAvoidance, c.MaxWrongAvoidance, c.ObservedTime,
 			age(50), age(99), c.Frames, c.FrameBytes, time.Since(began).Round(time.Millisecond))
 		line := ""
 		for i := 90; i < 320; i += 10 {
 			n := 0
-			for k := i; k < i+10 && k < len(c.Sent[1]); k++ {
-				n += c.Sent[1][k]
+			for k := i; k < i+10 && k < len(c.SentByServer[1]); k++ {
+				n += c.SentByServer[1][k]
 			}
 			line += fmt.Sprint(" ", n)
 		}
@@ -86,29 +86,29 @@
 // serverFaults are the cases of TestVerdicts, each with its requirement.
 var serverFaults = []struct {
 	name          string
-	faults        []Bad
-	change        func(*Calls)
+	faults        []ServerFault
+	change        func(*CallConfig)
 	maxWasteRatio float64 // greatest ratio of wasted set-ups to those without sharing; 0: not checked
 }{
-	{"hang", []Bad{{At: 5 * time.Second, For: 10 * time.Second, Server: 1, How: "hang"}}, nil, 0.5},
-	{"flap", []Bad{{At: 5 * time.Second, For: 10 * time.Second, Server: 1, How: "flap"}}, nil, 0.9},
-	{"slow", []Bad{{At: 5 * time.Second, For: 10 * time.Second, Server: 1, How: "slow", By: 4}},
+	{"hang", []ServerFault{{At: 5 * time.Second, Duration: 10 * time.Second, Server: 1, Kind: "hang"}}, nil, 0.5},
+	{"flap", []ServerFault{{At: 5 * time.Second, Duration: 10 * time.Second, Server: 1, Kind: "flap"}}, nil, 0.9},
+	{"slow", []ServerFault{{At: 5 * time.Second, Duration: 10 * time.Second, Server: 1, Kind: "slow", SlowFactor: 4}},
 		nil, 0},
-	{"zone", []Bad{{At: 5 * time.Second, For: 10 * time.Second, Server: 1, How: "hang", Zone: "z1"}},
+	{"zone", []ServerFault{{At: 5 * time.Second, Duration: 10 * time.Second, Server: 1, Kind: "hang", Zone: "z1"}},
 		nil, 0.9},
-	{"router", []Bad{{At: 5 * time.Second, For: 10 * time.Second, Server: 1, How: "hang", Router: 3},
-		{At: 5 * time.Second, For: 10 * time.Second, Server: 2, How: "hang", Router: 4}}, nil, 0},
-	{"replaced", []Bad{{At: 5 * time.Second, For: 2 * time.Second, Server: 1, How: "hang"},
-		{At: 7 * time.Second, Server: 1, How: "replace"}}, nil, 0},
-	{"half", []Bad{{At: 5 * time.Second, For: 8 * time.Second, Server: 0, How: "hang"},
-		{At: 5 * time.Second, For: 8 * time.Second, Server: 1, How: "hang"},
-		{At: 5 * time.Second, For: 8 * time.Second, Server: 2, How: "hang"},
-		{At: 5 * time.Second, For: 8 * time.Second, Server: 3, How: "hang"},
-		{At: 5 * time.Second, For: 8 * time.Second, Server: 4, How: "hang"}}, nil, 0.8},
-	{"liars", []Bad{{At: 5 * time.Second, For: 10 * time.Second, Server: 1, How: "hang"}},
-		func(c *Calls) { c.Liars = 2 }, 0.6},
-	{"links", []Bad{{At: 5 * time.Second, For: 10 * time.Second, Server: 1, How: "hang"}},
-		func(c *Calls) { c.LinkLoss, c.LinkWait = 0.5, 2*time.Second }, 1},
+	{"router", []ServerFault{{At: 5 * time.Second, Duration: 10 * time.Second, Server: 1, Kind: "hang", Router: 3},
+		{At: 5 * time.Second, Duration: 10 * time.Second, Server: 2, Kind: "hang", Router: 4}}, nil, 0},
+	{"replaced", []ServerFault{{At: 5 * time.Second, Duration: 2 * time.Second, Server: 1, Kind: "hang"},
+		{At: 7 * time.Second, Server: 1, Kind: "replace"}}, nil, 0},
+	{"half", []ServerFault{{At: 5 * time.Second, Duration: 8 * time.Second, Server: 0, Kind: "hang"},
+		{At: 5 * time.Second, Duration: 8 * time.Second, Server: 1, Kind: "hang"},
+		{At: 5 * time.Second, Duration: 8 * time.Second, Server: 2, Kind: "hang"},
+		{At: 5 * time.Second, Duration: 8 * time.Second, Server: 3, Kind: "hang"},
+		{At: 5 * time.Second, Duration: 8 * time.Second, Server: 4, Kind: "hang"}}, nil, 0.8},
+	{"liars", []ServerFault{{At: 5 * time.Second, Duration: 10 * time.Second, Server: 1, Kind: "hang"}},
+		func(c *CallConfig) { c.LyingRouters = 2 }, 0.6},
+	{"links", []ServerFault{{At: 5 * time.Second, Duration: 10 * time.Second, Server: 1, Kind: "hang"}},
+		func(c *CallConfig) { c.LinkLoss, c.MaxLinkDelay = 0.5, 2*time.Second }, 1},
 }
 
 // TestVerdicts runs each server fault with and without shared verdicts in the same worlds. Sharing must waste fewer
@@ -127,16 +127,16 @@
 			for seed := range uint64(seeds) {
 				for i, alone := range []bool{true, false} {
 					cfg := callConfig(seed+1, members, servers, 8, one.faults...)
-					cfg.For, cfg.Calls.Alone = 22*time.Second, alone
+					cfg.Duration, cfg.Calls.NoSharing = 22*time.Second, alone
 					if one.change != nil {
 						one.change(cfg.Calls)
 					}
 					r := Run(cfg)
-					require.Empty(t, r.Broken, "seed %d", seed+1)
-					c := &r.Called
+					require.Empty(t, r.Violation, "seed %d", seed+1)
+					c := &r.Calls
 					in[i], wasted[i], offered[i] = in[i]+c.InTime, wasted[i]+c.Wasted, offered[i]+c.Offered
-					wrong, watched, most = wrong+c.Wrong, watched+c.Watched, max(most, c.WrongMost)
-					ages = append(ages, c.Ages...)
+					wrong, watched, most = wrong+c.WrongAvoidance, watched+c.ObservedTime, max(most, c.MaxWrongAvoidance)
+					ages = append(ages, c.EvidenceDelays...)
 				}
 			}
 			slices.Sort(ages)
@@ -169,15 +169,15 @@
 // TestManyServers checks that a recovered server is probed and used again even where each router rarely has a call
 // for it.
 func TestManyServers(t *testing.T) {
-	cfg := callConfig(1, 40, 100, 5, Bad{At: 5 * time.Second, For: 8 * time.Second, Server: 1, How: "hang"})
-	cfg.For = 40 * time.Second
+	cfg := callConfig(1, 40, 100, 5, ServerFault{At: 5 * time.Second, Duration: 8 * time.Second, Server: 1, Kind: "hang"})
+	cfg.Duration = 40 * time.Second
 	r := Run(cfg)
-	require.Empty(t, r.Broken)
-	back := r.Called.Back(cfg.Calls.Bad[0], 20*time.Second)
-	t.Logf("wasted %d, recovered after %v, wrongly avoided %v at the longest", r.Called.Wasted, back,
-		r.Called.WrongMost)
+	require.Empty(t, r.Violation)
+	back := r.Calls.RecoveryTime(cfg.Calls.Faults[0], 20*time.Second)
+	t.Logf("wasted %d, recovered after %v, wrongly avoided %v at the longest", r.Calls.Wasted, back,
+		r.Calls.MaxWrongAvoidance)
 	require.Less(t, back, 10*time.Second)
-	require.Less(t, r.Called.WrongMost, 5*time.Second)
+	require.Less(t, r.Calls.MaxWrongAvoidance, 5*time.Second)
 }
 
 // TestColdServerShares guards against overload of a replaced server. 300 routers whose settings name one proxy each
@@ -187,27 +187,27 @@
 	members := envInt("FLEET_MEMBERS", 300)
 	over := map[bool]float64{}
 	for _, divided := range []bool{true, false} {
-		cfg := callConfig(1, members, 6, 2, Bad{At: 24 * time.Second, Server: 1, How: "replace"})
-		cfg.For, cfg.Calls.Alone, cfg.Calls.Proxies, cfg.Calls.Agents, cfg.Calls.Serve =
+		cfg := callConfig(1, members, 6, 2, ServerFault{At: 24 * time.Second, Server: 1, Kind: "replace"})
+		cfg.Duration, cfg.Calls.NoSharing, cfg.Calls.Proxies, cfg.Calls.Agents, cfg.Calls.ServiceTime =
 			36*time.Second, true, 1, members/2, time.Millisecond
 		if divided {
 			cfg.Limits = []quota.Limit{{Name: "new", Kind: quota.Cold, Max: 1}}
 		}
 		r := Run(cfg)
-		require.Empty(t, r.Broken)
-		c := &r.Called
-		over[divided] = c.Cold
+		require.Empty(t, r.Violation)
+		c := &r.Calls
+		over[divided] = c.MaxColdExcess
 		line := ""
 		for i := 240; i < 330; i += 10 {
 			n := 0
 			for k := i; k < i+10; k++ {
-				n += c.Sent[1][k]
+				n += c.SentByServer[1][k]
 			}
 			line += fmt.Sprint(" ", n)
 		}
 		t.Logf("divided %v: %.0f set-ups above the rule at most, %d sent in 10 s; by second:%s; %d of %d in time",
-			divided, c.Cold, c.ColdSent, line, c.InTime, c.Offered)
-		require.Positive(t, c.ColdSent)
+			divided, c.MaxColdExcess, c.SentToCold, line, c.InTime, c.Offered)
+		require.Positive(t, c.SentToCold)
 	}
 	require.LessOrEqual(t, over[true], float64(members))
 	require.Greater(t, over[false], 2*over[true])
@@ -221,18 +221,18 @@
 	after := map[bool]time.Duration{}
 	for _, budget := range []bool{true, false} {
 		cfg := callConfig(1, members, 6, 2)
-		cfg.For, cfg.Calls.Alone, cfg.Calls.Serve, cfg.Calls.Redials =
+		cfg.Duration, cfg.Calls.NoSharing, cfg.Calls.ServiceTime, cfg.Calls.MaxRedials =
 			48*time.Second, true, 500*time.Microsecond, 20
-		cfg.Calls.Rates = []RateAt{{24 * time.Second, 5}, {28 * time.Second, 1}}
+		cfg.Calls.RateChanges = []RateChange{{24 * time.Second, 5}, {28 * time.Second, 1}}
 		cfg.Limits = []quota.Limit{{Name: "all", Kind: quota.Rate, Max: 2.6 * float64(members), Burst: time.Second}}
 		if budget {
 			cfg.Limits = append(cfg.Limits, quota.Limit{Name: "again", Kind: quota.Retries, Max: 0.1})
 		}
 		r := Run(cfg)
-		require.Empty(t, r.Broken)
-		c := &r.Called
+		require.Empty(t, r.Violation)
+		c := &r.Calls
 		line := ""
-		part := func(i int) float64 { return float64(c.FirstsIn[i]) / float64(max(c.Firsts[i], 1)) }
+		part := func(i int) float64 { return float64(c.FirstTriesInTime[i]) / float64(max(c.FirstTries[i], 1)) }
 		before := (part(20) + part(21) + part(22)) / 3
 		for i := 22; i < 46; i++ {
 			line += fmt.Sprintf(" %.2f", part(i))
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -17,7 +17,7 @@
 		}
 		var next func()
 		next = func() {
-			if w.now < w.cfg.For-w.cfg.Quiet {
+			if w.now < w.cfg.Duration-w.cfg.QuietPeriod {
 				do()
 				w.schedule(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), nil, next)
 			}
@@ -31,7 +31,7 @@
 		return w.members[w.random.IntN(len(w.members))]
 	}
 	randomUpTo := func(most time.Duration) time.Duration { return time.Duration(w.random.Int64N(int64(most))) }
-	repeat(w.cfg.Cuts, func() {
+	repeat(w.cfg.PartitionRate, func() {
 		p, direction := randomProcess(), w.random.IntN(3)
 		var keys [][2]*process
 		for _, other := range slices.Concat(w.keepers, w.members) {
@@ -54,8 +54,8 @@
 			}
 		})
 	})
-	repeat(w.cfg.Pauses, func() { w.pause(randomProcess(), randomUpTo(w.cfg.PauseMost)) })
-	repeat(w.cfg.Islands, func() {
+	repeat(w.cfg.PauseRate, func() { w.pause(randomProcess(), randomUpTo(w.cfg.MaxPause)) })
+	repeat(w.cfg.IsolatedLeaderRate, func() {
 		leaderIndex := slices.IndexFunc(w.keepers, func(k *process) bool {
 			_, leads := k.keeper.LeaderTerm()
 			return k.up && leads
@@ -81,7 +81,7 @@
 			w.schedule(time.Duration(i)*600*time.Millisecond, nil, func() { w.pause(leader, 540*time.Millisecond) })
 		}
 	})
-	repeat(w.cfg.Kills, func() {
+	repeat(w.cfg.KillRate, func() {
 		p := randomProcess()
 		if !p.up || p.filesLost {
 			return
@@ -90,9 +90,9 @@
 		p.up, p.paused, p.deferred = false, false, nil
 		w.closeLinks(p)
 		w.disconnect(p)
-		if w.cfg.Wipes && p.voterNumber != 0 && w.random.IntN(2) == 0 && w.intactKeepers() == len(w.keepers) {
+		if w.cfg.LoseFiles && p.voterNumber != 0 && w.random.IntN(2) == 0 && w.intactKeepers() == len(w.keepers) {
 			p.filesLost, p.stored = true, fleet.Stored{} // without its files it must not start again
-			if _, err := fleet.NewKeeper(w.cfg.Terms, p.stored, w.random, 0); err == nil {
+			if _, err := fleet.NewKeeper(w.cfg.Settings, p.stored, w.random, 0); err == nil {
 				w.reportViolation("a keeper without files starts")
 			}
 			w.logFault("wipe %s", p.name)
@@ -100,7 +100,7 @@
 		}
 		w.schedule(randomUpTo(6*time.Second), nil, func() { w.restart(p) })
 	})
-	repeat(w.cfg.MemberKills, func() {
+	repeat(w.cfg.MemberKillRate, func() {
 		if p := w.members[w.random.IntN(len(w.members))]; p.up {
 			w.logFault("kill %s", p.name)
 			p.up = false
@@ -109,7 +109,7 @@
 			w.schedule(10*time.Second, nil, func() { w.restart(p) })
 		}
 	})
-	repeat(w.cfg.Twins, func() {
+	repeat(w.cfg.DuplicateMemberRate, func() {
 		p := w.members[w.random.IntN(len(w.members))]
 		running := 0
 		for _, member := range w.members {
@@ -122,7 +122,7 @@
 			w.startMember(p.name)
 		}
 	})
-	repeat(w.cfg.Puts, func() {
+	repeat(w.cfg.PutRate, func() {
 		if p := w.members[w.random.IntN(len(w.members))]; p.up && !p.paused {
 			w.putFact(p)
 		}
@@ -147,7 +147,7 @@
 // logFault adds a fault to the log and to the checksum.
 func (w *world) logFault(format string, args ...any) {
 	text := fmt.Sprintf("%8.3f ", w.now.Seconds()) + fmt.Sprintf(format, args...)
-	w.result.Trouble = append(w.result.Trouble, text)
+	w.result.Faults = append(w.result.Faults, text)
 	w.recordEvent("%s\n", text)
 }
 
@@ -189,7 +189,7 @@
 // checkFinalState checks that after the quiet period one process of each running name acts, provided a majority of
 // the keepers has its files.
 func (w *world) checkFinalState() {
-	if w.result.Broken != "" || w.cfg.Quiet < 12*time.Second {
+	if w.result.Violation != "" || w.cfg.QuietPeriod < 12*time.Second {
 		return
 	}
 	names := map[string]bool{}
@@ -200,10 +200,10 @@
 	}
 	for name := range names {
 		if w.now-w.lastActAt[name] < time.Second {
-			w.result.Lasting++
+			w.result.ActiveAtEnd++
 		}
 	}
-	if up := w.intactKeepers(); up*2 > len(w.keepers) && w.result.Lasting != len(names) {
-		w.reportViolation("after %v without faults %d names of %d act", w.cfg.Quiet, w.result.Lasting, len(names))
+	if up := w.intactKeepers(); up*2 > len(w.keepers) && w.result.ActiveAtEnd != len(names) {
+		w.reportViolation("after %v without faults %d names of %d act", w.cfg.QuietPeriod, w.result.ActiveAtEnd, len(names))
 	}
 }
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -24,102 +24,102 @@
 
 // Config describes a simulated fleet, its network and its faults. Rates are events per second.
 type Config struct {
-	Seed    uint64
-	Keepers int
-	Members int
-	For     time.Duration  // simulated (true) time
-	Terms   fleet.Settings // the names of fleet, members and keepers are filled in
-
-	Loss        float64       // share of messages lost
-	Twice       float64       // share of messages duplicated
-	Delay       time.Duration // least delay of a message
-	Spread      time.Duration // greatest random addition to it, which reorders messages
-	Far         time.Duration // greatest further addition between keepers and members
-	PauseMost   time.Duration // greatest length of a pause
-	Cuts        float64       // rate of partitions of one process, in one direction or both
-	Pauses      float64       // rate of pauses of a process
-	Kills       float64       // rate of process crashes with restart; a keeper restarts from its synced state
-	MemberKills float64       // rate of crashes of members, which restart after 10 s
-	Twins       float64       // rate of starts of a second process with a member's name
-	Wipes       bool          // a killed keeper may lose its files; it must not start again then
-	Drift       float64       // greatest relative error of a process's clock
+	Seed     uint64
+	Keepers  int
+	Members  int
+	Duration time.Duration  // simulated (true) time
+	Settings fleet.Settings // the names of fleet, members and keepers are filled in
+
+	LossRate            float64       // share of messages lost
+	DuplicationRate     float64       // share of messages duplicated
+	MinDelay            time.Duration // least delay of a message
+	MaxJitter           time.Duration // greatest random addition to it, which reorders messages
+	MaxMemberDelay      time.Duration // greatest further addition between keepers and members
+	MaxPause            time.Duration // greatest length of a pause
+	PartitionRate       float64       // rate of partitions of one process, in one direction or both
+	PauseRate           float64       // rate of pauses of a process
+	KillRate            float64       // rate of process crashes with restart; a keeper restarts from its synced state
+	MemberKillRate      float64       // rate of crashes of members, which restart after 10 s
+	DuplicateMemberRate float64       // rate of starts of a second process with a member's name
+	LoseFiles           bool          // a killed keeper may lose its files; it must not start again then
+	MaxClockDrift       float64       // greatest relative error of a process's clock
 	// Rate of the following fault: the leading keeper and a member are isolated together, and the keeper is paused
 	// repeatedly.
-	Islands float64
-	Puts    float64       // rate of puts of facts
-	Calls   *Calls        // nil: no calls
-	Limits  []quota.Limit // each applies to the class of its own name
-	Steady  bool          // each router's demand stays as first drawn
-	Swing   int           // changes of demand per 1,000 ticks, at least 10
-	Demand  float64       // mean calls per second at a router, for each limit
+	IsolatedLeaderRate    float64
+	PutRate               float64       // rate of puts of facts
+	Calls                 *CallConfig   // nil: no calls
+	Limits                []quota.Limit // each applies to the class of its own name
+	SteadyDemand          bool          // each router's demand stays as first drawn
+	DemandChangesPerMille int           // changes of demand per 1,000 ticks, at least 10
+	Demand                float64       // mean calls per second at a router, for each limit
 	// Time without faults at the end. After it every member that can hold a lease has to hold one.
-	Quiet time.Duration
+	QuietPeriod time.Duration
 }
 
 // DefaultConfig returns a configuration with most kinds of faults.
-func Default(seed uint64) Config {
-	return Config{Seed: seed, Keepers: 3, Members: 20, For: 60 * time.Second, Terms: fleet.DefaultSettings(),
-		Loss: 0.01, Twice: 0.01, Delay: 500 * time.Microsecond, Spread: 5 * time.Millisecond,
-		PauseMost: 10 * time.Second, Cuts: 0.5, Pauses: 0.5, Kills: 0.5,
-		Twins: 0.3, Islands: 0.05, Drift: 0.01, Puts: 2, Quiet: 15 * time.Second}
+func DefaultConfig(seed uint64) Config {
+	return Config{Seed: seed, Keepers: 3, Members: 20, Duration: 60 * time.Second, Settings: fleet.DefaultSettings(),
+		LossRate: 0.01, DuplicationRate: 0.01, MinDelay: 500 * time.Microsecond, MaxJitter: 5 * time.Millisecond,
+		MaxPause: 10 * time.Second, PartitionRate: 0.5, PauseRate: 0.5, KillRate: 0.5,
+		DuplicateMemberRate: 0.3, IsolatedLeaderRate: 0.05, MaxClockDrift: 0.01, PutRate: 2, QuietPeriod: 15 * time.Second}
 }
 
 // Op is one put as its member saw it. Result is the version written, 0 if the put was refused; Return is 0 if no
 // answer came.
 type Op struct {
-	Client       int
-	Key          string
-	Expect       uint64
-	Value        uint64
-	Result       uint64
-	Call, Return time.Duration
+	Client          int
+	Key             string
+	ExpectedVersion uint64
+	Value           uint64
+	Result          uint64
+	Call, Return    time.Duration
 }
 
 // Result reports a run.
 type Result struct {
-	Broken   string        // the first violated guarantee; empty: none
-	At       time.Duration // when it was violated
-	Steps    uint64
-	Messages uint64
-	Bytes    uint64
-	Acts     uint64 // times at which a member was seen to hold its lease
-	Begun    uint64 // incarnations that acted
-	Ops      []Op
-	Sum      uint64 // over all events in order: equal runs have equal checksums
+	Violation    string        // the first violated guarantee; empty: none
+	ViolationAt  time.Duration // when it was violated
+	Steps        uint64
+	Messages     uint64
+	Bytes        uint64
+	Acts         uint64 // times at which a member was seen to hold its lease
+	Incarnations uint64 // incarnations that acted
+	Ops          []Op
+	Checksum     uint64 // over all events in order: equal runs have equal checksums
 	// For each loss that a member noticed: the time since the last act of the lost incarnation.
-	Lost    []time.Duration
-	Slack   time.Duration // least time between the acts of two incarnations of a name
-	Lasting int           // names that act at the end
-	Trouble []string
-	Limited map[string]*Limited
-	Called  Called
-	Held    []Holding
-	Demands map[string]float64 // demand of the routers at the end, by name
-	Heard   map[string]uint64  // versions of facts by value, as any member learned them
+	LossDetectionTimes []time.Duration
+	MinIncarnationGap  time.Duration // least time between the acts of two incarnations of a name
+	ActiveAtEnd        int           // names that act at the end
+	Faults             []string
+	Limits             map[string]*LimitResult
+	Calls              CallResults
+	LeasePeriods       []LeasePeriod
+	FinalDemands       map[string]float64 // demand of the routers at the end, by name
+	FactVersions       map[string]uint64  // versions of facts by value, as any member learned them
 }
 
 // LeasePeriod is the time from the first to the last act of an incarnation.
-type Holding struct {
+type LeasePeriod struct {
 	Name        string
 	Incarnation uint64
 	First, Last time.Duration
 }
 
 // LimitResult reports how one limit was used.
-type Limited struct {
+type LimitResult struct {
 	Admitted int
 	Refused  int
 	// Level of a leaky bucket that drains at the limit's rate, in calls; concurrent calls; or, for a limit of
 	// retries, the excess over the budget in the worst period.
-	Level   float64
-	Most    float64 // greatest Level
-	Bound   float64 // greatest Level allowed
-	last    time.Duration
-	low     float64            // least excess of retries so far
-	Late    int                // admitted in the last 10 s
-	By      map[string]float64 // the same by router
-	Firsts  int                // for a limit of retries: first tries admitted
-	Further int                // for a limit of retries: retry attempts and marked retries admitted
+	Level            float64
+	MaxLevel         float64 // greatest Level
+	Bound            float64 // greatest Level allowed
+	last             time.Duration
+	low              float64            // least excess of retries so far
+	RecentlyAdmitted int                // admitted in the last 10 s
+	RecentByRouter   map[string]float64 // the same by router
+	FirstTries       int                // for a limit of retries: first tries admitted
+	RetriesAdmitted  int                // for a limit of retries: retry attempts and marked retries admitted
 }
 
 // process is a process of a keeper or a member, across restarts.
@@ -214,9 +214,9 @@
 		incarnationOwner: map[uint64]*process{}, incarnationLastAct: map[uint64]time.Duration{},
 		stateHashes: map[uint64][]byte{}, appliedIndex: map[*process]uint64{},
 		sentRecords: map[string]sentRecord{}}
-	world.result.Slack, world.result.Heard, world.result.Limited = time.Hour, map[string]uint64{},
-		map[string]*Limited{}
-	world.result.Demands = map[string]float64{}
+	world.result.MinIncarnationGap, world.result.FactVersions, world.result.Limits = time.Hour, map[string]uint64{},
+		map[string]*LimitResult{}
+	world.result.FinalDemands = map[string]float64{}
 	for _, l := range config.Limits {
 		bound := l.Max
 		if l.Kind == quota.Rate {
@@ -228,9 +228,9 @@
 		if l.Kind == quota.Retries {
 			bound = 10 * 2 * float64(config.Members) // duplicate processes count as well
 		}
-		world.result.Limited[l.Name] = &Limited{Bound: bound, By: map[string]float64{}}
+		world.result.Limits[l.Name] = &LimitResult{Bound: bound, RecentByRouter: map[string]float64{}}
 	}
-	settings := &world.cfg.Terms
+	settings := &world.cfg.Settings
 	settings.Fleet, settings.Members, settings.Keepers = "sim", []string{"m*"}, nil
 	for i := range config.Keepers {
 		settings.Keepers = append(settings.Keepers, fmt.Sprintf("k%d", i))
@@ -258,7 +258,7 @@
 		}
 	}
 	world.scheduleFaults()
-	for world.result.Broken == "" && len(world.queue) > 0 && world.queue[0].at <= config.For {
+	for world.result.Violation == "" && len(world.queue) > 0 && world.queue[0].at <= config.Duration {
 		e := heap.Pop(&world.queue).(event)
 		world.now = e.at
 		if process := e.target; process != nil {
@@ -274,12 +274,12 @@
 		e.run()
 	}
 	world.checkFinalState()
-	world.result.Sum = world.checksum.Sum64()
+	world.result.Checksum = world.checksum.Sum64()
 	for _, process := range world.members {
-		world.result.Demands[process.name] = process.demand
+		world.result.FinalDemands[process.name] = process.demand
 	}
-	for i := range world.result.Held {
-		world.result.Held[i].Last = world.incarnationLastAct[world.result.Held[i].Incarnation]
+	for i := range world.result.LeasePeriods {
+		world.result.LeasePeriods[i].Last = world.incarnationLastAct[world.result.LeasePeriods[i].Incarnation]
 	}
 	return &world.result
 }
@@ -289,8 +289,8 @@
 
 // reportViolation records the first violated guarantee.
 func (w *world) reportViolation(format string, args ...any) {
-	if w.result.Broken == "" {
-		w.result.Broken, w.result.At = fmt.Sprintf(format, args...), w.now
+	if w.result.Violation == "" {
+		w.result.Violation, w.result.ViolationAt = fmt.Sprintf(format, args...), w.now
 	}
 }
 
@@ -309,22 +309,22 @@
 func (w *world) startProcess(p *process) {
 	p.generation++
 	p.up, p.paused, p.deferred, p.startedAt = true, false, nil, w.now
-	p.clockRate = 1 + (w.random.Float64()*2-1)*w.cfg.Drift
+	p.clockRate = 1 + (w.random.Float64()*2-1)*w.cfg.MaxClockDrift
 	p.clockOffset = time.Duration(w.random.Int64N(int64(time.Hour)))
 	if p.voterNumber != 0 {
-		k, err := fleet.NewKeeper(w.cfg.Terms, p.stored, rand.New(rand.NewPCG(w.random.Uint64(), 3)), p.clock(w.now))
+		k, err := fleet.NewKeeper(w.cfg.Settings, p.stored, rand.New(rand.NewPCG(w.random.Uint64(), 3)), p.clock(w.now))
 		if err != nil {
 			w.reportViolation("%s does not start: %v", p.name, err)
 			return
 		}
 		p.keeper = k
 		if len(w.cfg.Limits) > 0 {
-			k.Extension = quota.NewRider(w.cfg.Terms, func() *fleet.Machine { return k.Machine },
+			k.Extension = quota.NewRider(w.cfg.Settings, func() *fleet.Machine { return k.Machine },
 				func() []quota.Limit { return w.cfg.Limits })
 		}
 		w.appliedIndex[p] = k.Machine.Index
 	} else {
-		p.member = fleet.NewMember(w.cfg.Terms, p.name, w.random.Uint64()>>1+1)
+		p.member = fleet.NewMember(w.cfg.Settings, p.name, w.random.Uint64()>>1+1)
 		if len(w.cfg.Limits) > 0 {
 			p.limiter, p.lentRetries = quota.NewLimiter(p.clock(w.now), w.cfg.Limits), 0
 			p.member.ExtensionPayload = func() []byte { return p.limiter.MarshalClaims(p.clock(w.now)) }
@@ -419,11 +419,11 @@
 		w.reportViolation("incarnation %d is held by two processes, %s and %s", lease.Incarnation, was.name, p.name)
 	}
 	if last < lease.Incarnation && last != 0 {
-		w.result.Slack = min(w.result.Slack, w.now-w.lastActAt[p.name])
+		w.result.MinIncarnationGap = min(w.result.MinIncarnationGap, w.now-w.lastActAt[p.name])
 	}
 	if last != lease.Incarnation {
-		w.result.Begun++
-		w.result.Held = append(w.result.Held, Holding{p.name, lease.Incarnation, w.now, w.now})
+		w.result.Incarnations++
+		w.result.LeasePeriods = append(w.result.LeasePeriods, LeasePeriod{p.name, lease.Incarnation, w.now, w.now})
 		w.recordEvent("act %s %d %d\n", p.name, lease.Incarnation, w.now)
 	}
 	w.incarnationOwner[lease.Incarnation], w.latestIncarnation[p.name],
@@ -437,7 +437,7 @@
 		return
 	}
 	// Demand changes at random.
-	if !w.cfg.Steady && w.random.IntN(1000) < max(w.cfg.Swing, 10) || p.demand == 0 {
+	if !w.cfg.SteadyDemand && w.random.IntN(1000) < max(w.cfg.DemandChangesPerMille, 10) || p.demand == 0 {
 		p.demand = w.cfg.Demand * w.random.ExpFloat64()
 	}
 	now := p.clock(w.now)
@@ -452,21 +452,21 @@
 		for n := p.demand * fleet.TickInterval.Seconds(); w.random.Float64() < n; n-- {
 			p.lastSlot++
 			slot := p.lastSlot % 100_000
-			limited := w.result.Limited[l.Name]
+			limited := w.result.Limits[l.Name]
 			if ok, _, _ := p.limiter.Admit(now, slot, l.Name, "", "", false); !ok {
 				limited.Refused++
 				continue
 			}
 			limited.Admitted++
-			if all := w.result.Limited["retries"]; all != nil { // each first try adds to the budget of retries
-				all.Firsts++
+			if all := w.result.Limits["retries"]; all != nil { // each first try adds to the budget of retries
+				all.FirstTries++
 			}
-			if w.now > w.cfg.For-10*time.Second {
-				limited.Late++
-				limited.By[p.name]++
+			if w.now > w.cfg.Duration-10*time.Second {
+				limited.RecentlyAdmitted++
+				limited.RecentByRouter[p.name]++
 			}
 			if l.Kind == quota.Rate {
-				limited.Level = max(0, limited.Level-l.Max*(1+w.cfg.Terms.ClockDrift)*(w.now-limited.last).Seconds()) + 1
+				limited.Level = max(0, limited.Level-l.Max*(1+w.cfg.Settings.ClockDrift)*(w.now-limited.last).Seconds()) + 1
 				limited.last = w.now
 			} else {
 				limited.Level++
@@ -478,7 +478,7 @@
 					}
 				})
 			}
-			if limited.Most = max(limited.Most, limited.Level); limited.Level > limited.Bound+1e-6 {
+			if limited.MaxLevel = max(limited.MaxLevel, limited.Level); limited.Level > limited.Bound+1e-6 {
 				w.reportViolation("limit %s: %.2f calls over, bound %.2f", l.Name, limited.Level, limited.Bound)
 			}
 		}
@@ -488,16 +488,16 @@
 // generateRetries makes first tries and marked retries at a router, and retry attempts for failed ones. It checks
 // that retries do not exceed the budget that the first tries have earned.
 func (w *world) generateRetries(p *process, l quota.Limit) {
-	limited, now := w.result.Limited[l.Name], p.clock(w.now)
+	limited, now := w.result.Limits[l.Name], p.clock(w.now)
 	for n := p.demand * fleet.TickInterval.Seconds(); w.random.Float64() < n; n-- {
 		p.lastSlot++
 		marked := w.random.IntN(2) == 0
 		ok, _, _ := p.limiter.Admit(now, p.lastSlot%100_000, l.Name, "", "", marked)
 		switch {
 		case ok && !marked:
-			limited.Firsts++
+			limited.FirstTries++
 		case ok:
-			limited.Further++
+			limited.RetriesAdmitted++
 		default:
 			limited.Refused++
 		}
@@ -507,16 +507,16 @@
 				break
 			}
 			p.lentRetries--
-			limited.Further++
+			limited.RetriesAdmitted++
 		}
 		p.lentRetries, _ = p.limiter.LendRetries(p.lentRetries)
 	}
-	limited.Admitted = limited.Firsts + limited.Further
+	limited.Admitted = limited.FirstTries + limited.RetriesAdmitted
 	// over the whole run; never positive, as the budget is earned by first tries
-	excess := float64(limited.Further) - l.Max*float64(limited.Firsts)
+	excess := float64(limited.RetriesAdmitted) - l.Max*float64(limited.FirstTries)
 	limited.low = min(limited.low, excess)
 	limited.Level = excess - limited.low // over the worst period until now: at most what the buckets held
-	if limited.Most = max(limited.Most, limited.Level); excess > 1e-6 || limited.Level > limited.Bound {
+	if limited.MaxLevel = max(limited.MaxLevel, limited.Level); excess > 1e-6 || limited.Level > limited.Bound {
 		w.reportViolation("limit %s: %.2f retries over the budget, %.2f over the worst period, bound %.2f", l.Name,
 			excess, limited.Level, limited.Bound)
 	}
@@ -524,7 +524,7 @@
 
 // send puts a message on the network, which may lose, delay, duplicate or reorder it.
 func (w *world) send(from, to *process, frame *fleetpb.Frame, deliver func(*fleetpb.Frame)) {
-	if to == nil || w.blocked[[2]*process{from, to}] || w.random.Float64() < w.cfg.Loss {
+	if to == nil || w.blocked[[2]*process{from, to}] || w.random.Float64() < w.cfg.LossRate {
 		return
 	}
 	encoded, err := proto.Marshal(frame)
@@ -533,15 +533,15 @@
 		return
 	}
 	copies := 1
-	if w.random.Float64() < w.cfg.Twice {
+	if w.random.Float64() < w.cfg.DuplicationRate {
 		copies = 2
 	}
 	for range copies {
 		w.result.Messages++
 		w.result.Bytes += uint64(len(encoded))
-		delay := w.cfg.Delay + time.Duration(w.random.Int64N(int64(w.cfg.Spread)+1))
+		delay := w.cfg.MinDelay + time.Duration(w.random.Int64N(int64(w.cfg.MaxJitter)+1))
 		if from.member != nil || to.member != nil {
-			delay += time.Duration(w.random.Int64N(int64(w.cfg.Far) + 1))
+			delay += time.Duration(w.random.Int64N(int64(w.cfg.MaxMemberDelay) + 1))
 		}
 		w.schedule(delay, to, func() {
 			if w.blocked[[2]*process{from, to}] {
@@ -608,13 +608,13 @@
 		w.recordEvent("%s %s %s %d %d\n", p.name, n.Kind, n.Name, n.Incarnation, w.now)
 		// the observer was already running
 		if at, acted := w.incarnationLastAct[n.Incarnation]; n.Kind == fleet.MemberLost && acted && p.startedAt < at {
-			w.result.Lost = append(w.result.Lost, w.now-at)
+			w.result.LossDetectionTimes = append(w.result.LossDetectionTimes, w.now-at)
 		}
 		if n.Kind == fleet.FactWritten && strings.HasPrefix(n.Name, "fact") {
-			if was, ok := w.result.Heard[string(n.Value)]; ok && was != n.Number {
+			if was, ok := w.result.FactVersions[string(n.Value)]; ok && was != n.Number {
 				w.reportViolation("put %s succeeded twice, as versions %d and %d", n.Value, was, n.Number)
 			}
-			w.result.Heard[string(n.Value)] = n.Number
+			w.result.FactVersions[string(n.Value)] = n.Number
 		}
 	}
 }
@@ -654,7 +654,7 @@
 	value := w.lastValue
 	expect := p.member.Machine.Fact(key).GetVersion()
 	at := len(w.result.Ops)
-	w.result.Ops = append(w.result.Ops, Op{Client: at, Key: key, Expect: expect, Value: value, Call: w.now})
+	w.result.Ops = append(w.result.Ops, Op{Client: at, Key: key, ExpectedVersion: expect, Value: value, Call: w.now})
 	p.member.Put(p.clock(w.now), &fleet.Put{Key: key, Value: fmt.Appendf(nil, "%d", value),
 		ExpectedVersion: expect}, func(version uint64) {
 		w.result.Ops[at].Result, w.result.Ops[at].Return = version, w.now
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -38,7 +38,7 @@
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
 		op, version := input.(Op), state.(uint64)
-		return version == op.Expect && output.(uint64) > version, output
+		return version == op.ExpectedVersion && output.(uint64) > version, output
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
@@ -48,7 +48,7 @@
 	Partition: func(history []porcupine.Operation) (parts [][]porcupine.Operation) {
 		by := map[string][]porcupine.Operation{}
 		for _, op := range history {
-			name := op.Input.(Holding).Name
+			name := op.Input.(LeasePeriod).Name
 			by[name] = append(by[name], op)
 		}
 		for _, part := range by {
@@ -58,7 +58,7 @@
 	},
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) {
-		number := input.(Holding).Incarnation
+		number := input.(LeasePeriod).Incarnation
 		return number >= state.(uint64), number
 	},
 	Equal: func(a, b any) bool { return a == b },
@@ -66,7 +66,7 @@
 
 // leaseOperations returns the first and the last act of each incarnation as instantaneous operations.
 func leaseOperations(r *Result) (list []porcupine.Operation) {
-	for i, h := range r.Held {
+	for i, h := range r.LeasePeriods {
 		for _, at := range []time.Duration{h.First, h.Last} {
 			list = append(list, porcupine.Operation{ClientId: i, Input: h, Call: int64(at), Return: int64(at) + 1})
 		}
@@ -79,7 +79,7 @@
 // no member has learned of can have no successor, as a successor has to state its version.
 func factOperations(r *Result, endTime time.Duration) (list []porcupine.Operation) {
 	for _, op := range r.Ops {
-		seenVersion := r.Heard[fmt.Sprint(op.Value)]
+		seenVersion := r.FactVersions[fmt.Sprint(op.Value)]
 		if op.Return == 0 {
 			op.Result, op.Return = seenVersion, endTime
 		}
@@ -94,29 +94,29 @@
 // runAndCheck runs a configuration and checks its guarantees and the linearizability of its history.
 func runAndCheck(t testing.TB, cfg Config) *Result {
 	r := Run(cfg)
-	if r.Broken != "" {
-		for _, one := range r.Trouble {
+	if r.Violation != "" {
+		for _, one := range r.Faults {
 			t.Log(one)
 		}
 	}
-	require.Empty(t, r.Broken, "seed %d at %v; FLEET_SEED=%d runs it alone", cfg.Seed, r.At, cfg.Seed)
+	require.Empty(t, r.Violation, "seed %d at %v; FLEET_SEED=%d runs it alone", cfg.Seed, r.ViolationAt, cfg.Seed)
 	// Each version of a fact is replaced at most once: no two successful puts expected the same version.
 	takenBy := map[string]uint64{}
 	for _, op := range r.Ops {
 		if op.Result != 0 {
-			key := fmt.Sprint(op.Key, op.Expect)
+			key := fmt.Sprint(op.Key, op.ExpectedVersion)
 			require.Zero(t, takenBy[key], "seed %d: two puts of %s succeeded for version %d", cfg.Seed, op.Key,
-				op.Expect)
+				op.ExpectedVersion)
 			takenBy[key] = op.Result
 		}
 	}
 	for _, op := range r.Ops {
-		if seenVersion := r.Heard[fmt.Sprint(op.Value)]; op.Return != 0 && seenVersion != 0 {
+		if seenVersion := r.FactVersions[fmt.Sprint(op.Value)]; op.Return != 0 && seenVersion != 0 {
 			require.Equal(t, op.Result, seenVersion,
 				"seed %d: put %d was answered with another version than others learned", cfg.Seed, op.Value)
 		}
 	}
-	require.Equal(t, porcupine.Ok, porcupine.CheckOperationsTimeout(factRegister, factOperations(r, cfg.For),
+	require.Equal(t, porcupine.Ok, porcupine.CheckOperationsTimeout(factRegister, factOperations(r, cfg.Duration),
 		20*time.Second), "seed %d: the facts' history is not linearizable", cfg.Seed)
 	require.Equal(t, porcupine.Ok, porcupine.CheckOperationsTimeout(leaseHolder, leaseOperations(r),
 		20*time.Second), "seed %d: the lease holders' acts are not linearizable", cfg.Seed)
@@ -132,46 +132,46 @@
 	for i := range n {
 		t.Run(fmt.Sprint(first+uint64(i)), func(t *testing.T) {
 			t.Parallel()
-			cfg := Default(first + uint64(i))
+			cfg := DefaultConfig(first + uint64(i))
 			switch i % 4 {
 			case 1:
-				cfg.Keepers, cfg.Wipes = 5, true
+				cfg.Keepers, cfg.LoseFiles = 5, true
 			case 2:
-				cfg.Loss, cfg.Twice, cfg.Spread = 0.1, 0.1, 60*time.Millisecond
+				cfg.LossRate, cfg.DuplicationRate, cfg.MaxJitter = 0.1, 0.1, 60*time.Millisecond
 			case 3:
-				cfg.Keepers, cfg.Members, cfg.Pauses, cfg.Kills = 5, 100, 2, 2
+				cfg.Keepers, cfg.Members, cfg.PauseRate, cfg.KillRate = 5, 100, 2, 2
 			}
 			r := runAndCheck(t, cfg)
 			require.Positive(t, r.Acts)
-			require.Positive(t, r.Begun)
+			require.Positive(t, r.Incarnations)
 		})
 	}
 }
 
 // TestSameSeedSameRun checks that the configuration with its seed determines the run.
 func TestSameSeedSameRun(t *testing.T) {
-	cfg := Default(5)
+	cfg := DefaultConfig(5)
 	one, other := Run(cfg), Run(cfg)
-	require.Equal(t, one.Sum, other.Sum)
+	require.Equal(t, one.Checksum, other.Checksum)
 	require.Equal(t, one.Steps, other.Steps)
 	cfg.Seed = 6
-	require.NotEqual(t, one.Sum, Run(cfg).Sum)
+	require.NotEqual(t, one.Checksum, Run(cfg).Checksum)
 }
 
 // TestLossDetectionTime checks the bound on the time until members notice a loss, while the leading keeper stays
 // and the network is intact.
 func TestLossDetectionTime(t *testing.T) {
-	cfg := Default(3)
-	cfg.Members, cfg.Cuts, cfg.Pauses, cfg.Kills, cfg.Twins,
-		cfg.Islands, cfg.Loss = 60, 0, 0, 0, 0, 0, 0
-	cfg.For, cfg.Quiet = 40*time.Second, 0
-	cfg.MemberKills = 0.5
+	cfg := DefaultConfig(3)
+	cfg.Members, cfg.PartitionRate, cfg.PauseRate, cfg.KillRate, cfg.DuplicateMemberRate,
+		cfg.IsolatedLeaderRate, cfg.LossRate = 60, 0, 0, 0, 0, 0, 0
+	cfg.Duration, cfg.QuietPeriod = 40*time.Second, 0
+	cfg.MemberKillRate = 0.5
 	r := runAndCheck(t, cfg)
-	require.NotEmpty(t, r.Lost)
-	require.LessOrEqual(t, slices.Max(r.Lost),
-		cfg.Terms.LossDetectionTime()+time.Duration(float64(cfg.Terms.LeaseDuration)*0.01))
-	t.Logf("%d losses detected, at most %v after the last act; bound %v", len(r.Lost),
-		slices.Max(r.Lost), cfg.Terms.LossDetectionTime())
+	require.NotEmpty(t, r.LossDetectionTimes)
+	require.LessOrEqual(t, slices.Max(r.LossDetectionTimes),
+		cfg.Settings.LossDetectionTime()+time.Duration(float64(cfg.Settings.LeaseDuration)*0.01))
+	t.Logf("%d losses detected, at most %v after the last act; bound %v", len(r.LossDetectionTimes),
+		slices.Max(r.LossDetectionTimes), cfg.Settings.LossDetectionTime())
 }
 
 // bindingLimits returns limits of each kind that are well below the demand.
@@ -193,12 +193,12 @@
 	for i := range uint64(16) {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			t.Parallel()
-			cfg := Default(100 + i)
-			cfg.Limits, cfg.Demand, cfg.Puts = bindingLimits(cfg.Members), 8, 0.2
+			cfg := DefaultConfig(100 + i)
+			cfg.Limits, cfg.Demand, cfg.PutRate = bindingLimits(cfg.Members), 8, 0.2
 			if i%4 == 3 {
-				cfg.Loss, cfg.Twice, cfg.Far = 0.1, 0.1, 200*time.Millisecond
+				cfg.LossRate, cfg.DuplicationRate, cfg.MaxMemberDelay = 0.1, 0.1, 200*time.Millisecond
 			}
-			for name, l := range runAndCheck(t, cfg).Limited {
+			for name, l := range runAndCheck(t, cfg).Limits {
 				require.Positive(t, l.Admitted, name)
 				require.Positive(t, l.Refused, name)
 			}
@@ -210,19 +210,19 @@
 // steady demand at least 0.95 of the limit is admitted, divided as evenly as the demands allow.
 func TestLimitUtilization(t *testing.T) {
 	for _, steady := range []bool{false, true} {
-		cfg := Default(7)
-		cfg.Cuts, cfg.Pauses, cfg.Kills, cfg.Twins, cfg.Islands,
-			cfg.Loss, cfg.Twice, cfg.Puts = 0, 0, 0, 0, 0, 0, 0, 0
-		cfg.For, cfg.Quiet, cfg.Steady = 30*time.Second, 0, steady
+		cfg := DefaultConfig(7)
+		cfg.PartitionRate, cfg.PauseRate, cfg.KillRate, cfg.DuplicateMemberRate, cfg.IsolatedLeaderRate,
+			cfg.LossRate, cfg.DuplicationRate, cfg.PutRate = 0, 0, 0, 0, 0, 0, 0, 0
+		cfg.Duration, cfg.QuietPeriod, cfg.SteadyDemand = 30*time.Second, 0, steady
 		cfg.Limits, cfg.Demand = bindingLimits(cfg.Members)[:1], 40
 		cfg.Limits[0].Max *= 5
 		r := runAndCheck(t, cfg)
-		have := r.Limited["rate"]
-		use := float64(have.Late) / (10 * cfg.Limits[0].Max)
+		have := r.Limits["rate"]
+		use := float64(have.RecentlyAdmitted) / (10 * cfg.Limits[0].Max)
 		var sum, squares float64 // Jain's fairness index: 1 if all are equal
-		for name, n := range have.By {
+		for name, n := range have.RecentByRouter {
 			if steady { // relative to a central limiter's share
-				n /= 10 * maxMinFairShares(cfg.Limits[0].Max, r.Demands)[name]
+				n /= 10 * maxMinFairShares(cfg.Limits[0].Max, r.FinalDemands)[name]
 			}
 			sum, squares = sum+n, squares+n*n
 		}
@@ -257,16 +257,16 @@
 	for _, members := range []int{10, 60, 300, 1000} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
 			for b.Loop() {
-				cfg := Default(1)
-				cfg.Keepers, cfg.Members, cfg.Cuts, cfg.Pauses, cfg.Kills, cfg.Twins, cfg.Puts,
-					cfg.Islands, cfg.Loss, cfg.Twice = 5, members, 0, 0, 0, 0, 0, 0, 0, 0
-				cfg.Quiet = 0
-				cfg.For = 15 * time.Second // all members hold leases by then
+				cfg := DefaultConfig(1)
+				cfg.Keepers, cfg.Members, cfg.PartitionRate, cfg.PauseRate, cfg.KillRate, cfg.DuplicateMemberRate, cfg.PutRate,
+					cfg.IsolatedLeaderRate, cfg.LossRate, cfg.DuplicationRate = 5, members, 0, 0, 0, 0, 0, 0, 0, 0
+				cfg.QuietPeriod = 0
+				cfg.Duration = 15 * time.Second // all members hold leases by then
 				begin := Run(cfg)
-				cfg.For = 45 * time.Second
+				cfg.Duration = 45 * time.Second
 				r := Run(cfg)
-				if r.Broken != "" {
-					b.Fatal(r.Broken)
+				if r.Violation != "" {
+					b.Fatal(r.Violation)
 				}
 				b.ReportMetric(float64(r.Messages-begin.Messages)/30, "messages/s")
 				b.ReportMetric(float64(r.Bytes-begin.Bytes)/30, "bytes/s")
