--- a/internal/fleetio/fleet.go
+++ b/internal/fleetio/fleet.go
@@ -147,7 +147,7 @@
 	if cfg.Limits != nil {
 		if f.keeper != nil {
 			machine := func() *fleet.Machine { return f.keeper.Machine }
-			f.keeper.Extension = quota.NewRider(cfg.Settings, machine, func() []quota.Limit {
+			f.keeper.Extension = quota.NewLeaseExtension(cfg.Settings, machine, func() []quota.Limit {
 				return effectiveLimits(cfg.Limits, machine().Facts())
 			})
 		}
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -319,7 +319,7 @@
 		}
 		p.keeper = k
 		if len(w.cfg.Limits) > 0 {
-			k.Extension = quota.NewRider(w.cfg.Settings, func() *fleet.Machine { return k.Machine },
+			k.Extension = quota.NewLeaseExtension(w.cfg.Settings, func() *fleet.Machine { return k.Machine },
 				func() []quota.Limit { return w.cfg.Limits })
 		}
 		w.appliedIndex[p] = k.Machine.Index
--- a/quota/rider.go
+++ b/quota/leaseextension.go
@@ -24,9 +24,9 @@
 	ceilingKeyPrefix = fleet.LeaderKeyPrefix + "quota/"
 )
 
-// Rider connects the Allocator of a keeper to lease renewals and to the log. It implements fleet.LeaseExtension and is
-// not safe for concurrent use.
-type Rider struct {
+// LeaseExtension connects the Allocator of a keeper to lease renewals and to the log. It implements
+// fleet.LeaseExtension and is not safe for concurrent use.
+type LeaseExtension struct {
 	Allocator        *Allocator
 	machine          func() *fleet.Machine
 	limits           func() []Limit // in force by the log
@@ -34,10 +34,10 @@
 	proposedVersions map[string]uint64 // by key: 1 + the version that the latest put expects
 }
 
-// NewRider returns the Rider of a keeper. limits returns the limits in force; it is called when the keeper begins to
-// lead and when the log changes them.
-func NewRider(t fleet.Settings, machine func() *fleet.Machine, limits func() []Limit) *Rider {
-	return &Rider{
+// NewLeaseExtension returns the LeaseExtension of a keeper. limits returns the limits in force; it is called when the
+// keeper begins to lead and when the log changes them.
+func NewLeaseExtension(t fleet.Settings, machine func() *fleet.Machine, limits func() []Limit) *LeaseExtension {
+	return &LeaseExtension{
 		Allocator: NewAllocator(nil, t.RegrantDelay(), t.ClockDrift),
 		machine:   machine, limits: limits, proposedVersions: map[string]uint64{},
 	}
@@ -45,41 +45,43 @@
 
 // StartTerm implements fleet.LeaseExtension. The allocator starts a term with the ceilings and the live routers of the
 // log.
-func (r *Rider) StartTerm(now time.Duration) {
+func (le *LeaseExtension) StartTerm(now time.Duration) {
 	live, ceilings := map[string]uint64{}, map[string][]Ceiling{}
-	for _, m := range r.machine().Members() {
+	for _, m := range le.machine().Members() {
 		if m.Live {
 			live[m.Name] = m.Incarnation
 		}
 	}
-	for _, f := range r.machine().Facts() {
+	for _, f := range le.machine().Facts() {
 		if name, ok := strings.CutPrefix(f.Key, ceilingKeyPrefix); ok {
 			ceilings[name] = unmarshalCeilings(f.Value)
 		}
 	}
-	r.Allocator.SetLimits(r.limits())
-	r.Allocator.StartTerm(now, ceilings, live)
-	r.pendingPuts, r.proposedVersions = nil, map[string]uint64{}
+	le.Allocator.SetLimits(le.limits())
+	le.Allocator.StartTerm(now, ceilings, live)
+	le.pendingPuts, le.proposedVersions = nil, map[string]uint64{}
 }
 
 // EndTerm implements fleet.LeaseExtension. The allocator ends its term.
-func (r *Rider) EndTerm() { r.Allocator.EndTerm() }
+func (le *LeaseExtension) EndTerm() { le.Allocator.EndTerm() }
 
 // EndIncarnation implements fleet.LeaseExtension. The lease of an incarnation has expired on every clock.
-func (r *Rider) EndIncarnation(now time.Duration, name string, incarnation uint64) {
-	r.Allocator.EndIncarnation(now, name, incarnation)
+func (le *LeaseExtension) EndIncarnation(now time.Duration, name string, incarnation uint64) {
+	le.Allocator.EndIncarnation(now, name, incarnation)
 }
 
 // HandleEntry implements fleet.LeaseExtension. It updates the limits when an operator's limit is committed.
-func (r *Rider) HandleEntry(_ time.Duration, e *fleetpb.Entry) {
+func (le *LeaseExtension) HandleEntry(_ time.Duration, e *fleetpb.Entry) {
 	if strings.HasPrefix(e.GetPut().GetKey(), OperatorKeyPrefix) {
-		r.Allocator.SetLimits(r.limits())
+		le.Allocator.SetLimits(le.limits())
 	}
 }
 
 // HandleRenewal implements fleet.LeaseExtension. It decodes the claims of a lease request and returns the encoded
 // grants for the answer, nil if there are no valid claims. Changed ceilings are queued for TakePuts.
-func (r *Rider) HandleRenewal(now time.Duration, name string, incarnation, process, seq uint64, payload []byte) []byte {
+func (le *LeaseExtension) HandleRenewal(
+	now time.Duration, name string, incarnation, process, seq uint64, payload []byte,
+) []byte {
 	var request quotapb.Claims
 	if payload == nil || proto.Unmarshal(payload, &request) != nil {
 		return nil
@@ -89,14 +91,14 @@
 		claims = append(claims, Claim{Limit: claim.Limit, Demand: claim.Demand, Held: claim.Held, Used: claim.Used})
 	}
 	key := ceilingKeyPrefix + name
-	fact := r.machine().Fact(key)
+	fact := le.machine().Fact(key)
 	stored := unmarshalCeilings(fact.GetValue())
-	grants, added := r.Allocator.Allocate(now, name, incarnation, process, seq, request.Taken, claims, stored)
-	if list := r.Allocator.RequiredCeilings(name, stored, added); (len(added) > 0 || len(list) < len(stored)) &&
-		r.proposedVersions[key] != fact.GetVersion()+1 {
+	grants, added := le.Allocator.Allocate(now, name, incarnation, process, seq, request.Taken, claims, stored)
+	if list := le.Allocator.RequiredCeilings(name, stored, added); (len(added) > 0 || len(list) < len(stored)) &&
+		le.proposedVersions[key] != fact.GetVersion()+1 {
 		// Only one put of a key is pending at a time. If it is lost with the term, the next term starts anew.
-		r.proposedVersions[key] = fact.GetVersion() + 1
-		r.pendingPuts = append(r.pendingPuts, &fleetpb.Put{
+		le.proposedVersions[key] = fact.GetVersion() + 1
+		le.pendingPuts = append(le.pendingPuts, &fleetpb.Put{
 			Key: key, Value: marshalCeilings(list), Expect: fact.GetVersion(),
 		})
 	}
@@ -109,9 +111,9 @@
 }
 
 // TakePuts implements fleet.LeaseExtension. It returns the queued writes of ceilings and empties the queue.
-func (r *Rider) TakePuts() []*fleetpb.Put {
-	puts := r.pendingPuts
-	r.pendingPuts = nil
+func (le *LeaseExtension) TakePuts() []*fleetpb.Put {
+	puts := le.pendingPuts
+	le.pendingPuts = nil
 	return puts
 }
 
@@ -123,9 +125,9 @@
 
 // Report implements fleet.LeaseExtension. It returns the encoded status of the limits. If there are more than
 // maxReportedLimits, it contains those with the most demand.
-func (r *Rider) Report() []byte {
+func (le *LeaseExtension) Report() []byte {
 	var report quotapb.Standings
-	list := r.Allocator.Status()
+	list := le.Allocator.Status()
 	if len(list) > maxReportedLimits {
 		slices.SortStableFunc(list, func(a, b AllocationStatus) int { return cmp.Compare(b.Demand, a.Demand) })
 		report.LeftOut = uint32(len(list) - maxReportedLimits)
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -409,9 +409,9 @@
 	})
 }
 
-// BenchmarkDivider measures the leading keeper's work for one lease request of each of 300 routers, with 10,000
+// BenchmarkAllocator measures the leading keeper's work for one lease request of each of 300 routers, with 10,000
 // active limits, of which each router claims the given number.
-func BenchmarkDivider(b *testing.B) {
+func BenchmarkAllocator(b *testing.B) {
 	for _, each := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(each), func(b *testing.B) {
 			allocator := NewAllocator(
