--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -132,9 +132,9 @@
 		return
 	}
 	k.closed = true
-	for _, p := range k.queue {
-		if p.fd >= 0 && !p.keepFD {
-			unix.Close(p.fd)
+	for _, frame := range k.queue {
+		if frame.fd >= 0 && !frame.keepFD {
+			unix.Close(frame.fd)
 		}
 	}
 	for _, fd := range k.receivedFDs {
@@ -168,12 +168,12 @@
 // flush sends as many queued bytes as the socket accepts.
 func (k *Link) flush() {
 	for len(k.queue) > 0 && !k.closed {
-		p := &k.queue[0]
+		frame := &k.queue[0]
 		var rights []byte
-		if p.fd >= 0 {
-			rights = unix.UnixRights(p.fd)
+		if frame.fd >= 0 {
+			rights = unix.UnixRights(frame.fd)
 		}
-		n, err := unix.SendmsgN(k.fd, p.data, rights, nil, unix.MSG_NOSIGNAL|unix.MSG_DONTWAIT)
+		n, err := unix.SendmsgN(k.fd, frame.data, rights, nil, unix.MSG_NOSIGNAL|unix.MSG_DONTWAIT)
 		if err == unix.EAGAIN || err == unix.ETOOMANYREFS || err == unix.ENOBUFS {
 			break
 		}
@@ -184,14 +184,14 @@
 			k.loop.Post(func() { k.fail(err) }) // posted, as the owner calling Send isn't prepared for a reentrant onClose
 			return
 		}
-		if p.fd >= 0 {
-			if !p.keepFD {
-				unix.Close(p.fd)
+		if frame.fd >= 0 {
+			if !frame.keepFD {
+				unix.Close(frame.fd)
 			}
-			p.fd = -1
+			frame.fd = -1
 		}
 		k.queuedBytes -= n
-		if p.data = p.data[n:]; len(p.data) == 0 {
+		if frame.data = frame.data[n:]; len(frame.data) == 0 {
 			k.queue[0] = queuedFrame{}
 			k.queue = k.queue[1:]
 		}
@@ -283,7 +283,7 @@
 	}
 	size := int(binary.BigEndian.Uint32(k.received))
 	if size > maxFrameSize || k.received[5] > 1 {
-		return 0, nil, -1, -1, fmt.Errorf("handover: no frame, or one of %d bytes", size)
+		return 0, nil, -1, -1, fmt.Errorf("handover: malformed frame header (payload length %d)", size)
 	}
 	if len(k.received) < headerSize+size {
 		return 0, nil, -1, -1, nil
@@ -291,7 +291,7 @@
 	fd = -1
 	if k.received[5] == 1 {
 		if len(k.receivedFDs) == 0 {
-			return 0, nil, -1, -1, errors.New("handover: a frame without its descriptor")
+			return 0, nil, -1, -1, errors.New("handover: frame arrived without its file descriptor")
 		}
 		fd, k.receivedFDs = k.receivedFDs[0], k.receivedFDs[1:]
 	}
@@ -317,8 +317,8 @@
 
 // Listen opens the handover socket at a path. It removes a socket that another process of this router has left there;
 // any other file there is left alone and causes an error. admit decides whether a new process may take over and
-// receives its link; listenFD then returns the listening socket to pass on. onRefused is called with the reason for
-// which a process was rejected, or with the error if its link failed before that.
+// receives its link; listenFD then returns the listening socket to pass on. onRefused is called with the reason why a
+// process was rejected, or with the error if its link failed before it could be admitted.
 func Listen(
 	l *loop.Loop,
 	path string,
@@ -328,7 +328,7 @@
 ) (*Listener, error) {
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
-			return nil, fmt.Errorf("handover: %s is no socket", path)
+			return nil, fmt.Errorf("handover: %s exists and is not a socket", path)
 		}
 		os.Remove(path)
 	}
@@ -367,7 +367,7 @@
 	if peer, err := unix.GetsockoptUcred(fd, unix.SOL_SOCKET, unix.SO_PEERCRED); err != nil ||
 		int(peer.Uid) != os.Getuid() || ln.pendingPeers >= maxPendingPeers {
 		unix.Close(fd)
-		ln.onRefused(errors.New("handover: a process of another user asked, or too many do"))
+		ln.onRefused(errors.New("handover: request from a process of another user, or too many requests at once"))
 		return
 	}
 	ln.pendingPeers++
@@ -383,7 +383,7 @@
 		ln.pendingPeers--
 		if kind != kindHello || len(payload) != 4 || binary.BigEndian.Uint32(payload) != Version {
 			link.Close()
-			ln.onRefused(errors.New("handover: a process of another version asked"))
+			ln.onRefused(errors.New("handover: request is malformed or of another protocol version"))
 			return
 		}
 		link.onFrame, link.onClose = func(byte, []byte, int) {}, func(error) {}
@@ -411,8 +411,8 @@
 
 // Connect asks the serving process for a handover. It blocks for at most answerTimeout and must be called before the
 // loop runs. It returns the link and the listening socket of that process, or neither and no error if there is no
-// socket at the path. The error is ErrBusy if another process is about to take over; any other error says why a
-// handover isn't possible.
+// socket at the path. The error is ErrBusy if another process is about to take over; any other error gives the reason
+// why a handover isn't possible.
 func Connect(path string) (*Link, int, error) {
 	if _, err := os.Lstat(path); err != nil {
 		return nil, -1, nil
@@ -428,7 +428,7 @@
 	}
 	if err := unix.Connect(fd, sa); err != nil {
 		unix.Close(fd)
-		return nil, -1, fmt.Errorf("handover: nobody answers at %s: %w", path, err)
+		return nil, -1, fmt.Errorf("handover: connect to %s: %w", path, err)
 	}
 	link := &Link{fd: fd}
 	link.Send(kindHello, binary.BigEndian.AppendUint32(nil, Version), -1, false)
@@ -442,7 +442,7 @@
 		}
 		if err != nil || n == 0 {
 			link.Close()
-			return nil, -1, fmt.Errorf("handover: %s: closed without an answer: %v", path, err)
+			return nil, -1, fmt.Errorf("handover: %s: connection closed before an answer: %v", path, err)
 		}
 		link.received = append(link.received, buf[:n]...)
 		kind, _, listenFD, rest, err := link.nextFrame()
@@ -467,5 +467,5 @@
 		break
 	}
 	link.Close()
-	return nil, -1, fmt.Errorf("handover: %s: not answered as a process of this version does", path)
+	return nil, -1, fmt.Errorf("handover: %s: no valid answer from a process of this version", path)
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -30,8 +30,9 @@
 	maxEvents             = 1024      // events per epoll_wait; a small machine has about as many descriptors
 	messagesPerCloseCheck = 32        // messages delivered between two checks for peers that have closed
 	maxIdleWait           = time.Hour // longest epoll_wait when no timer is due
-	// slowIterationThreshold is the duration of an iteration, or of a pause of the process within it, from which
-	// input that has arrived meanwhile is read before output is released, as it may withdraw that output.
+	// slowIterationThreshold is the duration from which an iteration, or a pause of the process within it, counts as
+	// slow. After one, the loop reads the input that has arrived in the meantime before it releases output, because
+	// that input may withdraw the output.
 	slowIterationThreshold = 20 * time.Millisecond
 	// maxCatchUpRounds and catchUpTimeout bound that reading, so that a flood of input can't delay everything else.
 	maxCatchUpRounds = 64
@@ -43,15 +44,15 @@
 // Errors passed to Handler.Closed.
 var (
 	// ErrEOF means that the peer has closed the connection.
-	ErrEOF = errors.New("closed by the other side")
+	ErrEOF = errors.New("connection closed by the peer")
 	// ErrSlowPeer means that the peer didn't read fast enough, or that it exceeded a deadline of the connection's owner.
-	ErrSlowPeer = errors.New("the other side does not read")
+	ErrSlowPeer = errors.New("peer too slow")
 	// ErrTooLong means that a message doesn't fit into the read buffer.
 	ErrTooLong = errors.New("message longer than the read buffer")
 	// ErrDialTimeout means that a dialed connection wasn't established in time.
-	ErrDialTimeout = errors.New("not connected in time")
+	ErrDialTimeout = errors.New("connect timeout")
 	// ErrClosedLocally means that this side has closed the connection.
-	ErrClosedLocally = errors.New("closed on this side")
+	ErrClosedLocally = errors.New("connection closed locally")
 )
 
 // Handler receives the events of a connection. Data returns how many bytes it consumed; the rest is offered again
@@ -75,7 +76,7 @@
 type Loop struct {
 	epoll              int
 	wakeFD             int     // eventfd that interrupts epoll_wait
-	spareFD            int     // reserve for closing a connection when no descriptor is left; -1: none
+	spareFD            int     // kept to accept and close a connection when no other descriptor is left; -1: none
 	readBuf            []byte  // shared by all connections; unfinished messages are copied to the connection
 	pending            []*Conn // connections with complete messages left over from the previous iteration
 	sources            map[int32]source
@@ -101,10 +102,10 @@
 	recallable         []recallableWrite // writes that can be recalled until they are released, oldest first
 }
 
-// OutputGate holds back what connections write until a condition is met, such as the durability of a record of it.
-// At the end of each iteration the loop gets a ticket from Commit; the bytes of that iteration are written once
-// Released returns that ticket or a later one. No method may block. The implementation calls Wake when it releases
-// a ticket.
+// OutputGate holds back the bytes that connections write until a condition is met, for example until the records of
+// the calls concerned are on disk. At the end of each iteration the loop gets a ticket from Commit; the bytes of that
+// iteration are written once Released returns that ticket or a later one. No method may block. The implementation
+// calls Wake when it releases a ticket.
 type OutputGate interface {
 	Commit() (ticket uint64)
 	Released() (ticket uint64) // called once per iteration, after Commit
@@ -167,7 +168,8 @@
 	return true
 }
 
-// removeUnsent removes bytes from the unsent buffer and from the account of the iteration that wrote them.
+// removeUnsent removes bytes from the unsent buffer and subtracts them from the byte count of the iteration that wrote
+// them.
 func (c *Conn) removeUnsent(from, n int) {
 	c.unsent = slices.Delete(c.unsent, from, from+n)
 	end := c.releasedBytes
@@ -185,8 +187,8 @@
 // SetOutputGate sets the gate that holds back written bytes. It must be called before Run.
 func (l *Loop) SetOutputGate(g OutputGate) { l.gate = g }
 
-// SetAfterWait sets a function that is called after each wait, and when a pause of the process was noticed, before any
-// input is handled: the process may have been stopped for a while. It must be called before Run.
+// SetAfterWait sets a function that is called after each wait, and after any other pause that the loop notices, before
+// it handles further input: the process may have been stopped in the meantime. It must be called before Run.
 func (l *Loop) SetAfterWait(f func()) { l.afterWait = f }
 
 // SetClock sets the clock by which the loop detects slow iterations. It must be called before Run.
@@ -278,7 +280,7 @@
 			c.deliver(copy(c.loop.readBuf, c.unread))
 		}
 	}
-	l.urgentLoop.closeDropped()
+	l.urgentLoop.closeRemoved()
 }
 
 // New creates a loop without sources.
@@ -344,7 +346,7 @@
 				wait = 0
 			}
 		}
-		l.closeDropped()
+		l.closeRemoved()
 		if l.stop {
 			break
 		}
@@ -374,7 +376,7 @@
 		l.lastPoll = l.now()
 		l.waitOverran = l.lastPoll-waitStart >= time.Duration(ms)*time.Millisecond+slowIterationThreshold
 		l.serveEvents(events[:max(n, 0)])
-		l.closeDropped()
+		l.closeRemoved()
 		l.resumeListeners()
 	}
 	return nil
@@ -495,17 +497,18 @@
 		unix.Close(int(fd))
 	}
 	clear(l.sources)
-	l.closeDropped()
+	l.closeRemoved()
 	if l.spareFD >= 0 {
 		unix.Close(l.spareFD)
 	}
 	unix.Close(l.epoll)
 }
 
-// closeDropped closes the descriptors that were removed since the last call.
-func (l *Loop) closeDropped() {
+// closeRemoved closes the descriptors that were removed since the last call. Listeners that are paused for lack of
+// descriptors may then accept again at once.
+func (l *Loop) closeRemoved() {
 	if l.urgentLoop != nil {
-		l.urgentLoop.closeDropped()
+		l.urgentLoop.closeRemoved()
 	}
 	if len(l.closing) > 0 {
 		l.acceptRetryAt = time.Time{}
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -1,8 +1,8 @@
 // Package mgmt is the management server: a minimal HTTP/1.1 server on the event loop with one request per connection.
 // It parses requests, limits their size and bounds the number of connections.
 //
-// It only knows readiness, drain and resume, and nothing about calls. It starts no goroutines, never blocks, and
-// doesn't let a silent client keep others out.
+// It only serves readiness, drain and resume, and knows nothing about calls. It starts no goroutines, never blocks,
+// and doesn't let a silent client keep others out.
 package mgmt
 
 import (
@@ -58,7 +58,9 @@
 	counters    Counters
 }
 
-// Counters counts connections by their result. Open is the number of connections that are open now.
+// Counters counts connections by their result. Answered requests were executed, also those for readiness that got
+// status 503; Refused ones got status 404, 405 or 409. Late connections were closed before their request was complete,
+// and Evicted ones to admit a new connection. Open is the number of connections that are open now.
 type Counters struct {
 	Accepted, Answered, Refused, Malformed, Late, Evicted uint64
 	Open                                                  int
@@ -156,7 +158,7 @@
 		c.server.counters.Malformed++
 		if status != 400 { // status 400 isn't logged: its cause may be any kind of garbage
 			c.server.cfg.Log.Warn().Str("event", "mgmt_malformed").Int("status", status).
-				Msgf("operators' door: %s: status %d", c.conn.Remote(), status)
+				Msgf("management server: %s: request rejected with status %d", c.conn.Remote(), status)
 		}
 		c.respond(status, statusTexts[status], "", false)
 	default:
@@ -219,7 +221,7 @@
 	503: "Service Unavailable",
 }
 
-// respond writes the response and finishes the connection in such a way that the client can read it.
+// respond writes the response and closes the connection in such a way that the client can still read it.
 func (c *connection) respond(status int, text, allow string, head bool) {
 	b := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: text/plain; charset=utf-8\r\n"+
 		"Cache-Control: no-store\r\nConnection: close\r\nContent-Length: %d\r\n",
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -27,9 +27,9 @@
 	Listen   netip.AddrPort // address for callers
 	Mgmt     netip.AddrPort // address of the management server; the zero value disables it
 	Resolver netip.AddrPort // name service
-	Seed     uint64         // of the random numbers
+	Seed     uint64         // of the random number generators
 	MemoryMB int            // memory limit of the process, in MiB
-	Sockets  int            // most descriptors that the process may hold
+	Sockets  int            // limit of open file descriptors
 	Cursor   uint32         // serial of the server list in Servers
 	Servers  []sip.Server
 	Settings threadglade.Settings
@@ -68,7 +68,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	var ownSettings struct {
+	var nodeSettings struct {
 		Report struct {
 			Fields []string `json:"fields"`
 		} `json:"report"`
@@ -76,11 +76,11 @@
 			Connect float64 `json:"connectTimeoutMs"`
 		} `json:"limits"`
 	}
-	if err := json.Unmarshal(raw.Settings, &ownSettings); err != nil {
+	if err := json.Unmarshal(raw.Settings, &nodeSettings); err != nil {
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
 	cfg := Config{Name: raw.Name, MemoryMB: int(raw.Limits.MemoryMB), Sockets: raw.Limits.Sockets,
-		ConnectTimeout: wire.Duration(ownSettings.Limits.Connect), keyTree: tree}
+		ConnectTimeout: wire.Duration(nodeSettings.Limits.Connect), keyTree: tree}
 	if cfg.MemoryMB <= 0 || cfg.Sockets <= 0 {
 		return cfg, fmt.Errorf("limits: memory_mb %v and sockets %d must be above 0",
 			raw.Limits.MemoryMB, raw.Limits.Sockets)
@@ -88,8 +88,8 @@
 	if cfg.ConnectTimeout <= 0 {
 		cfg.ConnectTimeout = 500 * time.Millisecond
 	}
-	if len(ownSettings.Report.Fields) >= 2 {
-		cfg.FreeField, cfg.TotalField = ownSettings.Report.Fields[0], ownSettings.Report.Fields[1]
+	if len(nodeSettings.Report.Fields) >= 2 {
+		cfg.FreeField, cfg.TotalField = nodeSettings.Report.Fields[0], nodeSettings.Report.Fields[1]
 	}
 	if listen == "" {
 		listen = raw.Listen
@@ -105,7 +105,7 @@
 			return cfg, fmt.Errorf("mgmt: %w", err)
 		}
 		if cfg.Mgmt == cfg.Listen && cfg.Mgmt.Port() != 0 {
-			return cfg, fmt.Errorf("mgmt: %s is where callers connect", cfg.Mgmt)
+			return cfg, fmt.Errorf("mgmt: %s is the address where callers connect", cfg.Mgmt)
 		}
 	}
 	if cfg.Resolver, err = netip.ParseAddrPort(raw.Resolver); err != nil {
@@ -181,8 +181,8 @@
 		return nil
 	}
 	key, list := strings.CutSuffix(path[0], "[]")
-	object, isType := tree.(map[string]any)
-	if !isType {
+	object, ok := tree.(map[string]any)
+	if !ok {
 		return fmt.Errorf("%s is not an object", strings.TrimPrefix(parent, "."))
 	}
 	value, found := object[key]
@@ -192,8 +192,8 @@
 	if !list {
 		return requireKey(value, path[1:], parent)
 	}
-	entries, isType := value.([]any)
-	if !isType {
+	entries, ok := value.([]any)
+	if !ok {
 		return fmt.Errorf("%s is not a list", parent[1:])
 	}
 	for i, entry := range entries {
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -18,27 +18,27 @@
 // This file implements hot restart, in which a new process takes over the callers of the old one. It connects the
 // state machines of both sides (package lifecycle) with the socket between them (package handover), the listeners,
 // the SIP front and the shutdown. While the processes can communicate, only one of them decides for callers; when
-// they can't, each serves.
+// they can't, each of them serves.
 
 const (
 	// frameTakeOver asks the new process to take over; its payload is the number of calls at the old one.
 	// frameTakenOver confirms that the new process accepts callers.
 	frameTakeOver  = sip.FirstOwnerFrame
 	frameTakenOver = sip.FirstOwnerFrame + 1
-	// busyRetryInterval is the delay before a process asks again that found another one about to take over.
+	// busyRetryInterval is the delay before a process asks again after it has found another one about to take over.
 	busyRetryInterval = 100 * time.Millisecond
 	// standbyReachTimeout bounds how long a process in standby waits for data from all case servers before it reports
 	// itself ready.
 	standbyReachTimeout = time.Second
-	// lingerTimeout after the longest deadline, a process that has handed its callers over exits even if calls
-	// remain.
+	// lingerTimeout is how long after the longest deadline of a class a process that has handed its callers over
+	// exits even if calls remain.
 	lingerTimeout = time.Second
 )
 
 // handoverState is the state of a node's part in hot restarts, as the old and as the new process.
 type handoverState struct {
 	socketPath     string             // empty if hot restart is disabled
-	server         *handover.Listener // accepts new processes; nil until this one serves
+	listener       *handover.Listener // accepts new processes; nil until this one serves
 	asOldProcess   lifecycle.OldProcess
 	asNewProcess   lifecycle.NewProcess
 	newProcessLink *handover.Link // to the process that replaces this one; nil if none is in standby
@@ -52,15 +52,15 @@
 type handoverCounters struct {
 	Refused   uint64 // connections refused at the handover socket
 	Taken     uint64 // takeovers from an old process
-	Handed    uint64 // callers handed over to a new process
+	Handed    uint64 // handovers to a new process
 	Lost      uint64 // new processes whose link was lost
 	Malformed uint64 // frames of an unknown kind or form
 }
 
 func (t *handoverState) counters() handoverCounters { return t.count }
 
-// requestStandby looks for a process of this router that serves and puts this one in standby for it. It returns the
-// listening socket of that process, or -1 if there is none.
+// requestStandby looks for a process that serves for this router and, if there is one, puts this process in standby.
+// It returns the listening socket of the serving process, or -1 if there is none.
 func (n *Node) requestStandby() (listenFD int, err error) {
 	cfg := n.config
 	if cfg.HandoverDir == "" {
@@ -73,12 +73,13 @@
 		case errors.Is(err, handover.ErrBusy):
 			if first {
 				n.log.Warn().Str("event", "handover_busy").
-					Msg("another process is about to take over; waiting until it has or has gone")
+					Msg("another process is about to take over; waiting until it has done so or has exited")
 			}
 			time.Sleep(busyRetryInterval)
 			continue
 		case err != nil:
-			n.log.Warn().Str("event", "handover_ignored").Msgf("%v: left alone, callers are served beside it", err)
+			n.log.Warn().Str("event", "handover_ignored").
+				Msgf("%v: starting without a handover, in parallel with any process that still serves", err)
 			return -1, nil
 		case link == nil:
 			return -1, nil
@@ -117,23 +118,24 @@
 	}
 	n.listener.SetPaused(true)
 	n.log.Info().Str("event", "standby").Stringer("address", n.listener.Addr()).
-		Msgf("standing by for the process that serves on %s", n.listener.Addr())
+		Msgf("in standby for the process that serves on %s", n.listener.Addr())
 	return t.oldProcessLink.Serve(n.Loop, n.onOldProcessFrame, n.onOldProcessGone)
 }
 
 // listenForSuccessor opens the socket at which a new process asks to stand by.
 func (n *Node) listenForSuccessor() {
 	t := &n.handover
-	if t.server != nil {
+	if t.listener != nil {
 		return
 	}
 	var err error
-	t.server, err = handover.Listen(n.Loop, t.socketPath, n.listener.Descriptor, n.acceptSuccessor, func(err error) {
+	t.listener, err = handover.Listen(n.Loop, t.socketPath, n.listener.Descriptor, n.acceptSuccessor, func(err error) {
 		t.count.Refused++
 		n.log.Warn().Str("event", "handover_refused").Msg(err.Error())
 	})
 	if err != nil { // callers are served without hot restart too
-		n.log.Warn().Str("event", "handover_off").Msgf("%v: a new version will not be handed the callers", err)
+		n.log.Warn().Str("event", "handover_off").
+			Msgf("%v: hot restart is off, a new process cannot take over the callers", err)
 	}
 }
 
@@ -170,14 +172,14 @@
 		t.newProcessLink = nil
 		t.count.Lost++
 		n.log.Warn().Str("event", "handover_lost").Bool("handed", t.asOldProcess.HandedOver()).
-			Msgf("the process that stood by has gone: %v", err)
+			Msgf("lost the connection to the new process: %v", err)
 		if !t.asOldProcess.HandedOver() {
 			t.asOldProcess.SuccessorLost()
 			n.process.SetSuccessor(false)
 		}
 		n.front.SuccessorLost()
 	})
-	n.log.Info().Str("event", "handover_ready").Msg("another process stands by to take over")
+	n.log.Info().Str("event", "handover_ready").Msg("a new process is in standby and can take over")
 	return true
 }
 
@@ -197,7 +199,7 @@
 			n.Router.Schedule(n.clock()+20*time.Millisecond, poll)
 		default:
 			n.log.Warn().Str("event", "handover_late").
-				Msg("the process that stands by does not take over in time: ending without it")
+				Msg("the process in standby did not take over in time: shutting down without it")
 			n.process.SetSuccessor(false)
 		}
 	}
@@ -221,15 +223,15 @@
 		if n.callControlListener != nil {
 			n.callControlListener.Close()
 		}
-		if t.server != nil {
-			t.server.Close()
+		if t.listener != nil {
+			t.listener.Close()
 		}
 		if n.fleet != nil {
 			n.fleet.Leave()
 		}
 		n.front.HandOver(t.newProcessLink)
 		n.log.Info().Str("event", "handed_over").Int("open", n.Router.OpenRequests()).
-			Msgf("callers handed over: %d requests are still answered from here", n.Router.OpenRequests())
+			Msgf("callers handed over: this process still answers %d open requests", n.Router.OpenRequests())
 	case fd < 0 && n.front.HandleSuccessorFrame(kind, payload):
 	default:
 		t.count.Malformed++
@@ -255,7 +257,7 @@
 	switch {
 	case kind == frameTakeOver && fd < 0 && len(payload) == 4:
 		n.Router.AllowForeignReleases(int(min(binary.BigEndian.Uint32(payload), 1<<20)))
-		n.takeOver("asked to")
+		n.takeOver("takeover requested")
 		t.oldProcessLink.Send(frameTakenOver, nil, -1, false)
 	case n.front.HandleOldProcessFrame(n.Loop, kind, payload, fd, t.oldProcessLink):
 	default:
@@ -277,7 +279,7 @@
 		n.callControlListener.SetPaused(false)
 	}
 	n.listenForSuccessor()
-	n.log.Info().Str("event", "taken_over").Msgf("%s: serving callers in the place of the process before", why)
+	n.log.Info().Str("event", "taken_over").Msgf("%s: serving callers in place of the old process", why)
 }
 
 // onOldProcessGone handles the loss of the link to the old process. A process still in standby takes over.
@@ -285,11 +287,11 @@
 func (n *Node) onOldProcessGone(err error) {
 	n.handover.oldProcessLink = nil
 	if n.handover.asNewProcess.OldProcessLost() {
-		n.takeOver("the process before has gone")
+		n.takeOver("the old process has gone")
 	}
 	n.front.OldProcessLost()
 	n.trunk.Reconnect()
 	if !errors.Is(err, loop.ErrEOF) {
-		n.log.Warn().Str("event", "handover_broken").Msgf("the process before is not to be heard any more: %v", err)
+		n.log.Warn().Str("event", "handover_broken").Msgf("lost the connection to the old process: %v", err)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
 // Package node assembles one call router: it reads the platform's configuration, connects the event loop, the router,
 // the SIP front and trunk, the server list and the optional subsystems, and shuts them down in order. It sets the
-// limits of the process and handles its signals. It makes no decisions about calls and doesn't read messages.
+// limits of the process and handles its signals. It makes no decisions about calls and doesn't parse messages.
 package node
 
 import (
@@ -49,7 +49,7 @@
 	heapLimitFraction = 0.7
 )
 
-// Node is one running call router. While Run serves, its other methods are to be called on the event loop's
+// Node is one running call router. While Run is executing, its other methods must be called on the event loop's
 // goroutine.
 type Node struct {
 	Loop   *loop.Loop
@@ -188,7 +188,7 @@
 			return nil, err
 		}
 		log.Info().Str("event", "mgmt_serving").Stringer("address", n.management.Addr()).
-			Msgf("operators' door on %s", n.management.Addr())
+			Msgf("management server listening on %s", n.management.Addr())
 	}
 	if cfg.Product.Fleet != nil {
 		if err = n.openFleet(); err != nil {
@@ -220,7 +220,7 @@
 	changed, err := p.n.process.Drain(p.n.clock())
 	if changed {
 		p.n.log.Info().Str("event", "draining").Int("open", p.n.Router.OpenRequests()).
-			Msgf("told to drain: %d requests open, %d connections",
+			Msgf("draining: %d open requests, %d connections",
 				p.n.Router.OpenRequests(), p.n.front.Counters().Open)
 	}
 	return err
@@ -230,7 +230,7 @@
 func (p managedProcess) Resume() error {
 	changed, err := p.n.process.Resume()
 	if changed {
-		p.n.log.Info().Str("event", "resumed").Msg("told to resume: ready again")
+		p.n.log.Info().Str("event", "resumed").Msg("resumed: ready again")
 	}
 	return err
 }
@@ -267,12 +267,13 @@
 	}
 	listener.SetPaused(n.handover.asNewProcess.InStandby())
 	n.callControlListener = listener
-	n.log.Info().Str("event", "callcontrol_serving").Msgf("call control on %s", listener.Addr())
+	n.log.Info().Str("event", "callcontrol_serving").Msgf("call control listening on %s", listener.Addr())
 	return listener.Addr(), nil
 }
 
 // updateServers distributes the whole list of case servers. The router is notified first, so that calls cut off at a
-// removed server are not sent there again. isStored marks the list of the configuration.
+// removed server are not sent there again. isStored is true for the list in the configuration and false for one from
+// the name service.
 func (n *Node) updateServers(servers []sip.Server, isStored bool) {
 	event := threadglade.ServerList{Stored: isStored}
 	for _, s := range servers {
@@ -322,7 +323,7 @@
 // Shutdown ends Run once no answers are pending, but not before callers have had time to switch to another router. If
 // another process is in standby, it is asked to take over the callers.
 func (n *Node) Shutdown() {
-	n.log.Info().Str("event", "ending").Msgf("told to end: %d requests open", n.Router.OpenRequests())
+	n.log.Info().Str("event", "ending").Msgf("shutting down: %d open requests", n.Router.OpenRequests())
 	n.process.End(n.clock())
 	earliest := n.clock() + minShutdownDelay
 	latest := earliest + flushTimeout
@@ -371,9 +372,9 @@
 }
 
 // Apply puts a configuration that was read again in force, completely or, with an error, not at all. The new address
-// of the name service is used at once, and the list continues by its serial. Limits apply from now on, settings to
-// requests that arrive from now on. Calls, servers and connections stay as they are. Changes that take a restart are
-// logged.
+// of the name service is used at once; as before, only lists with a newer serial are accepted. Limits apply from now
+// on, settings to requests that arrive from now on. Calls, servers and connections stay as they are. Changes that need
+// a restart are logged.
 func (n *Node) Apply(cfg Config) error {
 	old := n.config
 	if err := cfg.CheckCanReplace(old); err != nil {
@@ -400,13 +401,13 @@
 	} {
 		if !unchanged {
 			n.log.Warn().Str("event", "config_waits").Str("field", name).
-				Msgf("configuration: %s has changed, which takes a restart", name)
+				Msgf("configuration: the change of %s takes effect after a restart", name)
 		}
 	}
 	if n.trace != nil {
 		n.trace.RecordReload()
 	}
-	// Fields that take a restart keep their values in force, so that the next reload is compared with those.
+	// Fields that need a restart keep their values in force, so that the next reload is compared with those.
 	n.config.Resolver, n.config.MemoryMB, n.config.Sockets, n.config.Settings, n.config.keyTree =
 		cfg.Resolver, cfg.MemoryMB, cfg.Sockets, cfg.Settings, cfg.keyTree
 	n.log.Info().Str("event", "config_taken").
--- a/internal/node/subsystems.go
+++ b/internal/node/subsystems.go
@@ -307,8 +307,8 @@
 type verdictObserver struct{ n *Node }
 
 // Observe implements router.Observer.
-func (w verdictObserver) Observe(e router.Event) {
-	f := w.n.fleet
+func (o verdictObserver) Observe(e router.Event) {
+	f := o.n.fleet
 	if f == nil { // the fleet is opened last
 		return
 	}
@@ -326,8 +326,8 @@
 type takeoverObserver struct{ n *Node }
 
 // Observe implements router.Observer.
-func (g takeoverObserver) Observe(e router.Event) {
-	if f := g.n.fleet; f != nil {
+func (o takeoverObserver) Observe(e router.Event) {
+	if f := o.n.fleet; f != nil {
 		f.Recorder().Observe(e)
 	}
 }
@@ -392,7 +392,7 @@
 	return retracted
 }
 
-// Adopt implements takeover.CallHandler: it adds an established call to the ledger and withdraws any other at its
+// Adopt implements takeover.CallHandler: it adds an established call to the ledger and cancels any other at its
 // server.
 func (h takeoverHandler) Adopt(t takeover.Call) bool {
 	if !t.Established { // its caller no longer waits for the answer
@@ -411,7 +411,7 @@
 	})
 }
 
-// Drop implements takeover.CallHandler: it removes a call from the ledger that is in another router's.
+// Drop implements takeover.CallHandler: it removes a call that is in another router's ledger from this one's.
 func (h takeoverHandler) Drop(id string) {
 	if h.n.ledger != nil {
 		h.n.ledger.RemoveCall(id)
@@ -593,12 +593,12 @@
 }
 
 // ApplyProductSettings applies settings that were read again, as far as a running router can: those of the call
-// control front and the tenants' tables. Changes that take a restart are logged.
+// control front and the tenants' tables. Changes that need a restart are logged.
 func (n *Node) ApplyProductSettings(p ProductSettings) {
 	old := n.config.Product
 	warnRestartNeeded := func(section string) {
 		n.log.Warn().Str("event", "config_waits").Str("field", section).
-			Msgf("configuration: %s has changed, which takes a restart", section)
+			Msgf("configuration: the change of %s takes effect after a restart", section)
 	}
 	if p.LogLevel != old.LogLevel || p.LogJSON != old.LogJSON {
 		warnRestartNeeded("log")
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -27,8 +27,8 @@
 	// service together, don't query in step.
 	pollInterval = 150 * time.Millisecond
 	pollJitter   = 0.2
-	// maxUnansweredQueries is the number of consecutive queries without an answer that is logged, and the number of
-	// queries back to which an answer is accepted.
+	// maxUnansweredQueries is the number of consecutive queries without an answer after which a warning is logged. An
+	// answer to a query that is followed by more than that many others is ignored.
 	maxUnansweredQueries = 20
 	serviceName          = "_data._tcp.farm.lan"
 )
@@ -148,12 +148,12 @@
 	if err != nil {
 		return fmt.Errorf("name service: %w", err)
 	}
-	moved := c.socket != nil
-	if moved {
+	replacing := c.socket != nil
+	if replacing {
 		c.socket.Close()
 	}
 	c.socket, c.resolver = socket, resolver
-	if moved {
+	if replacing {
 		c.sendQuery()
 	}
 	return nil
@@ -182,7 +182,7 @@
 	c.queryID++
 	c.count.Queries++
 	if c.unanswered++; c.unanswered == maxUnansweredQueries {
-		c.log.Warn().Str("event", "names_stale").Msgf("name service: no answer to %d queries", maxUnansweredQueries)
+		c.log.Warn().Str("event", "names_stale").Msgf("name service: no answer to the last %d queries", maxUnansweredQueries)
 	}
 	c.socket.Send(encodeQuery(c.queryID))
 }
@@ -196,7 +196,7 @@
 	serial, servers, err := parseAnswer(message)
 	if err != nil {
 		c.count.Malformed++
-		c.log.Warn().Str("event", "names_malformed").Msgf("name service: %v", err)
+		c.log.Warn().Str("event", "names_malformed").Msgf("name service: answer ignored: %v", err)
 		return
 	}
 	c.count.Answers++
@@ -236,7 +236,7 @@
 }
 
 // errShort is returned for an answer that ends within a field.
-var errShort = errors.New("answer cut short")
+var errShort = errors.New("answer ends within a field")
 
 // messageReader reads the fields of an answer in order.
 type messageReader struct {
@@ -280,7 +280,7 @@
 			}
 			target := int(binary.BigEndian.Uint16(message[offset:]) & 0x3fff)
 			if target >= limit { // pointers must go backwards, so that the loop ends
-				return "", len(message), errors.New("name points forward")
+				return "", len(message), errors.New("compression pointer points forward")
 			}
 			if next < 0 {
 				next = offset + 2
@@ -309,9 +309,9 @@
 	case flags&0x8000 == 0:
 		return 0, nil, errors.New("not an answer")
 	case flags&0x0200 != 0:
-		return 0, nil, errors.New("answer is truncated")
+		return 0, nil, errors.New("answer is truncated (TC flag)")
 	case flags&15 != 0:
-		return 0, nil, fmt.Errorf("answer code %d", flags&15)
+		return 0, nil, fmt.Errorf("response code %d", flags&15)
 	}
 	questions := int(binary.BigEndian.Uint16(message[4:]))
 	records := int(binary.BigEndian.Uint16(message[6:])) + int(binary.BigEndian.Uint16(message[8:])) +
@@ -361,7 +361,7 @@
 			}
 		case typeA:
 			if len(data) != 4 {
-				return 0, nil, errors.New("malformed address")
+				return 0, nil, errors.New("malformed A record")
 			}
 			addresses[owner] = netip.AddrFrom4([4]byte(data))
 		case typeTXT:
@@ -378,7 +378,7 @@
 		}
 	}
 	if !hasSerial {
-		return 0, nil, errors.New("answer without a serial")
+		return 0, nil, errors.New("answer without an SOA record")
 	}
 	for _, t := range targets {
 		s, err := newServer(t.name, t.port, t.priority, addresses, textRecords)
@@ -396,18 +396,18 @@
 ) (sip.Server, error) {
 	addr, known := addresses[name]
 	if !known {
-		return sip.Server{}, fmt.Errorf("no address of %s", name)
+		return sip.Server{}, fmt.Errorf("no A record of %s", name)
 	}
 	id, _, _ := strings.Cut(name, ".")
 	cell, err := strconv.Atoi(textRecords[name]["cell"])
 	if err != nil {
-		return sip.Server{}, fmt.Errorf("cell of %s: %w", name, err)
+		return sip.Server{}, fmt.Errorf("TXT record of %s: cell: %w", name, err)
 	}
 	s := sip.Server{Addr: netip.AddrPortFrom(addr, port), Server: threadglade.Server{ID: id, Number: cell}}
 	if started := textRecords[name]["started"]; started != "" {
 		ms, err := strconv.ParseInt(started, 10, 64)
 		if err != nil {
-			return sip.Server{}, fmt.Errorf("start of %s: %w", name, err)
+			return sip.Server{}, fmt.Errorf("TXT record of %s: started: %w", name, err)
 		}
 		s.Started = time.Duration(ms) * time.Millisecond
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	// A file beyond these limits is not a settings file.
+	// A file that exceeds one of these limits is rejected, since it can't be a settings file.
 	maxFileBytes = 64 << 20
 	maxDepth     = 32 // of nested lists
 
@@ -33,9 +33,9 @@
 // node is a parsed value: a list, a string or a bare word.
 type node struct {
 	Pos    lexer.Position
-	IsList bool    // a list
-	List   []*node // nil unless a list
-	Text   *string // nil if a list
+	IsList bool
+	List   []*node // of a list
+	Text   *string // nil if it is a list
 }
 
 // lexerRules define the tokens. The parser is written by hand, because one generated from a grammar took five times
--- a/internal/sip/front.go
+++ b/internal/sip/front.go
@@ -33,7 +33,7 @@
 	// maxDescriptionSize is the limit in bytes of a call's description, which leaves room for the headers of the
 	// INVITE to the case server.
 	maxDescriptionSize = maxMessageSize - 512
-	// maxUnsentBytes may be queued for a caller that doesn't read.
+	// maxUnsentBytes is the limit of the bytes queued for a caller that doesn't read.
 	maxUnsentBytes = 64 << 10
 	// reservedDescriptors are kept for the name service, operators and the process itself.
 	reservedDescriptors = 48
@@ -68,7 +68,7 @@
 	conns            map[*callerConn]bool
 	pendingReleases  []releaseRecord
 	successor        ProcessLink            // to the process that takes over; nil: none does
-	handedOver       uint32                 // connections handed over; numbers them
+	handedOver       uint32                 // number of connections handed over, which also numbers them
 	handedOverSetups map[uint32]*callerConn // handed over, with set-ups pending here, by number
 	oldProcessSetups map[uint32]*callerConn // adopted, with set-ups pending in the old process, by its number
 	buf              messageBuffer
@@ -142,8 +142,8 @@
 		f.maxDescriptors-reservedDescriptors-descriptorsPerServer*f.serverCount)-f.reservedConns)
 }
 
-// ReserveForServers reserves descriptors for the connections to so many case servers. It closes connections without
-// a pending set-up if callers hold too many.
+// ReserveForServers reserves descriptors for the connections to that number of case servers. It closes connections
+// without a pending set-up if callers hold too many.
 func (f *Front) ReserveForServers(servers int) {
 	f.serverCount = servers
 	for len(f.conns) > f.maxConns() {
@@ -240,8 +240,8 @@
 	return conn
 }
 
-// sweep closes connections whose deadline has passed or that a drain wants closed, sends pending releases, and drops
-// those that have expired. It schedules itself again.
+// sweep closes connections whose deadline has passed or that are due to close in a drain, sends pending releases, and
+// drops those that have expired. It schedules itself again.
 func (f *Front) sweep() {
 	now := f.clock()
 	for conn := range f.conns {
@@ -270,7 +270,7 @@
 	f.router.Schedule(now+sweepInterval, f.sweep)
 }
 
-// CloseIdle closes the connections that a drain or shutdown wants closed, without waiting for the next sweep.
+// CloseIdle closes the connections that are due to close in a drain or shutdown, without waiting for the next sweep.
 func (f *Front) CloseIdle() {
 	now := f.clock()
 	for conn := range f.conns {
@@ -347,7 +347,7 @@
 
 // HandleRecalled handles a message that the loop has taken back before it was sent, and returns its call and outcome.
 // known is false if the message is not the front's. answer is true if it was the answer that a call is established:
-// the caller then receives a failure, as the call may have been established at the server.
+// the caller is then sent a 500 instead, because the call may be established at the server.
 func (f *Front) HandleRecalled(message any) (id string, outcome threadglade.Outcome, answer, known bool) {
 	r, known := message.(*recallable)
 	switch {
@@ -410,7 +410,7 @@
 	msg              message
 }
 
-// connState returns what the lifecycle needs to decide whether the connection is closed.
+// connState returns the state by which the lifecycle decides whether to close the connection.
 func (c *callerConn) connState() lifecycle.ConnState {
 	isLast := c.front.process.Leaving()
 	for other := range c.front.conns {
--- a/internal/sip/handover.go
+++ b/internal/sip/handover.go
@@ -32,8 +32,8 @@
 	Send(kind byte, payload []byte, fd int, keep bool) bool
 }
 
-// handOverRetryInterval is the interval at which connections are tried again that could not be handed over because
-// they had unsent bytes.
+// handOverRetryInterval is the interval of further attempts to hand over connections that had to stay, for example
+// because of unsent bytes.
 const handOverRetryInterval = 10 * time.Millisecond
 
 // callIDSize is the length in bytes of a call's ID in frames.
@@ -103,8 +103,8 @@
 	}
 }
 
-// replyViaSuccessor sends a message on a connection that was handed over. callID is the set-up that it answers
-// finally, or empty.
+// replyViaSuccessor sends a message on a connection that was handed over. callID identifies the set-up if the message
+// is its final answer, and is empty otherwise.
 func (c *callerConn) replyViaSuccessor(callID string, b messageBuffer) {
 	payload := binary.BigEndian.AppendUint32(nil, c.handOverID)
 	payload = append(append(payload, byte(len(callID))), callID...)
--- a/internal/sip/message.go
+++ b/internal/sip/message.go
@@ -19,7 +19,7 @@
 // Errors of parse. After errFraming the end of the message is unknown, so nothing more can be read from the
 // connection. After errMalformed the next message can be read.
 var (
-	errFraming   = errors.New("message without a readable end")
+	errFraming   = errors.New("invalid message framing")
 	errMalformed = errors.New("malformed message")
 )
 
--- a/internal/sip/trunk.go
+++ b/internal/sip/trunk.go
@@ -21,8 +21,8 @@
 	redialDelay = 250 * time.Millisecond
 	// deadServerTimeout is how long a server must be unreachable before its calls are considered cut.
 	deadServerTimeout = 2 * time.Second
-	// watchInterval is the interval at which servers are checked.
-	watchInterval = 100 * time.Millisecond
+	// checkInterval is the interval at which servers are checked.
+	checkInterval = 100 * time.Millisecond
 	// partialMessageTimeout is how long a message of a server may take from its first byte to its last. Servers write
 	// a message at once, so one that stops short will not be continued, nor will anything else arrive on that
 	// connection.
@@ -31,17 +31,17 @@
 	peerCloseTimeout = 500 * time.Millisecond
 	// cancelledAttemptTTL is how long a cancelled attempt is remembered, in case its answer crosses the CANCEL.
 	cancelledAttemptTTL = 15 * time.Second
-	// malformedLogInterval limits how often connections of one server that are closed as unusable are logged.
+	// malformedLogInterval is the minimum interval between two log events about unusable connections of one server.
 	malformedLogInterval = time.Second
-	// maxPendingReleases may wait for a connection to an unreachable server.
+	// maxPendingReleases is the number of releases that may wait for a connection to an unreachable server.
 	maxPendingReleases = 1000
-	// blockedSetupTimeout is how long a partly written set-up may stay unwritten after it was cancelled. No call may
-	// begin at a server later than 0.1 s after its caller has gone.
+	// blockedSetupTimeout is how long a set-up may stay partly written after it was cancelled. No call may begin
+	// at a server later than 0.1 s after its caller has gone.
 	blockedSetupTimeout = 90 * time.Millisecond
-	// maxReplacedConns is the number of replaced connections from which on no further connection is opened to a
-	// server that doesn't read. With the current and the one being opened it has at most four.
+	// maxReplacedConns limits the connections to a server that doesn't read: while it has this many replaced ones, no
+	// further connection is opened. With the current one and one being opened it has at most four.
 	maxReplacedConns = 2
-	// maxAgents is the upper limit of plausible reports of a server's agents.
+	// maxAgents is the largest number of agents that is accepted in a server's report.
 	maxAgents = 1 << 20
 )
 
@@ -83,7 +83,7 @@
 	legs      map[string]*outboundLeg     // the one pending or established attempt of each call, by call ID
 	cancelled map[string]cancelledAttempt // attempts cancelled before their answer, by call ID
 	unsent    []*outboundLeg              // attempts for the next Flush; input handled before may withdraw them
-	closing   bool                        // connections are only opened for pending set-ups
+	closing   bool                        // the process shuts down: connections are only opened for pending set-ups
 	buf       messageBuffer
 	counters  TrunkCounters
 }
@@ -298,16 +298,16 @@
 	}
 }
 
-// Reconnect opens a new connection to every server. A server sends the releases that a process which has gone did not
-// acknowledge on the next connection that opens.
+// Reconnect opens a new connection to every server. On it the server sends the releases again that a process which has
+// gone did not acknowledge.
 func (t *Trunk) Reconnect() {
 	for _, peer := range t.peers {
 		peer.connect()
 	}
 }
 
-// HalfCloseAll half-closes all connections, as a process does that ends while another process of this router serves.
-// Messages of a server are still read until it closes its side too; later ones it sends to the other process.
+// HalfCloseAll half-closes all connections, for a process that shuts down while another process of this router serves.
+// Messages of a server are still read until it closes its side too; it sends later ones to the other process.
 func (t *Trunk) HalfCloseAll() {
 	t.closing = true
 	for _, peer := range t.peers {
@@ -358,11 +358,11 @@
 			delete(t.cancelled, id)
 		}
 	}
-	t.router.Schedule(now+watchInterval, t.checkServers)
+	t.router.Schedule(now+checkInterval, t.checkServers)
 }
 
 // check closes unused connections and those with an incomplete message, fails attempts that have waited too long for
-// a connection, reconnects if the server is not connected or silent, and cuts its calls after deadServerTimeout.
+// a connection, opens one if there is none or the current one is silent, and cuts its calls after deadServerTimeout.
 func (p *serverPeer) check(now time.Duration) {
 	p.closeUnused()
 	for _, conn := range append([]*serverConn{p.conn}, p.replaced...) {
@@ -421,7 +421,7 @@
 	}
 	if peer.unreachableSince > 0 {
 		peer.trunk.cfg.Log.Info().Str("event", "server_reached").Str("server", peer.server.ID).
-			Msgf("server %s is in reach again", peer.server.ID)
+			Msgf("server %s is reachable again", peer.server.ID)
 	}
 	if peer.conn != nil && peer.conn.silence.MissedReport(now, &peer.reportIntervals) {
 		c.predecessor = peer.conn
@@ -560,8 +560,8 @@
 	}
 }
 
-// awaitConn has an attempt wait up to the connect timeout for a connection, or for a server that doesn't read to read
-// again. An attempt that is not written yet can be withdrawn without a trace.
+// awaitConn makes an attempt wait until there is a connection, or until the server reads again if it has stopped, for
+// at most the connect timeout. The attempt is not written yet, so it can be withdrawn without a CANCEL.
 func (p *serverPeer) awaitConn(leg *outboundLeg) {
 	trunk := p.trunk
 	leg.connectDeadline = trunk.cfg.Clock() + trunk.cfg.ConnectTimeout
@@ -637,7 +637,7 @@
 				if conn.partialSetup == leg && conn.conn.Blocked() {
 					t.counters.Stuck++
 					t.cfg.Log.Warn().Str("event", "server_stuck").Str("server", leg.peer.server.ID).
-						Msgf("server %s does not read: connection closed over a set-up that was given up",
+						Msgf("server %s does not read: connection closed because of a partly sent set-up that was cancelled",
 							leg.peer.server.ID)
 					conn.conn.Close(errBlocked)
 				}
@@ -807,7 +807,7 @@
 	trunk.counters.Cut += uint64(c.cutPending())
 }
 
-// salvageReleases handles a release in what arrives on an unusable connection, and returns how many bytes to discard.
+// salvageReleases handles a release among the bytes of an unusable connection, and returns how many bytes to discard.
 // It keeps the last bytes if a release may begin there.
 func (c *serverConn) salvageReleases(b []byte) int {
 	const prefix = "BYE sip:"
@@ -969,7 +969,7 @@
 	return false
 }
 
-// reportLoad passes a message's load report on to the router, if the configuration wants it.
+// reportLoad passes a message's load report on to the router, if TrunkConfig.ReportLoads is set.
 func (c *serverConn) reportLoad(m *message) {
 	if !c.peer.trunk.cfg.ReportLoads {
 		return
--- a/internal/sip/unacked.go
+++ b/internal/sip/unacked.go
@@ -12,8 +12,8 @@
 // or grow with the connection's age.
 
 const (
-	// unackedReleaseTTL is how long a release may be lost with its connection. It is the time that the platform's
-	// rules allow a release; a close of the connection after that says nothing about it.
+	// unackedReleaseTTL is how long after it was written an unacknowledged release counts as lost if its connection
+	// closes. The platform's rules allow a release that much time, so a later close is no sign of its loss.
 	unackedReleaseTTL = time.Second
 	// maxUnackedReleases is the number of releases tracked per connection.
 	maxUnackedReleases = 256
