--- a/cmd/threadglade/child_test.go
+++ b/cmd/threadglade/child_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"flag"
 	"fmt"
 	"os"
@@ -132,6 +133,17 @@
 	return c.output.String()
 }
 
+// suspend stops the process with SIGSTOP and returns once it has stopped. Sending the signal alone doesn't wait: on a
+// busy machine the process may still run, and answer, for some milliseconds.
+func (c *child) suspend(t testing.TB) {
+	require.NoError(t, c.cmd.Process.Signal(unix.SIGSTOP))
+	var err error = unix.EINTR
+	for errors.Is(err, unix.EINTR) {
+		err = unix.Waitid(unix.P_PID, c.cmd.Process.Pid, nil, unix.WSTOPPED|unix.WNOWAIT, nil)
+	}
+	require.NoError(t, err)
+}
+
 // startChild starts this test binary as the program, with env added to its environment.
 func startChild(t testing.TB, env []string, args ...string) *child {
 	return startProgram(t, os.Args[0], env, args...)
--- a/cmd/threadglade/upgrade_test.go
+++ b/cmd/threadglade/upgrade_test.go
@@ -192,7 +192,7 @@
 		"new while it hangs, and the old one is told to end": func(
 			u *upgradeTest, old, next *routerProcess,
 		) *routerProcess {
-			require.NoError(u.t, next.cmd.Process.Signal(syscall.SIGSTOP))
+			next.suspend(u.t)
 			old.terminate(u.t) // it goes on without the new process, after its own timeout
 			require.Contains(u.t, old.log(), "event=handover_late")
 			require.NoError(u.t, next.cmd.Process.Signal(syscall.SIGCONT))
