--- a/quota/allocator.go
+++ b/quota/allocator.go
@@ -12,36 +12,35 @@
 const (
 	// reallocationInterval is the shortest time between two computations of a limit's target shares.
 	reallocationInterval = 200 * time.Millisecond
-	// headroomFraction is what a router is given beyond its demand, as a fraction of the demand.
+	// headroomFraction is how much more than its demand a router is granted, as a fraction of the demand.
 	headroomFraction = 0.1
 	// minActiveDemand is the demand below which a limit, or one value of it, counts as unused by a router.
 	minActiveDemand = 0.01
-	// maxUnconfirmedGrants bounds the answers to a router that it has not confirmed. At the bound its share is not
-	// raised.
+	// maxUnconfirmedGrants bounds the unconfirmed answers to a router. At the bound its share is not raised.
 	maxUnconfirmedGrants = 32
 	// maxReservations bounds the reservations for calls of ended incarnations. At the bound no ceiling is raised,
 	// because the calls that it would allow could not be reserved later.
 	maxReservations = 8192
 )
 
-// Allocator divides the limits among the routers, at the leading keeper. For each limit it tracks the largest share
-// that each router may have in force, and grants shares whose sum stays within the limit. It is not safe for
+// Allocator divides the limits among the routers; it runs at the leading keeper. For each limit it tracks the largest
+// share that each router may have in force, and grants shares whose sum stays within the limit. It is not safe for
 // concurrent use.
 type Allocator struct {
 	limits           map[string]*Limit
 	leaseWait        time.Duration // K: a lease granted this long ago has expired on every clock
 	maxDrift         float64       // bound on how far a clock's rate is from true time
-	recoveryUntil    time.Duration // until then unknown grants of earlier leaders may be in force
+	recoveryUntil    time.Duration // until then, unknown grants of earlier leaders may be in force
 	leading          bool
 	routers          map[string]*router     // by router name
 	allocations      map[string]*allocation // by the limit's name in claims
 	reservationCount int                    // of all allocations
 	lastRequest      time.Duration          // time of the latest claims of any router
 	Granted          uint64                 // grants made
-	Refused          uint64                 // names of unknown limits, or beyond a bound on allocations or allotments
+	Refused          uint64                 // claims of unknown limits, or beyond a bound on allocations or allotments
 }
 
-// allocation is a limit, or one value of a limit per field, of which a router has a share or a reservation exists.
+// allocation is the state of a limit, or of one value of a limit per field, that has allotments or reservations.
 type allocation struct {
 	*Limit
 	name          string // as in claims: NAME, or NAME/VALUE
@@ -66,10 +65,10 @@
 type allotment struct {
 	allocation  *allocation
 	demand      float64        // as in the latest claim
-	held        float64        // in force at the router: as claimed, but no more than it was granted
+	held        float64        // in force at the router: as claimed, but at most what it was granted
 	used        float64        // as in the latest claim
 	target      float64        // share computed by reallocate
-	unconfirmed []pendingGrant // answers that the router has neither confirmed nor skipped
+	unconfirmed []pendingGrant // grants that may be in force although the router has not confirmed them
 }
 
 // pendingGrant is a share sent in the answer with number seq.
@@ -103,8 +102,8 @@
 	until       time.Duration
 }
 
-// limitFor returns the limit that a name in a claim refers to, as NAME or, of a limit per field, NAME/VALUE. It
-// returns nil if there is none.
+// limitFor returns the limit that a name in a claim refers to, or nil if there is none. The name is NAME or, for a
+// limit per field, NAME/VALUE.
 func (a *Allocator) limitFor(name string) *Limit {
 	base, _, hasValue := strings.Cut(name, "/")
 	limit := a.limits[base]
@@ -140,7 +139,7 @@
 	return share
 }
 
-// removeAllotment removes a router's allotment, and the allocation if nothing else is left of it.
+// removeAllotment removes a router's allotment, and the allocation if that leaves it empty.
 func (a *Allocator) removeAllotment(r *router, alloc *allocation) {
 	if share := alloc.allotments[r]; share != nil {
 		alloc.inForce -= aboveFloor(alloc.Limit, share.maxInForce())
@@ -158,15 +157,15 @@
 }
 
 // NewAllocator returns an allocator that does not lead yet. wait is the time after which a lease has expired on every
-// clock, drift the bound on the rate error of clocks.
+// clock; drift bounds the relative rate error of any clock.
 func NewAllocator(limits []Limit, wait time.Duration, drift float64) *Allocator {
 	a := &Allocator{leaseWait: wait, maxDrift: drift, limits: map[string]*Limit{}}
 	a.SetLimits(limits)
 	return a
 }
 
-// SetLimits replaces the limits. Shares of a limit that became smaller are lowered with the next answers to their
-// routers. Shares of a removed limit end with the next answers, too.
+// SetLimits replaces the limits. The next answer to each router lowers its shares of limits that became smaller, and
+// ends its shares of removed limits.
 func (a *Allocator) SetLimits(limits []Limit) {
 	clear(a.limits)
 	for _, l := range limits {
@@ -192,7 +191,7 @@
 	}
 }
 
-// recomputeInForce computes the sum over the allotments anew.
+// recomputeInForce recomputes inForce from the allotments.
 func (a *allocation) recomputeInForce() {
 	a.inForce = 0
 	for _, share := range a.allotments {
@@ -200,9 +199,9 @@
 	}
 }
 
-// StartTerm begins a term as leader. Of earlier terms only the committed ceilings are known, by router name, and the
-// incarnation of each live router. Until leaseWait has passed, no share is raised, because grants of earlier leaders
-// may still be in force.
+// StartTerm begins a term as leader. All that is known of earlier terms is the committed ceilings and the incarnations
+// of the live routers, both by router name. Until leaseWait has passed, no share is raised, because grants of earlier
+// leaders may still be in force.
 func (a *Allocator) StartTerm(now time.Duration, ceilings map[string][]Ceiling, live map[string]uint64) {
 	a.leading, a.recoveryUntil, a.routers, a.allocations, a.reservationCount =
 		true, now+a.leaseWait, map[string]*router{}, map[string]*allocation{}, 0
@@ -231,7 +230,7 @@
 	}
 }
 
-// EndTerm ends the term as leader and discards all state of it.
+// EndTerm ends the term as leader and discards its state.
 func (a *Allocator) EndTerm() {
 	a.leading, a.routers, a.allocations, a.reservationCount = false, nil, nil, 0
 }
@@ -282,7 +281,7 @@
 	delete(a.routers, name)
 }
 
-// divisible returns the part of a limit that is divided by leases: without the floors.
+// divisible returns the part of a limit that is divided by leases: all but the floors.
 func (a *Allocator) divisible(l *Limit) float64 {
 	if mutant == "floor-on-top" {
 		return l.Max
@@ -322,10 +321,11 @@
 	return released
 }
 
-// Allocate processes the claims that came with a router's lease request and returns the shares for the answer. seq is
-// the number of the answer, appliedSeq that of the answer whose shares the router has in force, and ceilings are the
-// router's ceilings in the log. newCeilings have to be committed to the log before more can be granted to a later
-// request. While the allocator does not lead it returns nothing.
+// Allocate processes the claims that came with a router's lease request and returns the shares for the answer. process
+// identifies the router's process, which keeps its calls when its incarnation changes. seq is the number of the
+// answer, appliedSeq that of the answer whose shares the router has in force, and ceilings are the router's ceilings
+// in the log. newCeilings have to be committed to the log before later requests can be granted more. An allocator that
+// does not lead returns nothing.
 func (a *Allocator) Allocate(
 	now time.Duration, name string, incarnation, process, seq, appliedSeq uint64, claims []Claim, ceilings []Ceiling,
 ) (grants []Grant, newCeilings []Ceiling) {
@@ -402,7 +402,7 @@
 	alloc := share.allocation
 	next = share.target
 	if math.Abs(next-share.held) < 0.02*share.held && (share.demand <= share.held || alloc.Kind == Cold) {
-		next = share.held // changes of less than 2 % are not worth a new share
+		next = share.held // avoids a new share for a change of less than 2 %
 	}
 	switch free := a.divisible(alloc.Limit) - alloc.totalInForce(); {
 	case now < a.recoveryUntil: // no more than the router holds
@@ -449,7 +449,7 @@
 	available := a.divisible(alloc.Limit) - alloc.totalInForce() + alloc.inForce
 	eligible := make([]*allotment, 0, len(alloc.allotments))
 	for _, share := range alloc.allotments {
-		// Of a limit per field, a router without calls of a value gets no share of it.
+		// With a limit per field, a router without calls of a value gets no share for that value.
 		if share.target = 0; alloc.PerField != FieldNone && share.demand < minActiveDemand {
 			continue
 		}
@@ -489,8 +489,8 @@
 	})
 }
 
-// RequiredCeilings returns the ceilings of a router that the log has to store from now on: of the stored ones those
-// that still count and are not replaced, followed by the added ones.
+// RequiredCeilings returns the ceilings of a router that the log has to store from now on: the stored ones that are
+// still needed and not replaced, followed by the added ones.
 func (a *Allocator) RequiredCeilings(name string, stored, added []Ceiling) (list []Ceiling) {
 	for _, c := range stored {
 		if a.needsCeiling(name, c) && !slices.ContainsFunc(added, func(other Ceiling) bool {
@@ -509,7 +509,7 @@
 	Reserved float64       // reserved for calls of ended incarnations
 	Used     float64       // as claimed by the routers
 	Demand   float64       // as claimed by the routers
-	Shares   []ShareStatus // by falling share
+	Shares   []ShareStatus // in descending order of Share
 }
 
 // ShareStatus describes one router's share of a limit.
@@ -521,8 +521,8 @@
 	Age    time.Duration // of the router's latest claims
 }
 
-// Status lists the limits, first those without an allocation, and then the allocations, each by name. Limits per
-// field are listed only by their allocated values.
+// Status lists the limits without an allocation and then the allocations, both sorted by name. Of limits per field,
+// only the allocated values are listed.
 func (a *Allocator) Status() (list []AllocationStatus) {
 	for _, name := range slices.Sorted(maps.Keys(a.limits)) {
 		if a.allocations[name] == nil && a.limits[name].PerField == FieldNone {
@@ -539,8 +539,8 @@
 				r.name, share.maxInForce(), share.used, share.demand, a.lastRequest - r.lastRequest,
 			})
 		}
-		slices.SortFunc(s.Shares, func(alloc, b ShareStatus) int {
-			return cmp.Or(cmp.Compare(b.Share, alloc.Share), cmp.Compare(alloc.Name, b.Name))
+		slices.SortFunc(s.Shares, func(a, b ShareStatus) int {
+			return cmp.Or(cmp.Compare(b.Share, a.Share), cmp.Compare(a.Name, b.Name))
 		})
 		for _, res := range alloc.reservations {
 			s.Reserved += res.calls
--- a/quota/leaseextension.go
+++ b/quota/leaseextension.go
@@ -13,14 +13,14 @@
 	"threadglade.example/threadglade/quota/quotapb"
 )
 
-// This file encodes claims and grants as payloads of lease requests and their answers, and connects the Allocator to
-// the replicated log.
+// This file encodes claims and grants as payloads of lease requests and answers, and connects the Allocator to the
+// replicated log.
 
 // Prefixes of the keys of facts in the log.
 const (
 	// OperatorKeyPrefix begins the keys of limits set by operators.
 	OperatorKeyPrefix = "limit/"
-	// ceilingKeyPrefix begins the keys of routers' ceilings, which leading keepers write.
+	// ceilingKeyPrefix begins the keys of routers' ceilings, which only the leading keeper writes.
 	ceilingKeyPrefix = fleet.LeaderKeyPrefix + "quota/"
 )
 
@@ -29,9 +29,9 @@
 type LeaseExtension struct {
 	Allocator        *Allocator
 	machine          func() *fleet.Machine
-	limits           func() []Limit // in force by the log
+	limits           func() []Limit // in force according to the log
 	pendingPuts      []*fleetpb.Put
-	proposedVersions map[string]uint64 // by key: 1 + the version that the latest put expects
+	proposedVersions map[string]uint64 // by key: 1 + Expect of the latest put
 }
 
 // NewLeaseExtension returns the LeaseExtension of a keeper. limits returns the limits in force; it is called when the
@@ -78,7 +78,7 @@
 }
 
 // HandleRenewal implements fleet.LeaseExtension. It decodes the claims of a lease request and returns the encoded
-// grants for the answer, nil if there are no valid claims. Changed ceilings are queued for TakePuts.
+// grants for the answer, or nil if the claims are missing or malformed. Changed ceilings are queued for TakePuts.
 func (le *LeaseExtension) HandleRenewal(
 	now time.Duration, name string, incarnation, process, seq uint64, payload []byte,
 ) []byte {
@@ -96,7 +96,8 @@
 	grants, added := le.Allocator.Allocate(now, name, incarnation, process, seq, request.Taken, claims, stored)
 	if list := le.Allocator.RequiredCeilings(name, stored, added); (len(added) > 0 || len(list) < len(stored)) &&
 		le.proposedVersions[key] != fact.GetVersion()+1 {
-		// Only one put of a key is pending at a time. If it is lost with the term, the next term starts anew.
+		// Only one put is proposed per version of a fact, because only the first one can succeed. StartTerm
+		// clears proposedVersions, so a put that is lost because the term ends can be proposed again in a later one.
 		le.proposedVersions[key] = fact.GetVersion() + 1
 		le.pendingPuts = append(le.pendingPuts, &fleetpb.Put{
 			Key: key, Value: marshalCeilings(list), Expect: fact.GetVersion(),
@@ -117,10 +118,10 @@
 	return puts
 }
 
-// Bounds of a report.
+// Bounds on the size of a report.
 const (
 	maxReportedLimits = 2000
-	maxReportedShares = 8 // of each limit, the largest
+	maxReportedShares = 8 // per limit; the largest shares are reported
 )
 
 // Report implements fleet.LeaseExtension. It returns the encoded status of the limits. If there are more than
@@ -134,13 +135,13 @@
 		list = list[:maxReportedLimits]
 		slices.SortFunc(list, func(a, b AllocationStatus) int { return cmp.Compare(a.Name, b.Name) })
 	}
-	for _, one := range list {
+	for _, alloc := range list {
 		status := &quotapb.Standing{
-			Limit: one.Name, Kind: one.Kind.String(), Most: one.Max, CutOff: one.CutOff.String(),
-			Out: one.InForce, Kept: one.Reserved, Used: one.Used, Demand: one.Demand,
-			Holders: uint32(len(one.Shares)), Class: one.Class, Tenant: one.Tenant, Number: one.Number,
+			Limit: alloc.Name, Kind: alloc.Kind.String(), Most: alloc.Max, CutOff: alloc.CutOff.String(),
+			Out: alloc.InForce, Kept: alloc.Reserved, Used: alloc.Used, Demand: alloc.Demand,
+			Holders: uint32(len(alloc.Shares)), Class: alloc.Class, Tenant: alloc.Tenant, Number: alloc.Number,
 		}
-		for _, share := range one.Shares[:min(len(one.Shares), maxReportedShares)] {
+		for _, share := range alloc.Shares[:min(len(alloc.Shares), maxReportedShares)] {
 			status.Held = append(status.Held, &quotapb.Holder{
 				Router: share.Name, Share: share.Share, Used: share.Used, Wants: share.Demand,
 				AgeMs: share.Age.Milliseconds(),
@@ -156,17 +157,17 @@
 func unmarshalCeilings(b []byte) (list []Ceiling) {
 	var c quotapb.Ceilings
 	if proto.Unmarshal(b, &c) == nil {
-		for _, one := range c.Ceilings {
+		for _, ceiling := range c.Ceilings {
 			list = append(list, Ceiling{
-				Limit: one.Limit, Incarnation: one.Incarnation, Process: one.Process, Max: one.Most,
+				Limit: ceiling.Limit, Incarnation: ceiling.Incarnation, Process: ceiling.Process, Max: ceiling.Most,
 			})
 		}
 	}
 	return list
 }
 
-// marshalCeilings encodes ceilings as the value of a fact. It omits those that exceed the size of a value; this is
-// safe because only shares below a committed ceiling are granted.
+// marshalCeilings encodes ceilings as the value of a fact. It omits those that do not fit in fleet.MaxValueLength.
+// This is safe because no share above a committed ceiling is granted.
 func marshalCeilings(list []Ceiling) []byte {
 	var out quotapb.Ceilings
 	for _, c := range list {
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -9,11 +9,11 @@
 const (
 	// rateTimeConstant is the time constant of the exponential smoothing of arrival and admission rates.
 	rateTimeConstant = 400 * time.Millisecond
-	// maxRetryDelay bounds the delay after which a refused caller is advised to retry.
+	// maxRetryDelay bounds the retry delay that a refused caller is given.
 	maxRetryDelay = 2 * time.Second
 	// maxSlots bounds the slots of admitted calls. A call with a larger slot is refused by any limit that it matches.
 	maxSlots = 1 << 20
-	// maxEarnedRetries bounds the retries that first tries earn in advance.
+	// maxEarnedRetries bounds the retries that first tries have earned and that are still unused.
 	maxEarnedRetries = 10
 	// maxLentRetries bounds the earned retries that are lent to routing decisions for retry attempts.
 	maxLentRetries = 4
@@ -21,18 +21,18 @@
 	idleTimeout = 10 * time.Second
 )
 
-// Limiter admits calls at one router by the shares that it has in force. It is not safe for concurrent use.
+// Limiter admits calls at one router within the shares that it has in force. It is not safe for concurrent use.
 type Limiter struct {
 	states        []*limitState
 	freeIndexes   []uint16                    // unused entries of states; indexes here and below start at 1
-	configured    []uint16                    // the limits that each call is checked against, as indexes of states
+	configured    []uint16                    // the limits that each call is checked against, as indexes into states
 	perValue      []map[string]uint16         // parallel to configured: the active values of a limit per field
 	leaseUntil    time.Duration               // when the lease, and the shares with it, expire
 	appliedSeq    uint64                      // number of the latest answer applied
 	slots         [][maxMatchingLimits]uint16 // by slot: the limits of kind Calls that count the call; 0 ends the list
 	matched       [maxMatchingLimits]uint16   // the limits that the call in Admit matches
 	matchedCount  int                         // entries used of matched
-	lastSweep     time.Duration               // when Claims removed idle states last
+	lastSweep     time.Duration               // when Claims last removed idle states
 	createdAt     time.Duration
 	hasRetryLimit bool       // a limit of kind Retries is, or has been, in force
 	allCalls      limitState // arrival rate of all calls: the demand for shares of cold servers
@@ -42,26 +42,26 @@
 // Counters are a limiter's totals since its creation.
 type Counters struct {
 	Admitted, Refused uint64 // calls that matched a limit
-	Unplaced          uint64 // refused because slots, or states for further tenants, numbers or classes, were used up
+	Unplaced          uint64 // refused because the slots, or the states for tenants, numbers or classes, are used up
 }
 
 // limitState is the state of one limit, or of one value of a limit per field, at a router.
 type limitState struct {
 	Limit
 	share        float64       // granted with the lease
-	tokens       float64       // of kinds Rate and Retries
+	tokens       float64       // in the bucket, of kinds Rate and Retries
 	tokensAt     time.Duration // when tokens was computed
 	openCalls    int           // calls that are counted
 	arrivals     float64       // since measuredAt, not yet in arrivalRate
-	arrivalRate  float64       // smoothed, a second
+	arrivalRate  float64       // per second, smoothed
 	lentRetries  int           // of Retries: lent to routing decisions, as of the latest LendRetries
-	admittedRate float64       // smoothed, a second
+	admittedRate float64       // per second, smoothed
 	measuredAt   time.Duration // of arrivalRate and admittedRate
-	lastCall     time.Duration // when a call arrived last
+	lastCall     time.Duration // when the latest call arrived
 	warmAt       time.Duration // of Cold: when the server is warm
 	server       Server        // of Cold
 	refused      uint64
-	retired      bool   // replaced, of which only open calls are still counted; or the template of a limit per field
+	retired      bool   // replaced or removed, kept to count its open calls; or the template of a limit per field
 	value        string // of a limit per field
 }
 
@@ -80,8 +80,8 @@
 	return l
 }
 
-// SetLimits replaces the limits. Open calls are still counted. A limit whose name, kind and field stay keeps its
-// share, reduced to the new limit if that is smaller.
+// SetLimits replaces the limits. Open calls are still counted. A limit whose name, kind and field do not change keeps
+// its share, reduced to the new limit if that is smaller.
 func (l *Limiter) SetLimits(now time.Duration, limits []Limit) {
 	previous := map[string][]*limitState{}
 	for _, state := range l.states {
@@ -118,14 +118,14 @@
 			index = l.addState(&limitState{Limit: limit, tokensAt: now, measuredAt: now})
 		}
 		l.configured, l.perValue = append(l.configured, index), append(l.perValue, indexByValue)
-		if indexByValue != nil { // the limit itself, as the template of its values: it counts no calls
+		if indexByValue != nil { // the template for the limit's values; it counts no calls itself
 			l.configured[len(l.configured)-1] = l.addState(&limitState{Limit: limit, retired: true})
 		}
 	}
 	l.removeIdle(now)
 }
 
-// addState stores a state and returns its index, 0 if there are too many.
+// addState stores a state and returns its index, or 0 if there are too many states.
 func (l *Limiter) addState(state *limitState) uint16 {
 	if n := len(l.freeIndexes); n > 0 {
 		index := l.freeIndexes[n-1]
@@ -167,8 +167,8 @@
 	}
 }
 
-// stateFor returns the state, and its index, that the i-th configured limit has for a call. For a limit per field it
-// is that of the call's value, created if needed; nil if there are too many values.
+// stateFor returns the index and the state that the i-th configured limit has for a call. For a limit per field it is
+// the state of the call's value, created if needed, or nil if there are too many values.
 func (l *Limiter) stateFor(now time.Duration, i int, class, tenant, number string) (uint16, *limitState) {
 	base := l.states[l.configured[i]-1]
 	if l.perValue[i] == nil {
@@ -180,8 +180,8 @@
 		if len(l.perValue[i]) >= MaxValues {
 			return 0, nil
 		}
-		// No call of this value came for at least idleTimeout, or since the limiter was created. Meanwhile its bucket
-		// was filled by the share that a router has without a lease.
+		// No call of this value has arrived for at least idleTimeout, or since the limiter was created. In that time,
+		// its bucket was filled at the rate of the share that a router has without a lease.
 		state := &limitState{
 			Limit: base.Limit, value: value, tokensAt: max(l.createdAt, now-idleTimeout),
 			measuredAt: now, lastCall: now,
@@ -211,8 +211,8 @@
 	return s.shareWithoutLease()
 }
 
-// refill fills the token bucket up to now: by the granted share until the lease expired, and by the share without a
-// lease from then on.
+// refill fills the token bucket up to now: at the rate of the granted share until the lease expires, and at that of
+// the share without a lease from then on.
 func (s *limitState) refill(now, leaseUntil time.Duration) {
 	if s.Kind != Rate || now <= s.tokensAt {
 		return
@@ -238,10 +238,10 @@
 	s.measuredAt = now
 }
 
-// Admit reports whether a call is admitted now, and counts it. slot is a small number that no other open call has.
-// The call has to be within every limit that it matches; otherwise none of them counts it. For a refused call it
-// returns the name of a limit that is exhausted and the time after which a retry may succeed. It allocates memory
-// only for new slots and for new values of limits per field.
+// Admit reports whether a call is admitted now, and counts it. slot is a small number that identifies the call among
+// the open ones. The call has to be within every limit that it matches; otherwise none of them counts it as admitted.
+// For a refused call it returns the name of an exhausted limit and the time after which a retry may succeed. It
+// allocates memory only for new slots and for new values of limits per field.
 func (l *Limiter) Admit(
 	now time.Duration, slot uint32, class, tenant, number string, retry bool,
 ) (ok bool, limitedBy string, retryAfter time.Duration) {
@@ -319,12 +319,13 @@
 }
 
 // HasRetryLimit reports whether a limit of kind Retries is, or has been, in force. It stays true after the limit is
-// removed, because routing decisions still have to be notified of that.
+// removed, because the routing decisions have to be notified of the removal, too.
 func (l *Limiter) HasRetryLimit() bool { return l.hasRetryLimit }
 
-// LendRetries returns how many retry attempts the routing decisions may make from now on. left is the unused rest of
-// those lent before. Earned retries are lent a few at a time and leave the token bucket when they are lent. Only
-// limits that count all calls apply, because decisions don't ask for each attempt; limited is false if there is none.
+// LendRetries returns how many retry attempts the routing decisions may make from now on. left is the number of lent
+// retries that are still unused. Earned retries are lent a few at a time and leave the token bucket when they are
+// lent. Only limits that count all calls apply, because routing decisions do not ask the limiter about each attempt.
+// limited is false if there is no such limit.
 func (l *Limiter) LendRetries(left int) (lent int, limited bool) {
 	lent = maxLentRetries
 	for _, index := range l.configured {
@@ -382,8 +383,8 @@
 	l.slots[slot] = [maxMatchingLimits]uint16{}
 }
 
-// Claims returns the claims to send with a lease request, and the number of the latest answer applied. Limits without
-// demand and share are omitted. It also removes idle states from time to time.
+// Claims returns the claims to send with a lease request, and the number of the latest answer applied. Limits with
+// neither demand nor share are omitted. It also removes idle states, at most once per idleTimeout.
 func (l *Limiter) Claims(now time.Duration) (claims []Claim, appliedSeq uint64) {
 	l.allCalls.updateRates(now, 0, 0)
 	for _, state := range l.states {
@@ -395,14 +396,14 @@
 		if now < l.leaseUntil {
 			claim.Held = state.share
 		}
-		if state.Kind == Cold { // shares of a cold server follow the routers' call rates
+		if state.Kind == Cold { // shares of a cold server are proportional to the routers' call rates
 			claim.Demand, claim.Used = 0, 0
 			if now < state.warmAt {
 				claim.Demand = max(l.allCalls.arrivalRate, 1)
 			}
 		}
 		if state.Kind == Calls {
-			// Recently refused calls are demand, too.
+			// Recently refused calls count as demand, too.
 			claim.Demand, claim.Used =
 				float64(state.openCalls)+max(state.arrivalRate-state.admittedRate, 0), float64(state.openCalls)
 			claim.Held = max(claim.Held, float64(state.openCalls))
@@ -474,8 +475,8 @@
 	return shares, withoutLease, ok
 }
 
-// HasUnmetDemand reports whether calls were refused recently for want of a share, or a cold server's share is still
-// missing. The router then renews its lease sooner.
+// HasUnmetDemand reports whether calls were refused recently because a share was too small, or a cold server's share
+// has not been granted yet. The router then renews its lease sooner.
 func (l *Limiter) HasUnmetDemand(now time.Duration) bool {
 	for _, state := range l.states {
 		if state != nil && !state.retired && state.Kind == Cold && state.share == 0 && now < state.warmAt {
@@ -533,9 +534,9 @@
 	Share             float64 // in force
 	ShareWithoutLease float64 // without a lease
 	Tokens            float64 // in the bucket
-	Demand            float64 // arrivals a second, smoothed
-	Used              float64 // admitted calls a second, smoothed
-	OpenCalls         int     // open calls that are counted
+	Demand            float64 // arrivals per second, smoothed
+	Used              float64 // admitted calls per second, smoothed
+	OpenCalls         int     // counted by the limit
 	Refused           uint64
 }
 
--- a/quota/mutant_on.go
+++ b/quota/mutant_on.go
@@ -2,7 +2,7 @@
 
 package quota
 
-// mutant is the name of the injected fault; empty: none.
+// mutant is the name of the injected fault, or empty.
 var mutant string
 
 // Mutants describes the faults that a test can inject, by name.
@@ -15,7 +15,7 @@
 	"full-bucket":      "an increased share starts with a full token bucket",
 	"no-ceiling":       "a new leading keeper ignores the committed ceilings",
 	"last-answer-only": "of the unconfirmed answers to a router only the last counts",
-	"floor-on-top":     "the floors are granted on top of the whole limit",
+	"floor-on-top":     "the floors are granted in addition to the whole limit",
 }
 
 // Mutate injects the named fault; the empty name removes it.
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,8 +1,8 @@
-// Package quota enforces limits of a whole fleet of routers. The Allocator, at the leading keeper, divides each limit
-// into shares for the routers, which expire with the routers' leases. The Limiter, at a router, admits calls by its
-// shares. Both are driven by events and absolute times, and return what was admitted, what was granted and what has
-// to be committed to the log. They must never choose a server, block, do I/O, or have more in force than a limit
-// allows. docs/design/quota.md states the bounds and why they hold.
+// Package quota enforces limits that apply to a whole fleet of routers. The Allocator, at the leading keeper, divides
+// each limit into shares for the routers, which expire with the routers' leases. The Limiter, at a router, admits
+// calls within its shares. Both are driven by events and absolute times, and return what was admitted, what was
+// granted and what has to be committed to the log. They must never choose a server, block, do I/O, or have more in
+// force than a limit allows. docs/design/quota.md states the bounds and why they hold.
 package quota
 
 import (
@@ -17,10 +17,10 @@
 
 // Kinds of limits.
 const (
-	Rate    Kind = iota + 1 // set-ups a second
+	Rate    Kind = iota + 1 // set-ups per second
 	Calls                   // calls that are being set up or established
 	Retries                 // retries marked as such by callers, as a fraction of first tries
-	Cold                    // load of case servers that have just started, as fractions of what each may be sent
+	Cold                    // load of case servers that have just started, as fractions of each one's permitted load
 )
 
 // CutOff says what a router admits without a lease.
@@ -30,7 +30,7 @@
 const (
 	Closed CutOff = iota // nothing
 	Floor                // a share that is reserved for every router
-	Open                 // up to a cap of each router, which may exceed the limit
+	Open                 // up to a cap per router; together the routers may then exceed the limit
 )
 
 var (
@@ -59,16 +59,16 @@
 type Limit struct {
 	Name            string
 	Kind            Kind
-	Max             float64       // of Rate: set-ups a second; of Calls: calls at once; of Retries: per first try
-	Burst           time.Duration // of Rate: a router's token bucket holds its share of this time, and one call
+	Max             float64       // of Rate: set-ups per second; of Calls: calls at once; of Retries: per first try
+	Burst           time.Duration // of Rate: a router's token bucket holds one call and its share over this time
 	MaxCallDuration time.Duration // of Calls: how long a call of a lost router is assumed to be established
 	CutOff          CutOff
 	Floor           float64 // of Floor: the fraction of Max that is reserved for all routers together, from 0 to 1
-	MaxRouters      int     // of Floor: the largest number of routers
+	MaxRouters      int     // of Floor: the largest number of routers; each gets 1/MaxRouters of the floor
 	Cap             float64 // of Open: what each router admits without a lease, in the unit of Max
 
-	Class, Tenant, Number string // the calls that it counts, empty: any; Number is a prefix of the called number
-	PerField              Field  // it limits each value of this field by itself; a value is named NAME/VALUE in claims
+	Class, Tenant, Number string // the calls that it counts; empty: any. Number is a prefix of the called number
+	PerField              Field  // each value of this field is limited separately, as NAME/VALUE in claims
 }
 
 // Field is a property of calls. A limit per field limits the calls of each of its values separately.
@@ -98,8 +98,8 @@
 	return FieldNone
 }
 
-// valueOf returns a call's value of the field, truncated to MaxNameLength bytes: longer values with the same
-// beginning share one limit.
+// valueOf returns a call's value of the field, truncated to MaxNameLength bytes: longer values with the same prefix
+// share one limit.
 func (f Field) valueOf(class, tenant, number string) string {
 	var v string
 	switch f {
@@ -117,24 +117,24 @@
 func (l Limit) Validate() error {
 	switch {
 	case l.Name == "" || len(l.Name) > MaxNameLength || strings.Contains(l.Name, "/"):
-		return fmt.Errorf("limit name must have 1 to %d bytes and no slash", MaxNameLength)
+		return fmt.Errorf("limit name must be 1 to %d bytes long and contain no slash", MaxNameLength)
 	case l.Kind < Rate || l.Kind > Cold:
-		return errors.New("kind must be one of rate, calls, retries and cold")
+		return errors.New("limit must set one of rate, calls, retries and cold")
 	case l.Kind == Cold &&
 		(l.Class != "" || l.Tenant != "" || l.Number != "" || l.PerField != FieldNone || l.CutOff == Open):
-		return errors.New("cold takes the cut-off closed or floor, and no class, tenant, number or each")
+		return errors.New("a cold limit allows only cut-off closed or floor, and no class, tenant, number or each")
 	case l.Kind == Retries && (l.CutOff != Closed || l.PerField != FieldNone):
-		return errors.New("retries are limited by each router alone: cut-off and each must not be set")
+		return errors.New("a retries limit is enforced by each router on its own: cut-off and each must not be set")
 	case !(l.Max > 0 && l.Max <= 1e9):
-		return errors.New("limit must be above 0 and at most 1e9")
+		return errors.New("the limit's value must be above 0 and at most 1e9")
 	case l.Kind == Rate && (l.Burst < 0 || l.Burst > time.Minute):
 		return errors.New("burst must be from 0 to 1m")
 	case l.Kind == Calls && (l.MaxCallDuration <= 0 || l.MaxCallDuration > 24*time.Hour):
-		return errors.New("longest must be above 0 and at most 24h")
+		return errors.New("longest (the maximum call duration) must be above 0 and at most 24h")
 	case l.CutOff == Floor && (l.Floor <= 0 || l.Floor > 1 || l.MaxRouters < 1):
-		return errors.New("floor must be a fraction above 0 and at most 1, of at least 1 router")
+		return errors.New("cut-off floor requires a floor above 0 and at most 1, and routers of at least 1")
 	case l.CutOff == Open && l.Cap <= 0:
-		return errors.New("open needs a cap above 0")
+		return errors.New("cut-off open requires a cap above 0")
 	}
 	return nil
 }
@@ -147,7 +147,7 @@
 	return l.Max * l.Floor / float64(l.MaxRouters)
 }
 
-// divisible returns the part of the limit that is divided by leases: without the floors of all routers.
+// divisible returns the part of the limit that is divided by leases: all but the floors of the routers.
 func (l *Limit) divisible() float64 { return l.Max - l.floor()*float64(max(l.MaxRouters, 0)) }
 
 // shareWithoutLease returns the share of a router without a lease.
@@ -164,15 +164,15 @@
 		(l.Number == "" || strings.HasPrefix(number, l.Number))
 }
 
-// Claim is what a router reports of one limit with a lease request, the ask in package fleet.
+// Claim is a router's report on one limit, sent with a lease request (an Ask message of package fleet).
 type Claim struct {
 	Limit  string
-	Demand float64 // set-ups a second that arrived, or concurrent calls wanted
+	Demand float64 // set-ups per second that arrived, or open and recently refused calls
 	Held   float64 // the share in force or, of Calls, the number of open calls if that is larger
-	Used   float64 // set-ups a second that were admitted, or open calls
+	Used   float64 // set-ups per second that were admitted, or open calls
 }
 
-// Grant is a share of one limit, valid as long as the lease that it came with.
+// Grant is a share of one limit, valid as long as the lease that it is granted with.
 type Grant struct {
 	Limit string
 	Share float64
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -75,10 +75,10 @@
 				for range rapid.IntRange(1, 20).Draw(t, "calls") {
 					class := rapid.SampledFrom([]string{"r", "c"}).Draw(t, "class")
 					r.slot++
-					if ok, _, after := r.limiter.Admit(now, r.slot, class, "", "", false); ok && class == "c" {
+					if ok, _, retryAfter := r.limiter.Admit(now, r.slot, class, "", "", false); ok && class == "c" {
 						r.open = append(r.open, r.slot)
 					} else if !ok {
-						require.Positive(t, after)
+						require.Positive(t, retryAfter)
 					}
 				}
 			case 9: // a call ends
@@ -86,7 +86,7 @@
 					r.limiter.Release(r.open[0])
 					r.open = r.open[1:]
 				}
-			case 10: // a lease expires: the incarnation ends, the process goes on
+			case 10: // a lease expires: the incarnation ends, the process keeps running
 				if now >= r.renewedAt+leaseWait {
 					allocator.EndIncarnation(now, r.name, r.incarnation)
 					nextIncarnation++
@@ -180,9 +180,9 @@
 	}
 	for i := range MaxValues + 100 {
 		now += 100 * time.Microsecond
-		ok, by, _ := limiter.Admit(now, 1, "voice", fmt.Sprint("t", i), "", false)
+		ok, limitedBy, _ := limiter.Admit(now, 1, "voice", fmt.Sprint("t", i), "", false)
 		require.Equal(t, i < MaxValues, ok, "a floor admits a tenant's first call, a full table refuses it")
-		require.Equal(t, map[bool]string{true: "", false: "each"}[ok], by)
+		require.Equal(t, map[bool]string{true: "", false: "each"}[ok], limitedBy)
 		limiter.Release(1)
 	}
 	require.Greater(t, renew(), 1000)
@@ -202,8 +202,8 @@
 	require.True(t, ok, "the empty tenant counts as a tenant")
 }
 
-// TestChange lowers a limit below the share in force, removes it and adds it again. The share in force must not grow
-// by it, and must fall with the next renewals.
+// TestChange lowers a limit below the share in force, removes it and adds it again. No change may increase the share
+// in force; a lowered limit must lower it with the next renewals.
 func TestChange(t *testing.T) {
 	limit := Limit{Name: "c", Kind: Calls, Max: 20, MaxCallDuration: time.Second}
 	allocator, limiter := NewAllocator([]Limit{limit}, time.Second, 0.01), NewLimiter(0, []Limit{limit})
@@ -270,11 +270,11 @@
 		if ok, _, _ := limiter.Admit(now, 1, "", "", "", false); ok {
 			first++
 		}
-		if ok, by, after := limiter.Admit(now, 1, "", "", "", true); ok {
+		if ok, limitedBy, retryAfter := limiter.Admit(now, 1, "", "", "", true); ok {
 			retries++
 		} else {
-			require.Equal(t, "again", by)
-			require.Positive(t, after)
+			require.Equal(t, "again", limitedBy)
+			require.Positive(t, retryAfter)
 		}
 		if i == 2000 { // first tries stop: only the earned retries are left
 			before := retries
@@ -304,13 +304,13 @@
 		limiters = append(limiters, NewLimiter(0, limits))
 	}
 	coldShare := func(limiter *Limiter, now time.Duration) float64 {
-		parts, alone, ok := limiter.ColdShares(now)
+		shares, withoutLease, ok := limiter.ColdShares(now)
 		require.True(t, ok)
-		require.Zero(t, alone)
-		if len(parts) == 0 {
+		require.Zero(t, withoutLease)
+		if len(shares) == 0 {
 			return 0
 		}
-		return parts[0].Share
+		return shares[0].Share
 	}
 	server := Server{"s1", 5 * time.Second, 20 * time.Second}
 	for step := range 150 {
