--- a/verdict/mutant_off.go
+++ b/verdict/mutant_off.go
@@ -2,5 +2,5 @@
 
 package verdict
 
-// mutant is the name of the injected fault; a release build has none.
+// mutant is the name of the injected fault. Only builds with the mutant tag inject one.
 const mutant = ""
--- a/verdict/table.go
+++ b/verdict/table.go
@@ -24,7 +24,7 @@
 	lastStamp  time.Duration       // Stamp of its latest frame
 	receivedAt time.Duration       // when that frame arrived; 0: none yet
 	sentAt     time.Duration       // when the latest frame was sent to it
-	greeted    bool                // a frame has been sent to it
+	frameSent  bool                // a frame has been sent to it
 }
 
 // Frame is a message of a router to a neighbour.
@@ -51,7 +51,7 @@
 	zoneSizes   map[string]int             // routers in each zone
 	cache       map[Key]*cachedVerdict
 	holds       []Verdict             // servers taken out by operators
-	questioned  map[Key]time.Duration // see Questioned
+	suspected   map[Key]time.Duration // see Questioned
 	nextFlush   time.Duration         // when pending records are to be sent
 	sweptAt     time.Duration         // when expired records were last removed
 	changed     bool                  // see Changed
@@ -67,7 +67,7 @@
 	Known    uint64 // no newer than what was held
 	Lapsed   uint64 // expired, on arrival or later
 	Refused  uint64 // malformed, over a limit or of an unknown observer
-	Unechoed uint64 // frames dropped because the age of their records cannot be bounded, or for too many records
+	Unechoed uint64 // frames dropped because they have too many records, or no echo to bound the records' ages
 }
 
 // NewTable returns an empty table of the router named self.
@@ -84,16 +84,17 @@
 	}
 }
 
-// cachedVerdict is the latest verdict on a server. It is derived again after new evidence and after rejudgeInterval.
+// cachedVerdict is the latest verdict on a server. It is derived again after new evidence and after
+// verdictRefreshInterval.
 type cachedVerdict struct {
 	Verdict
-	newestEvidence time.Duration // time of the newest evidence that it rests on
-	judgedAt       time.Duration
-	stale          bool // evidence has changed since
+	newestEvidence time.Duration // time of the newest evidence that it is based on
+	derivedAt      time.Duration
+	stale          bool // evidence has changed since derivedAt
 }
 
-// rejudgeInterval is the time after which a verdict is derived again without new evidence.
-const rejudgeInterval = time.Second
+// verdictRefreshInterval is the time after which a verdict is derived again without new evidence.
+const verdictRefreshInterval = time.Second
 
 // SetMembers sets the routers of the fleet.
 func (t *Table) SetMembers(list []Member) {
@@ -189,7 +190,7 @@
 // from is the name of the neighbour that sent it, or empty for this router's own records.
 func (t *Table) merge(now time.Duration, from string, r Record) {
 	if from != "" && r.Observer == t.self {
-		return // this router's own records do not come from others
+		return // a record of this router, sent back by a neighbour
 	}
 	key := recordID{r.Observer, r.Key}
 	if p := t.peers[from]; p != nil {
@@ -203,7 +204,7 @@
 	switch {
 	case existing != nil && !r.isNewer(existing) && mutant != "older-wins":
 		if r.Incarnation == existing.Incarnation && r.Seq == existing.Seq {
-			// The same record over a faster path has a tighter bound on its age.
+			// The same record over another path. Ages are upper bounds, so the later times are closer to the truth.
 			t.invalidate(r.Key)
 			for _, pair := range [][2]*time.Duration{
 				{&existing.Onset, &r.Onset},
@@ -218,7 +219,7 @@
 		t.Count.Known++
 		return
 	case existing == nil && (len(t.records) >= maxRecords ||
-		len(t.byServer[r.Key]) == 0 && len(t.byServer) >= maxQuestioned):
+		len(t.byServer[r.Key]) == 0 && len(t.byServer) >= maxSuspected):
 		t.Count.Refused++
 		return
 	case from != "" && len(t.zoneOf) > 0 && t.zoneOf[r.Observer] == "" && !t.isMember(r.Observer):
@@ -245,14 +246,15 @@
 	}
 }
 
-// version orders the records of an observer across its incarnations: the incarnation above 40 bits of sequence number.
+// version orders the records of an observer across its incarnations. It holds the incarnation above the low 40 bits of
+// the sequence number.
 func version(r *Record) uint64 { return r.Incarnation<<40 | r.Seq&(1<<40-1) }
 
 func (t *Table) isMember(name string) bool { _, ok := t.zoneOf[name]; return ok }
 
-// drop removes a record. One that has not expired may still arrive from another neighbour: which neighbours have it
-// stays known, so that it does not circulate.
-func (t *Table) drop(key recordID, lapsed bool) {
+// drop removes a record. One that has not expired may arrive again from another neighbour. The table then keeps track
+// of the neighbours that have it, so that the record is not sent around in circles.
+func (t *Table) drop(key recordID, expired bool) {
 	delete(t.records, key)
 	delete(t.byServer[key.Key], key.observer)
 	t.invalidate(key.Key)
@@ -262,13 +264,13 @@
 	}
 	for _, p := range t.peers {
 		delete(p.pending, key)
-		if lapsed || len(p.known) > maxRecords {
+		if expired || len(p.known) > maxRecords {
 			delete(p.known, key)
 		}
 	}
 }
 
-// invalidate has the verdict on a server derived again.
+// invalidate marks the verdict on a server as stale, so that it is derived again.
 func (t *Table) invalidate(key Key) {
 	t.changed = true
 	if cached := t.cache[key]; cached != nil {
@@ -289,13 +291,13 @@
 		}
 	}
 	for key, records := range t.byServer {
-		questioned := false
+		suspected := false
 		for _, r := range records {
-			questioned = questioned || r.isBad() ||
+			suspected = suspected || r.isBad() ||
 				now-max(r.LateAt, r.BadAt) < decayTime && max(r.LateAt, r.BadAt) > 0 ||
 				r.Full >= 1 && now-r.GoodAt < decayTime
 		}
-		if !questioned {
+		if !suspected {
 			for observer := range records {
 				t.drop(recordID{observer, key}, false)
 			}
@@ -309,16 +311,17 @@
 	Frame
 }
 
-// greetInterval is the interval of frames to a neighbour without pending records, which carry only the time. The drift
-// of the clocks over it is the smallest age that a record can appear to have.
-const greetInterval = time.Second
+// heartbeatInterval is the interval of frames without records, which carry only stamps, to a neighbour for which no
+// records are pending. Echoed stamps can be this old, so the drift of the clocks over this interval adds to the bound
+// on the age of records.
+const heartbeatInterval = time.Second
 
 // Tick removes expired records and returns the frames to be sent now.
 func (t *Table) Tick(now time.Duration) (out []Outgoing) {
 	t.sweep(now)
 	for _, name := range slices.Sorted(maps.Keys(t.peers)) {
 		p := t.peers[name]
-		if p.greeted && now-p.sentAt < greetInterval &&
+		if p.frameSent && now-p.sentAt < heartbeatInterval &&
 			(len(p.pending) == 0 || p.receivedAt == 0 || now < t.nextFlush) {
 			continue
 		}
@@ -342,7 +345,7 @@
 				}
 			}
 		}
-		p.greeted, p.sentAt = true, now
+		p.frameSent, p.sentAt = true, now
 		out = append(out, Outgoing{name, f})
 	}
 	if now >= t.nextFlush {
@@ -368,18 +371,18 @@
 	return r
 }
 
-// NextTick returns the time at which Tick next has something to do if nothing arrives before.
+// NextTick returns the time at which Tick is due next if no record arrives before.
 func (t *Table) NextTick() time.Duration {
 	due := t.sweptAt + time.Second
 	for _, p := range t.peers {
-		due = min(due, p.sentAt+greetInterval)
+		due = min(due, p.sentAt+heartbeatInterval)
 	}
 	return min(due, t.nextFlush)
 }
 
-// Questioned returns the servers that some router has trouble with, as of the latest call of Verdicts, and the times
-// since which answers are missing. Routers report what they have observed of these servers.
-func (t *Table) Questioned() map[Key]time.Duration { return t.questioned }
+// Questioned returns the servers that some router suspects of a fault, as of the latest call of Verdicts, and the
+// times since which answers are missing (Verdict.Since). All routers report what they have observed of these servers.
+func (t *Table) Questioned() map[Key]time.Duration { return t.suspected }
 
 // SetHolds replaces the list of servers that operators have taken out of service.
 func (t *Table) SetHolds(list []Verdict) { t.holds, t.changed = list, true }
@@ -391,19 +394,19 @@
 	return was
 }
 
-// Verdicts returns the verdicts on all servers with evidence, sorted by server. A server taken out by an operator has
-// that verdict alone. Equal records give equal verdicts.
+// Verdicts returns the verdicts on all servers with evidence, sorted by server. For a server that an operator has
+// taken out of service, it returns only that verdict. Equal records give equal verdicts.
 func (t *Table) Verdicts(now time.Duration) (list []Verdict) {
-	t.questioned = make(map[Key]time.Duration, len(t.byServer))
+	t.suspected = make(map[Key]time.Duration, len(t.byServer))
 	for key, records := range t.byServer {
 		cached := t.cache[key]
-		if cached == nil || cached.stale || now-cached.judgedAt > rejudgeInterval {
-			cached = t.judge(now, key, records)
+		if cached == nil || cached.stale || now-cached.derivedAt > verdictRefreshInterval {
+			cached = t.deriveVerdict(now, key, records)
 			t.cache[key] = cached
 		}
 		v := cached.Verdict
 		v.Age = max(now-cached.newestEvidence, 0)
-		t.questioned[key] = v.Since
+		t.suspected[key] = v.Since
 		list = append(list, v)
 	}
 	for _, v := range t.holds {
@@ -421,9 +424,9 @@
 // zoneTally counts the routers of one zone that miss answers and those that get them.
 type zoneTally struct{ bad, good int }
 
-// judge derives the verdict on one server from all records on it.
-func (t *Table) judge(now time.Duration, key Key, records map[string]*Record) *cachedVerdict {
-	v := &cachedVerdict{Verdict: Verdict{Key: key, Routers: t.RouterCount(), Confidence: 1}, judgedAt: now}
+// deriveVerdict derives the verdict on one server from all records on it.
+func (t *Table) deriveVerdict(now time.Duration, key Key, records map[string]*Record) *cachedVerdict {
+	v := &cachedVerdict{Verdict: Verdict{Key: key, Routers: t.RouterCount(), Confidence: 1}, derivedAt: now}
 	names := sortedNames(records)
 	var bad, good, late, full []*Record
 	var onsets []time.Duration
@@ -453,16 +456,18 @@
 	}
 	slices.Sort(onsets)
 	if len(bad) > 0 {
-		// From Since on, a quorum of routers has sent attempts that were never answered. A router that has had an
-		// answer after Since counts as good, even if it misses answers again. The exception is a router that misses
-		// answers, whose last answer was to an attempt sent before Since and came within the usual latency after it (a
-		// quarter of MinResponseTimeout): that answer was in transit when the server failed, and the router stays bad.
+		// Since is the latest time at or after which a quorum of routers sent the first of their unanswered attempts;
+		// if fewer than a quorum miss answers, it is the earliest onset. A router that has had an answer after Since
+		// counts as good, even if it misses answers again. The exception is a router that misses answers and whose
+		// last answer was in transit when the server failed: that answer was to an attempt sent before Since and came
+		// at most a quarter of MinResponseTimeout, the usual latency, after Since, both with a tolerance of
+		// FlushInterval. Such a router counts as bad.
 		v.Since = onsets[max(len(onsets)-quorum, 0)]
 		bad, good = nil, nil
-		crossedUntil := v.Since + t.Settings.FlushInterval + t.Settings.MinResponseTimeout/4
+		transitUntil := v.Since + t.Settings.FlushInterval + t.Settings.MinResponseTimeout/4
 		for _, name := range names {
 			switch r := records[name]; {
-			case r.isBad() && r.AnsweredSentAt <= v.Since+t.Settings.FlushInterval && max(r.GoodAt, r.LateAt) <= crossedUntil &&
+			case r.isBad() && r.AnsweredSentAt <= v.Since+t.Settings.FlushInterval && max(r.GoodAt, r.LateAt) <= transitUntil &&
 				mutant != "crossed-answers":
 				bad = append(bad, r)
 			case max(r.GoodAt, r.LateAt) > v.Since:
@@ -493,23 +498,23 @@
 			v.Zones = append(v.Zones, zone)
 		}
 	}
-	missingZones := 0 // zones that miss answers
+	badZones := 0 // zones in which some router misses answers
 	for _, tally := range tallies {
 		if tally.bad > 0 {
-			missingZones++
+			badZones++
 		}
 	}
 	switch {
 	case mutant == "one-router" && len(bad) > 0, mutant == "one-zone" && len(bad) >= quorum:
 		v.Kind = Gone
 		addSources(bad)
-	case len(bad) >= quorum && (missingZones >= 2 || t.zoneCount() == 1) && len(bad) >= 2*len(good):
+	case len(bad) >= quorum && (badZones >= 2 || t.zoneCount() == 1) && len(bad) >= 2*len(good):
 		v.Kind, v.Zones = Gone, nil
 		v.Confidence = float64(len(bad)) / float64(len(bad)+len(good))
 		addSources(bad)
 	case len(v.Zones) > 0:
 		v.Kind = Unreachable
-		v.Bad, v.Good, v.Routers = 0, 0, 0 // routers of other zones do not affect how often these probe
+		v.Bad, v.Good, v.Routers = 0, 0, 0 // only routers of the affected zones determine the probe rate
 		for _, zone := range v.Zones {
 			v.Bad, v.Good, v.Routers = v.Bad+tallies[zone].bad, v.Good+tallies[zone].good, v.Routers+t.zoneSize(zone)
 		}
@@ -534,7 +539,7 @@
 	return v
 }
 
-// quorum returns how many of a number of routers have to agree: at least two, so that one alone decides nothing.
+// quorum returns how many of a number of routers have to agree: at least two, so that no router decides alone.
 func (t *Table) quorum(of int) int { return max(2, min(t.Settings.Quorum, of-1)) }
 
 // zoneCount returns the number of zones of the fleet's routers.
@@ -550,7 +555,7 @@
 	return len(zones)
 }
 
-// medianSlowdown returns the medians of the records' slowdowns and of their parts of late answers.
+// medianSlowdown returns the medians of the records' slowdowns and of their fractions of late answers.
 func medianSlowdown(list []*Record) (slowdown, lateShare float64) {
 	var slowdowns, shares []float64
 	for _, r := range list {
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -20,7 +20,7 @@
 	maxNameLength   = 128
 	maxMembers      = 4096
 	maxServers      = 4096    // watched by one router
-	maxQuestioned   = 512     // servers with shared evidence at once; each router judges any further ones alone
+	maxSuspected    = 512     // servers with shared evidence; on others, each router has only its own
 	maxRecords      = 1 << 16 // held by one router
 	maxFrameRecords = 512     // in one frame
 )
@@ -29,11 +29,11 @@
 type Settings struct {
 	// Quorum is how many routers have to miss answers of a server before the others act on it.
 	Quorum int
-	// MaxShare is the largest part of a class's servers that verdicts may have a router avoid. If verdicts name more,
-	// they are disregarded.
+	// MaxShare is the largest fraction of a class's servers that verdicts can make a router avoid. If they would
+	// exclude more, all of them for the class are disregarded.
 	MaxShare float64
-	// MinResponseTimeout is the shortest time after which an answer counts as missed; the timeout is four times the
-	// mean latency of the server where that is longer.
+	// MinResponseTimeout is the shortest time after which an answer counts as missed. If four times the server's mean
+	// latency is longer, that is the timeout.
 	MinResponseTimeout time.Duration
 	// LateThreshold is the latency above which an answer counts as late.
 	LateThreshold time.Duration
@@ -41,10 +41,10 @@
 	EvidenceTTL time.Duration
 	// ReportInterval is the shortest time between two reports of a router on one server, unless its opinion changes.
 	ReportInterval time.Duration
-	// FlushInterval is the longest time until received records are forwarded.
+	// FlushInterval is the longest time for which received records are held before they are forwarded.
 	FlushInterval time.Duration
-	// ProbeInterval is the time in which one router of the fleet sends a call, as a probe, to a server that verdicts
-	// have the routers avoid. Once some routers have had an answer since, twice as many routers as those probe in it.
+	// ProbeInterval is the mean interval at which the fleet probes a server that verdicts make the routers avoid: one
+	// router sends it a call. Once n routers have had an answer again, 2n routers probe the server per interval.
 	ProbeInterval time.Duration
 	// MaxClockDrift is the bound on the relative rate error of any clock in the fleet.
 	MaxClockDrift float64
@@ -68,23 +68,23 @@
 	}
 }
 
-// Validate reports the first setting that is out of its range.
+// Validate returns an error that describes the first setting that is out of range, or nil.
 func (s Settings) Validate() error {
 	switch {
 	case s.Quorum < 2 || s.Quorum > 100:
-		return errors.New("quorum must be 2 to 100 routers: one router alone must not condemn a server")
+		return errors.New("quorum must be 2 to 100 routers: one router alone must not decide that a server has failed")
 	case !(s.MaxShare > 0 && s.MaxShare <= 1):
-		return errors.New("share must be above 0 and at most 1")
+		return errors.New("the share of servers that verdicts can exclude must be above 0 and at most 1")
 	case s.MinResponseTimeout <= 0 || s.LateThreshold <= 0 || s.EvidenceTTL <= s.MinResponseTimeout || s.ReportInterval <= 0 ||
 		s.FlushInterval <= 0 || s.ProbeInterval <= 0 || s.RecoverySpread < 0:
-		return errors.New("durations must be above 0 (return: at least 0), and hold must be longer than silence")
+		return errors.New("durations must be above 0 (return may be 0), and hold must be longer than silence")
 	}
 	return nil
 }
 
 // MaxStaleness returns the bound on the age of a router's information about the observations of any other router,
-// while all links between neighbours are up and have at most the given delay: one report interval at the observer,
-// then a flush and a link delay at each hop to the farthest of the routers.
+// while all links between neighbours are up and have at most the given delay. It is one report interval at the
+// observer, plus a flush interval and a link delay for each hop to the farthest router.
 func (s Settings) MaxStaleness(routers int, delay time.Duration) time.Duration {
 	return s.reportInterval(routers) + time.Duration(Hops(routers))*(s.FlushInterval+delay)
 }
@@ -119,8 +119,8 @@
 	Full    float32 // rejections with cause "processor full"
 
 	Slowdown       float32       // smoothed ratio of the latency to the usual latency
-	Onset          time.Duration // when the first attempt was sent since which nothing was answered
-	BadAt          time.Duration // last time that an answer was missed or a connection failed
+	Onset          time.Duration // send time of the first attempt that was missed or refused since the latest answer
+	BadAt          time.Duration // when an answer was last overdue or a connection last failed
 	LateAt         time.Duration // last late answer
 	GoodAt         time.Duration // last answer in time, including rejections
 	AnsweredSentAt time.Duration // send time of the latest answered set-up
@@ -143,7 +143,7 @@
 // isBad reports whether the observer has had no answer since it missed one.
 func (r *Record) isBad() bool { return r.Onset != 0 && r.BadAt > max(r.GoodAt, r.LateAt) }
 
-// Kind is the state that a verdict finds a server in.
+// Kind is the state of a server according to a verdict.
 type Kind uint8
 
 // Kinds of verdicts.
@@ -153,7 +153,7 @@
 	Full                    // set-ups are rejected with cause "processor full"
 	Unreachable             // routers of some zones miss answers, others get them
 	Gone                    // no router gets answers
-	BadLink                 // too few routers miss answers to blame the server: the fault is with their links
+	BadLink                 // too few routers miss answers: the fault is with their links, not with the server
 	Held                    // taken out of service by an operator
 )
 
@@ -168,14 +168,14 @@
 	Kind       Kind
 	Zones      []string      // of Unreachable: the zones that miss answers
 	Slowdown   float64       // of Slow: median ratio of the latency to the usual latency
-	LateShare  float64       // of Slow: median part of the answers that come late
+	LateShare  float64       // of Slow: median fraction of late answers
 	Bad        int           // routers that miss answers
-	Good       int           // routers that have had an answer since
+	Good       int           // routers that have had an answer after Since
 	Routers    int           // routers of the fleet or, with Unreachable, of the affected zones
-	Sources    []string      // some of the observers whose evidence it rests on
-	Confidence float64       // part of the routers with an opinion that agree
-	Age        time.Duration // age of the newest evidence that it rests on
-	Since      time.Duration // time from which on a quorum of routers has sent attempts that were never answered
+	Sources    []string      // some of the observers whose evidence it is based on
+	Confidence float64       // fraction of the routers with evidence that agree
+	Age        time.Duration // age of the newest evidence that it is based on
+	Since      time.Duration // latest time since which a quorum of routers sent the first of their unanswered attempts
 	Until      time.Duration // of Held: when it ends
 	Reason     string        // of Held: the reason that the operator gave
 }
@@ -206,15 +206,15 @@
 	return hops
 }
 
-// EndFromOutcome returns what the outcome of an attempt says about its server.
-func EndFromOutcome(how threadglade.Outcome, why threadglade.Cause) End {
-	switch how {
+// EndFromOutcome classifies the outcome of an attempt by what it reveals about the server.
+func EndFromOutcome(outcome threadglade.Outcome, cause threadglade.Cause) End {
+	switch outcome {
 	case threadglade.TimedOut, threadglade.Cut:
 		return Missed
 	case threadglade.Unreachable:
 		return Refused
 	case threadglade.Rejected:
-		if why == threadglade.CauseProcessorFull {
+		if cause == threadglade.CauseProcessorFull {
 			return TooFull
 		}
 		return Alive
--- a/verdict/verdict_test.go
+++ b/verdict/verdict_test.go
@@ -89,8 +89,8 @@
 	})
 }
 
-// TestZonesAreIndependent checks that evidence of one router or one zone never condemns a server for routers of other
-// zones, and that a single router that misses answers yields a bad link.
+// TestZonesAreIndependent checks that evidence of one router or one zone never makes routers of other zones avoid a
+// server, and that a single router that misses answers yields a bad link.
 func TestZonesAreIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const now = time.Hour
@@ -128,9 +128,9 @@
 	require.Equal(t, []string{"r1"}, v[0].Sources)
 }
 
-// TestAnswersInTransit guards against answers in transit that keep a failed server from being avoided: of three
-// routers that miss answers, two had one a few milliseconds after the onset, to an attempt sent before. Answers that
-// other routers get later count against the verdict.
+// TestAnswersInTransit checks that answers that were in transit when a server failed do not keep it from being
+// avoided: of three routers that miss answers, two had one a few milliseconds after the onset, to an attempt sent
+// before. Answers that other routers get later count against the verdict.
 func TestAnswersInTransit(t *testing.T) {
 	const onset = time.Hour - 600*ms
 	table := NewTable(DefaultSettings(), "me")
@@ -161,14 +161,14 @@
 	table := NewTable(settings, "me")
 	now := time.Hour
 	for i := range 200 {
-		for k := range 3 * maxQuestioned {
+		for k := range 3 * maxSuspected {
 			table.merge(now, "liar", Record{
 				Observer: fmt.Sprint("r", i), Incarnation: 1, Seq: 1, Key: Key{fmt.Sprint("s", k), 0},
 				Onset: now - time.Second, BadAt: now,
 			})
 		}
 	}
-	require.LessOrEqual(t, len(table.byServer), maxQuestioned)
+	require.LessOrEqual(t, len(table.byServer), maxSuspected)
 	require.LessOrEqual(t, len(table.records), maxRecords)
 	require.Positive(t, table.Count.Refused)
 	require.NotEmpty(t, table.Verdicts(now))
@@ -193,9 +193,9 @@
 	return w
 }
 
-// goneVerdict returns a verdict by which no router gets answers of the server.
-func goneVerdict(server string, since time.Duration, others int) Verdict {
-	return Verdict{Key: Key{server, 0}, Kind: Gone, Bad: 10, Routers: others, Since: since}
+// goneVerdict returns a verdict that no router gets answers of the server.
+func goneVerdict(server string, since time.Duration, routers int) Verdict {
+	return Verdict{Key: Key{server, 0}, Kind: Gone, Bad: 10, Routers: routers, Since: since}
 }
 
 // TestMissedAnswers checks that overdue answers are detected without any event, and that an unanswered attempt does
@@ -256,8 +256,8 @@
 	})
 }
 
-// TestProbesAndReturns checks that of 300 routers that avoid a server about one probes it in each ProbeInterval, with
-// one call each, and that their returns after its recovery are spread over RecoverySpread.
+// TestProbesAndReturns checks that, of 300 routers that avoid a server, about one per ProbeInterval probes it with one
+// call, and that their returns after its recovery are spread over RecoverySpread.
 func TestProbesAndReturns(t *testing.T) {
 	const n = 300
 	var watches []*Watch
@@ -268,7 +268,7 @@
 	verdicts := []Verdict{goneVerdict("s0", now-time.Second, n)}
 	probes := 0
 	until := make([]time.Duration, n)
-	step := func(list []Verdict) (free int) {
+	step := func(list []Verdict) (using int) {
 		now += 25 * ms
 		for i, w := range watches {
 			w.AttemptSent(now, 2, "s2") // calls to other servers continue
@@ -277,10 +277,10 @@
 				until[i] = c.Until
 			}
 			if until[i] <= now {
-				free++
+				using++
 			}
 		}
-		return free
+		return using
 	}
 	step(verdicts)
 	for i := range until {
@@ -289,7 +289,7 @@
 	for range 400 { // ten seconds
 		step(verdicts)
 		for i, w := range watches {
-			if until[i] <= now { // it may probe: it has a call at once, which is not answered
+			if until[i] <= now { // it may probe: it has a call at once, which is missed
 				w.AttemptSent(now, 1, "s0")
 				probes++
 				w.UpdateAvoidances(now, verdicts)
@@ -300,18 +300,18 @@
 	}
 	require.Greater(t, probes, 4)
 	require.Less(t, probes, 40, "at most 20 probes in ten seconds are intended, plus random variation")
-	maxReturns, free := 0, step(nil)
+	maxReturns, using := 0, step(nil)
 	for range 120 {
-		before := free
-		free = step(nil)
-		maxReturns = max(maxReturns, free-before)
+		before := using
+		using = step(nil)
+		maxReturns = max(maxReturns, using-before)
 	}
-	require.Equal(t, n, free)
+	require.Equal(t, n, using)
 	require.Less(t, maxReturns, n/10, "in 25 ms")
 }
 
-// TestOwnEvidence checks that an answer of its own that is newer than the misses of others outweighs a verdict for a
-// router, and that an operator's hold outweighs the router's own evidence.
+// TestOwnEvidence checks that a router disregards a verdict if it has had an answer itself since the others began to
+// miss theirs, and that an operator's hold applies regardless of the router's own evidence.
 func TestOwnEvidence(t *testing.T) {
 	w := newWatch(1, 4)
 	now := time.Hour
--- a/verdict/watch.go
+++ b/verdict/watch.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// This file records what this router observes of each server, and decides when it avoids one because of the verdicts.
+// This file records what this router observes of each server, and decides which servers it avoids because of verdicts.
 
 const (
-	// decayTime is the time constant of the exponential decay of counts, and latencySamples the number of answers over
-	// which the mean latency is averaged.
+	// decayTime is the time constant of the exponential decay of counts. latencySamples is the number of answers over
+	// which the latency is averaged.
 	decayTime      = 4 * time.Second
 	latencySamples = 16
 	// maxResponseTimeout is the longest time after which an answer counts as missed.
@@ -22,18 +22,18 @@
 	maxSlots = 1 << 20
 	// probeTimeout is how long a router whose turn it is to probe an avoided server waits for a call to probe with.
 	probeTimeout = time.Second
-	// minCallProbability is the assumed minimum of the probability that a router has a call for the server within
+	// minCallProbability is the lower bound assumed for the probability that a router has a call for the server within
 	// probeTimeout.
 	minCallProbability = 0.005
-	// maxProbeBackoff is the largest factor by which probes of a server become rarer while it stays gone.
+	// maxProbeBackoff is the largest factor by which the interval between probes grows while a server stays gone.
 	maxProbeBackoff = 3
 	// avoidTTL is how long a server is avoided without a renewal.
 	avoidTTL = time.Second
-	// slowCycle is the period in which a slow server is avoided for a part of the time.
+	// slowCycle is the length of the cycle in which a slow server is avoided for a fraction of the time.
 	slowCycle = time.Second
 )
 
-// End tells how an attempt ended whose call was not established.
+// End is the way in which an attempt ended without an established call.
 type End uint8
 
 // Ends of attempts.
@@ -42,7 +42,7 @@
 	Refused                  // no connection
 	TooFull                  // rejected with cause "processor full"
 	Alive                    // any other answer
-	Withdrawn                // withdrawn by the caller's side: says nothing about the server
+	Withdrawn                // withdrawn by the caller's side: no evidence about the server
 )
 
 // Server is a case server that the server list shows as up.
@@ -58,17 +58,17 @@
 	inFlight    []attempt     // attempts without an end, in the order sent
 	meanLatency float64       // moving average, in seconds
 	decayedAt   time.Duration // when the counts were last decayed
-	reported    Record        // as last reported to the other routers
+	reported    Record        // the latest record reported to the other routers
 	reportedAt  time.Duration
-	probeUntil  time.Duration // until when a probe may be sent; 0: none is due
+	probeUntil  time.Duration // until when this router may send a probe; 0: none is due
 	probing     bool          // a probe is in flight
-	returnAt    time.Duration // when this router uses the recovered server again; 0: not drawn
+	returnAt    time.Duration // when this router uses the recovered server again; 0: not chosen yet
 	avoidUntil  time.Duration // end of the latest Avoidance returned
-	phase       time.Duration // offset in slowCycle, so that servers and routers differ
-	drawnAt     time.Duration // when the probe was last drawn for; 0: not since the server became avoided
+	phase       time.Duration // random offset in slowCycle, so that servers and routers differ
+	drawnAt     time.Duration // when a draw last decided whether to probe; 0: none since the server became avoided
 }
 
-// attempt is a pending set-up request to a server.
+// attempt is a pending call set-up at a server.
 type attempt struct {
 	slot   uint32
 	sent   time.Duration
@@ -81,7 +81,7 @@
 	Zone           string
 	random         *rand.Rand
 	byID           map[string]*serverState
-	bySlot         []*serverState // servers of pending requests, by slot
+	bySlot         []*serverState // servers of pending attempts, by slot
 	servers        []*serverState // sorted by name
 	classSizes     map[string]int // servers of each class
 	recentAttempts float64        // number of attempts, decaying with decayTime
@@ -90,12 +90,12 @@
 	Count          WatchCounts
 }
 
-// WatchCounts counts the decisions of a Watch.
+// WatchCounts counts the decisions of a Watch. The names of the fields are printed with the process's counters.
 type WatchCounts struct {
 	Cares       uint64 // servers avoided, and renewals
 	Trials      uint64 // probes of avoided servers
 	Returns     uint64 // servers used again
-	Disregarded uint64 // verdicts disregarded because more than the permitted share of a class was affected
+	Disregarded uint64 // verdicts disregarded because they would exclude more than MaxShare of a class
 }
 
 // NewWatch returns a Watch without servers. The seed has to differ between routers, so that their probes and returns
@@ -136,7 +136,7 @@
 	}
 }
 
-// AttemptSent records an attempt that is about to be sent; slot is a small number that no other pending request has.
+// AttemptSent records an attempt that is about to be sent; slot is a small number that no other pending attempt has.
 func (w *Watch) AttemptSent(now time.Duration, slot uint32, server string) {
 	s := w.byID[server]
 	if s == nil || slot >= maxSlots {
@@ -149,7 +149,7 @@
 	w.decayAttempts(now)
 	w.recentAttempts++
 	s.inFlight = append(s.inFlight, attempt{slot: slot, sent: now})
-	if s.probeUntil != 0 { // this attempt is the probe; there is no other until it ends
+	if s.probeUntil != 0 { // this attempt is the probe; no other is sent until it ends
 		s.probeUntil, s.probing = 0, true
 		w.Count.Trials++
 	}
@@ -178,37 +178,37 @@
 		return
 	}
 	s.decayCounts(now)
-	age := (now - a.sent).Seconds()
+	latency := (now - a.sent).Seconds()
 	if s.meanLatency == 0 {
-		s.meanLatency = age
+		s.meanLatency = latency
 	}
-	s.Slowdown += (float32(age/max(s.meanLatency, 1e-4)) - s.Slowdown) / 4
+	s.Slowdown += (float32(latency/max(s.meanLatency, 1e-4)) - s.Slowdown) / 4
 	s.recordAnswer(a)
 	if now-a.sent > w.Settings.LateThreshold {
 		s.Late++
 		s.LateAt = now
-		s.meanLatency += (age - s.meanLatency) / (8 * latencySamples) // late answers shift the mean only slowly
+		s.meanLatency += (latency - s.meanLatency) / (8 * latencySamples) // late answers change the mean only slowly
 		return
 	}
-	s.meanLatency += (age - s.meanLatency) / latencySamples
+	s.meanLatency += (latency - s.meanLatency) / latencySamples
 	s.Good++
 	s.GoodAt = now
 }
 
-// recordAnswer records an answer of any kind to an attempt; the server is not missing answers any more.
+// recordAnswer records an answer of any kind to an attempt, which ends a series of missed answers.
 func (s *serverState) recordAnswer(a attempt) {
 	s.AnsweredSentAt = max(s.AnsweredSentAt, a.sent)
 	s.Onset, s.probing = 0, false
 }
 
 // AttemptEnded records that an attempt has ended without an established call.
-func (w *Watch) AttemptEnded(now time.Duration, slot uint32, how End) {
+func (w *Watch) AttemptEnded(now time.Duration, slot uint32, end End) {
 	s, a, ok := w.removeAttempt(slot)
 	if !ok {
 		return
 	}
 	s.decayCounts(now)
-	switch how {
+	switch end {
 	case Missed:
 		if !a.missed && a.sent > s.AnsweredSentAt {
 			s.recordMiss(now, a, &s.Missed)
@@ -265,8 +265,8 @@
 	)
 }
 
-// DetectMissed records overdue answers as missed. An attempt sent before another that was answered is skipped: only
-// that one was lost, which says nothing about the server.
+// DetectMissed records overdue answers as missed. It skips attempts sent before one that was answered: the loss of
+// such an attempt is no evidence that the server has failed.
 func (w *Watch) DetectMissed(now time.Duration) {
 	for _, s := range w.servers {
 		if len(s.inFlight) == 0 {
@@ -291,7 +291,7 @@
 	}
 }
 
-// NextCheck returns the time from now until DetectMissed has something to do if nothing happens before.
+// NextCheck returns the time from now until DetectMissed is due next if no attempt is sent or ends before.
 func (w *Watch) NextCheck(now time.Duration) time.Duration {
 	next := time.Hour
 	for _, s := range w.servers {
@@ -306,14 +306,14 @@
 	return next
 }
 
-// OwnRecords returns this router's new records: on servers that it has trouble with itself, and on those that another
-// router has trouble with. question holds the latter, with the times since which answers are missing (see
-// Table.Questioned); routers is the number of routers in the fleet. Servers without news are left out.
-func (w *Watch) OwnRecords(now time.Duration, question map[Key]time.Duration, routers int) (list []Record) {
+// OwnRecords returns this router's new records on servers that it suspects of a fault itself and on those that other
+// routers suspect. suspected holds the latter, with the times since which answers are missing (see Table.Questioned);
+// routers is the number of routers in the fleet. Servers without new observations to report are left out.
+func (w *Watch) OwnRecords(now time.Duration, suspected map[Key]time.Duration, routers int) (list []Record) {
 	for _, s := range w.servers {
 		troubled := s.isBad() || s.Late >= 1 && now-s.LateAt < decayTime || s.Full >= 1 && now-s.GoodAt < decayTime
-		since, questioned := question[s.Server.Key]
-		if !troubled && !questioned || s.lastSeen() == 0 || now-s.lastSeen() > w.Settings.EvidenceTTL {
+		since, isSuspected := suspected[s.Server.Key]
+		if !troubled && !isSuspected || s.lastSeen() == 0 || now-s.lastSeen() > w.Settings.EvidenceTTL {
 			continue
 		}
 		if !s.shouldReport(now, w.Settings, routers, since, troubled) {
@@ -332,9 +332,10 @@
 	return list
 }
 
-// shouldReport reports whether the other routers need this router's current record on a server: at once if its opinion
-// has changed, else after the report interval if it has had an answer since others miss theirs, has trouble other than
-// missed answers, or its last report is about to expire.
+// shouldReport reports whether the other routers need this router's current record on a server. They need it at once
+// if the router has begun or ceased to miss answers. Otherwise they need new observations after the report interval if
+// the router has had its first answer since others began to miss theirs, if its answers are late or find the server
+// full, or if its last report is older than a sixth of EvidenceTTL.
 func (s *serverState) shouldReport(
 	now time.Duration, settings Settings, routers int, since time.Duration, troubled bool,
 ) bool {
@@ -358,7 +359,7 @@
 }
 
 // UpdateAvoidances applies the verdicts and returns the changes for the routing decisions. A router that has had an
-// answer of a server since the others miss theirs goes by its own evidence.
+// answer of a server since the others began to miss theirs relies on its own evidence.
 func (w *Watch) UpdateAvoidances(now time.Duration, verdicts []Verdict) (changes []Avoidance) {
 	excluded := map[Key]*Verdict{}
 	avoided := map[string]int{}
@@ -375,7 +376,7 @@
 		}
 	}
 	withReturning := maps.Clone(avoided)
-	// Recovered servers whose return is still delayed are avoided too: if they exceed the share, they return at once.
+	// Recovered servers whose return is still delayed count as avoided, too. Any that exceed MaxShare return now.
 	for _, s := range w.servers {
 		if excluded[s.Server.Key] == nil && s.avoidUntil > now {
 			for _, class := range s.Classes {
@@ -390,17 +391,17 @@
 		v := excluded[s.Server.Key]
 		for _, class := range s.Classes {
 			if v != nil && float64(avoided[class]) > w.Settings.MaxShare*float64(w.classSizes[class]) && mutant != "no-share" {
-				v = nil // with so many unfit servers, the fault is on the routers' side
+				v = nil // with so many servers excluded, the fault is assumed to be on the routers' side
 				w.Count.Disregarded++
 			}
 		}
-		until, lifts := w.avoidance(now, s, v)
+		until, usable := w.avoidance(now, s, v)
 		switch {
 		case until > now && until > s.avoidUntil && (until-s.avoidUntil > avoidTTL/4 || s.avoidUntil-now < avoidTTL/4):
 			changes = append(changes, Avoidance{s.Server.Key, until, v})
 			s.avoidUntil = until
 			w.Count.Cares++
-		case lifts && s.avoidUntil > now:
+		case usable && s.avoidUntil > now:
 			changes = append(changes, Avoidance{s.Server.Key, now, nil})
 			s.avoidUntil = now
 			w.Count.Returns++
@@ -409,16 +410,16 @@
 	return changes
 }
 
-// minLateShare is the part of late answers from which on a slow server is avoided for a part of the time.
+// minLateShare is the fraction of late answers at which a slow server begins to be avoided for a fraction of the time.
 const minLateShare = 0.2
 
-// avoidance decides on one server under the verdict v, which is nil if the server is to be used. It returns until when
-// the server is to be avoided; lifts says that it is usable from now on.
-func (w *Watch) avoidance(now time.Duration, s *serverState, v *Verdict) (until time.Duration, lifts bool) {
+// avoidance decides whether to avoid one server under the verdict v, which is nil if no verdict applies. It returns
+// until when the server is to be avoided, or usable if it can be used from now on.
+func (w *Watch) avoidance(now time.Duration, s *serverState, v *Verdict) (until time.Duration, usable bool) {
 	if v == nil || v.Kind != Held && v.excludes(w.Zone) && s.GoodAt > v.Since+w.Settings.FlushInterval && !s.isBad() &&
 		s.GoodAt != 0 {
-		// This router has had an answer itself and goes by it, or the server has recovered: then the routers return one
-		// after the other.
+		// Either this router has had an answer itself, on which it relies, or the server has recovered. After a
+		// recovery the routers return one after the other.
 		s.probeUntil, s.drawnAt = 0, 0
 		answered := s.GoodAt != 0 && v != nil
 		if s.avoidUntil <= now || answered {
@@ -448,8 +449,8 @@
 	if v.Kind == Held {
 		return min(v.Until, now+avoidTTL), false
 	}
-	// The server is to be avoided: one router of the fleet probes it in each ProbeInterval, or twice as many routers as
-	// have had an answer since.
+	// The server is to be avoided except for probes: each router decides at random, about once per ProbeInterval,
+	// whether to send one.
 	if s.probing {
 		return now + avoidTTL, false
 	}
@@ -459,13 +460,13 @@
 		}
 		s.probeUntil = 0
 	}
-	if s.drawnAt == 0 { // spreads the draws of the routers over the interval
+	if s.drawnAt == 0 { // spreads the routers' draws over the interval
 		s.drawnAt = now - time.Duration(w.random.Int64N(int64(w.Settings.ProbeInterval)))
 	}
 	if now-s.drawnAt >= w.Settings.ProbeInterval {
-		span := now - s.drawnAt
+		elapsed := now - s.drawnAt
 		s.drawnAt = now
-		if w.random.Float64() < w.probeProbability(now, v, min(span, 4*w.Settings.ProbeInterval)) {
+		if w.random.Float64() < w.probeProbability(now, v, min(elapsed, 4*w.Settings.ProbeInterval)) {
 			s.probeUntil = now + probeTimeout
 			return 0, true
 		}
@@ -473,11 +474,11 @@
 	return now + avoidTTL, false
 }
 
-// probeProbability returns the probability with which this router probes an avoided server within a span, such that
-// all routers together probe at the intended rate: once in each ProbeInterval at first, up to maxProbeBackoff times
-// more rarely while a server stays gone. Once some routers have had answers since, twice their number of routers probe
-// in each ProbeInterval.
-func (w *Watch) probeProbability(now time.Duration, v *Verdict, span time.Duration) float64 {
+// probeProbability returns the probability with which this router probes an avoided server in the time elapsed since
+// its last draw, such that all routers together probe at the intended rate. That is once per ProbeInterval at first;
+// while the server stays gone, the interval grows by a factor of up to maxProbeBackoff. Once n routers have had an
+// answer after v.Since, 2n routers probe per ProbeInterval.
+func (w *Watch) probeProbability(now time.Duration, v *Verdict, elapsed time.Duration) float64 {
 	if mutant == "try-at-will" {
 		return 1
 	}
@@ -485,12 +486,13 @@
 	if v.Good > 0 {
 		meanInterval /= 2 * float64(v.Good)
 	}
-	// A router that is to probe may have no call for the server within probeTimeout: proportionally more are drawn.
+	// A router that is to probe may have no call for the server within probeTimeout. To make up for that, the
+	// probability is raised in proportion.
 	w.decayAttempts(now)
 	calls := w.recentAttempts / decayTime.Seconds() / float64(max(len(w.servers), 1)) * probeTimeout.Seconds()
 	meanInterval *= max(1-math.Exp(-calls), minCallProbability)
 	if v.Good == 0 {
 		meanInterval *= min(max(float64(now-v.Since)/float64(8*w.Settings.ProbeInterval), 1), maxProbeBackoff)
 	}
-	return 1 - math.Exp(-float64(span)/meanInterval)
+	return 1 - math.Exp(-float64(elapsed)/meanInterval)
 }
--- a/verdict/wire.go
+++ b/verdict/wire.go
@@ -14,8 +14,8 @@
 // wireUnit is the unit of ages and other durations in messages.
 const wireUnit = time.Microsecond
 
-// encodeAge returns an age in wireUnit plus 1; 0 stands for a negative age: never. It rounds up, so that nothing
-// appears younger than it is.
+// encodeAge returns an age in wireUnit plus 1; 0 stands for a negative age, which means never. It rounds up, so that
+// nothing appears younger than it is.
 func encodeAge(age time.Duration) uint64 {
 	if age < 0 {
 		return 0
@@ -101,9 +101,9 @@
 	return f, nil
 }
 
-// Report returns the verdicts and their evidence for an operator; heeded holds the servers that this router currently
+// Report returns the verdicts and their evidence for an operator; avoided holds the servers that this router currently
 // avoids.
-func (t *Table) Report(now time.Duration, heeded map[Key]bool) *verdictpb.Report {
+func (t *Table) Report(now time.Duration, avoided map[Key]bool) *verdictpb.Report {
 	out := &verdictpb.Report{
 		Others:     uint32(t.RouterCount()),
 		Neighbours: uint32(len(t.peers)),
@@ -124,7 +124,7 @@
 			Age:        int64(v.Age / wireUnit),
 			Left:       int64(max(v.Until-now, 0) / wireUnit),
 			Why:        v.Reason,
-			Heeded:     heeded[v.Key],
+			Heeded:     avoided[v.Key],
 		}
 		for _, name := range sortedNames(t.byServer[v.Key]) {
 			record := timesToAges(*t.byServer[v.Key][name], now)
