--- a/quota/quota.go
+++ b/quota/quota.go
@@ -132,7 +132,7 @@
 	case l.Kind == Calls && (l.MaxCallDuration <= 0 || l.MaxCallDuration > 24*time.Hour):
 		return errors.New("longest (the maximum call duration) must be above 0 and at most 24h")
 	case l.CutOff == Floor && (l.Floor <= 0 || l.Floor > 1 || l.MaxRouters < 1):
-		return errors.New("cut-off floor requires a floor above 0 and at most 1, and routers of at least 1")
+		return errors.New("cut-off floor requires floor (above 0 and at most 1) and routers (at least 1)")
 	case l.CutOff == Open && l.Cap <= 0:
 		return errors.New("cut-off open requires a cap above 0")
 	}
