--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -3,9 +3,9 @@
 // on. A member is a router; an incarnation is the numbered period for which the log assigns a member's name to one
 // process; a fact is a versioned key-value pair in the log; an ask is a member's request to the leading keeper.
 //
-// The package is a library without I/O: events and absolute times go in; data to store, frames to send and
-// notifications come out. It does no I/O, starts no goroutine, reads no clock, and knows nothing of limits, verdicts,
-// calls or program versions, which are facts in its log or observers of it.
+// The package does no I/O, starts no goroutine and reads no clock: events and absolute times go in; data to store,
+// frames to send and notifications come out. It knows nothing of limits, verdicts, calls or program versions: these
+// are stored in its log as facts, or follow the log as observers.
 // docs/design/fleet-floor.md states its guarantees and the argument for them.
 package fleet
 
@@ -54,20 +54,20 @@
 func (s Settings) Validate() error {
 	switch {
 	case s.Fleet == "" || len(s.Fleet) > maxNameLength:
-		return fmt.Errorf("the name of a fleet has to have 1 to %d bytes", maxNameLength)
+		return fmt.Errorf("the fleet's name must have 1 to %d bytes", maxNameLength)
 	case s.ClockDrift < 0 || s.ClockDrift > 0.1:
-		return errors.New("the clock drift has to be between 0 and 0.1")
+		return errors.New("the clock drift must be between 0 and 0.1")
 	case s.RenewInterval <= 0 || s.RenewInterval*2 > s.LeaseDuration:
-		return errors.New("a lease is renewed at least twice in its time")
+		return errors.New("a lease must be renewed at least twice within its duration")
 	case len(s.Keepers) != 1 && len(s.Keepers) != 3 && len(s.Keepers) != 5:
-		return fmt.Errorf("a fleet has 1, 3 or 5 keepers, not %d", len(s.Keepers))
+		return fmt.Errorf("a fleet must have 1, 3 or 5 keepers, not %d", len(s.Keepers))
 	case len(s.Members) == 0:
-		return errors.New("a fleet lists its members")
+		return errors.New("no members are set: a fleet lists its members by name or prefix")
 	}
 	seen := map[string]bool{}
 	for _, name := range s.Keepers {
 		if name == "" || len(name) > maxNameLength || seen[name] {
-			return fmt.Errorf("keeper %q: names have to be unique and have 1 to %d bytes", name, maxNameLength)
+			return fmt.Errorf("keeper %q: names must be unique and have 1 to %d bytes", name, maxNameLength)
 		}
 		seen[name] = true
 	}
@@ -92,27 +92,28 @@
 
 // CheckHello validates the hello of the other side of a link and returns a *RefusedError if the link must not be
 // accepted. voters are the keepers' raft IDs from the bootstrap; nil on a member, which doesn't know them. A hello
-// without a name is an operator's; an operator doesn't act as a member.
+// without a name comes from an operator, who doesn't act as a member.
 func (s Settings) CheckHello(hello *fleetpb.Hello, voters map[string]uint64) error {
 	refuse := func(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 	switch {
 	case hello == nil:
-		return refuse("it does not begin with a hello")
+		return refuse("the first frame is not a hello")
 	case hello.Fleet != s.Fleet:
-		return refuse("fleet %.64q, this is %q", hello.Fleet, s.Fleet)
+		return refuse("the peer belongs to fleet %.64q, this process to fleet %q", hello.Fleet, s.Fleet)
 	case hello.Version < MinLinkVersion || hello.Least > LinkVersion:
-		return refuse("link versions %d to %d, this program speaks %d to %d",
+		return refuse("the peer speaks link versions %d to %d, this program %d to %d",
 			hello.Least, hello.Version, MinLinkVersion, LinkVersion)
 	case hello.Voter != 0 && voters != nil && voters[hello.Name] != hello.Voter:
-		return refuse("%.64q is no keeper by that number: its files are not those of the founding", hello.Name)
+		return refuse("the raft ID of %.64q is not from this fleet's bootstrap: its files belong to another one",
+			hello.Name)
 	case hello.Voter == 0 && hello.Name != "" && !s.IsListed(hello.Name):
-		return refuse("%.64q is not listed", hello.Name)
+		return refuse("%.64q is not a listed member of the fleet", hello.Name)
 	}
 	return nil
 }
 
-// Lease is a router's exclusive right to act under its name: until the time Until, only the process of this
-// incarnation may. The incarnation also serves as fencing token.
+// Lease is a router's exclusive right to act under its name: before Until, only the process that holds this
+// incarnation may do so. The incarnation also serves as fencing token.
 type Lease struct {
 	Incarnation uint64
 	Until       time.Duration
@@ -134,10 +135,10 @@
 	LeaseGranted     Kind = iota + 1 // this router has started a new incarnation
 	LeaseExpired                     // this router's lease has expired: it is cut off, or its keepers are unavailable
 	LeaseRegained                    // this router's incarnation has a valid lease again
-	IncarnationEnded                 // this router's incarnation has ended, by the log
+	IncarnationEnded                 // this router's incarnation has ended, according to the log
 	NameInUse                        // this router's name is still leased to another process
 	MemberBegan                      // another router's incarnation has started
-	MemberLost                       // another router's lease has expired, by the log
+	MemberLost                       // another router's lease has expired, according to the log
 	MemberLeft                       // another router has ended its incarnation itself
 	FactWritten                      // a fact has changed
 	LeadershipGained                 // this keeper has become the leader
@@ -151,7 +152,7 @@
 	"halted", "passed",
 }
 
-// String returns the kind's name, which is also part of log events.
+// String returns the kind's name, which is also part of the names of log events.
 func (k Kind) String() string { return kindNames[k] }
 
 // Note is a notification to observers of the fleet.
@@ -159,7 +160,7 @@
 	Kind        Kind
 	Name        string // of a member, keeper or fact
 	Incarnation uint64
-	Number      uint64 // raft term, or version of a fact
+	Number      uint64 // raft term of a leadership, or version of a fact
 	Value       []byte // of a fact
 	Text        string // reason; of MemberLost, MemberLeft and SuccessorChanged: the successor
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -28,7 +28,7 @@
 		var restored *Machine
 		known := NewMachine(&fleetpb.State{Fleet: "f"})
 		names := rapid.SampledFrom([]string{"r1", "r2", "r3", "r4"})
-		given := map[uint64]string{}
+		assigned := map[uint64]string{}
 		var entries []*fleetpb.Entry
 		for index := uint64(1); index <= uint64(rapid.IntRange(1, 60).Draw(t, "n")); index++ {
 			name := names.Draw(t, "name")
@@ -52,13 +52,13 @@
 					e = rapid.SampledFrom(entries).Draw(t, "again")
 				}
 			}
-			_, again := m.Result(e.Id)
+			_, repeated := m.Result(e.Id)
 			before, writer, fact := m.State(), m.Member(name), m.Fact("a").GetVersion()
 			result := m.Apply(index, e)
 			if restored != nil {
 				require.Equal(t, result, restored.Apply(index, e))
 			}
-			if again {
+			if repeated {
 				before.Index = index
 				require.True(t, proto.Equal(before, m.State()), "a repeated entry changes nothing")
 				continue
@@ -66,30 +66,30 @@
 			entries = append(entries, e)
 			switch {
 			case e.GetBegin() != nil && result != 0:
-				if was, ok := given[result]; ok {
-					require.Equal(t, was, fmt.Sprint(name, e.GetBegin().Process), "a number is assigned once")
+				if assignedTo, ok := assigned[result]; ok {
+					require.Equal(t, assignedTo, fmt.Sprint(name, e.GetBegin().Process), "a number is assigned once")
 				} else {
 					require.Equal(t, before.Incarnations+1, result)
 				}
-				given[result] = fmt.Sprint(name, e.GetBegin().Process)
+				assigned[result] = fmt.Sprint(name, e.GetBegin().Process)
 			case e.GetPut() != nil:
 				fenced := number != 0 && (!writer.GetLive() || writer.Incarnation != number)
 				require.Equal(t, fenced, result == 0)
 				require.Equal(t, fenced, m.Fact("a").GetVersion() == fact)
 			}
-			for _, one := range m.Members() { // the incarnation of a successor is live, and not the ended one
-				for _, p := range append(one.Past, &fleetpb.Past{
-					Incarnation: one.Incarnation, Successor: one.Successor,
-					SuccessorIncarnation: one.SuccessorIncarnation,
+			for _, member := range m.Members() { // the incarnation of a successor is live, and not the ended one
+				for _, p := range append(member.Past, &fleetpb.Past{
+					Incarnation: member.Incarnation, Successor: member.Successor,
+					SuccessorIncarnation: member.SuccessorIncarnation,
 				}) {
 					if p.Successor != "" {
 						require.False(t, m.IsOver(p.Successor, p.SuccessorIncarnation),
-							"the successor of %s.%d has ended", one.Name, p.Incarnation)
-						successor, number, over := m.SuccessorOf(one.Name, p.Incarnation)
+							"the successor of %s.%d has ended", member.Name, p.Incarnation)
+						successor, number, over := m.SuccessorOf(member.Name, p.Incarnation)
 						require.True(t, over && successor == p.Successor && number == p.SuccessorIncarnation)
 					}
 				}
-				require.False(t, one.Live && one.Successor != "")
+				require.False(t, member.Live && member.Successor != "")
 			}
 			if restored == nil && rapid.IntRange(0, 9).Draw(t, "copy") == 0 {
 				b, err := proto.Marshal(m.State())
@@ -181,10 +181,10 @@
 // gets the name soon after K has passed since the grant, and never before.
 func TestRegrantDelay(t *testing.T) {
 	settings := testSettings()
-	for ask := 2 * time.Second; ask < 5*time.Second; ask += 90 * time.Millisecond {
-		founded, err := Bootstrap(settings, rand.New(rand.NewPCG(1, 2)))
+	for askAt := 2 * time.Second; askAt < 5*time.Second; askAt += 90 * time.Millisecond {
+		stored, err := Bootstrap(settings, rand.New(rand.NewPCG(1, 2)))
 		require.NoError(t, err)
-		k, err := NewKeeper(settings, founded[0], rand.New(rand.NewPCG(3, 4)), 0)
+		k, err := NewKeeper(settings, stored[0], rand.New(rand.NewPCG(3, 4)), 0)
 		require.NoError(t, err)
 		var granted, first, second time.Duration
 		for now := time.Duration(0); now < 12*time.Second && second == 0; now += TickInterval {
@@ -192,7 +192,7 @@
 			if now < 2*time.Second || first == 0 {
 				k.HandleAsk(now, 1, "r1", &fleetpb.Ask{Seq: 1, Process: 1, Known: ^uint64(0)})
 			}
-			if now >= ask {
+			if now >= askAt {
 				k.HandleAsk(now, 2, "r1", &fleetpb.Ask{Seq: 2, Process: 2, Known: ^uint64(0)})
 			}
 			for _, a := range runAlone(k, now) {
@@ -206,8 +206,9 @@
 		}
 		require.NotZero(t, first)
 		require.NotZero(t, second)
-		require.GreaterOrEqual(t, second-granted, settings.RegrantDelay(), "asked at %v", ask)
-		require.LessOrEqual(t, second, max(granted+settings.RegrantDelay(), ask)+5*TickInterval, "asked at %v", ask)
+		require.GreaterOrEqual(t, second-granted, settings.RegrantDelay(), "asked at %v", askAt)
+		require.LessOrEqual(t, second, max(granted+settings.RegrantDelay(), askAt)+5*TickInterval,
+			"asked at %v", askAt)
 	}
 }
 
@@ -260,9 +261,9 @@
 	require.True(t, m.Renounce(now))
 	require.Equal(t, Lease{}, m.Lease())
 	for range 5 { // the request is lost each time
-		leave := asks()
-		require.Len(t, leave, 1)
-		require.True(t, leave[0].Leave && leave[0].Incarnation == 5)
+		leaves := asks()
+		require.Len(t, leaves, 1)
+		require.True(t, leaves[0].Leave && leaves[0].Incarnation == 5)
 		m.Receive(now, "k1", &fleetpb.Frame{What: &fleetpb.Frame_Answer{
 			Answer: &fleetpb.Answer{Seq: renewal.Seq, Incarnation: 5, Leader: "k1"},
 		}})
--- a/fleet/keeper.go
+++ b/fleet/keeper.go
@@ -30,8 +30,9 @@
 	// from a leader for a random time between electionTicks and twice as many.
 	heartbeatTicks = 2
 	electionTicks  = 12
-	// maxCatchUpTicks limits the ticks that are made up for after a pause: time has passed, but no message of the
-	// others was processed in it.
+	// maxCatchUpTicks limits the ticks that are made up for after a pause of the process. No messages from other
+	// keepers were processed during the pause, so more ticks could time raft out although such messages are waiting to
+	// be read.
 	maxCatchUpTicks = 2
 	// maxWaitingAsks limits the asks that wait for one confirmation round, and the puts that wait for their entries.
 	maxWaitingAsks = 8192
@@ -53,7 +54,7 @@
 }
 
 // Apply adds an update to the content as the storage would. It fails if an entry precedes the first snapshot or would
-// leave a gap; the error names that entry.
+// leave a gap.
 func (s *Stored) Apply(update *StoreUpdate) error {
 	if update.Snapshot != nil {
 		s.Snapshot, s.Entries = update.Snapshot, nil
@@ -107,7 +108,7 @@
 // leaseGrant is the leader's record of a live incarnation's lease.
 type leaseGrant struct {
 	expiresAt time.Duration // when the lease has expired on any clock
-	ending    bool          // its end or its successor is proposed: it is no longer renewed
+	ending    bool          // its end or the name's next incarnation is proposed: it is no longer renewed
 }
 
 // waitingAsk is a member's ask that waits for a confirmation round.
@@ -167,8 +168,8 @@
 	Extension LeaseExtension // nil: none
 
 	self       *fleetpb.Identity
-	voters     map[string]uint64
-	voterNames map[uint64]string
+	voters     map[string]uint64 // raft IDs of keepers, by name
+	voterNames map[uint64]string // the inverse of voters
 	random     *rand.Rand
 	node       *raft.RawNode
 	storage    *raft.MemoryStorage
@@ -178,12 +179,12 @@
 
 	lastTick      time.Duration // the time up to which ticks are counted
 	electionAt    time.Duration // when it stands for election, unless a leader's message arrives before
-	isLeader      bool          // raft's state
-	leaderTerm    uint64        // the term in which it acts as leader, since its first own entry is applied; 0: none
+	isLeader      bool          // raft considers this keeper the leader
+	leaderTerm    uint64        // term in which it acts as leader, once an entry of the term is applied; 0: none
 	grants        map[string]*leaseGrant
 	waitingAsks   []waitingAsk
 	rounds        []*confirmRound
-	lastRound     uint64 // number of the last round; starts at random to tell it from an earlier process's
+	lastRound     uint64 // number of the last round; random at the start, to differ from those of earlier processes
 	subscriptions map[Link]*subscription
 	pendingPuts   map[uint64]pendingPut
 	outbound      []Outbound
@@ -197,10 +198,10 @@
 // damaged or of another fleet, or if the keeper is not one of the bootstrap and the settings.
 func NewKeeper(settings Settings, stored Stored, random *rand.Rand, now time.Duration) (*Keeper, error) {
 	if stored.Identity == nil || stored.Snapshot == nil || stored.HardState == nil {
-		return nil, errors.New("the folder is not that of a bootstrapped keeper")
+		return nil, errors.New("the directory lacks files of a bootstrapped keeper")
 	}
 	if stored.Identity.Fleet != settings.Fleet {
-		return nil, fmt.Errorf("the folder belongs to fleet %q, the settings name %q",
+		return nil, fmt.Errorf("the directory belongs to fleet %q, but the settings are for fleet %q",
 			stored.Identity.Fleet, settings.Fleet)
 	}
 	state := &fleetpb.State{}
@@ -327,8 +328,8 @@
 	return k.node.Propose(b)
 }
 
-// startConfirmRound requests a read index for the waiting asks: a majority confirms that this keeper still leads.
-// Without it, a deposed leader could renew leases.
+// startConfirmRound requests a read index for the waiting asks: by granting it, a majority confirms that this keeper
+// still leads. Without it, a deposed leader could renew leases.
 func (k *Keeper) startConfirmRound(now time.Duration) {
 	if len(k.waitingAsks) == 0 || len(k.rounds) > 64 {
 		return
@@ -347,15 +348,15 @@
 }
 
 // Receive handles a raft message from the keeper named from, whose identity was checked when the link was opened. It
-// returns an error for a malformed message, and for one that this keeper may not send.
+// returns an error for a malformed message, and for one that the keeper named from must not send to this one.
 func (k *Keeper) Receive(now time.Duration, from string, b []byte) error {
 	m := &raftpb.Message{}
 	if err := proto.Unmarshal(b, m); err != nil {
-		return fmt.Errorf("a message of keeper %s: %w", from, err)
+		return fmt.Errorf("malformed message from keeper %s: %w", from, err)
 	}
 	if m.GetFrom() != k.voters[from] || m.GetTo() != k.self.Number || raft.IsLocalMsg(m.GetType()) ||
 		m.GetType() == raftpb.MessageType_MsgProp {
-		return fmt.Errorf("a message of keeper %s that is not its own to send", from)
+		return fmt.Errorf("message from keeper %s with a wrong sender, receiver or type", from)
 	}
 	if k.halted {
 		return nil
@@ -383,13 +384,13 @@
 		return
 	}
 	if a.Known != ^uint64(0) {
-		f := k.subscriptions[link]
-		if f == nil {
-			f = &subscription{name: name, wants: true}
-			k.subscriptions[link] = f
+		sub := k.subscriptions[link]
+		if sub == nil {
+			sub = &subscription{name: name, wants: true}
+			k.subscriptions[link] = sub
 		}
-		f.sentIndex = a.Known // changes that were lost in transit are sent again
-		k.sendChanges(link, f)
+		sub.sentIndex = a.Known // changes that were lost in transit are sent again
+		k.sendChanges(link, sub)
 	}
 	if p := a.Put; p != nil {
 		p.Name, p.Incarnation = name, a.Incarnation
@@ -427,9 +428,9 @@
 }
 
 // sendChanges sends a link the changes that were not yet sent on it.
-func (k *Keeper) sendChanges(link Link, f *subscription) {
-	if w := k.Machine.ChangesSince(f.sentIndex); w != nil {
-		f.sentIndex = w.Index
+func (k *Keeper) sendChanges(link Link, sub *subscription) {
+	if w := k.Machine.ChangesSince(sub.sentIndex); w != nil {
+		sub.sentIndex = w.Index
 		k.outbound = append(k.outbound, Outbound{
 			Link: link, Frame: &fleetpb.Frame{What: &fleetpb.Frame_Word{Word: w}},
 		})
@@ -448,17 +449,17 @@
 }
 
 // Halt stops the keeper for good because its disk has failed. From then on it neither votes nor answers.
-func (k *Keeper) Halt(why error) {
+func (k *Keeper) Halt(cause error) {
 	if mutant == "deaf-to-disk" {
 		return
 	}
 	k.halted, k.leaderTerm, k.isLeader = true, 0, false
 	k.outbound = nil
-	k.notes = append(k.notes, Note{Kind: KeeperHalted, Name: k.self.Name, Text: why.Error()})
+	k.notes = append(k.notes, Note{Kind: KeeperHalted, Name: k.self.Name, Text: cause.Error()})
 }
 
-// Output is the work that a keeper wants done, in this order: store the update and sync it, send the frames, deliver
-// the notes. Then Advance has to be called; or Halt, if the update could not be stored.
+// Output is what the caller of a keeper has to do, in this order: store the update and sync it, send the frames,
+// deliver the notes. Then it has to call Advance, or Halt if the update could not be stored.
 type Output struct {
 	Store    *StoreUpdate // nil: nothing to store
 	Outbound []Outbound
@@ -514,7 +515,7 @@
 		k.storage.ApplySnapshot(ready.Snapshot)
 		state := &fleetpb.State{}
 		if err := proto.Unmarshal(ready.Snapshot.Data, state); err != nil {
-			k.Halt(fmt.Errorf("snapshot of the leading keeper: %w", err))
+			k.Halt(fmt.Errorf("malformed snapshot from the leading keeper: %w", err))
 			return
 		}
 		k.Machine, k.confState = NewMachine(state), ready.Snapshot.Metadata.ConfState
@@ -560,7 +561,7 @@
 }
 
 // startLeading makes this keeper act as leader. It doesn't know when the leases of live incarnations were granted,
-// only that it was before now: so it counts each of them from now.
+// only that it was before now, so it treats each as granted now.
 func (k *Keeper) startLeading(now time.Duration, term uint64) {
 	k.leaderTerm, k.grants = term, map[string]*leaseGrant{}
 	for _, m := range k.Machine.Members() {
@@ -617,7 +618,7 @@
 		}
 		k.Extension.HandleEntry(now, entry)
 	}
-	if p, mine := k.pendingPuts[entry.Id]; mine {
+	if p, pending := k.pendingPuts[entry.Id]; pending {
 		delete(k.pendingPuts, entry.Id)
 		k.reply(p.link, &fleetpb.Answer{Seq: p.seq, Result: result, Why: "put"})
 	}
@@ -653,7 +654,8 @@
 	}
 }
 
-// answerAsk answers one ask. That this keeper leads was confirmed after the ask arrived.
+// answerAsk answers one ask. It is called only after a majority has confirmed, since the ask arrived, that this keeper
+// leads.
 func (k *Keeper) answerAsk(now time.Duration, a waitingAsk) {
 	member, grant := k.Machine.Member(a.name), k.grants[a.name]
 	holds := member.GetLive() && member.Process == a.Process && grant != nil && !grant.ending
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -14,7 +14,7 @@
 // Limits of the replicated state. They keep a snapshot below 3 MiB in any case, so that it fits one message.
 const (
 	maxNameLength       = 64   // bytes, of a name, an address and a zone
-	maxMembers          = 4096 // names; a new one replaces the ended one with the lowest incarnation
+	maxMembers          = 4096 // names; above it, a new name replaces the ended one with the lowest incarnation
 	maxFacts            = 1024
 	maxResults          = 4096 // results of proposals that are kept to recognize repeated ones
 	maxPastIncarnations = 4    // earlier incarnations that are kept for each name
@@ -50,15 +50,15 @@
 		changesBase: s.Index,
 		members:     map[string]*fleetpb.Member{}, facts: map[string]*fleetpb.Fact{}, results: map[uint64]uint64{},
 	}
-	for _, one := range s.Members {
-		m.members[one.Name] = one
+	for _, member := range s.Members {
+		m.members[member.Name] = member
 	}
-	for _, one := range s.Facts {
-		m.facts[one.Key] = one
+	for _, fact := range s.Facts {
+		m.facts[fact.Key] = fact
 	}
-	for _, one := range s.Done {
-		m.results[one.Id] = one.Result
-		m.resultOrder = append(m.resultOrder, one.Id)
+	for _, done := range s.Done {
+		m.results[done.Id] = done.Result
+		m.resultOrder = append(m.resultOrder, done.Id)
 	}
 	return m
 }
@@ -107,7 +107,7 @@
 
 // Apply applies the entry at an index and returns its result, as Result does; 0 if it was refused and has changed no
 // member or fact. An entry whose ID was applied before changes nothing and returns the earlier result. A nil entry
-// only advances the index.
+// only advances the index; an index that was applied before has no effect.
 func (m *Machine) Apply(index uint64, e *fleetpb.Entry) uint64 {
 	if index <= m.Index {
 		return 0
@@ -137,8 +137,8 @@
 	return result
 }
 
-// applyBegin starts the next incarnation of a name, if the entry names the last one. A live incarnation of the same
-// process goes on.
+// applyBegin starts the next incarnation of a name, if the entry names the latest one. A live incarnation of the same
+// process continues.
 func (m *Machine) applyBegin(b *fleetpb.Begin) uint64 {
 	previous := m.members[b.Name]
 	switch {
@@ -169,9 +169,9 @@
 // forgetOldestEnded removes the name whose ended incarnation has the lowest number; it returns false if all are live.
 func (m *Machine) forgetOldestEnded() bool {
 	var oldest *fleetpb.Member
-	for _, one := range m.members {
-		if !one.Live && (oldest == nil || one.Incarnation < oldest.Incarnation) {
-			oldest = one
+	for _, member := range m.members {
+		if !member.Live && (oldest == nil || member.Incarnation < oldest.Incarnation) {
+			oldest = member
 		}
 	}
 	if oldest != nil {
@@ -200,9 +200,9 @@
 
 // reassignSuccessor replaces an ended incarnation by its own successor wherever it was the successor of others.
 func (m *Machine) reassignSuccessor(ended *fleetpb.Member) {
-	for _, one := range m.Members() {
-		updated := proto.CloneOf(one)
-		changed := !one.Live && one.Successor == ended.Name && one.SuccessorIncarnation == ended.Incarnation
+	for _, member := range m.Members() {
+		updated := proto.CloneOf(member)
+		changed := !member.Live && member.Successor == ended.Name && member.SuccessorIncarnation == ended.Incarnation
 		if changed {
 			updated.Successor, updated.SuccessorIncarnation = ended.Successor, ended.SuccessorIncarnation
 		}
@@ -223,29 +223,29 @@
 func Successors(name, zone string, members []*fleetpb.Member, n int) []*fleetpb.Member {
 	type candidate struct {
 		*fleetpb.Member
-		far    bool
-		weight uint64
+		inOtherZone bool // or the router has no zone
+		weight      uint64
 	}
 	var list []candidate
-	for _, one := range members {
-		if one.Live && one.Address != "" && one.Name != name {
+	for _, member := range members {
+		if member.Live && member.Address != "" && member.Name != name {
 			list = append(list, candidate{
-				one, zone == "" || one.Zone != zone, xxh3.HashString(one.Name + "\x00" + name),
+				member, zone == "" || member.Zone != zone, xxh3.HashString(member.Name + "\x00" + name),
 			})
 		}
 	}
 	slices.SortFunc(list, func(a, b candidate) int {
 		switch {
-		case a.far != b.far && a.far:
+		case a.inOtherZone != b.inOtherZone && a.inOtherZone:
 			return -1
-		case a.far != b.far:
+		case a.inOtherZone != b.inOtherZone:
 			return 1
 		}
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.Name, b.Name))
 	})
 	var out []*fleetpb.Member
-	for _, one := range list[:min(n, len(list))] {
-		out = append(out, one.Member)
+	for _, member := range list[:min(n, len(list))] {
+		out = append(out, member.Member)
 	}
 	return out
 }
@@ -273,8 +273,8 @@
 	return member != nil && (member.Incarnation > incarnation || member.Incarnation == incarnation && !member.Live)
 }
 
-// applyPut writes a fact if its version is the expected one. It refuses a writer whose incarnation has ended: that one
-// is fenced.
+// applyPut writes a fact if its version is the expected one. It refuses a writer whose incarnation has ended, which is
+// how such a writer is fenced.
 func (m *Machine) applyPut(p *fleetpb.Put) uint64 {
 	previous := m.facts[p.Key]
 	writer := m.members[p.Name]
@@ -290,8 +290,8 @@
 	return m.LastVersion
 }
 
-// recordChange stores a member or a fact and keeps the change for members that are behind. When the list is full, its
-// oldest quarter is dropped.
+// recordChange stores a member or a fact and keeps the change for members that don't have it yet. When the list of
+// changes is full, its oldest quarter is dropped.
 func (m *Machine) recordChange(member *fleetpb.Member, fact *fleetpb.Fact) {
 	if member != nil {
 		m.members[member.Name] = member
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -10,7 +10,7 @@
 )
 
 // This file implements a router's side of the lease protocol: it asks the leading keeper for a lease, renews it and
-// follows the replicated state. It decides when and which keeper to ask, and from when the lease counts.
+// follows the replicated state. It decides when to ask, which keeper to ask, and from when a granted lease counts.
 
 const (
 	// retryInterval is how long the member waits for an answer before it asks another keeper, and the interval at
@@ -42,18 +42,18 @@
 	Machine  *Machine
 	// ExtensionPayload returns the lease extension's payload for the next ask; nil: there is no extension.
 	ExtensionPayload func() []byte
-	// OnExtensionPayload receives the payload of an answer with the ask's number and the end of the lease. Answers to
-	// asks from before the member changed to this keeper are left out. nil: there is no extension.
+	// OnExtensionPayload receives the payload of an answer, with the number of the ask and the end of the lease. It is
+	// not called for answers to asks from before the member switched to this keeper. nil: there is no extension.
 	OnExtensionPayload func(seq uint64, until time.Duration, payload []byte)
 
 	lease          Lease
-	holdsLease     bool
+	holdsLease     bool            // the lease was valid when it was last checked
 	links          map[string]Link // links to keepers, by name
 	target         string          // the keeper that it asks
 	askedAt        map[uint64]time.Duration
 	seq            uint64
 	lastTarget     string // the keeper that it asked last
-	runStart       uint64 // first of the asks since lastTarget changed; payloads that answer earlier ones are dropped
+	lastTargetSeq  uint64 // seq of the first ask to lastTarget; extension payloads answering earlier asks are dropped
 	lastAskAt      time.Duration
 	nextAskAt      time.Duration // when the next ask is due
 	answerDeadline time.Duration // by when an answer has to arrive; 0: no ask is pending
@@ -160,8 +160,8 @@
 	return true
 }
 
-// sendRenounce requests the end of the renounced incarnation. It is repeated until the log has ended it, since an ask
-// for a lease before would be answered with the old incarnation.
+// sendRenounce requests the end of the renounced incarnation. It is repeated until the log has ended the incarnation:
+// until then, an ask for a lease would be answered with it.
 func (m *Member) sendRenounce(now time.Duration) {
 	m.seq++
 	m.sendAsk(&fleetpb.Ask{
@@ -204,11 +204,11 @@
 	m.askedAt[m.seq] = now // the lease counts from before the ask is sent
 	delete(m.askedAt, m.seq-maxTrackedAsks)
 	if m.lastTarget != m.target {
-		m.lastTarget, m.runStart = m.target, m.seq
+		m.lastTarget, m.lastTargetSeq = m.target, m.seq
 	}
 	m.lastAskAt = now
 	ask := &fleetpb.Ask{Seq: m.seq, Process: m.Process, Incarnation: m.lease.Incarnation, Known: m.Machine.Index}
-	if !m.holdsLease { // only a new incarnation takes them
+	if !m.holdsLease { // keepers use them only to start a new incarnation
 		ask.Address, ask.Zone = m.Address, m.Zone
 	}
 	if m.ExtensionPayload != nil {
@@ -229,7 +229,8 @@
 	m.nextAskAt = min(m.nextAskAt, m.lastAskAt+interval)
 }
 
-// NextTick returns the time at which the next Tick has something to do, unless a frame or a call comes before.
+// NextTick returns the time at which the next Tick has something to do, unless a frame is received or another method
+// is called before.
 func (m *Member) NextTick() time.Duration {
 	at := time.Duration(math.MaxInt64)
 	if m.holdsLease {
@@ -306,7 +307,7 @@
 	}
 	previous := m.lease
 	m.lease = Lease{a.Incarnation, max(until, previous.Until)}
-	if m.OnExtensionPayload != nil && keeper == m.lastTarget && a.Seq >= m.runStart {
+	if m.OnExtensionPayload != nil && keeper == m.lastTarget && a.Seq >= m.lastTargetSeq {
 		m.OnExtensionPayload(a.Seq, m.lease.Until, a.Ride)
 	}
 	if m.holdsLease || now >= m.lease.Until {
@@ -321,8 +322,8 @@
 	m.notes = append(m.notes, Note{Kind: kind, Name: m.Name, Incarnation: a.Incarnation})
 }
 
-// receiveWord applies a state or changes of the log. Changes that leave a gap, and those that are already known, have
-// no effect: the next ask states the index up to which the state is known.
+// receiveWord applies a state or changes of the log. Changes that would leave a gap, and those that are already known,
+// have no effect: the next ask tells the keeper the index up to which this member knows the log.
 func (m *Member) receiveWord(w *fleetpb.Word) {
 	defer func() {
 		if own := m.Machine.Member(m.Name); m.renounced != 0 &&
@@ -334,8 +335,8 @@
 	case w.State != nil && w.Index > m.Machine.Index:
 		previous := m.Machine
 		m.Machine = NewMachine(w.State)
-		for _, one := range m.Machine.Members() {
-			m.noteMemberChange(previous.Member(one.Name), one)
+		for _, member := range m.Machine.Members() {
+			m.noteMemberChange(previous.Member(member.Name), member)
 		}
 		for _, f := range w.State.Facts {
 			if previous.Fact(f.Key).GetVersion() != f.Version {
@@ -370,8 +371,8 @@
 	return Note{Kind: FactWritten, Name: f.Key, Number: f.Version, Value: f.Value, Incarnation: f.Incarnation}
 }
 
-// noteMemberChange notes the difference between two states of a member; before may be nil. The end of this router's
-// own incarnation also ends its lease.
+// noteMemberChange adds a note about the difference between two states of a member; before may be nil. The end of this
+// router's own incarnation also ends its lease.
 func (m *Member) noteMemberChange(before, after *fleetpb.Member) {
 	if before.GetIncarnation() == after.Incarnation && before.GetLive() == after.Live {
 		if before.GetSuccessor() != after.Successor ||
