--- a/takeover/holder.go
+++ b/takeover/holder.go
@@ -30,30 +30,30 @@
 	ownerKey
 	calls           callTable
 	number          uint64        // of the latest record that is applied
-	complete        bool          // calls is a whole snapshot with all records up to number
-	incoming        callTable     // snapshot that is being received, nil if none
+	complete        bool          // calls holds a whole snapshot with all records up to number
+	incoming        callTable     // snapshot that is being received; nil: none
 	guaranteedUntil time.Duration // until then the replica is not handed over
 	ownerLeft       bool          // the owner announced that it has stopped acting
 	holders         []string      // all replica holders, as the owner last named them
-	sentTo          string        // successor that the replica was handed over to
+	sentTo          string        // successor that the replica was sent to last, this router included
 	sentAt          time.Duration // when it was sent there
 }
 
-// gatherTimeout is how long a successor waits for the replicas of all live replica holders. The replica with the
-// highest number is authoritative: one with a lower number may contain calls that are over.
+// gatherTimeout is how long a successor waits for the replicas of all live replica holders, to take over the one with
+// the highest number: one with a lower number may contain calls that are over.
 const gatherTimeout = 2 * time.Second
 
 // takeoverState is what this router has taken over from one incarnation.
 type takeoverState struct {
-	number      uint64               // of the replica that was taken over; 0: none was
-	replicas    map[string]*replica  // received replicas by replica holder, until one is taken over
-	firstAt     time.Duration        // when the first of them arrived
-	calls       map[string]bool      // all calls taken over so far
-	incoming    map[string]callTable // replicas that are being received, by replica holder
-	reportedAt  time.Duration        // when the owner was last notified which calls were taken
-	closed      bool                 // the owner was notified: nothing more is taken, what remains belongs to it again
-	settled     bool                 // the owner has dropped the taken calls from its ledger
-	pendingAcks                      // answered and dropped once the taken calls are replicated
+	number     uint64               // of the replica that was taken over; 0: none was
+	replicas   map[string]*replica  // received replicas by replica holder, until one is taken over
+	firstAt    time.Duration        // when the first of replicas arrived
+	calls      map[string]bool      // all calls taken over so far
+	incoming   map[string]callTable // replicas that are being received, by replica holder
+	reportedAt time.Duration        // when the owner was last sent the report of taken calls
+	closed     bool                 // the report was sent: no more calls are taken, the rest are the owner's again
+	settled    bool                 // the owner has dropped the taken calls from its ledger
+	pendingAcks
 }
 
 // pendingAcks are the effects of a takeover that wait until the taken calls are replicated: acknowledgements to the
@@ -63,7 +63,7 @@
 	own     []*replica
 }
 
-// mustReport reports whether the owner has yet to be notified which calls were taken, once that is known.
+// mustReport reports whether the taken calls are known and the owner has not yet confirmed the report of them.
 func (t *takeoverState) mustReport() bool {
 	return !t.settled && len(t.replicas) == 0 && (t.number > 0 || len(t.calls) > 0)
 }
@@ -73,7 +73,7 @@
 	// IsOver reports whether an incarnation is over.
 	IsOver(name string, incarnation uint64) bool
 	// SuccessorOf returns the router that succeeds an incarnation and the successor's own incarnation number; over is
-	// false if the log does not have the incarnation as over.
+	// false if the incarnation has not ended according to the log, or the log doesn't know it.
 	SuccessorOf(name string, incarnation uint64) (successor string, number uint64, over bool)
 	// IsLive reports whether a router acts under the name.
 	IsLive(name string) bool
@@ -88,7 +88,7 @@
 	replicas      map[ownerKey]*replica
 	heldCalls     int // in all replicas, incoming ones included
 	taken         map[ownerKey]*takeoverState
-	takenCount    int             // entries in the calls of all takeover states
+	takenCount    int             // total length of calls in all takeover states
 	activeTaken   map[string]bool // calls taken over that have not ended
 	ends          []End           // of calls that were unknown where the end was received, oldest first
 	endsAt        []time.Duration // when each of ends was received
@@ -96,15 +96,20 @@
 	newEnds       []End           // that the next Output returns
 	links         []string        // linked routers, to which received ends are forwarded
 	adopt         []Call          // that the next Output returns
-	drop          []string        // likewise
+	drop          []string        // that the next Output returns
 	nextAcks      pendingAcks     // of the batch that the next Output returns
 	batches       uint64          // number of Outputs with calls to take over
 	acksByBatch   map[uint64]pendingAcks
-	sends         []Send            // that the next Output returns
-	reported      map[ownerKey]bool // earlier incarnations of this router whose successors have reported
-	OnTaken       func(calls []string)
-	incomingTaken []string // calls of a report by a successor that is being received
-	Count         struct{ Refused, Full, Taken, Dropped, LetGo, Heard, Lost, Guessed uint64 }
+	sends         []Send               // that the next Output returns
+	reported      map[ownerKey]bool    // earlier incarnations of this router whose successors have reported
+	OnTaken       func(calls []string) // receives the calls that a successor reports as taken from this router
+	incomingTaken []string             // calls of a report by a successor that is being received
+
+	// Count holds the numbers of: frames refused; frames with records not stored, for lack of room or as malformed;
+	// calls taken over; taken calls dropped because a replica with a higher number lacks them; replicas sent to
+	// successors; ends of unknown calls received; calls and ends lost by limits or forgotten incarnations; takeovers
+	// that didn't wait for the replicas of all live replica holders.
+	Count struct{ Refused, Full, Taken, Dropped, LetGo, Heard, Lost, Guessed uint64 }
 }
 
 // NewReplicaHolder returns a ReplicaHolder without replicas for the router of that name.
@@ -123,7 +128,7 @@
 }
 
 // Receive processes a frame of another router. Incarnation is the one by which this router acts, 0 without a lease;
-// now is the time on this router's clock. Frames that are malformed or not the sender's to send are counted as
+// now is the time on this router's clock. Frames that are malformed or that the sender may not send are counted as
 // refused.
 func (h *ReplicaHolder) Receive(now time.Duration, from string, frame *takeoverpb.Frame, incarnation uint64) {
 	key := ownerKey{frame.Owner, frame.Incarnation}
@@ -137,21 +142,21 @@
 			h.Count.Refused++
 			return
 		}
-		c := h.receiveGive(now, key, frame.GetGive())
-		c.Asked = frame.GetGive().Asked
-		reply(&takeoverpb.Frame{What: &takeoverpb.Frame_Confirm{Confirm: c}})
+		confirm := h.receiveGive(now, key, frame.GetGive())
+		confirm.Asked = frame.GetGive().Asked
+		reply(&takeoverpb.Frame{What: &takeoverpb.Frame_Confirm{Confirm: confirm}})
 	case frame.GetPass() != nil:
 		if h.receivePass(now, from, key, frame.GetPass(), incarnation) {
-			t := h.stateOf(key)
-			t.replies = append(t.replies, Send{from, &takeoverpb.Frame{
+			state := h.stateOf(key)
+			state.replies = append(state.replies, Send{from, &takeoverpb.Frame{
 				Owner:       frame.Owner,
 				Incarnation: frame.Incarnation,
 				What:        &takeoverpb.Frame_Passed{Passed: &takeoverpb.Passed{Number: frame.GetPass().Number}},
 			}})
 		}
 	case frame.GetPassed() != nil:
-		if c := h.replicas[key]; c != nil && c.sentTo == from && c.number <= frame.GetPassed().Number {
-			h.dropReplica(c)
+		if held := h.replicas[key]; held != nil && held.sentTo == from && held.number <= frame.GetPassed().Number {
+			h.dropReplica(held)
 		}
 	case frame.GetHeard() != nil:
 		if len(frame.GetHeard().Ends) > maxPageRecords {
@@ -185,10 +190,10 @@
 			reply(&takeoverpb.Frame{What: &takeoverpb.Frame_Settled{Settled: &takeoverpb.Settled{}}})
 		}
 	case frame.GetSettled() != nil:
-		if t := h.taken[key]; t != nil && from == frame.Owner {
-			h.takenCount -= len(t.calls)
-			t.settled = true
-			clear(t.calls)
+		if state := h.taken[key]; state != nil && from == frame.Owner {
+			h.takenCount -= len(state.calls)
+			state.settled = true
+			clear(state.calls)
 		}
 	default:
 		h.Count.Refused++
@@ -198,8 +203,8 @@
 // receiveGive applies records or a snapshot page that an owner sent, and returns the confirmation to send back.
 func (h *ReplicaHolder) receiveGive(now time.Duration, key ownerKey, msg *takeoverpb.Give) *takeoverpb.Confirm {
 	held := h.replicas[key]
-	// An incarnation that is over is rejected. But what it still did while this router's guarantee held counts; it is
-	// confirmed as over, so that the guarantee is not extended.
+	// Records of an incarnation that is over are rejected, except while this router's guarantee holds: until then the
+	// owner may still act. They are confirmed with Over set, which doesn't extend the guarantee.
 	over := h.Log.IsOver(key.owner, key.incarnation) && mutant != "confirm-the-dead"
 	if over && (held == nil || held.sentTo != "" || now >= held.guaranteedUntil || mutant == "deaf-to-the-last") {
 		return &takeoverpb.Confirm{Over: true}
@@ -267,9 +272,9 @@
 	delete(h.replicas, held.ownerKey)
 }
 
-// Tick hands over and takes over the replicas whose guarantee has expired, reports taken calls to owners that are
-// back, and forgets ends after their TTL. Incarnation is the one by which this router acts, 0 without a lease: then
-// nothing is handed over or taken over.
+// Tick hands over or takes over replicas of ended incarnations whose guarantee has expired, reports taken calls to
+// owners that act again, and forgets ends after their TTL. Incarnation is the one by which this router acts, 0 without
+// a lease: then nothing is handed over or taken over.
 func (h *ReplicaHolder) Tick(now time.Duration, incarnation uint64) {
 	for len(h.ends) > 0 && now-h.endsAt[0] > h.Settings.EndTTL {
 		h.forgetOldestEnd()
@@ -286,7 +291,7 @@
 		case !over && !h.Log.IsOver(key.owner, key.incarnation),
 			now < held.guaranteedUntil && mutant != "let-go-early":
 			continue
-		case !over: // the log no longer has the incarnation
+		case !over: // it ended so long ago that the log has forgotten its successor
 			h.Count.Lost += uint64(len(held.calls))
 			h.dropReplica(held)
 		case successor == h.Name && successorIncarnation == incarnation || mutant == "every-holder":
@@ -305,7 +310,7 @@
 	}
 	for key, state := range h.taken {
 		h.takeBestReplica(now, key, state)
-		// The log no longer has the incarnation.
+		// Once the log has forgotten the incarnation, its replicas are no longer handed over.
 		if _, _, known := h.Log.SuccessorOf(key.owner, key.incarnation); state.settled && !known {
 			delete(h.taken, key)
 		}
@@ -422,13 +427,14 @@
 }
 
 // takeCalls takes over the calls of a replica. Of several replicas the one with the highest number is authoritative:
-// a call that it lacks is over in the owner's own ledger, and is dropped if a lower replica brought it.
+// a call that it lacks is over in the owner's own ledger, and is dropped if it was taken over from a replica with a
+// lower number.
 func (h *ReplicaHolder) takeCalls(now time.Duration, key ownerKey, number uint64, calls callTable) {
 	state := h.stateOf(key)
 	if state.closed || state.number > number || state.number == number && len(state.calls) > 0 {
 		return
 	}
-	if state.number > 0 && mutant != "lower-copy" { // otherwise the calls came by way of an intermediate successor
+	if state.number > 0 && mutant != "lower-copy" { // 0: calls came in replicas of other owners
 		for id := range state.calls {
 			if calls[id] == nil && h.activeTaken[id] {
 				h.drop = append(h.drop, id)
@@ -442,7 +448,7 @@
 	state.number = number
 	for _, id := range slices.Sorted(maps.Keys(calls)) {
 		call := *calls[id]
-		if state.calls[id] || h.activeTaken[id] { // already taken, by way of the successor's own successor
+		if state.calls[id] || h.activeTaken[id] { // already taken over, perhaps from another owner
 			continue
 		}
 		if h.takenCount >= maxTakenCalls {
@@ -470,7 +476,7 @@
 	}
 }
 
-// reportTaken notifies an owner that is back which calls were taken from it.
+// reportTaken sends an owner that acts again the report of which calls were taken from it.
 func (h *ReplicaHolder) reportTaken(key ownerKey, state *takeoverState) {
 	ids := slices.Sorted(maps.Keys(state.calls))
 	for first := true; first || len(ids) > 0; first = false {
@@ -487,8 +493,8 @@
 // SetLinks sets the routers to which links are open.
 func (h *ReplicaHolder) SetLinks(names []string) { h.links = names }
 
-// ForwardEnds has a linked router notify callers of ends that this router can no longer deliver. It returns false if
-// no router is linked.
+// ForwardEnds asks a linked router to notify the callers of ended calls, because this router no longer can. It returns
+// false if no router is linked.
 func (h *ReplicaHolder) ForwardEnds(list []End) bool {
 	if len(h.links) == 0 {
 		return false
@@ -499,17 +505,17 @@
 	return true
 }
 
-// SendKnownEnds sends the remembered ends to a router whose link has just opened: it may have missed them while there
-// was no link.
+// SendKnownEnds sends the remembered ends to a router whose link has just opened, which may have missed them while
+// there was no link.
 func (h *ReplicaHolder) SendKnownEnds(name string) {
 	for list := range slices.Chunk(h.ends, maxPageRecords) {
 		h.sends = append(h.sends, heardFrame(name, list))
 	}
 }
 
-// ReceiveEnds takes the ends of calls that were unknown where the ends were received: at this router, if from is
-// empty, or at the router from. New ones are returned by the next Output, since the calls may belong to this router,
-// and are forwarded to all linked routers; so each router receives them once.
+// ReceiveEnds takes ends of calls that were unknown to the router that received them: this router if from is empty,
+// otherwise the one named from. New ones are returned by the next Output, since the calls may belong to this router,
+// and are forwarded to all linked routers; repeated ones are ignored.
 func (h *ReplicaHolder) ReceiveEnds(now time.Duration, from string, list []End) {
 	var newEnds []End
 	for _, end := range list {
@@ -526,8 +532,8 @@
 		newEnds = append(newEnds, end)
 		delete(h.activeTaken, end.Call)
 	}
-	// The loop may have received an end at this router before it was notified that the call is now this router's, so
-	// ends without a sender are returned to it, too.
+	// The event loop may have received an end before it learned that this router has taken the call over, so ends that
+	// come from the loop are returned to it, too.
 	if from != "" || mutant != "heard-before-taken" {
 		h.newEnds = append(h.newEnds, newEnds...)
 	}
@@ -561,7 +567,7 @@
 	return Send{to, &takeoverpb.Frame{What: &takeoverpb.Frame_Heard{Heard: msg}}}
 }
 
-// Actions is what the loop has to do, in the order of the fields.
+// Actions is what the event loop has to do, in the order of the fields.
 type Actions struct {
 	BatchID uint64   // batch to pass to ConfirmBatch once its calls are replicated; 0: nothing to confirm
 	Adopt   []Call   // calls to take over
@@ -569,9 +575,9 @@
 	Ends    []End    // received ends of calls that may be this router's
 }
 
-// ConfirmBatch is called when the calls of a batch are in the replicas of this router's own replica holders. It
-// acknowledges the replicas to the routers that handed them over before the loop acts on the calls, so that nobody
-// else takes them over.
+// ConfirmBatch must be called when a replica holder of this router has confirmed the calls of a batch, before the
+// event loop acts on them. It acknowledges the replicas to the routers that handed them over, so that no other router
+// takes the calls over.
 func (h *ReplicaHolder) ConfirmBatch(batchID uint64) {
 	acks := h.acksByBatch[batchID]
 	delete(h.acksByBatch, batchID)
@@ -583,7 +589,7 @@
 	}
 }
 
-// Output returns the frames to send and the actions for the loop since the last call.
+// Output returns the frames to send and the actions for the event loop since the last call.
 func (h *ReplicaHolder) Output() (sends []Send, actions Actions) {
 	sends, actions = h.sends, Actions{Adopt: h.adopt, Drop: h.drop, Ends: h.newEnds}
 	if len(h.adopt)+len(h.nextAcks.replies)+len(h.nextAcks.own) > 0 {
@@ -615,7 +621,7 @@
 }
 
 // WantedLinks returns the routers to which links are needed: successors for held replicas, and owners of taken calls,
-// which may be back.
+// which may act again and need the report.
 func (h *ReplicaHolder) WantedLinks() (list []string) {
 	for key := range h.replicas {
 		if successor, _, over := h.Log.SuccessorOf(key.owner, key.incarnation); over && successor != "" &&
--- a/takeover/owner.go
+++ b/takeover/owner.go
@@ -23,14 +23,14 @@
 type holderState struct {
 	name            string
 	incarnation     uint64
-	wanted          bool // it is to hold a replica
+	wanted          bool // it is chosen to hold a replica
 	linked          bool
 	mayHold         bool          // it may have a replica: one was sent and is not known to be dropped
 	snapshotSent    bool          // a snapshot was sent since the link opened
 	sentNumber      uint64        // number of the latest record sent to it
 	confirmed       uint64        // number of the latest record that it has confirmed
 	lastSent        time.Duration // when the latest frame was sent to it, 0 if none was
-	guaranteedUntil time.Duration // until then it does not hand its replica over
+	guaranteedUntil time.Duration // until then it guarantees not to hand its replica over
 	dropSent        bool          // the request to drop its replica was sent to it
 }
 
@@ -38,15 +38,16 @@
 type Owner struct {
 	Settings    Settings
 	Name        string // of this router
-	incarnation uint64 // by which it acts, 0 if by none
+	incarnation uint64 // by which the router acts, 0 if by none
 	calls       callTable
 	number      uint64   // of the latest record
 	tail        []Record // the latest records, not yet sent to replica holders
 	tailStart   uint64   // number before the first record of tail
 	holders     map[string]*holderState
 	links       map[string]bool // linked routers
-	holderNames []string        // routers that are to hold a replica
-	Count       struct{ Given, Whole, Refused uint64 }
+	holderNames []string        // routers chosen to hold a replica
+	// Count holds the numbers of records sent, snapshots sent and confirmations refused.
+	Count struct{ Given, Whole, Refused uint64 }
 }
 
 // NewOwner returns an Owner without calls.
@@ -61,8 +62,8 @@
 }
 
 // SetIncarnation sets the incarnation by which the router acts from now on; its replica holders get a snapshot under
-// it. It has no effect while the loop has not relinquished the calls of an earlier incarnation, as the last records
-// still belong to that one.
+// it. It has no effect until the event loop has relinquished the calls of an earlier incarnation, because the latest
+// records still belong to that one.
 func (o *Owner) SetIncarnation(incarnation uint64) {
 	if o.incarnation != 0 && mutant != "old-work" {
 		return
@@ -75,14 +76,14 @@
 	}
 }
 
-// SetHolders sets the routers that are to hold replicas, by name and incarnation; over reports whether the log has an
-// incarnation as over.
+// SetHolders sets the routers chosen to hold replicas, with their incarnations by name; over reports whether an
+// incarnation has ended according to the log.
 func (o *Owner) SetHolders(want map[string]uint64, over func(name string, incarnation uint64) bool) {
 	o.holderNames = slices.Sorted(maps.Keys(want))
 	for name, holder := range o.holders {
-		if over(name, holder.incarnation) { // its lease is over: it hands nothing over any more
+		if over(name, holder.incarnation) { // without a lease it can no longer hand its replica over
 			delete(o.holders, name)
-		} else if want[name] != 0 && !holder.wanted { // it is to hold a replica again
+		} else if want[name] != 0 && !holder.wanted { // it is chosen again
 			holder.wanted, holder.dropSent, holder.snapshotSent = true, false, false
 		} else if holder.wanted = want[name] != 0; !holder.wanted && !holder.mayHold {
 			delete(o.holders, name)
@@ -98,8 +99,8 @@
 // HolderNames returns the routers to which links are needed.
 func (o *Owner) HolderNames() []string { return slices.Sorted(maps.Keys(o.holders)) }
 
-// SetLinked reports that a link to a router is open, or that there is none any more. Each call makes the replica
-// start anew with a snapshot.
+// SetLinked has to be called when a link to a router has opened or closed. After each call the router's replica
+// starts again from a snapshot.
 func (o *Owner) SetLinked(name string, linked bool) {
 	o.links[name] = linked
 	if h := o.holders[name]; h != nil {
@@ -156,7 +157,7 @@
 				give(holder, &takeoverpb.Give{Drop: true})
 			}
 		case !holder.snapshotSent && holder.lastSent != 0 && now-holder.lastSent < snapshotRetryDelay:
-			// It asked for a snapshot since it had no room, or a gap in the records: wait.
+			// It had no room or found a gap in the records, and asked for another snapshot: wait before sending it.
 		case !holder.snapshotSent:
 			holder.snapshotSent, holder.mayHold, holder.sentNumber = true, true, o.number
 			o.Count.Whole++
@@ -211,8 +212,8 @@
 	return at
 }
 
-// ReceiveConfirm processes a replica holder's confirmation. It reports whether the replica holder has the incarnation
-// as over.
+// ReceiveConfirm processes a replica holder's confirmation. It reports whether the replica holder has learned from the
+// log that the incarnation is over.
 func (o *Owner) ReceiveConfirm(from string, incarnation uint64, confirm *takeoverpb.Confirm) (over bool) {
 	holder := o.holders[from]
 	if holder == nil || incarnation != o.incarnation || confirm.Upto > o.number {
@@ -239,8 +240,8 @@
 	return false
 }
 
-// Confirmed returns the number up to which at least one replica holder has all records, or the maximum if there is
-// nobody to hold them.
+// Confirmed returns the number up to which at least one replica holder has all records, or the maximum if no replica
+// holder is linked.
 func (o *Owner) Confirmed() uint64 {
 	if o.Unreplicated() {
 		return math.MaxUint64
@@ -257,9 +258,9 @@
 	return o.incarnation == 0 || !slices.ContainsFunc(o.linkedHolders(), func(h *holderState) bool { return h.wanted })
 }
 
-// GuaranteedUntil returns the time until which this router may act by the guarantees of its replica holders alone. It
-// is one ConfirmTimeout before the first that may have a replica could hand it over, so that the router's last
-// records still arrive there. Without any replica it is the maximum.
+// GuaranteedUntil returns the time until which this router may act without a lease, by the guarantees of its replica
+// holders alone. It is one ConfirmTimeout before the first of the holders that may have a replica could hand it over,
+// so that the router's last records still arrive there. Without any replica it is the maximum.
 func (o *Owner) GuaranteedUntil() time.Duration {
 	until := time.Duration(math.MaxInt64)
 	for _, h := range o.holders {
@@ -284,8 +285,8 @@
 }
 
 // Evacuate gives up the established calls and returns the last frames of this incarnation, after which replica
-// holders need not wait for their guarantees to expire. Set-ups in flight continue under the next incarnation;
-// replica holders are notified that they are over, so that no router withdraws them.
+// holders need not wait for their guarantees to expire. Set-ups in flight continue under the next incarnation; in the
+// replicas of this one they are recorded as ended, so that the successor doesn't cancel them.
 func (o *Owner) Evacuate(now time.Duration) (sends []Send) {
 	pending, number := callTable{}, o.number
 	var over []Record
--- a/takeover/ownership.go
+++ b/takeover/ownership.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// This file decides, on the event loop, for which calls a router acts: which calls of other routers it has taken
-// over, which of its own it may reclaim, and what happens when their ends are received.
+// This file implements the decision, made on the event loop, for which calls a router acts: which calls of other
+// routers it has taken over, which of its own it may reclaim, and what happens when it receives their ends.
 
 // CallHandler carries out the decisions of an OwnershipManager on the router's own state: its ledger, its callers and
 // its connections to servers. It is called on the event loop.
@@ -16,24 +16,25 @@
 	RelinquishAll() (established []string)
 	// RelinquishEstablished gives up the established calls alone and returns their IDs.
 	RelinquishEstablished() (established []string)
-	// RetractEnds is called after RelinquishAll. It removes and returns the ends that have not been sent yet, of
-	// which nobody was notified.
+	// RetractEnds is called after RelinquishAll. It removes and returns the ends of calls whose notifications have not
+	// been sent yet.
 	RetractEnds() []End
 	// Adopt enters a call that was taken over into the ledger. It returns false if the call is in the ledger already,
-	// or if nobody waits for its answer.
+	// or is not established: its caller no longer waits for the answer.
 	Adopt(c Call) bool
-	// Drop removes a call from the ledger that is in another router's.
+	// Drop removes from the ledger a call that is in another router's ledger.
 	Drop(id string)
-	// EndCall ends a call whose end was received at another router; taken: this router has taken the call over,
-	// otherwise it may be established here.
+	// EndCall ends a call whose end another router has received. If taken is true, this router has taken the call
+	// over; otherwise the call may be one of its own.
 	EndCall(e End, taken bool)
-	// NotifyCaller notifies a caller whose own router cannot do so any more.
+	// NotifyCaller notifies a caller of the end of its call, which the call's own router can no longer do.
 	NotifyCaller(e End)
-	// RequestReports asks the servers to send what they have to report.
+	// RequestReports has the case servers report again what routers have not received from them.
 	RequestReports()
-	// MarkTaken names calls of earlier incarnations that other routers have taken over.
+	// MarkTaken is called with the IDs of calls of earlier incarnations that other routers have taken over.
 	MarkTaken(ids []string)
-	// ReclaimRemaining is called when no more calls of earlier incarnations were taken over.
+	// ReclaimRemaining is called when all calls of earlier incarnations that others have taken over are known: the
+	// remaining ones belong to this router again.
 	ReclaimRemaining()
 }
 
@@ -46,10 +47,12 @@
 	adopted      map[string]bool // calls taken over that have not ended
 	pending      []pendingTake   // calls taken over that are not yet replicated
 	pendingEnds  map[string]*End // calls that may become this router's; their ends, nil if none was received
-	Count        struct{ Ceased, Adopted, Again, Evacuated uint64 }
+	// Count holds the numbers of relinquishments of all calls, adopted calls, reclaimed calls and evacuations.
+	Count struct{ Ceased, Adopted, Again, Evacuated uint64 }
 }
 
-// pendingTake is a list of calls taken over that wait until a replica holder has confirmed the records up to number.
+// pendingTake is a list of calls taken over that are adopted once a replica holder has confirmed the records up to
+// number.
 type pendingTake struct {
 	number uint64
 	calls  []Call
@@ -71,9 +74,10 @@
 }
 
 // CheckOwnership must be called first in each loop iteration and after each wait. Incarnation is the one by which the
-// router acts now, 0 without a lease. A router without a lease relinquishes its calls once over says that its own
-// incarnation has ended, or once not all replica holders guarantee any more, at guaranteedUntil; so does a router that
-// acts by another incarnation than before. It reports whether the router has just relinquished its calls.
+// router acts now, 0 without a lease; over reports whether its own incarnation has ended. A router without a lease
+// relinquishes its calls when its incarnation has ended or at guaranteedUntil, when the first guarantee of a replica
+// holder may expire. A router that acts by another incarnation than before relinquishes them, too. CheckOwnership
+// reports whether the router has just relinquished its calls.
 func (m *OwnershipManager) CheckOwnership(
 	now time.Duration, incarnation uint64, over bool, guaranteedUntil time.Duration,
 ) bool {
@@ -93,8 +97,8 @@
 	}
 	m.releaseAdopted()
 	if mutant != "late-words" {
-		// Replica holders have these calls as established: the end is notified by whoever takes the call over, or by
-		// this router once it knows that nobody has.
+		// Replica holders have these calls as established: the caller is notified of the end by the router that takes
+		// the call over, or by this router once it knows that none has.
 		for _, e := range m.Handler.RetractEnds() {
 			m.pendingEnds[e.Call] = &e
 		}
@@ -102,8 +106,8 @@
 	return true
 }
 
-// releaseAdopted gives up the calls taken over, also those not yet replicated: the routers that handed them over will
-// pass them to this router's own successor.
+// releaseAdopted gives up the calls taken over, also those not yet replicated: the routers with replicas of them will
+// hand them over to this router's own successor.
 func (m *OwnershipManager) releaseAdopted() {
 	for id := range m.adopted {
 		m.pendingEnds[id] = nil
@@ -128,8 +132,8 @@
 	return calls
 }
 
-// Lapsed reports whether CheckOwnership would relinquish the calls now: until it has, no output about them may be
-// sent.
+// Lapsed reports whether CheckOwnership would relinquish the calls now. If so, no output about them may be sent before
+// it has.
 func (m *OwnershipManager) Lapsed(
 	now time.Duration, incarnation uint64, over bool, guaranteedUntil time.Duration,
 ) bool {
@@ -142,7 +146,7 @@
 	return over && m.incarnation != 0 || now >= guaranteedUntil
 }
 
-// Relinquished reports whether the router has relinquished its calls and has not acquired ownership anew.
+// Relinquished reports whether the router has relinquished its calls and has not acquired a lease again since then.
 func (m *OwnershipManager) Relinquished() bool { return m.relinquished }
 
 // Apply applies the actions that a ReplicaHolder has output. Calls to take over are recorded; AdoptConfirmed adopts
@@ -194,7 +198,7 @@
 	}
 }
 
-// MarkTaken names calls of earlier incarnations that other routers have taken over.
+// MarkTaken must be called with the IDs of calls of earlier incarnations that other routers have taken over.
 func (m *OwnershipManager) MarkTaken(ids []string) {
 	for _, id := range ids {
 		delete(m.pendingEnds, id)
@@ -202,8 +206,8 @@
 	m.Handler.MarkTaken(ids)
 }
 
-// ReclaimRemaining is called when no more calls were taken over by others: those that remain of what this router
-// relinquished, or had open before a start, belong to it again.
+// ReclaimRemaining must be called when all calls that others have taken over are known. The remaining calls that this
+// router has relinquished, or that were open when it started, belong to it again.
 func (m *OwnershipManager) ReclaimRemaining() {
 	m.Handler.ReclaimRemaining()
 	for _, id := range slices.Sorted(maps.Keys(m.pendingEnds)) {
@@ -222,13 +226,13 @@
 	}
 }
 
-// ReceiveEnd processes the end of a call that another router has received.
+// ReceiveEnd processes the end of a call, which another router has received.
 func (m *OwnershipManager) ReceiveEnd(end End) {
 	if end.NotifyCaller {
 		m.Handler.NotifyCaller(end)
 		return
 	}
-	if _, waits := m.pendingEnds[end.Call]; waits {
+	if _, pending := m.pendingEnds[end.Call]; pending {
 		m.pendingEnds[end.Call] = &end
 		return
 	}
@@ -238,7 +242,7 @@
 // ClaimEnd processes the end of a call that this router's own Router does not know. It reports whether this router
 // has to notify the caller: it has taken the call over, or no other router is linked that could know of it.
 func (m *OwnershipManager) ClaimEnd(end End, linked bool) bool {
-	if _, waits := m.pendingEnds[end.Call]; waits {
+	if _, pending := m.pendingEnds[end.Call]; pending {
 		m.pendingEnds[end.Call] = &end
 		return false
 	}
@@ -247,12 +251,12 @@
 
 // endAdopted removes a call that was taken over and has ended. It returns false if the call was not taken over.
 func (m *OwnershipManager) endAdopted(id string) bool {
-	mine := m.adopted[id]
-	if mine {
+	adopted := m.adopted[id]
+	if adopted {
 		delete(m.adopted, id)
 		m.Recorder.QueueEnd(id)
 	}
-	return mine
+	return adopted
 }
 
 // HasAdopted reports whether a call was taken over and has not ended.
--- a/takeover/rules_test.go
+++ b/takeover/rules_test.go
@@ -11,7 +11,8 @@
 	"threadglade.example/threadglade/takeover/takeoverpb"
 )
 
-// fakeLog is a log with one router, r1.1, which is over if the flag is set and whose successor is me.7.
+// fakeLog is a log with incarnation 1 of router r1, which has ended if over is set. Its successor is incarnation 7 of
+// router me. If ownerBack is set, r1 acts again.
 type fakeLog struct{ over, ownerBack bool }
 
 func (l fakeLog) IsOver(name string, n uint64) bool { return l.over && name == "r1" }
@@ -27,8 +28,8 @@
 	return list
 }
 
-// newHolderWithReplica returns a replica holder with a replica of r1's calls a and b, up to number 5, whose guarantee
-// has not expired.
+// newHolderWithReplica returns a replica holder with a replica of r1's calls a and b up to record 5, guaranteed from
+// 1 s on.
 func newHolderWithReplica(fleetLog *fakeLog) *ReplicaHolder {
 	h := NewReplicaHolder(DefaultSettings(), "me", fleetLog)
 	sendGive(h, time.Second, &takeoverpb.Give{
@@ -93,7 +94,7 @@
 func (d *fakeHandler) MarkTaken([]string) {}
 func (d *fakeHandler) ReclaimRemaining()  {}
 
-// rules are the properties that single steps keep, by the name of the injected fault that violates each.
+// rules are checks of single steps, by the name of the injected fault that each detects. They return true without it.
 var rules = map[string]func() bool{
 	"confirm-the-dead": func() bool { // an owner whose incarnation is over is rejected and gets no guarantee
 		l := &fakeLog{over: true}
@@ -137,7 +138,7 @@
 		more, _ := sendPass(h, 6*time.Second, "r3", 6, "a", "b")
 		return len(again)+len(more) == 0
 	},
-	"deaf-to-the-last": func() bool { // what r1 did while this router's guarantee held, after the log had ended it
+	"deaf-to-the-last": func() bool { // records that r1 sent after its end, while the guarantee held, count
 		l := &fakeLog{}
 		h := newHolderWithReplica(l)
 		l.over = true
@@ -172,7 +173,7 @@
 		_, after, _ := g.Take(nil)
 		return len(before) == 2 && len(after) == 1 && after[0].Kind == Ended
 	},
-	// The core has taken a and b over; the loop, not notified yet, receives the end of a.
+	// The holder has taken a and b over; the event loop doesn't know it yet and receives the end of a.
 	"heard-before-taken": func() bool {
 		l := &fakeLog{}
 		h := newHolderWithReplica(l)
@@ -184,7 +185,7 @@
 		_, more := h.Output()
 		return len(acts.Adopt) == 2 && len(more.Ends) == 1 && more.Ends[0].Call == "a"
 	},
-	// The owner notifies the caller of a retracted end if nobody has taken the call over.
+	// The owner notifies the caller of a retracted end if no other router has taken the call over.
 	"late-words": func() bool {
 		d := &fakeHandler{retracted: []End{{Call: "b"}}}
 		h := NewOwnershipManager(d, &Recorder{}, nil)
@@ -193,7 +194,7 @@
 		h.ReclaimRemaining()
 		return fmt.Sprint(d.notified) == "[b]"
 	},
-	"withdrawn-alive": func() bool { // a is established and passed on, b is in flight and continues
+	"withdrawn-alive": func() bool { // a is established and handed over, b is in flight and continues
 		o := NewOwner(DefaultSettings(), "r1")
 		o.SetIncarnation(1)
 		o.SetHolders(map[string]uint64{"me": 7}, func(string, uint64) bool { return false })
@@ -227,9 +228,9 @@
 	},
 }
 
-// TestRetractedEnds guards against ends that an owner retracted as it relinquished its calls and that nobody
-// notifies, or two routers do: those of calls that others took over are theirs, the owner notifies the remaining
-// ones.
+// TestRetractedEnds guards against callers that no router or two routers notify when the end of their call was
+// retracted as the owner relinquished its calls: a router that took a call over notifies its caller, the owner
+// notifies the others.
 func TestRetractedEnds(t *testing.T) {
 	d := &fakeHandler{established: []string{"c"}, retracted: []End{{Call: "a"}, {Call: "b"}}}
 	h := NewOwnershipManager(d, &Recorder{}, nil)
--- a/takeover/takeover.go
+++ b/takeover/takeover.go
@@ -1,9 +1,9 @@
 // Package takeover replicates the calls in progress of a call router to other routers, and decides which router takes
-// them over when the fleet's log says that an incarnation is over. A Recorder turns events of calls into numbered
-// records, an Owner sends them to replica holders, a ReplicaHolder keeps replicas, hands them over and takes calls
-// over as a successor, and an OwnershipManager decides for which calls a router acts. Events and absolute times go
-// in; frames to send and calls to take over come out. The package must never answer or release a call itself, do I/O,
-// start a goroutine or read a clock. docs/design/takeover.md states its guarantees and why they hold.
+// them over when the fleet's log has ended an incarnation. A Recorder turns events of calls into numbered records, an
+// Owner sends them to replica holders, a ReplicaHolder keeps replicas, hands them over and takes calls over as a
+// successor, and an OwnershipManager decides for which calls a router acts. Events and absolute times go in; frames to
+// send and calls to take over come out. The package never answers or releases a call itself, does no I/O, starts no
+// goroutine and reads no clock. docs/design/takeover.md states its guarantees and why they hold.
 package takeover
 
 import (
@@ -16,30 +16,30 @@
 
 // Limits of received messages and of the state kept for other routers.
 const (
-	maxIDLen          = 64
-	maxTextLen        = 128
+	maxIDLen          = 64      // bytes, of a call ID
+	maxTextLen        = 128     // bytes, of the name of a server, class, tenant or owner
 	maxPageRecords    = 512     // records, ends or call IDs in a frame
 	maxHeldCalls      = 1 << 16 // in all replicas that one router holds
 	maxOwners         = 4096    // incarnations that one router holds replicas of
 	maxRememberedEnds = 1 << 16 // ends of unknown calls
-	maxTakenCalls     = 1 << 17 // taken calls of which the owners have yet to be notified
+	maxTakenCalls     = 1 << 17 // taken calls that have yet to be reported to their owners
 	maxOrigins        = 4       // earlier owners of a call that are kept
-	maxSlots          = 1 << 20
+	maxSlots          = 1 << 20 // slots of router events; events of higher ones are not recorded
 )
 
 // Settings are the parameters of replication and takeover. All routers of a fleet have to agree on them.
 type Settings struct {
 	Replicas       int             // number of routers that hold a replica
-	GuaranteeTTL   time.Duration   // V: how long a replica is not handed over, from before the guarantee was requested
+	GuaranteeTTL   time.Duration   // V: how long a replica is not handed over after the owner has sent a frame
 	ConfirmTimeout time.Duration   // how long an answer waits until a replica holder has confirmed its record
 	NoWaitClasses  map[string]bool // classes whose answers do not wait
 	NoWait         bool            // answers of no class wait
 	ClockDrift     float64         // r: maximum relative error of the routers' clocks
-	EndTTL         time.Duration   // how long ends of unknown calls are kept, to be sent to successors named meanwhile
-	ReclaimTimeout time.Duration   // how long a router that has started waits for reports of calls taken from it
+	EndTTL         time.Duration   // how long ends of unknown calls are kept, to be sent to later successors
+	ReclaimTimeout time.Duration   // how long a router waits after its start for reports of calls taken from it
 }
 
-// DefaultSettings returns the settings that are in force without a configuration.
+// DefaultSettings returns the values that apply where the configuration sets none.
 func DefaultSettings() Settings {
 	return Settings{
 		Replicas:       2,
@@ -52,17 +52,17 @@
 }
 
 // HolderGuaranteeTTL returns W = V (1+r) / (1-r): how long a replica holder keeps its guarantee by its own clock, so
-// that it expires after the owner's even if one clock is slow and the other fast by r.
-func (t Settings) HolderGuaranteeTTL() time.Duration {
-	return time.Duration(float64(t.GuaranteeTTL)*(1+t.ClockDrift)/(1-t.ClockDrift)) + time.Nanosecond
+// that it expires later than on the owner's clock, even if one clock is slow and the other fast by r.
+func (s Settings) HolderGuaranteeTTL() time.Duration {
+	return time.Duration(float64(s.GuaranteeTTL)*(1+s.ClockDrift)/(1-s.ClockDrift)) + time.Nanosecond
 }
 
 // Validate returns an error if a setting is out of range.
-func (t Settings) Validate() error {
+func (s Settings) Validate() error {
 	switch {
-	case t.Replicas < 1 || t.Replicas > 4:
+	case s.Replicas < 1 || s.Replicas > 4:
 		return errors.New("holders must be between 1 and 4")
-	case t.GuaranteeTTL < 200*time.Millisecond || t.ConfirmTimeout <= 0 || t.ConfirmTimeout > t.GuaranteeTTL:
+	case s.GuaranteeTTL < 200*time.Millisecond || s.ConfirmTimeout <= 0 || s.ConfirmTimeout > s.GuaranteeTTL:
 		return errors.New("vouch must be at least 200ms, patience above 0 and at most vouch")
 	}
 	return nil
@@ -102,23 +102,23 @@
 // End is the end of a call that was unknown to the router that received it.
 type End struct {
 	Call         string
-	Outcome      uint8 // outcome of the call, as the router's users number it
+	Outcome      uint8 // a threadglade.Outcome
 	At           int64 // Unix milliseconds
 	ByCaller     bool  // the caller has released the call
-	NotifyCaller bool  // the call is closed in its ledger, but the caller has yet to be notified
+	NotifyCaller bool  // the call is closed in its router's ledger, but the caller has yet to be notified
 }
 
 // Recorder turns the router's events into records. It must be used on the event loop.
 type Recorder struct {
 	Settings    Settings
-	Tenant      func(e router.Event) string      // tenant of a call; nil: as the event says
+	Tenant      func(e router.Event) string      // tenant of a call; nil: the tenant of the event
 	SetupTarget func(class string) time.Duration // set-up time within which an answer is in time; nil: always
 	WallClock   func() int64                     // Unix milliseconds
 
 	slots       []slotState
 	queued      []Record
-	unsentEnds  []string // established calls that have ended, unsent as yet; replica holders keep them as established
-	lastEnd     uint64   // number of the latest of these
+	unsentEnds  []string // ended calls whose callers are not yet notified; replica holders keep them as established
+	lastEnd     uint64   // number of the latest entry of unsentEnds; ends are numbered from 1
 	lastNumber  uint64   // of the latest record
 	lastAwaited uint64   // number of the latest record that an answer waits for
 	Count       struct{ Records, Dropped uint64 }
@@ -210,9 +210,9 @@
 	g.add(Record{Pending, call}, false)
 }
 
-// QueueEnd notes the end of an established call. It is recorded only when RecordEnds reports that the notification
-// was sent: if replica holders dropped the call earlier and this router then died, nobody would notify the caller. If
-// the router dies after sending, its successor may notify the caller a second time.
+// QueueEnd queues the end of an established call. RecordEnds records it after the caller's notification has been sent:
+// if replica holders dropped the call before and this router then died, no router would notify the caller. If the
+// router dies between sending and recording, its successor may notify the caller a second time.
 func (g *Recorder) QueueEnd(id string) {
 	if mutant == "end-before-word" {
 		g.add(Record{Ended, Call{ID: id}}, true)
@@ -222,13 +222,13 @@
 	g.lastEnd++
 }
 
-// LastEnd returns the number of the latest end that was noted.
+// LastEnd returns the number of the latest queued end.
 func (g *Recorder) LastEnd() uint64 { return g.lastEnd }
 
-// PendingEnds returns the number of ends whose notifications have not been sent yet.
+// PendingEnds returns how many queued ends are not recorded yet.
 func (g *Recorder) PendingEnds() int { return len(g.unsentEnds) }
 
-// RecordEnds records all ends up to a number, whose notifications have been sent.
+// RecordEnds records the queued ends up to a number, whose notifications have been sent.
 func (g *Recorder) RecordEnds(upto uint64) {
 	first := g.lastEnd - uint64(len(g.unsentEnds)) + 1
 	for ; len(g.unsentEnds) > 0 && first <= upto; first++ {
@@ -240,14 +240,14 @@
 	}
 }
 
-// StopRecordingEstablished stops recording the established calls: they are another router's now.
+// StopRecordingEstablished stops recording the established calls, which another router takes over.
 func (g *Recorder) StopRecordingEstablished() {
 	for i := range g.slots {
 		g.slots[i].recorded = g.slots[i].recorded && !g.slots[i].established
 	}
 }
 
-// StopRecording stops recording all calls in progress: what becomes of them here does not concern replica holders.
+// StopRecording stops recording all calls in progress, which this router no longer owns, and drops the queued ends.
 func (g *Recorder) StopRecording() {
 	g.unsentEnds = nil
 	for i := range g.slots {
@@ -331,7 +331,7 @@
 // callTable holds calls by ID, as built from records.
 type callTable map[string]*Call
 
-// apply updates the table by a record. Answers to unknown calls are ignored.
+// apply updates the table by a record. Established and Ended records of unknown calls are ignored.
 func (t callTable) apply(r *Record) {
 	switch r.Kind {
 	case Pending:
--- a/takeover/takeover_test.go
+++ b/takeover/takeover_test.go
@@ -21,8 +21,8 @@
 
 const ms = time.Millisecond
 
-// world simulates routers by the pure parts of this package, with calls in progress and the fleet's own state machine
-// as their log, over links that can be cut. All run on one clock and from one seed.
+// world simulates routers with calls in progress that run this package's types over links that can be cut, with the
+// state machine of package fleet as their log. A seed determines a run.
 type world struct {
 	t              *testing.T
 	random         *rand.Rand
@@ -32,13 +32,13 @@
 	grantedAt      map[string]time.Duration // when the keepers last renewed the lease of a live incarnation
 	nodes          []*node
 	calls          map[string]*callState
-	order          []string
+	callIDs        []string
 	links          map[[2]string][]delayedFrame
-	cutFromRouters map[string]bool          // routers without links to other routers
-	cutFromKeepers map[string]bool          // routers without links to keepers
+	cutFromRouters map[string]bool          // routers whose links to other routers are cut
+	cutFromKeepers map[string]bool          // routers whose links to keepers are cut
 	lostAt         map[string]time.Duration // when a router was last killed or cut off
 	notifiedTwice  int                      // callers notified twice, as the specification allows
-	broken         string
+	violation      string
 }
 
 // notifyWindow is the longest delay of a router's last output, plus the step in which it was sent.
@@ -139,11 +139,11 @@
 
 func (n *node) EndCall(e End, taken bool) {
 	if taken || n.own[e.Call] {
-		n.settle(e.Call)
+		n.closeCall(e.Call)
 	}
 }
 
-func (n *node) settle(id string) {
+func (n *node) closeCall(id string) {
 	if n.ledger[id] == "open" {
 		n.ledger[id] = "billed"
 	}
@@ -167,7 +167,7 @@
 		c.notifiedBy = append(c.notifiedBy, fmt.Sprintf("%s at %v", n.name, n.w.now))
 		if at, lost := n.w.lostAt[c.lastNotifiedBy]; c.notified > 1 && lost &&
 			c.lastNotifiedAt > at-notifyWindow && c.lastNotifiedAt <= at+n.recorder.Settings.ConfirmTimeout {
-			c.notified-- // the router that notified it first was lost before others could learn of that
+			c.notified-- // the router that notified the caller first was lost before others could learn of it
 			c.retracted = true
 			n.w.notifiedTwice++
 		}
@@ -205,8 +205,8 @@
 	n.own, n.pendingBatches, n.pendingEnds, n.reclaimed, n.incarnationBegan = map[string]bool{}, nil, nil, false,
 		n.clock()
 	var open []string
-	for id, how := range n.ledger {
-		if how == "open" {
+	for id, state := range n.ledger {
+		if state == "open" {
 			open = append(open, id)
 		}
 	}
@@ -260,8 +260,8 @@
 }
 
 func (w *world) fail(format string, args ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, args...)
+	if w.violation == "" {
+		w.violation = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, args...)
 	}
 }
 
@@ -348,7 +348,7 @@
 	n.sendEnds(now)
 	n.flush()
 	n.send(n.owner.Tick(now))
-	for _, id := range w.order {
+	for _, id := range w.callIDs {
 		if c := w.calls[id]; c.at == n.name && n.own[id] && confirmed >= c.number && !n.owner.Unreplicated() {
 			c.confirmed = true
 		}
@@ -449,12 +449,12 @@
 	if n.dead || n.stopped {
 		return
 	}
-	id := fmt.Sprintf("%016x", len(w.order)+1)
+	id := fmt.Sprintf("%016x", len(w.callIDs)+1)
 	n.own[id], n.ledger[id] = true, "open"
 	n.record(Record{Pending, Call{ID: id, Server: "s", Class: "c", Tenant: "t"}})
 	n.record(Record{Established, Call{ID: id, EstablishedAt: 1}})
 	w.calls[id] = &callState{id: id, at: n.name, number: n.recorder.LastNumber()}
-	w.order = append(w.order, id)
+	w.callIDs = append(w.callIDs, id)
 }
 
 // endCall has a server end a call: the end is received by some reachable router, most often by the call's own.
@@ -475,12 +475,12 @@
 		n.checkOwnership(now)
 		c.over, c.overAt = true, w.now
 		if n.own[id] {
-			n.settle(id)
+			n.closeCall(id)
 			return
 		}
 		e := End{Call: id, Outcome: 1}
 		if n.ownership.ClaimEnd(e, true) {
-			n.settle(id)
+			n.closeCall(id)
 		}
 		n.holder.ReceiveEnds(now, "", []End{e})
 		return
@@ -519,7 +519,7 @@
 
 // simulate runs a world with one fault after the other, each repaired before the next. At the end each established
 // call that was recorded must have ended, with one notification to its caller, in the ledger of one router.
-func simulate(t *testing.T, seed uint64, seconds int) (w *world, troubles []string) {
+func simulate(t *testing.T, seed uint64, seconds int) (w *world, faults []string) {
 	w = newWorld(t, seed, 5)
 	process := uint64(100)
 	for range 300 { // the fleet forms
@@ -527,11 +527,11 @@
 	}
 	var undo func()
 	undoAt, next := time.Duration(0), w.now+time.Second
-	for endAt := w.now + time.Duration(seconds)*time.Second; w.now < endAt && w.broken == ""; w.step() {
+	for endAt := w.now + time.Duration(seconds)*time.Second; w.now < endAt && w.violation == ""; w.step() {
 		if w.random.IntN(10) == 0 {
 			w.startCall()
 		}
-		for _, id := range w.order {
+		for _, id := range w.callIDs {
 			if c := w.calls[id]; !c.over && w.random.IntN(400) == 0 {
 				w.endCall(id)
 			}
@@ -544,19 +544,19 @@
 			continue
 		}
 		n := w.nodes[w.random.IntN(len(w.nodes))]
-		trouble := w.random.IntN(5)
-		if trouble != 1 && trouble != 3 {
+		fault := w.random.IntN(5)
+		if fault != 1 && fault != 3 {
 			w.lostAt[n.name] = w.now
-			for _, c := range w.calls { // a server reports it again on the next connection
+			for _, c := range w.calls { // the server reports the end again on the next connection
 				if c.lastNotifiedBy == n.name && c.lastNotifiedAt > w.now-notifyWindow {
 					c.over = false
 				}
 			}
 		}
 		undoAt = w.now + time.Duration(100+w.random.IntN(9000))*ms
-		troubles = append(troubles, fmt.Sprintf("%v %s %s until %v", w.now,
-			[]string{"kill", "stop", "cut", "no-keepers", "routers"}[trouble], n.name, undoAt))
-		switch trouble {
+		faults = append(faults, fmt.Sprintf("%v %s %s until %v", w.now,
+			[]string{"kill", "stop", "cut", "no-keepers", "routers"}[fault], n.name, undoAt))
+		switch fault {
 		case 0:
 			n.dead = true
 			n.retractPendingEnds()
@@ -592,7 +592,7 @@
 			w.cutFromRouters[n.name] = true
 			undo = func() { delete(w.cutFromRouters, n.name) }
 		}
-		if trouble == 3 {
+		if fault == 3 {
 			for _, one := range w.nodes { // no keeper ends a lease in the meantime
 				w.grantedAt[one.name] = time.Hour
 			}
@@ -602,11 +602,11 @@
 		undo()
 	}
 	for range 2500 {
-		if w.step(); w.broken != "" {
-			return w, troubles
+		if w.step(); w.violation != "" {
+			return w, faults
 		}
 	}
-	for _, id := range w.order {
+	for _, id := range w.callIDs {
 		if !w.calls[id].over {
 			w.endCall(id)
 		}
@@ -614,7 +614,7 @@
 	for range 1500 {
 		w.step()
 	}
-	for _, id := range w.order {
+	for _, id := range w.callIDs {
 		c := w.calls[id]
 		billed := 0
 		for _, n := range w.nodes {
@@ -631,17 +631,17 @@
 				id, c.at, c.confirmed, c.overAt, billed, c.notified, where)
 		}
 	}
-	return w, troubles
+	return w, faults
 }
 
-// TestWorlds simulates random faults. It guards against two routers acting for one call, and against a call that a
-// replica holder had confirmed whose end is lost or repeated, for its caller or in the ledgers.
+// TestWorlds simulates random faults. It guards against two routers acting for one call. For calls that a replica
+// holder had confirmed, it also guards against ends that are lost or repeated, to the caller or in the ledgers.
 func TestWorlds(t *testing.T) {
 	from := envInt("TAKEOVER_FROM", 1)
 	calls, recorded, notifiedTwice, taken := 0, 0, 0, uint64(0)
 	for seed := range uint64(envInt("TAKEOVER_SEEDS", 6)) {
-		w, troubles := simulate(t, uint64(from)+seed, 60)
-		require.Empty(t, w.broken, "seed %d: %v", uint64(from)+seed, troubles)
+		w, faults := simulate(t, uint64(from)+seed, 60)
+		require.Empty(t, w.violation, "seed %d: %v", uint64(from)+seed, faults)
 		for _, c := range w.calls {
 			calls++
 			if c.confirmed {
@@ -660,9 +660,9 @@
 	require.Greater(t, recorded, calls*9/10)
 }
 
-// TestZoneLost loses a whole zone, a third of all routers, at once while all have established calls. It guards
-// against takeovers that need longer than the lease and two seconds or go to few routers, and against calls that end
-// twice.
+// TestZoneLost kills all routers of a zone, a third of all, at once while all have established calls. It guards
+// against takeovers that take longer than the lease and two seconds or that go to few routers, and against callers
+// that are notified twice of an end.
 func TestZoneLost(t *testing.T) {
 	routers, callsPerRouter := envInt("TAKEOVER_ROUTERS", 45), envInt("TAKEOVER_CALLS", 20)
 	w := newWorld(t, 7, routers)
@@ -710,12 +710,12 @@
 			}
 		}
 	}
-	require.Empty(t, w.broken)
-	require.Empty(t, waiting, "calls that nobody took over")
+	require.Empty(t, w.violation)
+	require.Empty(t, waiting, "calls that no router took over")
 	maxTaken, takers := 0, 0
 	for _, n := range w.nodes {
-		if own := len(n.ownership.adopted); own > 0 {
-			maxTaken, takers = max(maxTaken, own), takers+1
+		if adopted := len(n.ownership.adopted); adopted > 0 {
+			maxTaken, takers = max(maxTaken, adopted), takers+1
 		}
 	}
 	t.Logf("%d routers, %d lost with %d calls: the first taken over after %v, the last after %v; "+
@@ -723,21 +723,21 @@
 	require.Less(t, last, fleet.DefaultSettings().LeaseDuration+2*time.Second)
 	require.GreaterOrEqual(t, takers, len(lost)/3, "calls are spread over routers")
 	// Each end is forwarded to every router by every other, so only some calls end.
-	ended := w.order[:min(len(w.order), 40_000/routers/routers)]
+	ended := w.callIDs[:min(len(w.callIDs), 40_000/routers/routers)]
 	for _, id := range ended {
 		w.endCall(id)
 	}
 	for range 300 {
 		w.step()
 	}
-	require.Empty(t, w.broken)
+	require.Empty(t, w.violation)
 	for _, id := range ended {
 		require.Equal(t, 1, w.calls[id].notified, "%s of %s: %v", id, w.calls[id].at, w.calls[id].notifiedBy)
 	}
 }
 
-// TestRecorder guards against records from which other routers build different calls than this router has, and against
-// records of calls that it has relinquished.
+// TestRecorder guards against records from which other routers reconstruct calls that differ from this router's, and
+// against records of calls that it has relinquished.
 func TestRecorder(t *testing.T) {
 	g := &Recorder{
 		Settings:    DefaultSettings(),
@@ -761,12 +761,12 @@
 			g.Observe(e)
 		}
 	}
-	first, list, kept := g.Take(nil)
+	first, list, awaited := g.Take(nil)
 	require.Equal(t, uint64(1), first)
-	require.Equal(t, uint64(3), kept, "the answer of class voice waits, that of class data does not")
-	made := callTable{}
+	require.Equal(t, uint64(3), awaited, "the answer of class voice waits, that of class data does not")
+	table := callTable{}
 	for i := range list {
-		made.apply(&list[i])
+		table.apply(&list[i])
 	}
 	require.Equal(t, Call{
 		ID:            "c1",
@@ -777,20 +777,21 @@
 		Established:   true,
 		AttemptedAt:   7,
 		EstablishedAt: 7,
-	}, *made["c1"])
+	}, *table["c1"])
 	g.StopRecording()
 	g.Observe(router.Event{Kind: router.Closed, Slot: 1, Call: "c1"})
 	require.False(t, g.HasRecords(), "events of a relinquished call are not recorded")
 }
 
-// TestRejectsInvalidFrames: frames that are malformed, or not the sender's to send, change nothing and are counted.
+// TestRejectsInvalidFrames checks that frames that are malformed, or that the sender may not send, change nothing and
+// are counted.
 func TestRejectsInvalidFrames(t *testing.T) {
 	w := newWorld(t, 1, 3)
 	for range 300 {
 		w.step()
 	}
 	h := w.nodes[0].holder
-	was := h.Count.Refused
+	before := h.Count.Refused
 	give := &takeoverpb.Frame{Owner: "r1", Incarnation: 2, What: &takeoverpb.Frame_Give{Give: &takeoverpb.Give{}}}
 	for _, f := range []*takeoverpb.Frame{
 		give,
@@ -800,7 +801,7 @@
 	} {
 		h.Receive(w.now, "r2", f, 1)
 	}
-	require.Equal(t, was+4, h.Count.Refused)
+	require.Equal(t, before+4, h.Count.Refused)
 	h.Output()
 	for i := range 300 { // a snapshot above the limit is not stored
 		g := &takeoverpb.Give{From: uint64(i) * maxPageRecords, First: i == 0}
@@ -820,9 +821,9 @@
 	require.LessOrEqual(t, total, maxHeldCalls+maxPageRecords)
 }
 
-func envInt(name string, usual int) int {
+func envInt(name string, defaultValue int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return usual
+	return defaultValue
 }
