--- a/internal/fleetio/verdicts.go
+++ b/internal/fleetio/verdicts.go
@@ -48,7 +48,7 @@
 // evaluation is the result of one evaluation by the core; immutable.
 type evaluation struct {
 	verdicts    []verdict.Verdict
-	questioned  map[verdict.Key]time.Duration
+	suspected   map[verdict.Key]time.Duration
 	routerCount int
 }
 
@@ -205,7 +205,7 @@
 	state.evaluatedAt = now
 	previous := state.evaluation.Load()
 	current := &evaluation{verdicts: state.table.Verdicts(now), routerCount: state.table.RouterCount()}
-	current.questioned = state.table.Questioned()
+	current.suspected = state.table.Suspected()
 	state.evaluation.Store(current)
 	if len(current.verdicts) > 0 || len(previous.verdicts) > 0 {
 		f.logVerdictChanges(previous.verdicts, current.verdicts)
@@ -284,7 +284,7 @@
 	}
 	watch := state.watch
 	watch.DetectMissed(now)
-	if own := watch.OwnRecords(now, current.questioned, current.routerCount); len(own) > 0 {
+	if own := watch.OwnRecords(now, current.suspected, current.routerCount); len(own) > 0 {
 		select {
 		case f.tasks <- func(now time.Duration) { state.table.AddOwn(now, own) }:
 		default:
--- a/internal/fleetsim/calls.go
+++ b/internal/fleetsim/calls.go
@@ -507,7 +507,7 @@
 	}
 	w, now := r.w, r.p.clock(r.w.now)
 	r.watch.DetectMissed(now)
-	own := r.watch.OwnRecords(now, r.table.Questioned(), r.table.RouterCount())
+	own := r.watch.OwnRecords(now, r.table.Suspected(), r.table.RouterCount())
 	if r.liar {
 		for i := range own {
 			own[i].BadAt, own[i].GoodAt = own[i].GoodAt, own[i].BadAt
--- a/verdict/table.go
+++ b/verdict/table.go
@@ -51,7 +51,7 @@
 	zoneSizes   map[string]int             // routers in each zone
 	cache       map[Key]*cachedVerdict
 	holds       []Verdict             // servers taken out by operators
-	suspected   map[Key]time.Duration // see Questioned
+	suspected   map[Key]time.Duration // see Suspected
 	nextFlush   time.Duration         // when pending records are to be sent
 	sweptAt     time.Duration         // when expired records were last removed
 	changed     bool                  // see Changed
@@ -380,9 +380,9 @@
 	return min(due, t.nextFlush)
 }
 
-// Questioned returns the servers that some router suspects of a fault, as of the latest call of Verdicts, and the
+// Suspected returns the servers that some router suspects of a fault, as of the latest call of Verdicts, and the
 // times since which answers are missing (Verdict.Since). All routers report what they have observed of these servers.
-func (t *Table) Questioned() map[Key]time.Duration { return t.suspected }
+func (t *Table) Suspected() map[Key]time.Duration { return t.suspected }
 
 // SetHolds replaces the list of servers that operators have taken out of service.
 func (t *Table) SetHolds(list []Verdict) { t.holds, t.changed = list, true }
--- a/verdict/watch.go
+++ b/verdict/watch.go
@@ -307,7 +307,7 @@
 }
 
 // OwnRecords returns this router's new records on servers that it suspects of a fault itself and on those that other
-// routers suspect. suspected holds the latter, with the times since which answers are missing (see Table.Questioned);
+// routers suspect. suspected holds the latter, with the times since which answers are missing (see Table.Suspected);
 // routers is the number of routers in the fleet. Servers without new observations to report are left out.
 func (w *Watch) OwnRecords(now time.Duration, suspected map[Key]time.Duration, routers int) (list []Record) {
 	for _, s := range w.servers {
