--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -20,8 +20,8 @@
 func (m *sink) Release(Attempt, threadglade.Outcome) {}
 
 // BenchmarkLife runs a call from arrival to release, including its decisions, among 300 established calls:
-// arrival, decision, answer, release by the server, and the timers that become due meanwhile. Builds are compared
-// by the number of instructions of a given number of calls, which doesn't depend on the load of the machine;
+// arrival, decision, answer, release by the server, and the timers that become due meanwhile. To compare builds,
+// count the instructions of a given number of calls, which don't depend on the load of the machine;
 // docs/design/fleet-floor.md describes how.
 func BenchmarkLife(b *testing.B) {
 	now, m := time.Hour, &sink{}
@@ -45,12 +45,12 @@
 		r.ReportAgents(threadglade.Agents{Server: s.ID, Free: 100, Total: 100})
 	}
 	description := []byte("v=0")
-	const standing = 300
-	var ids [standing]string
+	const establishedCalls = 300
+	var ids [establishedCalls]string
 	b.ReportAllocs()
 	for i := range b.N {
 		now += time.Millisecond
-		at := i % standing
+		at := i % establishedCalls
 		if ids[at] != "" {
 			r.Ended(ids[at], 0, threadglade.Concluded, 0)
 		}
--- a/router/clone.go
+++ b/router/clone.go
@@ -12,9 +12,9 @@
 	"threadglade.example/threadglade"
 )
 
-// This file copies a Router and appends a canonical form of its state, for model checking: from one state every
-// order of events can be explored. It must never change the Router that it copies, and must not be called while
-// that processes a step.
+// This file copies a Router and encodes its state in canonical form, so that a model checker can explore every order
+// of events from one state. It must never change the original. Its functions must not be called while the original
+// processes a step.
 
 // ErrBusy is returned by Clone if the Router is processing a step, or holds a timer set by Schedule, whose
 // callback can't be copied.
@@ -131,7 +131,7 @@
 	return b
 }
 
-// SetRandomSource makes the Controller draw its random choices from source instead of from the seed.
+// SetRandomSource makes the Controller take its random choices from source instead of the seeded generator.
 func (r *Router) SetRandomSource(source rand.Source) { r.controller.SetRandomSource(source) }
 
 // isLive reports whether a timer can still have an effect, and for which call.
--- a/router/mutant_on.go
+++ b/router/mutant_on.go
@@ -12,14 +12,14 @@
 
 // Mutants are the faults that can be injected, by name, with their descriptions.
 var Mutants = map[string]string{
-	"early-resend":   "the wait after an attempt is 1 ms short",
+	"early-resend":   "the wait after an attempt that may still occupy resources is 1 ms too short",
 	"attempt-more":   "a call may make one attempt more than allowed",
-	"deaf-to-leave":  "a request that its caller gives up is not cancelled",
+	"deaf-to-leave":  "a request is not cancelled when its caller gives it up",
 	"no-give-up":     "an attempt that timed out is not given up at its server",
 	"any-end":        "the end of an earlier attempt ends the current one",
-	"lost-release":   "a server's release does not reach the caller",
+	"lost-release":   "a server's release is not passed to the caller",
 	"lost-timer":     "a call's timers for the Controller are not set",
-	"table-leak":     "a call that has ended stays in the table",
+	"table-leak":     "a call that has ended is not removed from the table",
 	"miscount":       "an answered request is counted as unanswered",
 	"told-refused":   "a failure is reported to the front as a refusal",
 	"deaf-to-drain":  "a draining server counts as up",
@@ -28,7 +28,7 @@
 	"send-twice":     "an attempt is sent twice",
 	"wrong-server":   "every attempt goes to s1",
 	"give-up-twice":  "an attempt that timed out is given up twice",
-	"told-twice":     "a server's release reaches the caller twice",
+	"told-twice":     "a server's release is passed to the caller twice",
 	"left-told":      "a caller that has left is notified of a failure",
 	"left-out":       "an attempt stays pending when its caller leaves",
 	"panic":          "the Controller panics on an attempt's end",
--- a/router/observer.go
+++ b/router/observer.go
@@ -13,8 +13,8 @@
 // Observer receives the events of requests, attempts, server lists and server reports.
 type Observer interface {
 	// Observe receives an event. It is called on the goroutine that processes the step, in order. It must return
-	// at once: it takes no lock that another goroutine holds for long, opens no file, and doesn't call the
-	// router. Strings in the event are immutable and may be kept.
+	// at once: it must not take a lock that another goroutine holds for long, open a file, or call the router.
+	// Strings in the event are immutable and may be kept.
 	Observe(Event)
 }
 
@@ -39,8 +39,8 @@
 	UnknownCallerRelease                 // a caller released a call that this router never knew
 	Listed                               // Server is listed in State
 	AgentsReported                       // Server has Free of Total agents
-	Held                                 // a request waits, for Reason; Server is its first choice
-	Withdrawn                            // the attempt at Server is given up, for Reason; AttemptEnded follows
+	Held                                 // a request waits because of Reason; Server is its first choice
+	Withdrawn                            // the attempt at Server is given up because of Reason; AttemptEnded follows
 	LoadReported                         // Server reports its processor's wait and the rate it can accept
 	Avoided                              // Server is avoided because of what all routers know about it
 	Relinquished                         // an established call passed to another router; the Ended that follows isn't its end
@@ -51,7 +51,7 @@
 	Kind    Kind
 	At      time.Duration // on the router's clock
 	Call    string
-	Slot    uint32 // small number that no other open request has, until Closed; freed ones are reused, latest first
+	Slot    uint32 // small number, unique among open requests; reused after Closed, the latest freed one first
 	Server  string
 	Attempt int // of the request's attempts, from 0
 
@@ -76,13 +76,14 @@
 	View   threadglade.View
 
 	// Fields of LoadReported. Avoided uses Latency for the age of the evidence, Class for the verdict on the
-	// server, Front for the routers that supplied the evidence, RetryAfter for how long from At the server is
-	// avoided, and Free and Total for how many routers miss its answers, of how many.
+	// server, Front for the routers that supplied the evidence, RetryAfter for how long the server is avoided,
+	// counted from At, Free for the number of routers that miss its answers, and Total for the number of routers
+	// that were considered.
 	Latency time.Duration // wait at the server's processor
 	Rate    float64       // set-ups per second that it can accept from all senders
 }
 
-// emit passes an event to the observer, which the caller has checked to be set.
+// emit passes an event to the observer, which must be set.
 func (r *Router) emit(event Event) {
 	if r.stepTime == 0 { // all events of one step have the same time
 		r.stepTime = r.cfg.Clock()
@@ -109,7 +110,8 @@
 	}
 }
 
-// observeDecision emits a decision on a request, completing event. An empty server means the request's first choice.
+// observeDecision fills in event with a decision on a request and emits it. An empty server means the request's first
+// choice.
 func (r *Router) observeDecision(kind Kind, call *callState, server string, reason threadglade.Reason, event Event) {
 	if r.cfg.Observer == nil {
 		return
@@ -127,7 +129,7 @@
 	r.emit(event)
 }
 
-// observeHeld emits Held if the request of an event waits after it.
+// observeHeld emits Held if the request that an event concerns is waiting after the event.
 func (r *Router) observeHeld(event threadglade.Event) {
 	id := ""
 	switch e := event.(type) {
--- a/router/observer_test.go
+++ b/router/observer_test.go
@@ -13,10 +13,11 @@
 // recordingObserver is an observer that records its events as text.
 type recordingObserver struct{ events []string }
 
-var kindNames = map[Kind]string{Arrived: "arrived", Sent: "sent", AttemptEnded: "attempt ended", Established: "stood",
-	Refused: "refused", Failed: "failed", CallerLeft: "left", OrphanedCall: "ghost", Ended: "ended", Closed: "over",
-	UnknownServerRelease: "orphan", UnknownCallerRelease: "stray",
-	Listed: "listed", AgentsReported: "reported", Held: "held", Withdrawn: "withdrawn"}
+var kindNames = map[Kind]string{Arrived: "arrived", Sent: "sent", AttemptEnded: "attempt ended",
+	Established: "established", Refused: "refused", Failed: "failed", CallerLeft: "caller left",
+	OrphanedCall: "orphaned", Ended: "ended", Closed: "closed",
+	UnknownServerRelease: "unknown server release", UnknownCallerRelease: "unknown caller release",
+	Listed: "listed", AgentsReported: "agents reported", Held: "held", Withdrawn: "withdrawn"}
 
 func (w *recordingObserver) Observe(e Event) {
 	text := kindNames[e.Kind] + " " + e.Call
@@ -40,30 +41,31 @@
 	r.Answered("a", 0, nil)
 	r.Ended("a", 0, threadglade.Concluded, 0)
 	r.Ended("a", 0, threadglade.Concluded, 0)
-	require.Equal(t, []string{"stood a", "ended a 0", "over a"}, w.take())
+	require.Equal(t, []string{"established a", "ended a 0", "closed a"}, w.take())
 	r.Arrive(d, d.request("b", *now+time.Second))
 	r.Cancel(d, "b")
-	require.Equal(t, []string{"arrived b", "sent b s0", "left b", "attempt ended b 6", "over b"}, w.take())
+	require.Equal(t, []string{"arrived b", "sent b s0", "caller left b", "attempt ended b 6", "closed b"}, w.take())
 	r.Arrive(d, d.request("c", *now+time.Second))
 	r.UnmatchedRelease("c", threadglade.Concluded)
-	require.Equal(t, []string{"arrived c", "sent c s0", "ghost c", "failed c", "attempt ended c 6", "over c"}, w.take())
+	require.Equal(t,
+		[]string{"arrived c", "sent c s0", "orphaned c", "failed c", "attempt ended c 6", "closed c"}, w.take())
 	r.UnmatchedRelease("y", threadglade.Cut)
 	r.UnmatchedRelease("y", threadglade.Cut)
 	r.Release("z")
 	r.Release("a")
-	require.Equal(t, []string{"orphan y", "stray z"}, w.take())
+	require.Equal(t, []string{"unknown server release y", "unknown caller release z"}, w.take())
 	r.Arrive(d, d.request("e", *now+time.Second))
 	*now += 2 * time.Second
 	r.Tick()
-	require.Equal(t, "over e", w.events[len(w.events)-1])
+	require.Equal(t, "closed e", w.events[len(w.events)-1])
 	w.take()
 	r.ReportAgents(threadglade.Agents{Server: "s0", Free: 1, Total: 2})
 	r.UpdateServers(threadglade.ServerList{Delta: true, Servers: []threadglade.Server{{ID: "s0", State: threadglade.Draining}}})
-	require.Equal(t, []string{"reported  s0", "listed  s0"}, w.take())
+	require.Equal(t, []string{"agents reported  s0", "listed  s0"}, w.take())
 	r.cfg.Admit = func(Request) (threadglade.Reason, time.Duration) { return threadglade.Unbillable, time.Second }
 	d.take()
 	r.Arrive(d, d.request("f", *now+time.Second))
-	require.Equal(t, []string{"arrived f", "refused f", "over f"}, w.take())
+	require.Equal(t, []string{"arrived f", "refused f", "closed f"}, w.take())
 	require.Equal(t, []string{"refused f"}, d.take())
 	require.Zero(t, r.OpenRequests())
 }
--- a/router/router.go
+++ b/router/router.go
@@ -28,7 +28,7 @@
 	// has not answered. Fronts set deadlines early enough for this still to be in time.
 	overdueDelay = 5 * time.Millisecond
 	// drainGraceMargin is subtracted from the period in which a draining server may still be sent new attempts,
-	// because the server judges an attempt by when it arrives.
+	// because what counts at the server is when an attempt arrives.
 	drainGraceMargin = 100 * time.Millisecond
 	// endedCallTTL is how long the ID of an ended call is remembered, so that late and repeated messages do no harm.
 	endedCallTTL = 30 * time.Second
@@ -36,8 +36,8 @@
 	// IDs are forgotten early only in a flood of them.
 	maxEndedCalls = 20_000
 	// maxUnexpectedReleases bounds the releases per second of calls unknown here that are passed on to servers.
-	// Releases of calls of an earlier incarnation are few, and clients that invent IDs must not cause work at the
-	// servers.
+	// There are few releases of calls of an earlier process of this router, and clients that invent IDs must not
+	// cause work at the servers.
 	maxUnexpectedReleases = 50
 )
 
@@ -59,7 +59,7 @@
 	Description []byte        // description offered to the server; copied by the router
 	Deadline    time.Duration // when the final answer is due, on the router's clock
 	Destination int           // number of the server of first choice
-	Retry       bool          // the caller marked it as a repetition
+	Retry       bool          // the caller marked it as a repeated try
 
 	// The origin of the request as far as the front knows it, which is only passed to the observer and to Admit.
 	Caller   netip.Addr // network address of the caller
@@ -123,15 +123,15 @@
 	Trunk    Trunk
 	Log      zerolog.Logger // the zero value logs nothing
 	// OnUnknownServerRelease, if set, is called when a server releases a call that this router never knew, which
-	// is one of an earlier incarnation.
+	// belongs to an earlier process of the router.
 	OnUnknownServerRelease func(id string, outcome threadglade.Outcome)
 	// OnUnknownCallerRelease, if set, is called when a caller releases a call that this router never knew.
 	OnUnknownCallerRelease func(id string)
 	// Observer, if set, receives the router's events. Without one they cost nothing.
 	Observer Observer
-	// Admit, if set, is called for each request after the observer has received it and before the Controller
-	// does. If it returns a reason, the request is refused at once, with the returned advice on when to retry
-	// (0: none). Admit never chooses a server.
+	// Admit, if set, is called for each request after its arrival was passed to the observer and before it is passed
+	// to the Controller. If it returns a reason, the request is refused at once, with the returned advice on when to
+	// retry (0: none). Admit never chooses a server.
 	Admit func(Request) (threadglade.Reason, time.Duration)
 	// Wake, if set, is called when a timer is set that is due before all others, on the goroutine that set it. An
 	// event loop that calls Next before it waits doesn't need it.
@@ -151,7 +151,7 @@
 	endedOrder         []endedEntry         // the entries of endedCalls, oldest first; some may be outdated
 	expiryScheduled    bool                 // a timerExpiry is set
 	unexpectedReleases int                  // allowed in the second that began at windowStart
-	foreignReleases    int                  // allowed beyond maxUnexpectedReleases, of calls of the old process
+	foreignReleases    int                  // allowed beyond maxUnexpectedReleases, of calls of another process
 	windowStart        time.Duration
 	counters           Counters
 	openRequests       atomic.Int64
@@ -201,7 +201,7 @@
 	retryNotBefore time.Duration // no retry attempt may be sent before then
 }
 
-// serverState is what the server list says of a server.
+// serverState is the state of a server according to the server list.
 type serverState struct {
 	state threadglade.ServerState
 	since time.Duration // when it was first listed in this state; Draining and Removed count as one
@@ -232,8 +232,9 @@
 	}, nil
 }
 
-// Change replaces the settings as a whole, in the Controller and here, for requests that arrive from now on. Open
-// requests keep theirs. If a setting is invalid, the error names it and nothing changes.
+// Change replaces the settings as a whole, in the Controller and here, for requests that arrive from now on. Requests
+// in progress keep those that were in force when they arrived. If a setting is invalid, the error names it and nothing
+// changes.
 func (r *Router) Change(settings threadglade.Settings) error {
 	if err := settings.Validate(); err != nil {
 		return err
@@ -249,8 +250,7 @@
 // Settings returns the settings in force. It must not be called concurrently with other methods.
 func (r *Router) Settings() threadglade.Settings { return *r.settings }
 
-// serialize calls run with data now, or after the steps that are being processed and queued. data is copied if it
-// has to wait.
+// serialize calls run with data at once if no step is being processed. Otherwise it queues run with a copy of data.
 func (r *Router) serialize(data []byte, run func([]byte)) {
 	r.mu.Lock()
 	if r.busy {
@@ -311,7 +311,7 @@
 	})
 }
 
-// Cancel records that the caller has given the request up, so that it gets no answer. If front is not nil, only a
+// Cancel records that the caller has given the request up, so that no answer is sent. If front is not nil, only a
 // request of that front is affected.
 func (r *Router) Cancel(front Front, id string) {
 	r.serialize(nil, func([]byte) {
@@ -325,7 +325,7 @@
 	})
 }
 
-// Abandon fails a request whose front can't wait any longer for the answer, as if its deadline had passed.
+// Abandon fails a request as if its deadline had passed, because its front can't wait any longer for the answer.
 func (r *Router) Abandon(front Front, id string) {
 	r.serialize(nil, func([]byte) {
 		if call := r.calls[id]; call != nil && !call.settled && call.front == front {
@@ -337,8 +337,8 @@
 	})
 }
 
-// Release records that the caller has released an established call. A call that this router never knew is one of an
-// earlier incarnation and is passed to Config.OnUnknownCallerRelease, once.
+// Release records that the caller has released an established call. A call that this router never knew belongs to an
+// earlier process of the router and is passed to Config.OnUnknownCallerRelease, once.
 func (r *Router) Release(id string) {
 	r.serialize(nil, func([]byte) {
 		call := r.calls[id]
@@ -360,37 +360,37 @@
 }
 
 // RelinquishEstablished removes all established calls, which another router takes over, and returns their IDs.
-// Neither callers nor servers are notified of it. Pending set-ups continue.
+// Neither callers nor servers are notified. Pending set-ups continue.
 func (r *Router) RelinquishEstablished() []string {
 	return r.relinquish(func(c *callState) bool { return c.established })
 }
 
 // RelinquishAll removes all calls, which another router takes over, and returns the IDs of the established ones.
-// Requests without a final answer are refused and pending attempts given up; of established calls neither callers
+// Requests without a final answer are refused and pending attempts given up. For established calls, neither callers
 // nor servers are notified. The owner of the trunk has to make it drop its calls in the same step. RelinquishAll
 // must not be called concurrently with other methods, nor from within them.
 func (r *Router) RelinquishAll() []string { return r.relinquish(func(*callState) bool { return true }) }
 
-// relinquish removes the calls that selects is true for and returns the IDs of the established ones.
-func (r *Router) relinquish(selects func(*callState) bool) (established []string) {
+// relinquish removes the calls for which selected returns true and returns the IDs of the established ones.
+func (r *Router) relinquish(selected func(*callState) bool) (established []string) {
 	r.serialize(nil, func([]byte) {
 		for _, id := range slices.Sorted(maps.Keys(r.calls)) {
 			call := r.calls[id]
 			switch {
-			case call == nil || !selects(call):
+			case call == nil || !selected(call):
 			case call.established:
 				r.counters.Ceded++
 				established = append(established, id)
 				r.observeCall(Relinquished, call)
 				r.endAttempt(call, threadglade.Cancelled, threadglade.CauseNone, false)
-				delete(r.endedCalls, id) // its release may still arrive here, then as one of another router's call
+				delete(r.endedCalls, id) // if its release arrives here, it is processed as one of an unknown call
 			case !call.settled:
 				r.settle(call)
 				r.sendRefusal(call, 0, threadglade.TakenOver)
 				r.notifyController(threadglade.CallerGone{Call: id})
 				if call.pending {
-					// The Controller has to be notified of its end, too: a server in probation by this attempt
-					// would stay so.
+					// The Controller has to be notified of the attempt's end, too. Otherwise a server that this
+					// attempt put on probation would stay on probation.
 					r.cfg.Trunk.GiveUp(call.attempt)
 					r.endAttempt(call, threadglade.Cancelled, threadglade.CauseNone, false)
 				}
@@ -400,8 +400,8 @@
 	return established
 }
 
-// Forget drops the record of an ended call whose end was not delivered to anybody, so that a later release of it is
-// processed as one of an unknown call.
+// Forget drops the record of an ended call whose release or answer could not be sent, so that a later release of it
+// is processed as one of an unknown call.
 func (r *Router) Forget(id string) { r.serialize(nil, func([]byte) { delete(r.endedCalls, id) }) }
 
 // allowUnexpectedRelease counts a release of an unknown call and reports whether it may be passed on to the servers.
@@ -418,7 +418,8 @@
 	return r.unexpectedReleases <= maxUnexpectedReleases
 }
 
-// AllowForeignReleases allows that many releases of calls of another process beyond maxUnexpectedReleases.
+// AllowForeignReleases allows the given number of releases of another process's calls in addition to
+// maxUnexpectedReleases.
 func (r *Router) AllowForeignReleases(calls int) {
 	r.serialize(nil, func([]byte) { r.foreignReleases += calls })
 }
@@ -439,15 +440,15 @@
 	r.removeIfDone(call)
 }
 
-// failOverdue is the backstop of the rule that each request gets its final answer in time. It fails a request
-// that the Controller has not answered.
+// failOverdue fails a request that the Controller has not answered. It is the backstop of the rule that each request
+// gets its final answer in time.
 func (r *Router) failOverdue(call *callState) {
 	if call.settled {
 		return
 	}
 	r.counters.Overdue++
 	r.cfg.Log.Error().Str("event", "request_overdue").Str("call", call.ID).
-		Msgf("request %s: no answer by its deadline, failed here", call.ID)
+		Msgf("request %s failed: the controller did not answer it by its deadline", call.ID)
 	r.observeDecision(Failed, call, call.attempt.Server, threadglade.OutOfTime, Event{Failure: DeadlineExceeded})
 	call.front.Failed(call.ID, DeadlineExceeded)
 	r.withdraw(call)
@@ -595,8 +596,8 @@
 
 // UnmatchedRelease records that a server released a call that is not established there as far as the trunk knows.
 // If the request is still unanswered, the server's answer was lost or malformed: the call was established there
-// and has ended, so the request fails rather than being sent again. A call that was never known is one of an
-// earlier incarnation and is passed to Config.OnUnknownServerRelease.
+// and has ended, so the request fails rather than being sent again. A call that was never known belongs to an
+// earlier process of the router and is passed to Config.OnUnknownServerRelease.
 func (r *Router) UnmatchedRelease(id string, outcome threadglade.Outcome) {
 	r.serialize(nil, func([]byte) {
 		if call := r.calls[id]; call != nil {
@@ -619,8 +620,8 @@
 	})
 }
 
-// endAttempt ends the current attempt, pending or established. The request itself is over if it already had its
-// final answer, which established calls have; the simulator does the same.
+// endAttempt ends the current attempt, pending or established. The request itself ends with it if it already had its
+// final answer, as that of an established call had. The simulator does the same.
 func (r *Router) endAttempt(call *callState, outcome threadglade.Outcome, cause threadglade.Cause, notifyFront bool) {
 	now := r.cfg.Clock()
 	if outcome == threadglade.TimedOut || outcome == threadglade.Cut || outcome == threadglade.Cancelled {
@@ -644,7 +645,8 @@
 	r.removeIfDone(call)
 }
 
-// removeIfDone removes a request that has its final answer and no attempt any more from the table.
+// removeIfDone removes a request from the table once it has its final answer and no attempt is pending or
+// established.
 func (r *Router) removeIfDone(call *callState) {
 	if call.settled && !call.pending && !call.established && r.calls[call.ID] == call && mutant != "table-leak" {
 		delete(r.calls, call.ID)
@@ -739,13 +741,13 @@
 	}
 }
 
-// callController passes an event to the Controller. It recovers a panic there, so that the process goes on;
-// requests that remain unanswered because of it are failed by failOverdue.
+// callController passes an event to the Controller. It recovers from a panic there, so that the process continues to
+// run. Requests that remain unanswered because of the panic are failed by failOverdue.
 func (r *Router) callController(event threadglade.Event) (actions []threadglade.Action) {
 	defer func() {
 		if fault := recover(); fault != nil {
 			r.counters.Faults++
-			r.cfg.Log.Error().Str("event", "controller_failed").Msgf("controller failed on %T: %v", event, fault)
+			r.cfg.Log.Error().Str("event", "controller_failed").Msgf("controller panicked on %T: %v", event, fault)
 		}
 	}()
 	if _, isEnded := event.(threadglade.Ended); isEnded && mutant == "panic" {
@@ -787,7 +789,7 @@
 	r.removeIfDone(call)
 }
 
-// settle records that the request gets no other answer.
+// settle records that the request gets no further answer.
 func (r *Router) settle(call *callState) {
 	call.settled = true
 	if mutant != "miscount" {
@@ -801,7 +803,7 @@
 	if call == nil || call.settled || call.pending {
 		r.counters.Stopped++
 		r.cfg.Log.Error().Str("event", "send_stopped").Str("call", action.Call).Str("server", action.Server).
-			Msgf("send of %s to %s stopped: the request is over or has an attempt out", action.Call, action.Server)
+			Msgf("send of %s to %s stopped: the request has ended or an attempt is pending", action.Call, action.Server)
 		return
 	}
 	now := r.cfg.Clock()
@@ -837,21 +839,21 @@
 	}
 }
 
-// sendViolation describes the rule that sending the call's current attempt to a server would break; empty if
-// none. The attempt has already been counted.
+// sendViolation returns why the call's current attempt must not be sent to a server, or "" if it may be. The attempt
+// has already been counted.
 func (r *Router) sendViolation(call *callState, serverID string, now time.Duration) string {
 	server := r.servers[serverID]
 	switch {
 	case server == nil:
-		return "the server was never listed"
+		return "the server is not in the server list"
 	case server.state != threadglade.Up && now-server.since > r.settings.Rules.DrainGrace-drainGraceMargin:
-		return "the server drains or is gone"
+		return "the server is draining or removed"
 	case call.attempts > call.settings.Limits.MaxAttempts:
-		return "no attempt is left"
+		return "the maximum number of attempts is reached"
 	case now < call.retryNotBefore:
-		return "the last attempt may still hold something"
+		return "the previous attempt may still occupy resources"
 	case now >= call.Deadline:
-		return "its time is up"
+		return "the deadline of the request has passed"
 	}
 	return ""
 }
@@ -877,7 +879,7 @@
 type timerKind uint8
 
 const (
-	timerExternal   timerKind = iota // set by Schedule
+	timerExternal   timerKind = iota // calls the callback given to Schedule
 	timerOverdue                     // fails a request that the Controller did not answer in time
 	timerAttempt                     // times out an attempt
 	timerController                  // passes a Due to the Controller
@@ -925,7 +927,7 @@
 	return last
 }
 
-// Schedule makes Tick call callback at a time on the router's clock, or soon after.
+// Schedule makes Tick call callback at the given time on the router's clock, or soon after.
 func (r *Router) Schedule(at time.Duration, callback func()) {
 	r.addTimer(timer{at: at, callback: callback})
 }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -10,13 +10,13 @@
 	"threadglade.example/threadglade"
 )
 
-// recorder is a front and a trunk that record the calls of their methods.
+// recorder is a front and a trunk that record the calls of their methods as text.
 type recorder struct{ calls []string }
 
 func (d *recorder) note(format string, args ...any) {
 	d.calls = append(d.calls, fmt.Sprintf(format, args...))
 }
-func (d *recorder) Established(id string, b []byte)           { d.note("stood %s %s", id, b) }
+func (d *recorder) Established(id string, b []byte)           { d.note("established %s %s", id, b) }
 func (d *recorder) Refused(id string, _ time.Duration)        { d.note("refused %s", id) }
 func (d *recorder) Failed(id string, why Failure)             { d.note("failed %s %d", id, why) }
 func (d *recorder) Released(id string, _ threadglade.Outcome) { d.note("released %s", id) }
@@ -49,8 +49,8 @@
 		before func(r *Router, now *time.Duration)
 		server string
 	}{
-		"two at once": {func(*Router, *time.Duration) {}, "s1"},
-		"before the release": {func(r *Router, now *time.Duration) {
+		"two attempts at once": {func(*Router, *time.Duration) {}, "s1"},
+		"before the release wait": {func(r *Router, now *time.Duration) {
 			r.Ended("a", 0, threadglade.Cut, 0)
 			*now += 199 * time.Millisecond
 		}, "s0"},
@@ -67,16 +67,16 @@
 			r.Ended("a", 0, threadglade.Cut, 0)
 			*now += 450 * time.Millisecond
 		}, "s1"},
-		"a seventh": {func(r *Router, now *time.Duration) {
+		"a seventh attempt": {func(r *Router, now *time.Duration) {
 			r.Ended("a", 0, threadglade.Cut, 0)
 			*now += time.Second
 			r.calls["a"].attempts = 6
 		}, "s0"},
-		"too late": {func(r *Router, now *time.Duration) {
+		"after the deadline": {func(r *Router, now *time.Duration) {
 			r.Ended("a", 0, threadglade.Cut, 0)
 			*now += 3 * time.Second
 		}, "s0"},
-		"answered": {func(r *Router, now *time.Duration) {
+		"an answered call": {func(r *Router, now *time.Duration) {
 			r.Answered("a", 0, nil)
 			r.Ended("a", 0, threadglade.Concluded, 0)
 		}, "s0"},
@@ -122,7 +122,7 @@
 		copy(b, "two")
 		require.Empty(t, d.calls)
 	})
-	require.Equal(t, []string{"stood a one"}, d.take())
+	require.Equal(t, []string{"established a one"}, d.take())
 	r.Answered("a", 0, b)
 	r.Cancel(d, "a")
 	require.Empty(t, d.take())
@@ -154,7 +154,7 @@
 	require.Empty(t, r.calls)
 	require.Equal(t, 0, r.OpenRequests())
 	r.RelinquishAll()
-	require.Empty(t, d.take(), "once")
+	require.Empty(t, d.take(), "notified a second time")
 }
 
 // RelinquishEstablished notifies neither callers nor servers of the calls, treats their later releases as those
@@ -171,7 +171,7 @@
 	r.UnmatchedRelease("a", threadglade.Concluded)
 	require.Equal(t, []string{"a"}, orphans)
 	r.Answered("b", 0, nil)
-	require.Equal(t, []string{"stood b "}, d.take())
+	require.Equal(t, []string{"established b "}, d.take())
 	view, _ := r.controller.View("s0")
 	require.Zero(t, view.InFlight)
 }
