--- a/api.go
+++ b/api.go
@@ -57,22 +57,23 @@
 // Rules holds the parameters of the rules that every decision has to keep.
 type Rules struct {
 	ReleaseWait      time.Duration // minimum delay of a retry attempt after a time-out, a cut or a cancellation
-	DrainGrace       time.Duration // time after which a server that drains or was removed must get no calls
-	ColdCapacity     float64       // fraction of its capacity that a server has at least when it starts
+	DrainGrace       time.Duration // how long after its drain or removal began a server may still be sent calls
+	ColdCapacity     float64       // minimum fraction of its full capacity that a server has when it starts
 	WarmUpTime       time.Duration // time after its start by which a server has its full capacity
-	CollapseMultiple float64       // load above this multiple of its current capacity
-	CollapseWindow   time.Duration // for this long makes a cold server collapse
+	CollapseMultiple float64       // a cold server collapses under a load above this multiple of its current capacity
+	CollapseWindow   time.Duration // that lasts for this long
 }
 
 // Callers describes how callers behave.
 type Callers struct {
-	MarkRetries bool // a repeated try is marked as one
+	MarkRetries bool // callers mark repeated tries (see Arrival.Retry)
 }
 
 // Event is an input of the Controller. Events that do not fit its state are ignored.
 type Event interface{ event() }
 
-// ServerList reports servers: all of them, with Delta only those whose entry changed, with Failed none.
+// ServerList reports the state of servers. It lists all of them, or with Delta only those whose entry changed. With
+// Failed it lists none.
 type ServerList struct {
 	Delta   bool
 	Stored  bool // the list was stored before a restart and may be out of date
@@ -85,7 +86,7 @@
 	ID      string
 	Number  int // destination number; several servers may share one
 	State   ServerState
-	Started time.Duration // clock time of the latest start; 0: long past
+	Started time.Duration // clock time of the latest start; 0: so long ago that the server is warm
 }
 
 // ServerState is the state of a server according to the server list.
@@ -147,7 +148,7 @@
 // Cause refines a rejection or a fault.
 type Cause int
 
-// Causes that come with some outcomes.
+// Causes of rejections and faults.
 const (
 	CauseNone          Cause = iota
 	CauseNoAgent             // the server has no free agent
@@ -195,7 +196,7 @@
 	return f.Remaining >= 0
 }
 
-// Care has this proxy avoid a server because of what all proxies together know of it. It only ever adds to the
+// Care makes this proxy avoid a server because of what all proxies together know about it. It can only add to the
 // restrictions that follow from this proxy's own observations.
 type Care struct {
 	Server  string
@@ -264,7 +265,7 @@
 // Reason is why an action was taken. The numbers are stored in trace files.
 type Reason int
 
-// Reasons. Those from Gapped to NoServer say why the first-choice server did not take the call.
+// Reasons. Those from Gapped to NoServer are the reasons why the first-choice server did not take the call.
 const (
 	NoReason       Reason = iota
 	FirstChoice           // sent to the server that the call names
@@ -286,9 +287,9 @@
 	CallFaulted           // several servers reported a fault for this call
 	NoRetryAttempt        // no retry attempt is permitted, or it would come too late
 	Overtaken             // a later set-up was answered first: this one was lost
-	Unbillable            // refused by the proxy before any decision of the Controller
-	OverLimit             // likewise, by a limit of the whole fleet
-	SharedVerdict         // all proxies together found the server unfit
-	Avoided               // sent to another server because of such a verdict
+	Unbillable            // refused by the proxy before the Controller saw it: it could not have been billed
+	OverLimit             // refused by the proxy before the Controller saw it: a limit of the whole fleet was reached
+	SharedVerdict         // the first-choice server is avoided on behalf of all proxies (see Care)
+	Avoided               // sent to another server for that reason
 	TakenOver             // another proxy took over this proxy's calls
 )
--- a/clone.go
+++ b/clone.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// This file copies a Controller, so that a model checker can try every order of events from one state. Copying must
-// not change the original.
+// This file copies a Controller, so that a model checker can explore every order of events from one state. Copying
+// must not change the original.
 
 // randomness is the random number generator of a Controller, with its state so that a clone can continue from it.
 type randomness struct {
@@ -20,11 +20,11 @@
 	return randomness{rand.New(pcg), pcg}
 }
 
-func (d randomness) clone() randomness {
-	if d.pcg == nil {
-		return d
+func (r randomness) clone() randomness {
+	if r.pcg == nil {
+		return r
 	}
-	pcg := *d.pcg
+	pcg := *r.pcg
 	return randomness{rand.New(&pcg), &pcg}
 }
 
@@ -56,7 +56,7 @@
 		}
 		duplicate := *call
 		calls[call] = &duplicate
-		duplicate.countedAt, duplicate.server = copyServer(call.countedAt), copyServer(call.server)
+		duplicate.countedBy, duplicate.server = copyServer(call.countedBy), copyServer(call.server)
 		return &duplicate
 	}
 	copied.random, copied.actions = c.random.clone(), nil
--- a/clone_test.go
+++ b/clone_test.go
@@ -49,7 +49,7 @@
 			}
 		}
 		if !maps.Equal(busy, c.busyNumbers) {
-			w.run.t.Fatalf("at %v a clone changes the busy numbers of the original", now)
+			w.run.t.Fatalf("at %v a clone changed the busy numbers of the original", now)
 		}
 	}
 }
@@ -66,25 +66,25 @@
 	for name, set := range map[string]Settings{"two": settings(), "tenants": tenants, "guarded": guarded,
 		"unmarked": unmarked} {
 		for seed := range uint64(3) {
-			plain := runRandomEvents(t, set, seed)
-			w := &cloneChecker{random: rand.New(rand.NewPCG(seed, 9))}
-			followed := runObservedEvents(t, set, seed, func(x *randomRun, e Event) func([]Action) {
-				w.run = x
-				w.beforeEvent(e)
-				twin := w.clone.Handle(x.now, e)
+			uncloned := runRandomEvents(t, set, seed)
+			checker := &cloneChecker{random: rand.New(rand.NewPCG(seed, 9))}
+			cloned := runObservedEvents(t, set, seed, func(run *randomRun, e Event) func([]Action) {
+				checker.run = run
+				checker.beforeEvent(e)
+				cloneActions := checker.clone.Handle(run.now, e)
 				return func(actions []Action) {
-					if have, want := fmt.Sprintf("%#v", twin), fmt.Sprintf("%#v", actions); have != want {
-						t.Fatalf("%s %d: at %v %#v makes the clone return\n%s\nand the original\n%s",
-							name, seed, x.now, e, have, want)
+					if have, want := fmt.Sprintf("%#v", cloneActions), fmt.Sprintf("%#v", actions); have != want {
+						t.Fatalf("%s %d: at %v, for %#v the clone returns\n%s\nand the original\n%s",
+							name, seed, run.now, e, have, want)
 					}
 				}
 			})
-			if len(plain) != len(followed) {
+			if len(uncloned) != len(cloned) {
 				t.Fatalf("%s %d: cloning changes the original", name, seed)
 			}
-			for i := range plain {
-				if plain[i] != followed[i] {
-					t.Fatalf("%s %d: cloning changes the original: %s is %s", name, seed, plain[i], followed[i])
+			for i := range uncloned {
+				if uncloned[i] != cloned[i] {
+					t.Fatalf("%s %d: cloning changed the original: got %s, want %s", name, seed, cloned[i], uncloned[i])
 				}
 			}
 		}
--- a/coldstart_test.go
+++ b/coldstart_test.go
@@ -22,8 +22,8 @@
 	agentsDelay     time.Duration             // from the notification until the report of agents
 }
 
-// run simulates the warm-up of a server. It returns the set-ups and the budget of the window that comes closest to
-// its budget or exceeds it most, and the total of set-ups.
+// run simulates the warm-up of a server. It returns the number of set-ups and the budget of the window that comes
+// closest to its budget or exceeds it most, and the total number of set-ups.
 func (f coldFleet) run(t *testing.T, seed uint64) (worst int, budget float64, total int) {
 	t.Helper()
 	const tick = 2 * ms
@@ -39,58 +39,58 @@
 		return l
 	}
 	all := make([]*Controller, f.proxies)
-	knows := make([]bool, f.proxies)
-	sized := make([]bool, f.proxies)
-	sum := make([]float64, f.proxies)
-	begin := func(i int, now time.Duration) {
+	notified := make([]bool, f.proxies)
+	agentsReported := make([]bool, f.proxies)
+	cumulativeShares := make([]float64, f.proxies)
+	startProxy := func(i int, now time.Duration) {
 		set.Index = i
 		c, err := New(set, random.Uint64())
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Handle(now, list(knows[i]))
-		all[i], sized[i] = c, false
+		c.Handle(now, list(notified[i]))
+		all[i], agentsReported[i] = c, false
 	}
 	shares := 0.0
 	for i := range all {
-		begin(i, start)
+		startProxy(i, start)
 		shares += f.shares(i)
-		sum[i] = shares
+		cumulativeShares[i] = shares
 	}
 	warm := float64(f.agents) / 5 // calls a second, at a mean holding time of 5 s
-	part := func(at time.Duration) float64 {
+	capacityFraction := func(at time.Duration) float64 {
 		return set.Rules.ColdCapacity +
 			(1-set.Rules.ColdCapacity)*max(0, (at-start).Seconds())/set.Rules.WarmUpTime.Seconds()
 	}
 	var sent []time.Duration
-	n, over, next := 0, math.Inf(-1), start+f.restartEvery
+	lastID, maxExcess, nextRestart := 0, math.Inf(-1), start+f.restartEvery
 	for now := start; now < start+set.Rules.WarmUpTime; now += tick {
 		for i, c := range all {
-			if !knows[i] && now >= start+f.notifyDelay(i) {
-				knows[i] = true
+			if !notified[i] && now >= start+f.notifyDelay(i) {
+				notified[i] = true
 				c.Handle(now, list(true))
 			}
-			if knows[i] && !sized[i] && now >= start+f.notifyDelay(i)+f.agentsDelay {
-				sized[i] = true
+			if notified[i] && !agentsReported[i] && now >= start+f.notifyDelay(i)+f.agentsDelay {
+				agentsReported[i] = true
 				c.Handle(now, Agents{Server: "cold", Free: f.agents, Total: f.agents})
 			}
 		}
-		if f.restartEvery > 0 && now >= next {
-			next += f.restartEvery
-			begin(random.IntN(f.proxies), now)
+		if f.restartEvery > 0 && now >= nextRestart {
+			nextRestart += f.restartEvery
+			startProxy(random.IntN(f.proxies), now)
 		}
-		due := f.load((now - start).Seconds()) * warm * tick.Seconds()
-		calls := int(due)
-		if random.Float64() < due-float64(calls) {
+		expectedCalls := f.load((now - start).Seconds()) * warm * tick.Seconds()
+		calls := int(expectedCalls)
+		if random.Float64() < expectedCalls-float64(calls) {
 			calls++
 		}
 		for range calls {
 			at, i := random.Float64()*shares, 0
-			for sum[i] < at {
+			for cumulativeShares[i] < at {
 				i++
 			}
-			n++
-			id := fmt.Sprint(n)
+			lastID++
+			id := fmt.Sprint(lastID)
 			for _, a := range all[i].Handle(now, Arrival{Call: id, Class: "plain", Number: id,
 				TimeLeft: 3 * time.Second, Destination: 1}) {
 				if a, ok := a.(Send); ok {
@@ -106,17 +106,17 @@
 			sent = sent[1:]
 		}
 		from := max(start, now-set.Rules.CollapseWindow)
-		allowed := f.multiple * warm * (part(from) + part(from+set.Rules.CollapseWindow)) / 2 *
+		allowed := f.multiple * warm * (capacityFraction(from) + capacityFraction(from+set.Rules.CollapseWindow)) / 2 *
 			set.Rules.CollapseWindow.Seconds()
-		if by := float64(len(sent)) - allowed; by > over {
-			over, worst, budget = by, len(sent), allowed
+		if excess := float64(len(sent)) - allowed; excess > maxExcess {
+			maxExcess, worst, budget = excess, len(sent), allowed
 		}
 	}
 	return worst, budget, total
 }
 
 func evenly(int) float64                 { return 1 }
-func unevenly(i int) float64             { return 1 / float64(1+i) } // a few get several times the mean
+func unevenly(i int) float64             { return 1 / float64(1+i) } // a few proxies get several times the mean
 func constantLoad(float64) float64       { return 3 }
 func noDelay(int) time.Duration          { return 0 }
 func staggeredDelay(i int) time.Duration { return time.Duration(i*7%13) * 300 * ms } // by up to 3.6 s
@@ -130,17 +130,17 @@
 // TestColdBudgetOfTheFleet checks that the set-ups that all proxies send a cold server within any window stay
 // within its budget N plus 2√N + 2, for any number of proxies and distribution of calls, after idle times, with
 // delayed notification and with restarts of proxies. In practice they are far fewer: the turns of this window and
-// the previous one amount to 2 · coldBudgetFraction · N + 1 (docs/design.md).
+// the previous one are 2 · coldBudgetFraction · N + 1 set-ups (docs/design.md).
 func TestColdBudgetOfTheFleet(t *testing.T) {
 	fleets := map[string]coldFleet{
-		"flooded":            {shares: evenly, load: constantLoad, notifyDelay: noDelay},
-		"flooded unevenly":   {shares: unevenly, load: constantLoad, notifyDelay: noDelay},
-		"told late":          {shares: evenly, load: constantLoad, notifyDelay: staggeredDelay},
+		"overload":           {shares: evenly, load: constantLoad, notifyDelay: noDelay},
+		"uneven overload":    {shares: unevenly, load: constantLoad, notifyDelay: noDelay},
+		"notified late":      {shares: evenly, load: constantLoad, notifyDelay: staggeredDelay},
 		"idle first":         {shares: evenly, load: idleFirst, notifyDelay: noDelay},
-		"idle, told late":    {shares: unevenly, load: idleFirst, notifyDelay: staggeredDelay},
+		"idle, late notice":  {shares: unevenly, load: idleFirst, notifyDelay: staggeredDelay},
 		"restarted":          {shares: evenly, load: constantLoad, notifyDelay: noDelay, restartEvery: 40 * ms},
 		"idle and restarted": {shares: evenly, load: idleFirst, notifyDelay: staggeredDelay, restartEvery: 40 * ms},
-		"size told late":     {shares: evenly, load: constantLoad, notifyDelay: staggeredDelay, agentsDelay: 100 * ms},
+		"late agent reports": {shares: evenly, load: constantLoad, notifyDelay: staggeredDelay, agentsDelay: 100 * ms},
 	}
 	for name, fleet := range fleets {
 		t.Run(name, func(t *testing.T) {
@@ -158,13 +158,13 @@
 						if fleet.agentsDelay == 0 &&
 							float64(sent) > 2*min(coldBudgetFraction, 1/fleet.multiple)*budget+2 {
 							t.Errorf("%d proxies, %d agents, multiple %v, seed %d: "+
-								"%d set-ups in a window, more than the turns of two windows, %.1f",
+								"%d set-ups in a window, more than the %.1f turns of two windows",
 								fleet.proxies, fleet.agents, fleet.multiple, seed, sent,
 								2*min(coldBudgetFraction, 1/fleet.multiple)*budget+2)
 						}
 						// In 10 s 0.7 · (0.25 + 1) / 2 · 10 s · agents / 5 s may be sent. Proxies with less than a
 						// call a second miss turns.
-						if name == "flooded" && fleet.agents >= 10*fleet.proxies && total < fleet.agents*7/10 {
+						if name == "overload" && fleet.agents >= 10*fleet.proxies && total < fleet.agents*7/10 {
 							t.Errorf("%d proxies, %d agents, multiple %v: only %d set-ups in all",
 								fleet.proxies, fleet.agents, fleet.multiple, total)
 						}
--- a/controller.go
+++ b/controller.go
@@ -20,7 +20,7 @@
 	// maxSpanIntervals limits the intervals without answers that one rate change accounts for.
 	maxSpanIntervals = 10
 	// scarceSpacing is the spacing of admissions above which the latest answer alone decides whether a call
-	// would be late: there are too few answers for a rate to control the server.
+	// would be late, because there are too few answers for an admission rate to control the server.
 	scarceSpacing = controlInterval / 2
 	// latencyMargin times the latest response time is the response time assumed for the next set-up.
 	latencyMargin = 1.5
@@ -50,15 +50,16 @@
 	lateAimFraction = 0.5
 	// maxServerFaults faults in a row start a cool-down of the server; fewer may be caused by the calls.
 	maxServerFaults = 3
-	// maxCallFaults faults are attributed to the call itself: another server would report the same.
+	// maxCallFaults faults of one call are attributed to the call itself: any other server would report a
+	// fault, too.
 	maxCallFaults = 2
-	// minLossRate is the fraction of lost set-ups from which any set-up that is pending for long is taken as
-	// lost.
+	// minLossRate is the fraction of lost set-ups from which on every set-up that is pending for long is
+	// taken as lost, even if no later one was answered.
 	minLossRate = 0.1
 	// forgetDelay is how long a removed server is remembered in case it comes back.
 	forgetDelay = time.Minute
-	// overdueAimFraction is the fraction of the aim after which a set-up without an answer blocks its server:
-	// a queue has to be detected long before it makes calls miss their aim.
+	// overdueAimFraction is the fraction of the aim after which a set-up without an answer blocks its server.
+	// It is small because a queue has to be detected long before it makes calls miss their aim.
 	overdueAimFraction = 0.2
 	// maxProbationSetUps answers in time end a probation. About as many set-ups are in flight at normal load.
 	maxProbationSetUps = 4
@@ -81,19 +82,19 @@
 	maxBusyNumbers = 1000
 	// maxShareFactor bounds one proxy's share to this multiple of an equal share, and to its reciprocal.
 	maxShareFactor = 4
-	// coldBudgetFraction is the fraction of the load at which a cold server collapses that the proxies send
-	// it together. As much may arrive one window late, and the rest absorbs differences between a server's
-	// capacity and what its agents suggest.
+	// coldBudgetFraction is how much of the load at which a cold server collapses all proxies together send
+	// it. The same amount may arrive one window late, and the rest absorbs differences between a server's
+	// capacity and the capacity that its number of agents suggests.
 	coldBudgetFraction = 0.35
 )
 
 const waitingTimerToken = 0 // token of the timer for waiting calls; timers of calls count from 1
 
 // Controller makes the decisions of one proxy. It is a deterministic state machine without goroutines, clock
-// or I/O. It must not be used by several goroutines at once. Its points in time are clock times as given
+// or I/O. It must not be used by several goroutines at once. Its points in time are clock times as passed
 // to Handle.
 type Controller struct {
-	settings           *Settings          // in force for new calls; older calls keep those they came under
+	settings           *Settings          // for new calls; calls in progress keep those of their arrival
 	classes            map[string]*Class  // by name
 	tenants            map[string]*tenant // by name
 	maxWorth           float64            // highest worth of a class
@@ -104,7 +105,7 @@
 	servers            []*serverState           // in the order in which they were first listed
 	byID               map[string]*serverState  // the same servers by their IDs
 	remembered         *serverState             // alternative server, kept while it takes calls; may be nil
-	redrawn            bool                     // remembered was drawn and no call sent to it since
+	redrawn            bool                     // no call was sent to remembered since it was drawn
 	calls              map[string]*callState    // calls in progress by their IDs
 	timers             map[int64]*callState     // calls whose timers are set, by the timers' tokens
 	lastToken          int64                    // token of the timer that was set last
@@ -114,12 +115,12 @@
 	busyNumbers        map[string]busyPeriod    // numbers whose lines were all busy
 	maxDeadline        time.Duration            // longest deadline of a class
 	meanHolding        time.Duration            // mean holding time over the classes
-	lastLateArrival    time.Duration            // when the latest late call came
+	lastLateArrival    time.Duration            // when the latest late call arrived
 	lossRate           float64                  // smoothed fraction of set-ups that a later one overtook
 	ownArrivals        meter                    // rate of first tries at this proxy
 	agentsInUse        int                      // reported agents with calls of any proxy, at all servers
 	totalAgents        int                      // reported agents, at all servers
-	coldDivided        bool                     // the load of cold servers is divided by ColdPart events
+	coldAssigned       bool                     // ColdPart events assign the load of cold servers
 	unassignedFraction float64                  // of a cold server's load, where no ColdPart names the server
 	retryBudget        Further                  // retry attempts that the proxies agreed on
 	waitingPollAt      time.Duration            // when the timer for waiting calls expires
@@ -137,8 +138,8 @@
 	inFlight         bool          // the latest attempt is unanswered
 	established      bool          // the latest attempt was answered and has not ended
 	closed           bool          // it has its final answer or is established, or its caller has gone
-	mayHaveRun       bool          // an attempt that has ended may have run at a server
-	countedAt        *serverState  // server that counted it last in its arrival rate; nil: none
+	mayHaveRun       bool          // a server may have processed an attempt that has ended
+	countedBy        *serverState  // server that counted it last in its arrival rate; nil: none
 	late             bool          // it is a repeated try or came after the end of its aim
 	aimEnd           time.Duration // end of its aim, counted from its first try
 	server           *serverState  // server of the latest attempt; nil: none sent yet
@@ -179,7 +180,7 @@
 	faults            int           // faults since its latest answer
 	removedAt         time.Duration // when it was first found removed; 0: listed
 	lastLatency       time.Duration // response time of its latest answer
-	answeredAt        time.Duration // when that answer came
+	answeredAt        time.Duration // when that answer arrived
 	probation         int           // set-ups in flight that probation permits; 0: not on probation
 	freeAgents        int           // as last reported
 	totalAgents       int           // as last reported
@@ -229,8 +230,8 @@
 	return c, nil
 }
 
-// Handle processes one event at a clock time and returns the resulting actions in order. A time before that
-// of an earlier event counts as that one's.
+// Handle processes one event at a clock time and returns the resulting actions in order. If now is before the
+// time of an earlier event, that time is used instead.
 func (c *Controller) Handle(now time.Duration, event Event) []Action {
 	c.now, c.actions = max(now, c.now), nil
 	c.closeIntervals()
@@ -307,7 +308,7 @@
 	if server := c.byID[part.Server]; server != nil && server.Started == part.Started {
 		server.coldFraction, server.coldFractionUntil = part.Fraction, part.Until
 	} else if part.Server == "" {
-		c.coldDivided, c.unassignedFraction = true, part.Fraction
+		c.coldAssigned, c.unassignedFraction = true, part.Fraction
 	}
 }
 
@@ -382,9 +383,9 @@
 	c.enqueue(call)
 }
 
-// aimFraction returns a part of the aim of the call's class.
-func (call *callState) aimFraction(part float64) time.Duration {
-	return time.Duration(part * float64(call.class.Aim))
+// aimFraction returns a fraction of the aim of the call's class.
+func (call *callState) aimFraction(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(call.class.Aim))
 }
 
 // value returns what the call may still earn. The worth of a tenant's calls is reduced while their rate at
@@ -427,9 +428,9 @@
 	}
 }
 
-// blockNumber keeps calls from a number whose lines were all busy, as they would take set-ups and earn
-// nothing. The period doubles each time, since with hundreds of proxies even one try each is a flood. It
-// costs calls where a line becomes free at once.
+// blockNumber has calls to a number refused for a while after all its lines were busy, as they would take up
+// set-ups and earn nothing. The period doubles each time, since with hundreds of proxies even one try each
+// is a flood. Calls are refused needlessly where a line becomes free at once.
 func (c *Controller) blockNumber(number string) {
 	if len(c.busyNumbers) >= maxBusyNumbers {
 		clear(c.busyNumbers)
@@ -442,8 +443,8 @@
 // countArrival counts the call in the arrival rate of a server, unless that server counted it last. It is
 // called for the first choice on arrival and for the server that the call is sent to.
 func (c *Controller) countArrival(call *callState, server *serverState) {
-	if call.countedAt != server {
-		call.countedAt = server
+	if call.countedBy != server {
+		call.countedBy = server
 		server.recordArrival(c.now)
 	}
 }
@@ -519,8 +520,8 @@
 	})
 }
 
-// handleEstablished evaluates the answer to a set-up and what it says about the server and about the set-ups
-// sent before.
+// handleEstablished records that a set-up was answered and updates what is known about the server and about
+// the set-ups that were sent to it before.
 func (c *Controller) handleEstablished(answer Stood) {
 	call := c.calls[answer.Call]
 	if call == nil || !call.inFlight || answer.Attempt != call.attempts-1 {
@@ -575,7 +576,8 @@
 }
 
 // recordFailure evaluates a set-up that ended unanswered: it may count as an overload rejection or a fault
-// and start a cool-down of the server. The time-out of a lost set-up says nothing about the server.
+// and start a cool-down of the server. The time-out of a lost set-up is ignored, as the server did not
+// cause it.
 func (c *Controller) recordFailure(call *callState, ended Ended) {
 	server := call.server
 	if call.lost && ended.Outcome == TimedOut {
@@ -595,11 +597,12 @@
 	}
 }
 
-// startCoolDown starts a cool-down of the server after a failed set-up: minCoolDown after the first in a row,
-// then a random time around twice the spacing of this proxy's calls, doubled with each failure. An overloaded
-// processor, above all one that receives waiting set-ups again, does no useful work until it is left alone,
-// and hundreds of proxies would each keep probing it. This also covers unresponsive, dead and faulty servers.
-// Where a server recovers at once, capacity is lost: all proxies probe it about once per minCoolDown.
+// startCoolDown starts a cool-down of the server after a failed set-up: minCoolDown after the first in a
+// row, then a random time around twice the spacing of this proxy's calls, doubled with each failure. An
+// overloaded processor, especially one to which waiting set-ups are sent again, does no useful work until it
+// is left alone, and hundreds of proxies would each keep probing it. The rule also covers unresponsive, dead
+// and faulty servers. Where a server recovers at once, capacity is lost: all proxies together probe it about
+// once per minCoolDown.
 func (c *Controller) startCoolDown(server *serverState) {
 	coolDown := minCoolDown
 	if server.failures > 0 {
@@ -622,7 +625,7 @@
 }
 
 // overdueTimeout is the time without an answer after which a set-up blocks its server. It is at least twice
-// the server's base latency, so that distance alone blocks none.
+// the server's base latency, so that network distance alone does not block a server.
 func (call *callState) overdueTimeout() time.Duration {
 	return max(call.aimFraction(overdueAimFraction), 2*call.server.baseLatency)
 }
@@ -641,9 +644,9 @@
 }
 
 // checkOvertaken reports whether the pending set-up is taken as lost because one sent later was answered. A
-// processor answers in order, so the set-up or its answer was lost and says nothing about the server. The
-// set-up is withdrawn and sent again if that can be in time. Where many set-ups are lost (minLossRate), one
-// is taken as lost even if no later one was answered. In both cases it must have been pending for its overdue
+// processor answers in order, so the set-up or its answer was lost, which is no sign of overload. The set-up
+// is withdrawn and sent again if that can be in time. Where many set-ups are lost (minLossRate), one is
+// taken as lost even if no later one was answered. In both cases it must have been pending for its overdue
 // timeout and for three times the server's latest response time. This covers connections that lose messages.
 // It misjudges servers that answer out of order.
 func (c *Controller) checkOvertaken(call *callState) bool {
@@ -724,8 +727,8 @@
 	}
 }
 
-// setTimer has handleTimer check the call at a time. Timers are not cancelled: one that has become irrelevant
-// expires without effect.
+// setTimer makes handleTimer check the call at a given time. Timers are not cancelled: one that has become
+// irrelevant expires without effect.
 func (c *Controller) setTimer(call *callState, at time.Duration) {
 	c.lastToken++
 	c.timers[c.lastToken] = call
@@ -817,7 +820,7 @@
 	})
 }
 
-// alternative returns the remembered server while it is fit, else draws another; nil if none is fit.
+// alternative returns the remembered server while it is fit, else redraws it; nil if none is fit.
 func (c *Controller) alternative(fit func(*serverState) bool) *serverState {
 	if c.remembered != nil && fit(c.remembered) {
 		return c.remembered
@@ -825,9 +828,9 @@
 	return c.redraw(fit)
 }
 
-// redraw draws the remembered server among the fit ones and returns it, or nil if none is fit. The draw is
-// weighted by reported free agents. The algorithm draws uniformly, so that the overflow of a large server
-// would overload a small one.
+// redraw draws a new remembered server at random among the fit ones and returns it, or nil if none is fit.
+// The draw is weighted by reported free agents. The algorithm draws uniformly, but then the overflow of a
+// large server would overload a small one.
 func (c *Controller) redraw(fit func(*serverState) bool) *serverState {
 	total := 0
 	for _, server := range c.servers {
@@ -838,12 +841,12 @@
 	if total == 0 {
 		return nil
 	}
-	ticket := c.random.IntN(total)
+	position := c.random.IntN(total)
 	for _, server := range c.servers {
 		if !fit(server) {
 			continue
 		}
-		if ticket -= server.drawWeight(); ticket < 0 {
+		if position -= server.drawWeight(); position < 0 {
 			c.remembered, c.redrawn = server, true
 			break
 		}
@@ -889,8 +892,8 @@
 // miss its aim there. This keeps fresh calls from slow or unresponsive servers. Late calls are sent
 // nevertheless: they have nothing to lose, and their answers show when the server has become faster. Without
 // late calls, the latest response time expires. The rule applies only where admissions are too scarce for a
-// rate to control the server, as elsewhere a single slow answer would keep calls away. It costs calls where
-// that one answer was slow by chance.
+// rate to control the server, as elsewhere a single slow answer would keep calls away. Calls are kept away
+// needlessly where that one answer was slow by chance.
 func (c *Controller) wouldBeLate(server *serverState, call *callState) bool {
 	expected := time.Duration(latencyMargin * float64(server.lastLatency))
 	current := c.now < max(server.answeredAt+2*expected, c.lastLateArrival+controlInterval)
@@ -920,8 +923,8 @@
 
 // ---- rate adaptation ----
 
-// closeIntervals adapts all rates at the end of each control interval that has passed. After more than a
-// minute without events it adapts them once and skips the other intervals.
+// closeIntervals adapts all admission rates at the end of each control interval that has passed. After more
+// than a minute without events it adapts them once and skips the other intervals.
 func (c *Controller) closeIntervals() {
 	if c.intervalEnd == 0 {
 		c.startedAt, c.intervalEnd = c.now, c.now+controlInterval
@@ -1030,10 +1033,10 @@
 
 // turnsExhausted reports whether this proxy has used its turns at a cold server. A turn permits one set-up.
 // The turns of all proxies together are what the rules guarantee that the server can take since its start,
-// dealt out by proxy index. The order of turns follows from names and times alone, so a proxy that has just
-// restarted knows it too and counts earlier turns as used. A turn lapses after Rules.CollapseWindow, as turns
-// saved by idle proxies would otherwise be used at once. docs/design.md has the bound and its proof. Too few
-// calls are sent where few proxies carry all.
+// interleaved by proxy index. The order of turns follows from server IDs and times alone, so a proxy that
+// has just restarted knows it too and counts earlier turns as used. A turn lapses after
+// Rules.CollapseWindow, as turns saved by idle proxies would otherwise be used at once. docs/design.md has
+// the bound and its proof. Too few calls are sent where a few proxies carry all calls.
 func (c *Controller) turnsExhausted(server *serverState) bool {
 	rate, rules := c.coldRate(server), &c.settings.Rules
 	turnsUntil := func(at time.Duration) float64 { // turns up to a time, for one call a second when warm
@@ -1060,16 +1063,16 @@
 // coldRate returns this proxy's fraction of the calls a second that a cold server can take when warm. By
 // Little's law that is its agents divided by the mean holding time, and proxies have equal fractions unless
 // ColdPart assigned others. Before the agents are reported, it is this proxy's calls divided by the number of
-// servers. Too few calls are sent where the processor is fast for its few agents.
+// servers. Too few calls are sent to a server whose processor could serve more agents than it has.
 func (c *Controller) coldRate(server *serverState) float64 {
 	fraction := 1 / float64(c.settings.Proxies)
 	switch {
-	case c.coldDivided && c.now < server.coldFractionUntil:
+	case c.coldAssigned && c.now < server.coldFractionUntil:
 		fraction = server.coldFraction
-	case c.coldDivided:
+	case c.coldAssigned:
 		fraction = c.unassignedFraction
 	}
-	if server.totalAgents > 0 && c.meanHolding > 0 || c.coldDivided && fraction == 0 {
+	if server.totalAgents > 0 && c.meanHolding > 0 || c.coldAssigned && fraction == 0 {
 		return fraction * float64(server.totalAgents) / max(c.meanHolding, 1).Seconds()
 	}
 	return c.ownArrivals.lambda() / float64(len(c.servers))
--- a/controller_test.go
+++ b/controller_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// rig feeds one Controller at a test clock.
+// rig feeds events to one Controller, with times from a test clock.
 type rig struct {
 	t    *testing.T
 	c    *Controller
@@ -63,13 +63,13 @@
 }
 
 // fireTimers delivers the timers among actions that are due, in order, and returns the resulting actions.
-func (r *rig) fireTimers(actions []Action) (done []Action) {
+func (r *rig) fireTimers(actions []Action) (resulting []Action) {
 	for _, a := range actions {
 		if s, ok := a.(SetTimer); ok && s.At <= r.now {
-			done = append(done, r.handle(Due{Token: s.Token})...)
+			resulting = append(resulting, r.handle(Due{Token: s.Token})...)
 		}
 	}
-	return done
+	return resulting
 }
 
 // sentTo returns the server that actions send the call to, or "".
@@ -108,89 +108,90 @@
 
 // Step 1 of the algorithm, eq. 1.
 func TestSpacingIsSmoothedBeforeAnyGap(t *testing.T) {
-	var d admissionControl
+	var control admissionControl
 	for _, at := range []time.Duration{0, 200 * ms, 700 * ms} { // spacings 200 and 500 ms
-		d.recordArrival(at)
+		control.recordArrival(at)
 	}
-	assertNear(t, "spacing in ms", float64(d.spacing)/1e6, 0.9*200+0.1*500)
-	assertNear(t, "arrival rate", d.lambda(), 1000.0/230)
+	assertNear(t, "spacing in ms", float64(control.spacing)/1e6, 0.9*200+0.1*500)
+	assertNear(t, "arrival rate", control.lambda(), 1000.0/230)
 }
 
 func TestFirstRejectionStartsTheControlWithoutGap(t *testing.T) {
-	d := admissionControl{meter: meter{spacing: 250 * ms}}
-	d.recordRejection(0)
-	assertNear(t, "rate", d.rate, 4)
-	if !d.active || d.gap != 0 {
-		t.Errorf("active %v, gap %v; want active without a gap", d.active, d.gap)
+	control := admissionControl{meter: meter{spacing: 250 * ms}}
+	control.recordRejection(0)
+	assertNear(t, "rate", control.rate, 4)
+	if !control.active || control.gap != 0 {
+		t.Errorf("active %v, gap %v; want active without a gap", control.active, control.gap)
 	}
 }
 
 // Step 5 of the algorithm.
 func TestRejectionsCutTheRateUnlessTheirRatioFalls(t *testing.T) {
-	d := admissionControl{meter: meter{spacing: 250 * ms}}
-	d.recordRejection(0)
-	d.admissions = 4
-	d.adaptRate(time.Second) // ratio 1/4, above the stored 0
-	assertNear(t, "rate after the first cut", d.rate, 3.5)
-	d.admissions, d.rejections = 8, 1
-	d.adaptRate(2 * time.Second) // 1/8 is below 1/4: stored without a cut
-	assertNear(t, "rate after a falling ratio", d.rate, 3.5)
-	assertNear(t, "stored ratio", d.rejectionRatio, 0.125)
-	d.admissions, d.rejections = 0, 1
-	d.adaptRate(3 * time.Second) // no admissions: 1
-	assertNear(t, "rate after the second cut", d.rate, 3.5*7/8)
-	assertNear(t, "stored ratio", d.rejectionRatio, 1)
+	control := admissionControl{meter: meter{spacing: 250 * ms}}
+	control.recordRejection(0)
+	control.admissions = 4
+	control.adaptRate(time.Second) // ratio 1/4, above the stored 0
+	assertNear(t, "rate after the first cut", control.rate, 3.5)
+	control.admissions, control.rejections = 8, 1
+	control.adaptRate(2 * time.Second) // 1/8 is below 1/4: stored without a cut
+	assertNear(t, "rate after a falling ratio", control.rate, 3.5)
+	assertNear(t, "stored ratio", control.rejectionRatio, 0.125)
+	control.admissions, control.rejections = 0, 1
+	control.adaptRate(3 * time.Second) // no admissions: 1
+	assertNear(t, "rate after the second cut", control.rate, 3.5*7/8)
+	assertNear(t, "stored ratio", control.rejectionRatio, 1)
 }
 
 // Step 4 of the algorithm, eq. 12 with k = 1/2 and α = 0.2.
 func TestRateClimbsByASquareLaw(t *testing.T) {
-	d := admissionControl{active: true, meter: meter{spacing: 250 * ms}, rate: 2, climbStart: 2}
+	control := admissionControl{active: true, meter: meter{spacing: 250 * ms}, rate: 2, climbStart: 2}
 	for n := 1; n <= 3; n++ {
-		d.answers = 1
-		d.adaptRate(time.Duration(n) * time.Second)
-		assertNear(t, fmt.Sprint("rate after ", n), d.rate, 2+math.Pow(0.1*float64(n), 2))
+		control.answers = 1
+		control.adaptRate(time.Duration(n) * time.Second)
+		assertNear(t, fmt.Sprint("rate after ", n), control.rate, 2+math.Pow(0.1*float64(n), 2))
 	}
-	assertNear(t, "gap in ms", float64(d.gap.Microseconds())/1e3, math.Floor((1/2.09-1/4.0)*1e6)/1e3) // step 6, eq. 2
+	// Step 6, eq. 2.
+	assertNear(t, "gap in ms", float64(control.gap.Microseconds())/1e3, math.Floor((1/2.09-1/4.0)*1e6)/1e3)
 }
 
 // Step 3 of the algorithm.
 func TestRateFollowsLowerArrivalRate(t *testing.T) {
-	d := admissionControl{active: true, meter: meter{spacing: 500 * ms}, rate: 5, gap: time.Second, answers: 1}
-	d.adaptRate(time.Second)
-	assertNear(t, "rate", d.rate, 2)
-	if d.gap != 0 {
-		t.Errorf("gap %v, want none", d.gap)
+	control := admissionControl{active: true, meter: meter{spacing: 500 * ms}, rate: 5, gap: time.Second, answers: 1}
+	control.adaptRate(time.Second)
+	assertNear(t, "rate", control.rate, 2)
+	if control.gap != 0 {
+		t.Errorf("gap %v, want none", control.gap)
 	}
 }
 
-// Without merging, the climb undoes each cut before the next answer.
+// Without merging of intervals, the climb undoes each cut before the next answer.
 func TestIntervalsWithoutAnswersAreMerged(t *testing.T) {
-	d := admissionControl{active: true, meter: meter{spacing: 4 * time.Second}, rate: 0.2, climbStart: 0.2}
+	control := admissionControl{active: true, meter: meter{spacing: 4 * time.Second}, rate: 0.2, climbStart: 0.2}
 	for n := 1; n <= 5; n++ {
-		d.adaptRate(time.Duration(n) * time.Second)
+		control.adaptRate(time.Duration(n) * time.Second)
 	}
-	assertNear(t, "rate after five silent intervals", d.rate, 0.2)
-	d.answers = 1
-	d.adaptRate(6 * time.Second)
-	// At a quarter of a call a second, the climb is a quarter.
-	assertNear(t, "rate after an answer in time at the sixth", d.rate, 0.2+0.25*math.Pow(0.1*6, 2))
+	assertNear(t, "rate after five intervals without answers", control.rate, 0.2)
+	control.answers = 1
+	control.adaptRate(6 * time.Second)
+	// At a quarter of a call a second, the climb is a quarter of that at one call a second.
+	assertNear(t, "rate after an answer in time in the sixth", control.rate, 0.2+0.25*math.Pow(0.1*6, 2))
 	cut := admissionControl{active: true, meter: meter{spacing: 4 * time.Second},
 		rate: 0.2, lastRejection: time.Second}
 	cut.adaptRate(time.Second)
 	cut.rejections = 1
 	cut.adaptRate(2 * time.Second)
-	assertNear(t, "rate after a return at the second", cut.rate, 0.2*math.Pow(7.0/8, 2))
+	assertNear(t, "rate after an overload rejection in the second interval", cut.rate, 0.2*math.Pow(7.0/8, 2))
 }
 
 func TestIdleControlEnds(t *testing.T) {
-	d := admissionControl{active: true, meter: meter{spacing: 250 * ms}, rate: 1, gap: time.Second}
-	d.adaptRate(idleTimeout - 1)
-	if !d.active {
-		t.Fatal("freed early")
+	control := admissionControl{active: true, meter: meter{spacing: 250 * ms}, rate: 1, gap: time.Second}
+	control.adaptRate(idleTimeout - 1)
+	if !control.active {
+		t.Fatal("the control ended before the idle timeout")
 	}
-	d.adaptRate(idleTimeout)
-	if d.active || d.gap != 0 {
-		t.Error("not freed after the idle time")
+	control.adaptRate(idleTimeout)
+	if control.active || control.gap != 0 {
+		t.Error("the control did not end after the idle timeout")
 	}
 }
 
@@ -208,7 +209,7 @@
 	if sentTo(got, second) != "" {
 		t.Fatal("sent within the gap")
 	}
-	r.advance(100 * ms) // waits 0.4 of the aim times 1/5 for its worth: 80 ms
+	r.advance(100 * ms) // a call of worth 1 of at most 5 waits 1/5 of 0.4 of its aim: 80 ms
 	if got = r.fireTimers([]Action{SetTimer{At: r.now, Token: waitingTimerToken}}); !isAnswered(got, second) {
 		t.Fatal("a stopped call is not refused after its wait")
 	}
@@ -222,7 +223,7 @@
 	r := newRig(t, settings(), twoServers()...)
 	r.c.byID["a"].gapUntil = r.now + time.Second
 	if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
-		t.Error("not sent to the free server")
+		t.Error("not sent to the server without a gap")
 	}
 }
 
@@ -244,7 +245,7 @@
 	}
 }
 
-// With a fixed cool-down, jammed servers received 50 set-ups a second and answered 2.
+// With a fixed cool-down, overloaded servers received 50 set-ups a second and answered 2.
 func TestRepeatedFailuresLengthenTheCoolDown(t *testing.T) {
 	set := settings()
 	set.Proxies = 100
@@ -265,7 +266,7 @@
 	if last < 4*minCoolDown {
 		t.Errorf("cool-down of %v after three failures in a row", last)
 	}
-	r.c.settings.Proxies = 3 // cool-downs of seconds at few proxies leave a healthy server idle
+	r.c.settings.Proxies = 3 // with few proxies, cool-downs of seconds leave a healthy server idle
 	r.c.startCoolDown(s)
 	if coolDown := s.coolDownUntil - r.now; coolDown > 2*3*minCoolDown {
 		t.Errorf("cool-down of %v with three proxies", coolDown)
@@ -280,7 +281,8 @@
 	}
 }
 
-// Without this, a fifth of all set-ups were established too late at such servers.
+// A server whose latest answers were too slow gets no fresh calls. Without this rule, a fifth of all set-ups were
+// established too late at such servers.
 func TestFreshCallAvoidsAServerWhereItWouldBeLate(t *testing.T) {
 	r := newRig(t, settings(), twoServers()...)
 	r.c.byID["a"].admissionMeter.spacing = 3 * time.Second
@@ -314,9 +316,9 @@
 	}
 }
 
-// Several faults in a row start a cool-down: a server that quickly answered 95 of 100 set-ups with a fault
-// attracted most calls of all proxies. A single fault does not, as it may be caused by the call: unserviceable
-// calls kept every server from all others, and each was tried six times.
+// Several faults in a row start a cool-down. Otherwise a server that quickly answers 95 of 100 set-ups with a fault
+// attracts most calls of all proxies. A single fault does not, as the call may have caused it: otherwise calls that
+// no server can serve put every server into cool-down for all other calls, and each is tried six times.
 func TestFaultsInARowStartCoolDownAndTheCallIsRetriedOnce(t *testing.T) {
 	r := newRig(t, settings(), twoServers()...)
 	for n := 1; n <= maxServerFaults; n++ {
@@ -333,7 +335,7 @@
 		r.c.byID["b"].faults = 0
 	}
 	if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
-		t.Error("sent to a server that has just failed with faults in a row")
+		t.Error("sent to a server that has just reported several faults in a row")
 	}
 }
 
@@ -346,12 +348,12 @@
 	r.handle(ServerList{Servers: twoServers()[:1]})
 	r.handle(Agents{Server: "b", Free: 1, Total: 10})
 	if r.c.agentsInUse != 7 || r.c.totalAgents != 10 {
-		t.Errorf("%d calls of %d agents, want those of a alone: 7 of 10", r.c.agentsInUse, r.c.totalAgents)
+		t.Errorf("%d of %d agents in use, want those of a alone: 7 of 10", r.c.agentsInUse, r.c.totalAgents)
 	}
 	r.advance(forgetDelay / 2)
 	r.handle(ServerList{Servers: twoServers()})
 	if r.c.agentsInUse != 12 || r.c.totalAgents != 20 {
-		t.Errorf("%d calls of %d agents once b is back, want 12 of 20", r.c.agentsInUse, r.c.totalAgents)
+		t.Errorf("%d of %d agents in use once b is back, want 12 of 20", r.c.agentsInUse, r.c.totalAgents)
 	}
 	r.handle(ServerList{Servers: twoServers()[:1]})
 	r.advance(forgetDelay)
@@ -364,29 +366,30 @@
 // The climb grows with the arrival rate. Otherwise a proxy with 80 calls a second stays below its arrival rate for
 // the rest of a day after one isolated overload rejection.
 func TestClimbGrowsWithTheRateOfCalls(t *testing.T) {
-	d := admissionControl{active: true, meter: meter{spacing: 12500 * time.Microsecond},
+	control := admissionControl{active: true, meter: meter{spacing: 12500 * time.Microsecond},
 		rate: 60, climbStart: 60, answers: 1}
-	d.adaptRate(time.Second)
-	assertNear(t, "rate", d.rate, 60+0.01*80/nominalRate)
+	control.adaptRate(time.Second)
+	assertNear(t, "rate", control.rate, 60+0.01*80/nominalRate)
 }
 
 // One overload rejection among many admissions does not cut the rate: with tens of calls a second, some answer is
 // late in every interval, and each would cut the rate by an eighth.
 func TestIsolatedRejectionCutsNoRate(t *testing.T) {
-	d := admissionControl{active: true, meter: meter{spacing: 25 * ms},
+	control := admissionControl{active: true, meter: meter{spacing: 25 * ms},
 		rate: 30, climbStart: 30, admissions: 40, rejections: 1}
-	d.adaptRate(time.Second)
-	if d.rate < 30 {
-		t.Errorf("rate cut to %v for one overload rejection in 40", d.rate)
+	control.adaptRate(time.Second)
+	if control.rate < 30 {
+		t.Errorf("rate cut to %v for one overload rejection in 40", control.rate)
 	}
-	d.admissions, d.rejections = 39, 2
-	d.adaptRate(2 * time.Second)
-	if d.rate >= 30 {
-		t.Errorf("rate %v not cut for two returns in 39", d.rate)
+	control.admissions, control.rejections = 39, 2
+	control.adaptRate(2 * time.Second)
+	if control.rate >= 30 {
+		t.Errorf("rate %v not cut for two overload rejections in 39", control.rate)
 	}
 }
 
-// Latency caused by distance alone does not block a server. Across zones, with short aims, every second set-up did.
+// Latency caused by network distance alone does not block a server. Otherwise every second set-up blocks its server
+// where calls with short aims cross zones.
 func TestBaseLatencyBlocksNoServer(t *testing.T) {
 	r := newRig(t, settings(), twoServers()[:1]...)
 	id, _ := r.newCall("plain")
@@ -395,7 +398,7 @@
 	r.advance(200 * ms)
 	r.fireTimers(first)
 	if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
-		t.Error("blocked at a fifth of the aim, within twice the base latency")
+		t.Error("blocked after a fifth of the aim, although that is within twice the base latency")
 	}
 }
 
@@ -419,9 +422,9 @@
 	}
 }
 
-// An overtaken set-up was lost in transit: it is withdrawn and retried after the release wait, also at the same
-// server, which is not blocked. Otherwise, where connections lose every third message, one lost set-up per server
-// blocks all servers until its deadline, and nine calls of ten are refused.
+// An overtaken set-up was lost in transit: it is withdrawn and retried after the release wait. The retry may go to
+// the same server, which is not blocked. Otherwise, where connections lose every third message, one lost set-up
+// blocks each server until its deadline, and nine calls of ten are refused.
 func TestOvertakenSetUpIsRetriedAndBlocksNoServer(t *testing.T) {
 	r := newRig(t, settings(), twoServers()[:1]...)
 	lost, first := r.newCall("plain")
@@ -572,8 +575,8 @@
 			}
 		}
 	}
-	if most := 20 * (20 + 40); sent > most || sent < most/2 {
-		t.Errorf("%d set-ups in 20 s for %d agents", sent, most)
+	if maxSent := 20 * (20 + 40); sent > maxSent || sent < maxSent/2 {
+		t.Errorf("%d set-ups in 20 s for %d agents", sent, maxSent)
 	}
 }
 
@@ -651,7 +654,7 @@
 	}
 }
 
-// Rule 1 broke for callers with little time left.
+// Rule 1 (each call gets one final answer in time). It was broken for callers with little time left.
 func TestCallPastItsDeadlineIsNotSent(t *testing.T) {
 	r := newRig(t, settings(), twoServers()...)
 	for _, s := range r.c.servers {
@@ -659,7 +662,7 @@
 	}
 	late := Arrival{Call: "late", Class: "dear", Number: "n", TimeLeft: 79 * ms, Destination: 1}
 	r.handle(late)
-	r.advance(95 * ms) // the proxy was paused, so its timer is late
+	r.advance(95 * ms) // the timer is late, as after a pause of the proxy
 	if got := r.handle(Due{Token: waitingTimerToken}); sentTo(got, "late") != "" || !isAnswered(got, "late") {
 		t.Errorf("%v, want a refusal", got)
 	}
@@ -674,7 +677,7 @@
 	}
 }
 
-// Rule 5.
+// Rule 5 (a call whose attempt timed out or was cut or cancelled is not retried before the release wait is over).
 func TestRetryWaitsForRelease(t *testing.T) {
 	for _, outcome := range []Outcome{TimedOut, Cut, Cancelled} {
 		r := newRig(t, settings(), twoServers()...)
@@ -693,7 +696,7 @@
 	}
 }
 
-// Rule 2 broke: two attempts were in flight at once.
+// Rule 2 (at most one attempt of a call is in flight). It was broken by a timer of an earlier attempt.
 func TestOldTimersDoNotEnqueueACallTwice(t *testing.T) {
 	r := newRig(t, settings(), twoServers()...)
 	id, timers := r.newCall("dear")
@@ -715,7 +718,7 @@
 	}
 }
 
-// Rule 3.
+// Rule 3 (a server that drains or was removed gets no calls).
 func TestDrainingServerGetsNothing(t *testing.T) {
 	for _, state := range []ServerState{Draining, Removed} {
 		r := newRig(t, settings(), twoServers()...)
@@ -736,7 +739,7 @@
 	}
 }
 
-// Rule 4.
+// Rule 4 (all proxies together send a cold server no more than it can take).
 func TestColdServerLoadIsLimitedByItsAgents(t *testing.T) {
 	set := settings()
 	set.Classes[1].Servers, set.Classes[0].Servers = []int{1}, []int{1}
@@ -752,16 +755,16 @@
 			}
 		}
 	}
-	// 100 agents held for 5 s on average: 20 calls a second when warm, 5 cold, 2 times 5 times 2 s for both
-	// proxies.
+	// 100 agents held for 5 s on average serve 20 calls a second when warm and 5 when cold. With a collapse
+	// multiple of 2 and a window of 2 s, both proxies together may send 20 set-ups in the window.
 	if sent == 0 || sent > 10 {
 		t.Errorf("%d set-ups in the window, want some and at most this proxy's share of 10", sent)
 	}
 }
 
 // All proxies together stay within the budget of a cold server for any number of proxies, with and without reported
-// agents, after a restart of all proxies with a stored list. Otherwise hundreds of first calls at once overload it.
-// With assigned fractions, proxies need not know their number.
+// agents, after a restart of all proxies with a stored list. Otherwise hundreds of proxies send their first calls at
+// once and overload it. With assigned fractions, proxies need not know how many they are.
 func TestColdServerIsNotOverloadedByManyProxies(t *testing.T) {
 	for _, proxies := range []int{3, 30, 300, -3, -30, -300} {
 		divided := proxies < 0
@@ -817,16 +820,16 @@
 					sent = sent[1:]
 				}
 				age := float64(max(0, now-start-set.Rules.CollapseWindow)) / float64(set.Rules.WarmUpTime)
-				part := set.Rules.ColdCapacity + (1-set.Rules.ColdCapacity)*age
-				budget := set.Rules.CollapseMultiple * part * warm * set.Rules.CollapseWindow.Seconds()
+				capacityFraction := set.Rules.ColdCapacity + (1-set.Rules.ColdCapacity)*age
+				budget := set.Rules.CollapseMultiple * capacityFraction * warm * set.Rules.CollapseWindow.Seconds()
 				if float64(len(sent)) > budget {
-					t.Fatalf("%d proxies, size reported %v: "+
+					t.Fatalf("%d proxies, agents reported %v: "+
 						"%d set-ups in a window, %.1f s after the start, budget %.0f",
 						proxies, reported, len(sent), (now - start).Seconds(), budget)
 				}
 			}
 			if total < agents/10 {
-				t.Errorf("%d proxies, size reported %v: only %d set-ups to the cold server", proxies, reported, total)
+				t.Errorf("%d proxies, agents reported %v: only %d set-ups to the cold server", proxies, reported, total)
 			}
 		}
 	}
@@ -886,7 +889,7 @@
 	r := newRig(t, set, twoServers()...)
 	r.handle(Agents{Server: "a", Free: 100, Total: 600})
 	assertNear(t, "share before any call", r.c.share(), 0.01/maxShareFactor)
-	for range 100 { // 10 a second, held for 5 s on average: 50 of 500
+	for range 100 { // 10 calls a second, held for 5 s on average, occupy 50 of the 500 agents in use
 		r.newCall("plain")
 		r.advance(100 * ms)
 	}
@@ -930,7 +933,7 @@
 	r.handle(ServerList{Servers: []Server{{ID: "a", Number: 1}, {ID: "a", Number: 1, State: Draining},
 		{ID: "b", Number: 2}}})
 	if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
-		t.Error("of a server listed twice the last entry does not count")
+		t.Error("of a server listed twice, the last entry is not the one in force")
 	}
 	r.handle(ServerList{Delta: true, Servers: []Server{{ID: "a", Number: 1, Started: r.now}}})
 	r.handle(ServerList{Delta: true, Servers: []Server{{ID: "a", Number: 1}}}) // an older start
@@ -939,7 +942,7 @@
 	got := r.handle(Arrival{Call: "strange", Class: "plain", Tenant: "nobody", Number: "n",
 		TimeLeft: time.Second, Destination: 9})
 	if sentTo(got, "strange") == "" {
-		t.Error("a call of an unknown tenant to an unknown number is not sent at all")
+		t.Error("a call of an unknown tenant to an unknown number is not sent")
 	}
 	for _, left := range []time.Duration{0, -time.Second} {
 		id := fmt.Sprint("late", left)
@@ -980,22 +983,22 @@
 	set.OverQuotaFactor = 0.1
 	set.Tenants = []Tenant{{Name: "over", Quota: 4}, {Name: "within", Quota: 4}} // 2 a second for each of 2 proxies
 	r := newRig(t, set, Server{ID: "a", Number: 1})
-	ask := func(id, tenant string) {
+	arrive := func(id, tenant string) {
 		r.handle(Arrival{Call: id, Class: "plain", Tenant: tenant, Number: id,
 			TimeLeft: 3 * time.Second, Destination: 1})
 	}
 	s := r.c.byID["a"]
 	s.coolDownUntil = r.now + 10*time.Second
 	for i := range 10 {
-		ask(fmt.Sprint("flood", i), "over")
+		arrive(fmt.Sprint("flood", i), "over")
 		r.advance(100 * ms)
 	}
 	s.coolDownUntil = r.now + 5*ms
-	ask("last of the flood", "over")
-	ask("modest", "within")
+	arrive("last of the flood", "over")
+	arrive("modest", "within")
 	s.gap, s.active = time.Second, true
 	r.advance(5 * ms)
 	if got := r.handle(Due{Token: waitingTimerToken}); sentTo(got, "modest") != "a" {
-		t.Error("a tenant within its quota waits behind one beyond it")
+		t.Error("a tenant within its quota waits behind one that exceeds it")
 	}
 }
--- a/fingerprint.go
+++ b/fingerprint.go
@@ -11,8 +11,8 @@
 // This file encodes the state of a Controller in canonical form, by which a model checker recognises states that it
 // has visited. It must cover everything that a later decision depends on: an omission would hide orders of events.
 
-// TimerCall returns the call that a timer's token belongs to, or "" for the timer of waiting calls. It returns
-// false if the timer has no effect any more.
+// TimerCall returns the call that a timer's token belongs to, or "" for the timer of waiting calls. live is false
+// if the timer no longer has an effect.
 func (c *Controller) TimerCall(token int64) (call string, live bool) {
 	if token == waitingTimerToken {
 		return "", true
@@ -30,106 +30,106 @@
 	now time.Duration
 }
 
-func (f *stateEncoder) integers(list ...int64) {
-	for _, n := range list {
-		f.buf = binary.AppendVarint(f.buf, n)
+func (e *stateEncoder) integers(values ...int64) {
+	for _, n := range values {
+		e.buf = binary.AppendVarint(e.buf, n)
 	}
 }
 
-func (f *stateEncoder) text(s string) {
-	f.buf = append(binary.AppendUvarint(f.buf, uint64(len(s))), s...)
+func (e *stateEncoder) text(s string) {
+	e.buf = append(binary.AppendUvarint(e.buf, uint64(len(s))), s...)
 }
 
-func (f *stateEncoder) float(x float64) {
-	f.buf = binary.LittleEndian.AppendUint64(f.buf, math.Float64bits(x))
+func (e *stateEncoder) float(x float64) {
+	e.buf = binary.LittleEndian.AppendUint64(e.buf, math.Float64bits(x))
 }
 
-func (f *stateEncoder) bools(list ...bool) {
-	for _, is := range list {
-		if is {
-			f.integers(1)
+func (e *stateEncoder) bools(values ...bool) {
+	for _, value := range values {
+		if value {
+			e.integers(1)
 		} else {
-			f.integers(0)
+			e.integers(0)
 		}
 	}
 }
 
 // pastTime encodes the age of a past time; 0 means never.
-func (f *stateEncoder) pastTime(t time.Duration) {
+func (e *stateEncoder) pastTime(t time.Duration) {
 	if t == 0 {
-		f.integers(-1)
+		e.integers(-1)
 	} else {
-		f.integers(int64(f.now - t))
+		e.integers(int64(e.now - t))
 	}
 }
 
 // remaining encodes the time left until a deadline; all deadlines that have passed are equal.
-func (f *stateEncoder) remaining(t time.Duration) { f.integers(int64(max(0, t-f.now))) }
+func (e *stateEncoder) remaining(t time.Duration) { e.integers(int64(max(0, t-e.now))) }
 
-func (f *stateEncoder) meter(m *meter) {
-	f.integers(int64(m.spacing))
-	f.bools(m.hasCall)
-	f.pastTime(m.lastCall)
+func (e *stateEncoder) meter(m *meter) {
+	e.integers(int64(m.spacing))
+	e.bools(m.hasCall)
+	e.pastTime(m.lastCall)
 }
 
-func (f *stateEncoder) server(server *serverState, startedAt time.Duration) {
-	f.text(server.ID)
-	f.integers(int64(server.Number), int64(server.State), int64(server.inFlight), int64(server.baseLatency),
+func (e *stateEncoder) server(server *serverState, startedAt time.Duration) {
+	e.text(server.ID)
+	e.integers(int64(server.Number), int64(server.State), int64(server.inFlight), int64(server.baseLatency),
 		int64(server.failures), int64(server.faults), int64(server.lastLatency), int64(server.probation),
 		int64(server.freeAgents), int64(server.totalAgents), int64(server.climbIntervals), int64(server.gap),
 		int64(server.admissions), int64(server.answers), int64(server.rejections), int64(server.spanIntervals))
-	f.pastTime(server.Started)
+	e.pastTime(server.Started)
 	if server.inFlight > 0 { // compared with the send times of set-ups in flight
-		f.pastTime(server.answeredSentAt)
-	}
-	f.pastTime(server.removedAt)
-	f.pastTime(server.answeredAt)
-	f.pastTime(server.creditedAt)
-	f.pastTime(server.lastRejection)
-	f.remaining(server.coolDownUntil)
-	f.remaining(server.probeAt)
-	f.remaining(server.gapUntil)
-	f.remaining(server.coldFractionUntil)
-	f.remaining(server.avoidUntil)
-	f.float(server.credit)
-	f.float(server.coldFraction)
+		e.pastTime(server.answeredSentAt)
+	}
+	e.pastTime(server.removedAt)
+	e.pastTime(server.answeredAt)
+	e.pastTime(server.creditedAt)
+	e.pastTime(server.lastRejection)
+	e.remaining(server.coolDownUntil)
+	e.remaining(server.probeAt)
+	e.remaining(server.gapUntil)
+	e.remaining(server.coldFractionUntil)
+	e.remaining(server.avoidUntil)
+	e.float(server.credit)
+	e.float(server.coldFraction)
 	if server.Started > 0 { // may be cold
-		f.pastTime(server.turnsAt)
-		f.integers(int64(server.turnAgents))
-		f.float(server.turnPosition)
-		f.float(server.usedTurns)
-		f.bools(startedAt >= server.Started)
-	}
-	f.float(server.rate)
-	f.float(server.climbStart)
-	f.float(server.rejectionRatio)
-	f.bools(server.active)
-	f.meter(&server.meter)
-	f.meter(&server.admissionMeter)
-	f.integers(int64(len(server.overdue)))
+		e.pastTime(server.turnsAt)
+		e.integers(int64(server.turnAgents))
+		e.float(server.turnPosition)
+		e.float(server.usedTurns)
+		e.bools(startedAt >= server.Started)
+	}
+	e.float(server.rate)
+	e.float(server.climbStart)
+	e.float(server.rejectionRatio)
+	e.bools(server.active)
+	e.meter(&server.meter)
+	e.meter(&server.admissionMeter)
+	e.integers(int64(len(server.overdue)))
 	for _, call := range server.overdue {
-		f.text(call.Call)
+		e.text(call.Call)
 	}
 }
 
-func (f *stateEncoder) call(call *callState, set *Settings) {
-	f.text(call.Call)
-	f.text(call.Class)
-	f.text(call.Tenant)
-	f.text(call.Number)
-	f.integers(int64(call.Destination), int64(call.attempts), int64(call.faults),
-		int64(call.deadline-f.now), int64(call.aimEnd-f.now), int64(max(0, call.waitUntil-f.now)))
-	f.bools(call.Retry, call.InTransit, call.inFlight, call.established, call.closed, call.mayHaveRun,
+func (e *stateEncoder) call(call *callState, set *Settings) {
+	e.text(call.Call)
+	e.text(call.Class)
+	e.text(call.Tenant)
+	e.text(call.Number)
+	e.integers(int64(call.Destination), int64(call.attempts), int64(call.faults),
+		int64(call.deadline-e.now), int64(call.aimEnd-e.now), int64(max(0, call.waitUntil-e.now)))
+	e.bools(call.Retry, call.InTransit, call.inFlight, call.established, call.closed, call.mayHaveRun,
 		call.late, call.lost,
-		call.rejectionCounted, call.redirected, call.settings == set, call.countedAt != nil, call.server != nil)
-	f.float(call.value)
-	f.pastTime(call.sentAt)
-	f.pastTime(call.retryAt) // 0: none
-	if call.countedAt != nil {
-		f.text(call.countedAt.ID)
+		call.rejectionCounted, call.redirected, call.settings == set, call.countedBy != nil, call.server != nil)
+	e.float(call.value)
+	e.pastTime(call.sentAt)
+	e.pastTime(call.retryAt) // 0: none
+	if call.countedBy != nil {
+		e.text(call.countedBy.ID)
 	}
 	if call.server != nil {
-		f.text(call.server.ID)
+		e.text(call.server.ID)
 	}
 }
 
@@ -142,7 +142,7 @@
 	enc.pastTime(c.lastLateArrival)
 	enc.remaining(c.waitingPollAt)
 	enc.float(c.lossRate)
-	enc.bools(c.redrawn, c.coldDivided, c.retryBudget.Limited)
+	enc.bools(c.redrawn, c.coldAssigned, c.retryBudget.Limited)
 	enc.float(c.unassignedFraction)
 	enc.integers(int64(c.retryBudget.Remaining))
 	enc.meter(&c.ownArrivals)
@@ -171,9 +171,9 @@
 		enc.pastTime(c.firstTries[number])
 	}
 	enc.integers(int64(len(c.firstTryOrder)))
-	for _, t := range c.firstTryOrder {
-		enc.text(t.number)
-		enc.pastTime(t.at)
+	for _, try := range c.firstTryOrder {
+		enc.text(try.number)
+		enc.pastTime(try.at)
 	}
 	enc.integers(int64(len(c.busyNumbers)))
 	for _, number := range slices.Sorted(maps.Keys(c.busyNumbers)) {
--- a/meter.go
+++ b/meter.go
@@ -9,7 +9,7 @@
 	hasCall  bool
 }
 
-// recordArrival records a new call (eq. 1). At a server, calls are recorded before the gap stops any.
+// recordArrival records a new call (eq. 1). At a server, this includes calls that its gap then stops.
 func (m *meter) recordArrival(now time.Duration) {
 	if m.hasCall {
 		spacing := now - m.lastCall
--- a/random_test.go
+++ b/random_test.go
@@ -20,7 +20,7 @@
 	order        []string
 	timers       []SetTimer
 	servers      []Server
-	leavingSince map[string]time.Duration // when the list first said that a server drains or is removed
+	leavingSince map[string]time.Duration // when a server was first listed as draining or removed
 	coldSends    map[string][]time.Duration
 	log          []string
 	observe      func(*randomRun, Event) func([]Action) // gets each event, then its actions; may be nil
@@ -41,14 +41,14 @@
 }
 
 func runObservedEvents(t *testing.T, set Settings, seed uint64,
-	watch func(*randomRun, Event) func([]Action)) []string {
+	observe func(*randomRun, Event) func([]Action)) []string {
 	c, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w := &randomRun{t: t, settings: set, random: rand.New(rand.NewPCG(seed, 1)), c: c, now: time.Minute,
 		calls: map[string]*expectedCall{}, leavingSince: map[string]time.Duration{},
-		coldSends: map[string][]time.Duration{}, observe: watch}
+		coldSends: map[string][]time.Duration{}, observe: observe}
 	for n := range set.Classes[0].Servers {
 		w.servers = append(w.servers, Server{ID: fmt.Sprint("s", n), Number: set.Classes[0].Servers[n]})
 	}
@@ -160,12 +160,12 @@
 }
 
 func (w *randomRun) deliver(e Event) {
-	then := func([]Action) {}
+	observeActions := func([]Action) {}
 	if w.observe != nil {
-		then = w.observe(w, e)
+		observeActions = w.observe(w, e)
 	}
 	actions := w.c.Handle(w.now, e)
-	then(actions)
+	observeActions(actions)
 	for _, a := range actions {
 		w.log = append(w.log, fmt.Sprintf("%v %#v", w.now, a))
 		switch a := a.(type) {
@@ -184,7 +184,7 @@
 func (w *randomRun) checkAnswer(id string) {
 	p := w.calls[id]
 	if p == nil || p.answered || p.inFlight {
-		w.t.Fatalf("rule 1: %s answered twice, unasked or with an attempt in flight", id)
+		w.t.Fatalf("rule 1: %s is unknown, or was answered twice or with an attempt in flight", id)
 	}
 	p.answered = true
 }
@@ -200,7 +200,7 @@
 	case leaving && w.now > since+w.settings.Rules.DrainGrace:
 		w.t.Fatalf("rule 3: %s sent to %s, which was reported as leaving %v ago", a.Call, a.Server, w.now-since)
 	case w.now < p.retryFrom:
-		w.t.Fatalf("rule 5: %s sent %v before its release", a.Call, p.retryFrom-w.now)
+		w.t.Fatalf("rule 5: %s sent %v before the end of its release wait", a.Call, p.retryFrom-w.now)
 	case p.attempts >= w.settings.Limits.MaxAttempts:
 		w.t.Fatalf("%s has more attempts than allowed", a.Call)
 	}
@@ -212,9 +212,9 @@
 // checkColdBudget checks this proxy's share of the cold budget over the last window, for a server with 40 agents.
 func (w *randomRun) checkColdBudget(id string) {
 	var s Server
-	for _, x := range w.servers {
-		if x.ID == id {
-			s = x
+	for _, listed := range w.servers {
+		if listed.ID == id {
+			s = listed
 		}
 	}
 	if s.Started == 0 || w.now >= s.Started+w.settings.Rules.WarmUpTime {
@@ -229,12 +229,12 @@
 	for _, class := range w.settings.Classes {
 		holding += class.HoldingTime / time.Duration(len(w.settings.Classes))
 	}
-	part := w.settings.Rules.ColdCapacity + (1-w.settings.Rules.ColdCapacity)*
+	capacityFraction := w.settings.Rules.ColdCapacity + (1-w.settings.Rules.ColdCapacity)*
 		float64(w.now-s.Started)/float64(w.settings.Rules.WarmUpTime)
-	maxSent := w.settings.Rules.CollapseMultiple*part*40/holding.Seconds()*
+	maxSent := w.settings.Rules.CollapseMultiple*capacityFraction*40/holding.Seconds()*
 		w.settings.Rules.CollapseWindow.Seconds()/float64(w.settings.Proxies) + 1
 	if float64(len(sent)) > maxSent {
-		w.t.Fatalf("rule 4: %d set-ups to %s within the window, the share is %.1f", len(sent), id, maxSent)
+		w.t.Fatalf("rule 4: %d set-ups to %s within the window, this proxy's share is %.1f", len(sent), id, maxSent)
 	}
 }
 
--- a/reason.go
+++ b/reason.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// This file reports why the Controller decided as it did and what it knew. It changes nothing that a decision
-// depends on.
+// This file reports why the Controller decided as it did and what it knows of servers. It changes nothing that a
+// decision depends on.
 
 var reasonNames = [...]string{"", "first choice", "remembered", "drawn", "gapped", "resting", "on trial", "hopeless",
 	"budget spent", "not up", "not skilled", "no server", "unknown class", "out of time", "number busy", "crowded out",
 	"returned", "own fault",
 	"no further attempt", "overtaken", "unbillable", "over limit", "shared verdict", "spared", "taken over"}
 
-// String returns the text that traces and logs have for the reason.
+// String returns the name of the reason in traces and logs.
 func (r Reason) String() string {
 	if r < 0 || int(r) >= len(reasonNames) {
 		return "unknown"
@@ -96,8 +96,8 @@
 	return Further{c.retryBudget.Limited, max(c.retryBudget.Remaining, 0)}
 }
 
-// BlockReason returns why a call waits that has neither a pending attempt nor its final answer, and its
-// first-choice server. It returns false if the call is not known to wait.
+// BlockReason returns why a call without a pending attempt or final answer is waiting, and the ID of its
+// first-choice server. waits is false if no such call is known.
 func (c *Controller) BlockReason(id string) (server string, why Reason, waits bool) {
 	call := c.calls[id]
 	if call == nil || call.inFlight || call.closed || call.retryAt > 0 || call.class == nil {
@@ -128,7 +128,7 @@
 
 var phaseNames = [...]string{"uncontrolled", "climbing", "cut back", "resting", "on trial"}
 
-// String returns the text that traces have for the phase.
+// String returns the name of the phase in traces.
 func (p Phase) String() string {
 	if p < 0 || int(p) >= len(phaseNames) {
 		return "unknown"
--- a/settings_test.go
+++ b/settings_test.go
@@ -23,13 +23,13 @@
 	return ""
 }
 
-// A call keeps the settings in force on its arrival: number of attempts, repeat rule, release wait and its class,
-// even if the class was removed since.
+// A call keeps the settings in force on its arrival (maximum number of attempts, repeat rule, release wait and its
+// class), even if the class was removed since.
 func TestCallsKeepTheSettingsOfTheirArrival(t *testing.T) {
 	set := settings()
 	r := newRig(t, set, twoServers()...)
-	old, done := r.newCall("plain")
-	if sentTo(done, old) != "a" {
+	old, actions := r.newCall("plain")
+	if sentTo(actions, old) != "a" {
 		t.Fatal("not sent")
 	}
 	reduced := settings()
@@ -41,29 +41,29 @@
 	if err := r.c.Change(reduced); err != nil {
 		t.Fatal(err)
 	}
-	again := r.handle(Ended{Call: old, Attempt: 0, Server: "a", Outcome: Cut})
-	if finalAnswer(again, old) != "" {
-		t.Fatal("a call in progress got the attempts of the new settings")
+	retryActions := r.handle(Ended{Call: old, Attempt: 0, Server: "a", Outcome: Cut})
+	if finalAnswer(retryActions, old) != "" {
+		t.Fatal("a call in progress was limited to the attempts of the new settings")
 	}
 	r.advance(set.Rules.ReleaseWait)
-	if sentTo(r.fireTimers(again), old) == "" {
+	if sentTo(r.fireTimers(retryActions), old) == "" {
 		t.Fatal("a call in progress was not retried as its own settings permit")
 	}
 
-	fresh, done := r.newCall("dear")
-	if sentTo(done, fresh) == "" {
+	fresh, actions := r.newCall("dear")
+	if sentTo(actions, fresh) == "" {
 		t.Fatal("not sent")
 	}
-	if how := finalAnswer(r.handle(Ended{Call: fresh, Attempt: 0, Server: sentTo(done, fresh),
-		Outcome: Cut}), fresh); how != "failed" {
-		t.Fatalf("a new call got more attempts than the new settings allow: %q", how)
+	if answer := finalAnswer(r.handle(Ended{Call: fresh, Attempt: 0, Server: sentTo(actions, fresh),
+		Outcome: Cut}), fresh); answer != "failed" {
+		t.Fatalf("a new call got more attempts than the new settings allow: %q", answer)
 	}
-	gone, done := r.newCall("plain")
-	if finalAnswer(done, gone) != "refused" {
+	gone, actions := r.newCall("plain")
+	if finalAnswer(actions, gone) != "refused" {
 		t.Fatal("a call of a removed class was accepted")
 	}
-	if a, ok := done[len(done)-1].(Refuse); !ok || a.Why != UnknownClass || a.RetryAfter != 0 {
-		t.Fatalf("got %+v", done)
+	if a, ok := actions[len(actions)-1].(Refuse); !ok || a.Why != UnknownClass || a.RetryAfter != 0 {
+		t.Fatalf("got %+v", actions)
 	}
 }
 
@@ -71,8 +71,8 @@
 // may still be repeated, new calls may not.
 func TestReaddedClassWithAnotherRepeatRule(t *testing.T) {
 	r := newRig(t, settings(), twoServers()...)
-	old, done := r.newCall("plain")
-	first := sentTo(done, old)
+	old, actions := r.newCall("plain")
+	first := sentTo(actions, old)
 	without, with := settings(), settings()
 	without.Classes = without.Classes[1:]
 	with.Classes[0].Repeat = RepeatNever
@@ -81,13 +81,14 @@
 			t.Fatal(err)
 		}
 	}
-	fresh, done := r.newCall("plain")
-	at := sentTo(done, fresh)
-	if how := finalAnswer(r.handle(Ended{Call: fresh, Attempt: 0, Server: at, Outcome: Cut}), fresh); how != "failed" {
-		t.Fatalf("a call that may not be repeated: %q", how)
+	fresh, actions := r.newCall("plain")
+	server := sentTo(actions, fresh)
+	if answer := finalAnswer(r.handle(Ended{Call: fresh, Attempt: 0, Server: server,
+		Outcome: Cut}), fresh); answer != "failed" {
+		t.Fatalf("a call that may not be repeated: %q, want failed", answer)
 	}
-	if how := finalAnswer(r.handle(Ended{Call: old, Attempt: 0, Server: first, Outcome: Cut}), old); how != "" {
-		t.Fatalf("a call that may be repeated: %q", how)
+	if answer := finalAnswer(r.handle(Ended{Call: old, Attempt: 0, Server: first, Outcome: Cut}), old); answer != "" {
+		t.Fatalf("a call that may be repeated: %q, want no final answer", answer)
 	}
 }
 
