--- a/lifecycle/caller.go
+++ b/lifecycle/caller.go
@@ -12,12 +12,12 @@
 	// middle only have messageTimeout. All of them are closed within 3 s of connecting.
 	slowMessageExtension = 750 * time.Millisecond
 	maxSlowMessagePause  = 700 * time.Millisecond
-	// lingerTimeout is how long the peer may go on sending after it was notified that the connection is being
+	// lingerTimeout is how long the peer may continue to send after it was notified that the connection is being
 	// closed.
 	lingerTimeout = 2500 * time.Millisecond
 )
 
-// CallerConn tracks the timeouts of a caller's connection and its rank when connections must be closed to free
+// CallerConn tracks the timeouts of a caller's connection, and its rank when connections must be closed to free file
 // descriptors. Connected initializes it. It is not safe for concurrent use.
 type CallerConn struct {
 	connectedAt     time.Duration
@@ -32,8 +32,8 @@
 	*c = CallerConn{connectedAt: now, lastReceived: now, deadline: now + messageTimeout}
 }
 
-// Inherited records that the connection was taken over from another process, where it has delivered a valid message.
-// messageBegun is whether it is in the middle of another one.
+// Inherited records that the connection was taken over from another process, where it had delivered a valid message.
+// messageBegun is true if another message has arrived in part.
 func (c *CallerConn) Inherited(messageBegun bool) {
 	c.hasValidMessage = true
 	if !messageBegun {
@@ -91,8 +91,8 @@
 	return c.deadline > 0 && now >= c.deadline && !slow
 }
 
-// ClosesBefore reports whether the connection is to be closed before another one when descriptors run out and
-// neither has a set-up: first those that are closing, then those without a valid message, and among equals the
+// ClosesBefore reports whether the connection is to be closed before another one when file descriptors run out and
+// neither has a pending set-up: first those that are closing, then those without a valid message, and among equals the
 // one that has been silent longest.
 func (c *CallerConn) ClosesBefore(other *CallerConn) bool {
 	if rank, otherRank := c.closeRank(), other.closeRank(); rank != otherRank {
@@ -101,7 +101,7 @@
 	return c.lastReceived < other.lastReceived
 }
 
-// closeRank returns the class by which connections are closed, lowest first.
+// closeRank returns the rank in which connections are closed, lowest first.
 func (c *CallerConn) closeRank() int {
 	switch {
 	case c.closing:
--- a/lifecycle/caller_test.go
+++ b/lifecycle/caller_test.go
@@ -17,18 +17,18 @@
 		var c CallerConn
 		now := time.Hour
 		c.Connected(now)
-		last, whole := now, now+time.Duration(rapid.IntRange(0, 5000).Draw(t, "whole after"))*ms
+		lastReceived, completeAt := now, now+time.Duration(rapid.IntRange(0, 5000).Draw(t, "complete after"))*ms
 		for now < time.Hour+6*time.Second {
 			now += time.Duration(rapid.IntRange(20, 900).Draw(t, "pause")) * ms
-			late := c.TimedOut(now)
-			age, pause := now-time.Hour, now-last
-			require.Equal(t, age >= 2*time.Second && (pause >= 700*ms || age >= 2750*ms), late)
-			if late {
+			timedOut := c.TimedOut(now)
+			age, pause := now-time.Hour, now-lastReceived
+			require.Equal(t, age >= 2*time.Second && (pause >= 700*ms || age >= 2750*ms), timedOut)
+			if timedOut {
 				return
 			}
-			last = now
+			lastReceived = now
 			c.Received(now)
-			if now >= whole {
+			if now >= completeAt {
 				c.MessageValid()
 				c.MessageComplete()
 				require.False(t, c.TimedOut(now+time.Hour), "an idle connection with a valid message timed out")
@@ -53,11 +53,11 @@
 		for range rapid.IntRange(2, 20).Draw(t, "connections") {
 			c := &CallerConn{}
 			c.Connected(time.Hour)
-			c.Received(time.Hour + time.Duration(rapid.IntRange(0, 50).Draw(t, "heard"))*ms)
-			if rapid.Bool().Draw(t, "spoke") {
+			c.Received(time.Hour + time.Duration(rapid.IntRange(0, 50).Draw(t, "received after"))*ms)
+			if rapid.Bool().Draw(t, "valid message") {
 				c.MessageValid()
 			}
-			if rapid.Bool().Draw(t, "over") {
+			if rapid.Bool().Draw(t, "closing") {
 				c.BeginClose(time.Hour)
 			}
 			all = append(all, c)
--- a/lifecycle/lifecycle.go
+++ b/lifecycle/lifecycle.go
@@ -12,7 +12,7 @@
 const (
 	// drainSettleDelay is how long after the start of a drain callers may still open connections. The front polls
 	// readiness ten times a second and stops sending callers 0.2 s after it saw the router not ready; the rest is
-	// slack. The caller of a connection closed earlier would reconnect here.
+	// slack. A caller whose connection was closed earlier would reconnect here.
 	drainSettleDelay = 400 * time.Millisecond
 	// idleCloseSpread is the period over which idle connections are closed, so that their callers don't all
 	// reconnect elsewhere at once.
@@ -20,15 +20,15 @@
 	// setupRefusalDelay is how long after the start of a drain set-ups are accepted on remaining connections.
 	// Later ones would hardly be answered in time.
 	setupRefusalDelay = 3 * time.Second
-	// recentSetupFrom and recentSetupEndDelay count from the start of a drain. 4 s after it no connection may be
-	// left with a set-up of the last 2 s, so set-ups that arrive from recentSetupFrom on and are still pending at
-	// recentSetupEndDelay are ended then.
+	// recentSetupFrom and recentSetupEndDelay count from the start of a drain. 4 s after it, no connection may be
+	// left whose set-up arrived in the last 2 s. Set-ups that arrive from recentSetupFrom on and are still pending
+	// at recentSetupEndDelay are therefore ended then.
 	recentSetupFrom     = 1900 * time.Millisecond
 	recentSetupEndDelay = 3800 * time.Millisecond
-	// lastConnCloseDelay is how long after the start of a drain the last connection of the callers is kept, so
-	// that releases of established calls can arrive.
+	// lastConnCloseDelay is how long, from the start of a drain, the last connection on which releases of
+	// established calls can arrive is kept.
 	lastConnCloseDelay = 3600 * time.Millisecond
-	// newConnIdleTimeout is how long a connection opened during a drain may be silent.
+	// newConnIdleTimeout is how long a connection that was opened during a drain may be idle.
 	newConnIdleTimeout = 300 * time.Millisecond
 )
 
@@ -40,7 +40,7 @@
 	Starting State = iota // not yet able to serve
 	Serving               // accepts callers
 	Draining              // drained by an operator, who may also resume it
-	Ending                // told to shut down, which can't be undone
+	Ending                // shutting down, which can't be undone
 )
 
 // String returns the state in lower case.
@@ -57,7 +57,7 @@
 	draining                 bool
 	ending                   bool
 	hasSuccessor             bool          // a new process accepts the callers
-	closingIdle              bool          // no new callers arrive any more
+	closingIdle              bool          // no new callers arrive: connections are closed once they are idle
 	leavingSince             time.Duration // when the current drain or shutdown began
 	changes                  uint64
 }
@@ -126,8 +126,8 @@
 	}
 }
 
-// Changes returns the number of drains, resumes and shutdowns so far, from which deferred work can tell whether
-// the state it was started for still holds.
+// Changes returns the number of drains, resumes and shutdowns so far. Deferred work compares it to tell whether the
+// state that it was started for still holds.
 func (p *Process) Changes() uint64 { return p.changes }
 
 // ConnState describes a caller's connection.
@@ -139,13 +139,13 @@
 	LastForReleases bool          // releases of established calls can't arrive on any other connection
 }
 
-// BeginClosing records that a process that is shutting down accepts no new callers any more. From then on idle
+// BeginClosing records that a process that is shutting down no longer accepts new callers. From then on idle
 // connections are closed at once and the others when their set-ups are answered. It has no effect in other states.
 func (p *Process) BeginClosing() { p.closingIdle = p.ending }
 
 // ShouldClose reports whether the connection is to be closed now because the process is draining or shutting
-// down. In a drain that is once callers are sent elsewhere, at the connection's position in the spread. It is
-// never while a set-up on the connection is pending.
+// down. In a drain, connections are closed once callers are sent elsewhere, each at its position in the spread. A
+// connection with a pending set-up is never closed.
 func (p *Process) ShouldClose(now time.Duration, conn ConnState) bool {
 	if p.closingIdle {
 		return conn.OpenSetups == 0
--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -51,91 +51,91 @@
 func TestDrainPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, began := newServingProcess(), time.Hour
-		c := ConnState{SpreadPosition: rapid.Float64Range(0, 1).Draw(t, "share"),
-			ConnectedAt:     began - time.Duration(rapid.IntRange(-300, 5000).Draw(t, "since"))*ms,
-			LastForReleases: rapid.Bool().Draw(t, "last")}
+		c := ConnState{SpreadPosition: rapid.Float64Range(0, 1).Draw(t, "spread position"),
+			ConnectedAt:     began - time.Duration(rapid.IntRange(-300, 5000).Draw(t, "connected before"))*ms,
+			LastForReleases: rapid.Bool().Draw(t, "last for releases")}
 		c.LastReceived = c.ConnectedAt
 		require.False(t, p.ShouldClose(began, c))
 		p.Drain(began)
 		type setUp struct{ came, answered time.Duration }
-		var open []setUp
-		gone := false
-		for now := began; now <= began+4*time.Second && !gone; now += 20 * ms {
-			for i := 0; i < len(open); {
-				if now >= open[i].answered || p.ShouldEndSetup(now, open[i].came) {
-					open = append(open[:i], open[i+1:]...)
-					if c.OpenSetups = len(open); p.ShouldCloseAnswered(now, c) {
-						gone = true
+		var pending []setUp
+		closed := false
+		for now := began; now <= began+4*time.Second && !closed; now += 20 * ms {
+			for i := 0; i < len(pending); {
+				if now >= pending[i].answered || p.ShouldEndSetup(now, pending[i].came) {
+					pending = append(pending[:i], pending[i+1:]...)
+					if c.OpenSetups = len(pending); p.ShouldCloseAnswered(now, c) {
+						closed = true
 					}
 					continue
 				}
 				i++
 			}
-			if c.OpenSetups = len(open); now%(100*ms) == 0 && p.ShouldClose(now, c) {
+			if c.OpenSetups = len(pending); now%(100*ms) == 0 && p.ShouldClose(now, c) {
 				require.Zero(t, c.OpenSetups)
 				require.GreaterOrEqual(t, now, began+drainSettleDelay)
-				gone = true
+				closed = true
 			}
-			if !gone && now >= c.ConnectedAt && rapid.IntRange(0, 5).Draw(t, "set-up") == 0 {
+			if !closed && now >= c.ConnectedAt && rapid.IntRange(0, 5).Draw(t, "set-up") == 0 {
 				c.LastReceived = now
 				if !p.RefusesSetup(now, c) {
-					open = append(open, setUp{now, now + time.Duration(rapid.IntRange(1, 9000).Draw(t, "takes"))*ms})
+					pending = append(pending,
+						setUp{now, now + time.Duration(rapid.IntRange(1, 9000).Draw(t, "duration"))*ms})
 				}
 			}
 		}
-		for _, s := range open {
-			require.True(t, gone || s.came < began+2*time.Second, "a recent set-up is left")
+		for _, s := range pending {
+			require.True(t, closed || s.came < began+2*time.Second, "a connection with a recent set-up is left")
 		}
-		require.True(t, gone || len(open) > 0, "an idle connection is left")
+		require.True(t, closed || len(pending) > 0, "an idle connection is left")
 		p.Resume()
 		require.False(t, p.ShouldClose(began+5*time.Second, ConnState{}))
 	})
 }
 
 // Guards against two processes serving at once, or none, in a hot restart. Whatever the order of events on both
-// sides, at most one process decides while they are connected, and the new one does as soon as the old one is
-// gone.
+// sides, at most one process serves while they are connected, and the new one does as soon as the old one is gone.
 func TestOneProcessServes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var old OldProcess
 		var next NewProcess
-		now, linked := time.Hour, old.AcceptSuccessor()
+		now, connected := time.Hour, old.AcceptSuccessor()
 		next.StandBy()
-		require.False(t, old.AcceptSuccessor(), "a third process has to wait")
-		var take, taken bool // messages in transit
+		require.False(t, old.AcceptSuccessor(), "a second successor was accepted")
+		var requested, tookOver bool // messages in transit
 		for range rapid.IntRange(1, 20).Draw(t, "events") {
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				take = old.RequestTakeover(now) || take
+				requested = old.RequestTakeover(now) || requested
 			case 1:
-				if take && linked && next.TakeOver() {
-					taken = true
+				if requested && connected && next.TakeOver() {
+					tookOver = true
 				}
 			case 2:
-				if taken {
+				if tookOver {
 					old.ConfirmTakeover(now)
 				}
 			case 3:
 				now += time.Duration(rapid.IntRange(1, 200).Draw(t, "wait")) * ms
 			case 4:
-				if linked && rapid.IntRange(0, 9).Draw(t, "break") == 0 {
-					linked = false
+				if connected && rapid.IntRange(0, 9).Draw(t, "break") == 0 {
+					connected = false
 					if next.OldProcessLost() {
 						require.True(t, next.TakeOver())
 					}
 				}
 			}
 			require.False(t, old.HandedOver() && next.InStandby(), "callers handed over to a process in standby")
-			if !linked {
+			if !connected {
 				require.False(t, next.InStandby())
 				require.False(t, next.OldProcessAlive())
 			}
-			if !take && linked {
+			if !requested && connected {
 				require.True(t, next.InStandby(), "took over without being asked")
 			}
 		}
 		if old.RequestTakeover(now) {
-			require.False(t, old.ConfirmTakeover(now+takeoverTimeout), "too late")
+			require.False(t, old.ConfirmTakeover(now+takeoverTimeout), "confirmed after the timeout")
 		}
 	})
 }
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -57,7 +57,7 @@
 	classDeadlines atomic.Pointer[map[string]time.Duration] // by class name
 }
 
-// New starts a Core, which Close stops. An error names the invalid setting.
+// New starts a Core, which Close stops. The error names the invalid setting.
 func New(cfg Config) (*Core, error) {
 	if cfg.Clock == nil {
 		cfg.Clock = router.SystemClock()
@@ -78,7 +78,7 @@
 }
 
 // Change replaces the settings as a whole for requests that arrive from now on. Requests in progress keep the settings
-// they arrived under. An error names the invalid setting; the settings in force then stay.
+// they arrived under. If a setting is invalid, the error names it and nothing changes.
 func (c *Core) Change(set threadglade.Settings) error {
 	err := c.router.Change(set)
 	if err == nil {
@@ -111,7 +111,7 @@
 	}
 }
 
-// Wake has the timers checked again. It must be called after a manual clock was advanced.
+// Wake makes the Core check its timers. It must be called after a manual clock was advanced.
 func (c *Core) Wake() {
 	select {
 	case c.wake <- struct{}{}:
@@ -142,7 +142,7 @@
 
 // call is one HTTP request in progress. It is the router.Front of its request.
 type call struct {
-	events    chan callEvent // in order; never full: at most six attempts and one final answer
+	events    chan callEvent // in order; never full: it has room for all attempts and the final answer
 	mu        sync.Mutex
 	cancel    context.CancelFunc // cancels the attempt in progress
 	withdrawn map[int]bool       // by index: attempts that the router has withdrawn
@@ -243,25 +243,25 @@
 			select {
 			case <-r.Context().Done():
 				return
-			case v := <-k.events:
+			case event := <-k.events:
 				switch {
-				case v.attempt != nil:
+				case event.attempt != nil:
 					if failed != nil && r.ContentLength != 0 {
 						failed.finalize() // its body has been read: the first attempt's response is final
 						return
 					}
-					failed = c.attempt(k, v.attempt, w, r, next)
+					failed = c.attempt(k, event.attempt, w, r, next)
 					if failed == nil {
 						return
 					}
-				case v.refused:
-					w.Header().Set("Retry-After", strconv.Itoa(max(1, int((v.retryAfter+time.Second-1)/time.Second))))
+				case event.refused:
+					w.Header().Set("Retry-After", strconv.Itoa(max(1, int((event.retryAfter+time.Second-1)/time.Second))))
 					http.Error(w, "refused", http.StatusServiceUnavailable)
 					return
 				case failed != nil && failed.status >= 500:
 					failed.finalize()
 					return
-				case v.reason == router.DeadlineExceeded:
+				case event.reason == router.DeadlineExceeded:
 					http.Error(w, "no server answered in time", http.StatusGatewayTimeout)
 					return
 				default:
@@ -291,9 +291,9 @@
 		c.router.Answered(a.ID, a.Index, nil)
 		return true
 	}}
-	clean := false
+	returned := false
 	defer func() {
-		if !clean { // a panic propagates to the HTTP server; the attempt counts as faulted
+		if !returned { // a panic propagates to the HTTP server; the attempt counts as faulted
 			c.router.Ended(a.ID, a.Index, threadglade.Faulted, threadglade.CauseNone)
 		}
 	}()
@@ -303,7 +303,7 @@
 			rec.WriteHeader(http.StatusOK)
 		}
 	}
-	clean = true
+	returned = true
 	switch {
 	case rec.committed:
 		c.router.Ended(a.ID, a.Index, threadglade.Concluded, threadglade.CauseNone)
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -138,10 +138,10 @@
 		5*time.Second, time.Millisecond)
 }
 
-// The requests in progress are bounded: those beyond MaxRequests are refused at once, a request of an unknown class is
-// rejected, and no request waits longer than its class's deadline.
+// Requests beyond MaxRequests in progress are refused at once, a request of an unknown class is rejected, and no
+// request waits longer than its class's deadline.
 func TestBounds(t *testing.T) {
-	in, out := make(chan bool), make(chan bool)
+	entered, leave := make(chan bool), make(chan bool)
 	_, _, core := start(t, func(http.ResponseWriter, *http.Request) {})
 	core.cfg.MaxRequests = 1
 	class, wait := "page", time.Hour
@@ -149,25 +149,25 @@
 		return router.Request{Class: class, Deadline: now + wait}
 	}
 	handler := core.Handler(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		in <- true
-		<-out
+		entered <- true
+		<-leave
 	}))
-	ask := func() *httptest.ResponseRecorder {
+	request := func() *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequest("GET", "/", nil))
 		return w
 	}
 	done := make(chan int)
-	go func() { done <- ask().Code }()
-	<-in
+	go func() { done <- request().Code }()
+	<-entered
 	next, _ := core.router.Next()
 	require.Less(t, next, core.cfg.Clock()+6*time.Second)
-	w := ask()
+	w := request()
 	require.Equal(t, 503, w.Code)
 	require.Equal(t, "1", w.Header().Get("Retry-After"))
-	out <- true
+	leave <- true
 	require.Equal(t, 200, <-done)
 	class = "fax"
-	require.Equal(t, 400, ask().Code)
+	require.Equal(t, 400, request().Code)
 	require.Empty(t, core.calls)
 }
--- a/silence/silence.go
+++ b/silence/silence.go
@@ -1,6 +1,6 @@
 // Package silence detects connections to a case server that no longer deliver data although the server is alive.
-// The decision rests on when data and state reports last arrived on the connection and on whether a set-up is
-// waiting for an answer there. The package is pure state over events and absolute times. It must never do I/O,
+// The decision is based on when data and state reports last arrived on the connection and on whether a set-up is
+// waiting for an answer on it. The package is pure state over events and absolute times. It must never do I/O,
 // read a clock, send probes, or mistake a slow server for a silent one. Its types are not safe for concurrent
 // use.
 package silence
@@ -15,11 +15,12 @@
 	MaxSilence = 1500 * time.Millisecond
 	// minTimeout is the lower bound of ReportIntervals.Timeout.
 	minTimeout = 300 * time.Millisecond
-	// timeoutMargin is the factor by which a report may exceed the longest recent interval. A server reports its
-	// state on every open connection at its own intervals, so a report that is later than that was missed,
+	// timeoutMargin is the factor by which a report interval may exceed the longest recent one. A server reports
+	// its state on every open connection at its own intervals, so a report that is later than that was lost,
 	// however slow the server is otherwise.
 	timeoutMargin = 1.3
-	// keptIntervals is how many of the latest intervals are kept. No timeout is known before that many were seen.
+	// keptIntervals is how many of the latest intervals are kept. The timeout is unknown until there are that
+	// many.
 	keptIntervals = 8
 )
 
@@ -43,46 +44,46 @@
 type Connection struct {
 	opened       time.Duration
 	lastReceived time.Duration // when data last arrived; when it was opened if none has
-	pendingSince time.Duration // when the longest waiting set-up was sent; none waits unless it is after lastReceived
+	pendingSince time.Duration // when the longest waiting set-up was sent; if not after lastReceived, none waits
 	lastReport   time.Duration // when the latest state report arrived; 0: none has
 }
 
 // Opened resets the state for a connection opened at now.
-func (l *Connection) Opened(now time.Duration) { *l = Connection{opened: now, lastReceived: now} }
+func (c *Connection) Opened(now time.Duration) { *c = Connection{opened: now, lastReceived: now} }
 
 // Received records that data arrived.
-func (l *Connection) Received(now time.Duration) { l.lastReceived = now }
+func (c *Connection) Received(now time.Duration) { c.lastReceived = now }
 
 // HasReceived reports whether any data has arrived since the connection was opened.
-func (l *Connection) HasReceived() bool { return l.lastReceived > l.opened }
+func (c *Connection) HasReceived() bool { return c.lastReceived > c.opened }
 
 // SetupSent records that a set-up was sent. The first one since data last arrived is the one that waits longest.
-func (l *Connection) SetupSent(now time.Duration) {
-	if l.pendingSince <= l.lastReceived {
-		l.pendingSince = max(now, l.lastReceived+1)
+func (c *Connection) SetupSent(now time.Duration) {
+	if c.pendingSince <= c.lastReceived {
+		c.pendingSince = max(now, c.lastReceived+1)
 	}
 }
 
 // ReportReceived records a state report of the server and adds its distance from the previous one to the server's
 // intervals.
-func (l *Connection) ReportReceived(now time.Duration, reports *ReportIntervals) {
-	if l.lastReport > 0 {
-		reports.intervals[reports.count%keptIntervals] = now - l.lastReport
+func (c *Connection) ReportReceived(now time.Duration, reports *ReportIntervals) {
+	if c.lastReport > 0 {
+		reports.intervals[reports.count%keptIntervals] = now - c.lastReport
 		reports.count++
 	}
-	l.lastReport = now
+	c.lastReport = now
 }
 
 // NeedsProbe reports whether nothing has arrived for so long that a new connection must be opened to verify that the
 // server is reachable.
-func (l *Connection) NeedsProbe(now time.Duration) bool { return now-l.lastReceived > MaxSilence }
+func (c *Connection) NeedsProbe(now time.Duration) bool { return now-c.lastReceived > MaxSilence }
 
 // MissedReport reports whether the connection has missed a state report while a set-up waits on it.
-func (l *Connection) MissedReport(now time.Duration, reports *ReportIntervals) bool {
+func (c *Connection) MissedReport(now time.Duration, reports *ReportIntervals) bool {
 	timeout, known := reports.Timeout()
-	return known && l.lastReport > 0 && l.pendingSince > l.lastReceived && now-l.pendingSince > timeout
+	return known && c.lastReport > 0 && c.pendingSince > c.lastReceived && now-c.pendingSince > timeout
 }
 
 // Unresponsive reports whether nothing has arrived on the connection since another one to the same server was opened
-// because of its silence. The server sends on the other one, so no answer will come on this one.
-func (l *Connection) Unresponsive(other *Connection) bool { return l.lastReceived <= other.opened }
+// because of its silence. The server sends on the other one, so no answer will arrive on this one.
+func (c *Connection) Unresponsive(other *Connection) bool { return c.lastReceived <= other.opened }
--- a/silence/silence_test.go
+++ b/silence/silence_test.go
@@ -33,7 +33,7 @@
 			l.Received(now)
 			l.ReportReceived(now, &r)
 		}
-		require.False(t, l.MissedReport(now+time.Hour, &r), "no set-up waits")
+		require.False(t, l.MissedReport(now+time.Hour, &r), "counts as silent although no set-up waits")
 		l.SetupSent(now)
 		require.False(t, l.MissedReport(now+min(period, MaxSilence), &r))
 		timeout := max(minTimeout, time.Duration(timeoutMargin*float64(longest)))
