--- a/api.go
+++ b/api.go
@@ -111,8 +111,8 @@
 	InTransit   bool          // sent here by another exchange: only its destination may take it
 }
 
-// Stood reports that a set-up was answered and the call is established. It stays so until the attempt's Ended.
-type Stood struct {
+// Established reports that a set-up was answered and the call is established. It stays so until the attempt's Ended.
+type Established struct {
 	Call    string
 	Attempt int // number of the attempt, from 0
 	Server  string
@@ -170,25 +170,25 @@
 // Due reports that the timer of a SetTimer has expired.
 type Due struct{ Token int64 }
 
-// ColdPart sets this proxy's fraction of the load that all proxies together may send a server that has just
+// ColdFraction sets this proxy's fraction of the load that all proxies together may send a server that has just
 // started. The first one, without a Server, announces that such fractions are assigned; its fraction applies to
 // every cold server for which this proxy has none.
-type ColdPart struct {
+type ColdFraction struct {
 	Server   string
 	Started  time.Duration // clock time of the server's start
 	Fraction float64       // fraction, from 0 to 1
 	Until    time.Duration // clock time at which the fraction expires
 }
 
-// Further sets this proxy's budget of retry attempts, for all calls together. It replaces the previous budget.
+// RetryBudget sets this proxy's budget of retry attempts, for all calls together. It replaces the previous budget.
 // Until the first one, only the limits of each call apply.
-type Further struct {
+type RetryBudget struct {
 	Limited   bool // false: no budget applies
 	Remaining int  // retry attempts that may still be made
 }
 
 // spend takes one retry attempt from the budget and reports whether there was one.
-func (f *Further) spend() bool {
+func (f *RetryBudget) spend() bool {
 	if !f.Limited {
 		return true
 	}
@@ -196,24 +196,24 @@
 	return f.Remaining >= 0
 }
 
-// Care makes this proxy avoid a server because of what all proxies together know about it. It can only add to the
+// Avoidance makes this proxy avoid a server because of what all proxies together know about it. It can only add to the
 // restrictions that follow from this proxy's own observations.
-type Care struct {
+type Avoidance struct {
 	Server  string
 	Started time.Duration // clock time of the server's start
 	Until   time.Duration // clock time until which the server is avoided
 }
 
-func (ColdPart) event()   {}
-func (Further) event()    {}
-func (Care) event()       {}
-func (ServerList) event() {}
-func (Arrival) event()    {}
-func (Stood) event()      {}
-func (Ended) event()      {}
-func (Agents) event()     {}
-func (CallerGone) event() {}
-func (Due) event()        {}
+func (ColdFraction) event() {}
+func (RetryBudget) event()  {}
+func (Avoidance) event()    {}
+func (ServerList) event()   {}
+func (Arrival) event()      {}
+func (Established) event()  {}
+func (Ended) event()        {}
+func (Agents) event()       {}
+func (CallerGone) event()   {}
+func (Due) event()          {}
 
 // Action is an instruction to the proxy. Actions are carried out in the order given.
 type Action interface{ action() }
@@ -289,7 +289,7 @@
 	Overtaken             // a later set-up was answered first: this one was lost
 	Unbillable            // refused by the proxy before the Controller saw it: it could not have been billed
 	OverLimit             // refused by the proxy before the Controller saw it: a limit of the whole fleet was reached
-	SharedVerdict         // the first-choice server is avoided on behalf of all proxies (see Care)
+	SharedVerdict         // the first-choice server is avoided on behalf of all proxies (see Avoidance)
 	Avoided               // sent to another server for that reason
 	TakenOver             // another proxy took over this proxy's calls
 )
--- a/clone_test.go
+++ b/clone_test.go
@@ -35,7 +35,7 @@
 				otherClone.Handle(now, Arrival{Call: id, Class: w.run.settings.Classes[0].Name, Tenant: "left",
 					Number: fmt.Sprint("n", w.random.IntN(900)), TimeLeft: 900 * ms, Destination: 1})
 			case 1:
-				otherClone.Handle(now, Stood{Call: id, Latency: 5 * ms})
+				otherClone.Handle(now, Established{Call: id, Latency: 5 * ms})
 			case 2:
 				otherClone.Handle(now, Ended{Call: id, Attempt: w.random.IntN(3), Outcome: Outcome(w.random.IntN(8)),
 					Cause: Cause(w.random.IntN(5))})
--- a/coldstart_test.go
+++ b/coldstart_test.go
@@ -94,7 +94,7 @@
 			for _, a := range all[i].Handle(now, Arrival{Call: id, Class: "plain", Number: id,
 				TimeLeft: 3 * time.Second, Destination: 1}) {
 				if a, ok := a.(Send); ok {
-					all[i].Handle(now, Stood{Call: a.Call, Server: a.Server, Latency: 20 * ms})
+					all[i].Handle(now, Established{Call: a.Call, Server: a.Server, Latency: 20 * ms})
 					if a.Server == "cold" {
 						sent = append(sent, now)
 						total++
--- a/controller.go
+++ b/controller.go
@@ -120,9 +120,9 @@
 	ownArrivals        meter                    // rate of first tries at this proxy
 	agentsInUse        int                      // reported agents with calls of any proxy, at all servers
 	totalAgents        int                      // reported agents, at all servers
-	coldAssigned       bool                     // ColdPart events assign the load of cold servers
-	unassignedFraction float64                  // of a cold server's load, where no ColdPart names the server
-	retryBudget        Further                  // retry attempts that the proxies agreed on
+	coldAssigned       bool                     // ColdFraction events assign the load of cold servers
+	unassignedFraction float64                  // of a cold server's load, where no ColdFraction names the server
+	retryBudget        RetryBudget              // retry attempts that the proxies agreed on
 	waitingPollAt      time.Duration            // when the timer for waiting calls expires
 	actions            []Action                 // result of the event that is being handled
 }
@@ -186,7 +186,7 @@
 	totalAgents       int           // as last reported
 	credit            float64       // set-ups left of this proxy's share (see shareExhausted)
 	creditedAt        time.Duration // when the credit was last brought up to date
-	coldFraction      float64       // this proxy's fraction of its load while cold, as assigned by ColdPart
+	coldFraction      float64       // this proxy's fraction of its load while cold, as assigned by ColdFraction
 	coldFractionUntil time.Duration // when that fraction expires
 	avoidUntil        time.Duration // avoided until then on behalf of all proxies
 	turnPosition      float64       // this proxy's turns so far (see turnsExhausted), as of turnsAt
@@ -240,7 +240,7 @@
 		c.updateServers(e)
 	case Arrival:
 		c.handleArrival(e)
-	case Stood:
+	case Established:
 		c.handleEstablished(e)
 	case Ended:
 		c.handleEnded(e)
@@ -250,11 +250,11 @@
 		c.handleCallerGone(e)
 	case Due:
 		c.handleTimer(e)
-	case ColdPart:
-		c.setColdPart(e)
-	case Further:
+	case ColdFraction:
+		c.setColdFraction(e)
+	case RetryBudget:
 		c.retryBudget = e
-	case Care:
+	case Avoidance:
 		if server := c.byID[e.Server]; server != nil && server.Started == e.Started {
 			server.avoidUntil = e.Until
 		}
@@ -271,7 +271,7 @@
 // ---- server list ----
 
 // updateServers applies a server list. A server that is new or was restarted starts with new credit and new
-// turns, and what ColdPart and Care set for its previous process no longer applies.
+// turns, and what ColdFraction and Avoidance set for its previous process no longer applies.
 func (c *Controller) updateServers(list ServerList) {
 	if c.settings.SubscribeList && (list.Failed || list.Stored) {
 		c.emit(Subscribe{})
@@ -303,8 +303,8 @@
 	}
 }
 
-// setColdPart stores the assigned fraction of the load of a cold server.
-func (c *Controller) setColdPart(part ColdPart) {
+// setColdFraction stores the assigned fraction of the load of a cold server.
+func (c *Controller) setColdFraction(part ColdFraction) {
 	if server := c.byID[part.Server]; server != nil && server.Started == part.Started {
 		server.coldFraction, server.coldFractionUntil = part.Fraction, part.Until
 	} else if part.Server == "" {
@@ -522,7 +522,7 @@
 
 // handleEstablished records that a set-up was answered and updates what is known about the server and about
 // the set-ups that were sent to it before.
-func (c *Controller) handleEstablished(answer Stood) {
+func (c *Controller) handleEstablished(answer Established) {
 	call := c.calls[answer.Call]
 	if call == nil || !call.inFlight || answer.Attempt != call.attempts-1 {
 		return
@@ -1062,7 +1062,7 @@
 
 // coldRate returns this proxy's fraction of the calls a second that a cold server can take when warm. By
 // Little's law that is its agents divided by the mean holding time, and proxies have equal fractions unless
-// ColdPart assigned others. Before the agents are reported, it is this proxy's calls divided by the number of
+// ColdFraction assigned others. Before the agents are reported, it is this proxy's calls divided by the number of
 // servers. Too few calls are sent to a server whose processor could serve more agents than it has.
 func (c *Controller) coldRate(server *serverState) float64 {
 	fraction := 1 / float64(c.settings.Proxies)
--- a/controller_test.go
+++ b/controller_test.go
@@ -273,7 +273,7 @@
 	}
 	r.now = max(r.now, s.coolDownUntil)
 	id, _ := r.newCall("plain")
-	r.handle(Stood{Call: id, Server: "a", Latency: ms})
+	r.handle(Established{Call: id, Server: "a", Latency: ms})
 	id, _ = r.newCall("plain")
 	r.handle(Ended{Call: id, Server: "a", Outcome: Rejected, Cause: CauseProcessorFull})
 	if coolDown := s.coolDownUntil - r.now; coolDown != minCoolDown {
@@ -289,7 +289,7 @@
 	id, timers := r.newCall("plain")
 	r.advance(1200 * ms)
 	r.fireTimers(timers)
-	r.handle(Stood{Call: id, Server: "a", Latency: 1200 * ms}) // its aim is 1 s
+	r.handle(Established{Call: id, Server: "a", Latency: 1200 * ms}) // its aim is 1 s
 	r.advance(time.Second)
 	if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
 		t.Error("a fresh call is sent where it would be late")
@@ -298,14 +298,14 @@
 	if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
 		t.Error("without newer answers, the old answer still keeps calls away")
 	} else {
-		r.handle(Stood{Call: id, Server: "a", Latency: 1200 * ms})
+		r.handle(Established{Call: id, Server: "a", Latency: 1200 * ms})
 	}
 	got := r.handle(Arrival{Call: "late", Class: "plain", Number: "n", TimeLeft: 3 * time.Second, Destination: 1,
 		Retry: true})
 	if sentTo(got, "late") != "a" {
 		t.Error("a late call is not sent to measure the response time")
 	}
-	r.handle(Stood{Call: "late", Server: "a", Latency: 100 * ms})
+	r.handle(Established{Call: "late", Server: "a", Latency: 100 * ms})
 	if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
 		t.Error("an answer in time does not bring fresh calls back")
 	}
@@ -393,7 +393,7 @@
 func TestBaseLatencyBlocksNoServer(t *testing.T) {
 	r := newRig(t, settings(), twoServers()[:1]...)
 	id, _ := r.newCall("plain")
-	r.handle(Stood{Call: id, Server: "a", Latency: 150 * ms})
+	r.handle(Established{Call: id, Server: "a", Latency: 150 * ms})
 	_, first := r.newCall("plain")
 	r.advance(200 * ms)
 	r.fireTimers(first)
@@ -431,7 +431,7 @@
 	r.advance(10 * ms)
 	sound, _ := r.newCall("plain")
 	r.advance(30 * ms)
-	r.handle(Stood{Call: sound, Server: "a", Latency: 30 * ms})
+	r.handle(Established{Call: sound, Server: "a", Latency: 30 * ms})
 	r.advance(160 * ms)
 	want := GiveUp{Call: lost, Why: Overtaken}
 	if got := r.fireTimers(first); !slices.Contains(got, Action(want)) {
@@ -459,7 +459,7 @@
 		t.Fatal("an overdue set-up does not block its server")
 	}
 	r.advance(20 * ms)
-	r.handle(Stood{Call: sound, Server: "a", Latency: 30 * ms})
+	r.handle(Established{Call: sound, Server: "a", Latency: 30 * ms})
 	if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
 		t.Error("an overtaken set-up still blocks its server")
 	}
@@ -512,7 +512,7 @@
 		t.Fatalf("active %v with %d overload rejections, want the set-up unanswered at half its aim counted",
 			s.active, s.rejections)
 	}
-	r.handle(Stood{Call: id, Server: "a", Latency: 500 * ms})
+	r.handle(Established{Call: id, Server: "a", Latency: 500 * ms})
 	if s := r.c.byID["a"]; s.rejections != 1 {
 		t.Error("the same set-up was counted twice")
 	}
@@ -527,7 +527,7 @@
 	if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
 		t.Fatal("sent to a server with an overdue set-up")
 	}
-	r.handle(Stood{Call: first, Server: "a", Latency: 300 * ms})
+	r.handle(Established{Call: first, Server: "a", Latency: 300 * ms})
 	second, got := r.newCall("plain")
 	if sentTo(got, second) != "a" {
 		t.Fatal("not sent during probation")
@@ -535,7 +535,7 @@
 	if id, got := r.newCall("plain"); sentTo(got, id) != "b" {
 		t.Fatal("two set-ups in flight at the start of probation")
 	}
-	r.handle(Stood{Call: second, Server: "a", Latency: 20 * ms})
+	r.handle(Established{Call: second, Server: "a", Latency: 20 * ms})
 	for range 2 {
 		if id, got := r.newCall("plain"); sentTo(got, id) != "a" {
 			t.Fatal("an answer in time does not extend the probation limit")
@@ -566,7 +566,7 @@
 				for _, a := range c.Handle(now, Arrival{Call: id, Class: "plain", Number: id,
 					TimeLeft: 3 * time.Second, Destination: 1}) {
 					if a, ok := a.(Send); ok {
-						c.Handle(now, Stood{Call: a.Call, Server: a.Server, Latency: ms})
+						c.Handle(now, Established{Call: a.Call, Server: a.Server, Latency: ms})
 						if a.Server == "a" && i > 0 {
 							sent++
 						}
@@ -751,7 +751,7 @@
 		for _, a := range got {
 			if a, ok := a.(Send); ok {
 				sent++
-				r.handle(Stood{Call: a.Call, Server: "a", Latency: ms})
+				r.handle(Established{Call: a.Call, Server: "a", Latency: ms})
 			}
 		}
 	}
@@ -792,8 +792,8 @@
 					c.Handle(start, Agents{Server: "cold", Free: agents, Total: agents})
 				}
 				if divided {
-					c.Handle(start, ColdPart{})
-					c.Handle(start, ColdPart{Server: "cold", Started: start, Fraction: 1 / float64(proxies),
+					c.Handle(start, ColdFraction{})
+					c.Handle(start, ColdFraction{Server: "cold", Started: start, Fraction: 1 / float64(proxies),
 						Until: start + time.Hour})
 				}
 				all = append(all, c)
@@ -811,7 +811,7 @@
 				if to == "" {
 					continue
 				}
-				c.Handle(now, Stood{Call: id, Server: to, Latency: 20 * ms})
+				c.Handle(now, Established{Call: id, Server: to, Latency: 20 * ms})
 				if to == "cold" {
 					total++
 					sent = append(sent, now)
@@ -844,7 +844,7 @@
 		t.Fatal(err)
 	}
 	start, n := time.Hour, 0
-	c.Handle(start, ColdPart{})
+	c.Handle(start, ColdFraction{})
 	list := func(now, started time.Duration) {
 		c.Handle(now, ServerList{Servers: []Server{{ID: "cold", Number: 1, Started: started}}})
 		c.Handle(now, Agents{Server: "cold", Free: 500, Total: 500})
@@ -856,7 +856,7 @@
 			if id := fmt.Sprint(n); sentTo(c.Handle(now, Arrival{Call: id, Class: "plain", Number: id,
 				TimeLeft: 3 * time.Second, Destination: 1}), id) != "" {
 				sent++
-				c.Handle(now, Stood{Call: id, Server: "cold", Latency: ms})
+				c.Handle(now, Established{Call: id, Server: "cold", Latency: ms})
 			}
 		}
 		return sent
@@ -865,14 +865,14 @@
 	if sent := try(start); sent != 0 {
 		t.Errorf("%d set-ups without a fraction", sent)
 	}
-	c.Handle(start+time.Second, ColdPart{Server: "cold", Started: start, Fraction: 0.5, Until: start + 3*time.Second})
+	c.Handle(start+time.Second, ColdFraction{Server: "cold", Started: start, Fraction: 0.5, Until: start + 3*time.Second})
 	if sent := try(start + 2*time.Second); sent < 5 || sent > 20 { // half of a quarter of 100 calls a second
 		t.Errorf("%d set-ups with a fraction of one half", sent)
 	}
 	if sent := try(start + 4*time.Second); sent > 1 {
 		t.Errorf("%d set-ups after the fraction expired", sent)
 	}
-	c.Handle(start+6*time.Second, ColdPart{Server: "cold", Started: start, Fraction: 1, Until: start + time.Hour})
+	c.Handle(start+6*time.Second, ColdFraction{Server: "cold", Started: start, Fraction: 1, Until: start + time.Hour})
 	list(start+6*time.Second, start+6*time.Second)
 	if sent := try(start + 6*time.Second); sent != 0 {
 		t.Errorf("%d set-ups with the fraction of an earlier start", sent)
@@ -903,8 +903,8 @@
 	id, _ := r.newCall("plain")
 	before := fmt.Sprintf("%+v", *r.c.calls[id])
 	for _, e := range []Event{
-		Stood{Call: "nobody"}, Ended{Call: "nobody"}, CallerGone{Call: "nobody"}, Due{Token: 999},
-		Agents{Server: "nowhere"}, Stood{Call: id, Attempt: 3}, Ended{Call: id, Attempt: -1},
+		Established{Call: "nobody"}, Ended{Call: "nobody"}, CallerGone{Call: "nobody"}, Due{Token: 999},
+		Agents{Server: "nowhere"}, Established{Call: id, Attempt: 3}, Ended{Call: id, Attempt: -1},
 		Arrival{Call: id, Class: "plain", TimeLeft: time.Second}, ServerList{Failed: true}, nil,
 	} {
 		if got := r.handle(e); len(got) != 0 {
@@ -914,8 +914,8 @@
 	if after := fmt.Sprintf("%+v", *r.c.calls[id]); after != before {
 		t.Error("the call changed")
 	}
-	r.handle(Stood{Call: id, Server: "a", Latency: ms})
-	r.handle(Stood{Call: id, Server: "a", Latency: ms})
+	r.handle(Established{Call: id, Server: "a", Latency: ms})
+	r.handle(Established{Call: id, Server: "a", Latency: ms})
 	r.handle(Ended{Call: id, Server: "a", Outcome: Concluded, Final: true})
 	if got := r.handle(Ended{Call: id, Server: "a", Outcome: Concluded, Final: true}); len(got) != 0 ||
 		len(r.c.calls) != 0 {
--- a/internal/fleetsim/calls.go
+++ b/internal/fleetsim/calls.go
@@ -227,9 +227,9 @@
 func (r *routerSim) applyColdShares() {
 	now := r.p.clock(r.w.now)
 	if parts, soleFraction, ok := r.p.limiter.ColdShares(now); ok {
-		r.router.ColdPart(threadglade.ColdPart{Fraction: soleFraction})
+		r.router.SetColdFraction(threadglade.ColdFraction{Fraction: soleFraction})
 		for _, p := range parts {
-			r.router.ColdPart(threadglade.ColdPart{Server: p.ID, Started: p.Started, Fraction: p.Share,
+			r.router.SetColdFraction(threadglade.ColdFraction{Server: p.ID, Started: p.Started, Fraction: p.Share,
 				Until: r.w.wallClock() + r.p.limiter.LeaseUntil() - now})
 		}
 	}
@@ -530,7 +530,7 @@
 			w.result.Calls.LiftedAvoidances = extendTo(w.result.Calls.LiftedAvoidances, slot)
 			w.result.Calls.LiftedAvoidances[slot]++
 		}
-		r.router.Avoid(threadglade.Care{Server: c.Server, Started: c.Started, Until: w.wallClock() + until},
+		r.router.Avoid(threadglade.Avoidance{Server: c.Server, Started: c.Started, Until: w.wallClock() + until},
 			router.AvoidanceEvidence{})
 		r.avoidedUntil[c.Server] = w.now + until
 	}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -256,7 +256,7 @@
 	t := &n.handover
 	switch {
 	case kind == frameTakeOver && fd < 0 && len(payload) == 4:
-		n.Router.AllowForeignReleases(int(min(binary.BigEndian.Uint32(payload), 1<<20)))
+		n.Router.AllowReleasesOfOtherProcess(int(min(binary.BigEndian.Uint32(payload), 1<<20)))
 		n.takeOver("takeover requested")
 		t.oldProcessLink.Send(frameTakenOver, nil, -1, false)
 	case n.front.HandleOldProcessFrame(n.Loop, kind, payload, fd, t.oldProcessLink):
--- a/internal/node/subsystems.go
+++ b/internal/node/subsystems.go
@@ -231,9 +231,9 @@
 // setColdStartShares sets the fraction of the load on recently started case servers that this router may send. Shares
 // expire after ttl; defaultShare applies to servers without a share.
 func (n *Node) setColdStartShares(shares []quota.ColdShare, ttl time.Duration, defaultShare float64) {
-	n.Router.ColdPart(threadglade.ColdPart{Fraction: defaultShare})
+	n.Router.SetColdFraction(threadglade.ColdFraction{Fraction: defaultShare})
 	for _, share := range shares {
-		n.Router.ColdPart(threadglade.ColdPart{
+		n.Router.SetColdFraction(threadglade.ColdFraction{
 			Server:   share.ID,
 			Started:  share.Started,
 			Fraction: share.Share,
@@ -244,9 +244,9 @@
 
 // setRetryBudget has the router ask borrow how many retry attempts it may make.
 func (n *Node) setRetryBudget(borrow func(int) (int, bool)) {
-	n.Router.UpdateRetryBudget(func(left int) threadglade.Further {
+	n.Router.UpdateRetryBudget(func(left int) threadglade.RetryBudget {
 		borrowed, limited := borrow(left)
-		return threadglade.Further{Limited: limited, Remaining: borrowed}
+		return threadglade.RetryBudget{Limited: limited, Remaining: borrowed}
 	})
 }
 
@@ -278,7 +278,7 @@
 			evidence.Sources = v.Reason
 		}
 	}
-	n.Router.Avoid(threadglade.Care{
+	n.Router.Avoid(threadglade.Avoidance{
 		Server:  avoidance.Server,
 		Started: avoidance.Started,
 		Until:   n.clock() + ttl,
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -101,7 +101,7 @@
 			Destination: l.Destination, Retry: l.Retry, InTransit: l.InTransit,
 		}, true, nil
 	case "FirstByte":
-		return threadglade.Stood{Call: l.Call, Attempt: l.Attempt, Server: l.Server, Latency: Duration(l.Wait)}, true, nil
+		return threadglade.Established{Call: l.Call, Attempt: l.Attempt, Server: l.Server, Latency: Duration(l.Wait)}, true, nil
 	case "ClosedAttempt":
 		outcome, ok := outcomesByStatus[l.Outcome]
 		if !ok {
--- a/random_test.go
+++ b/random_test.go
@@ -127,7 +127,7 @@
 		w.deliver(Ended{Call: id, Attempt: p.attempts - 1, Server: p.server, Outcome: outcome, Final: true})
 	case p.inFlight && w.random.IntN(3) > 0:
 		p.inFlight, p.established, p.answered = false, true, true
-		w.deliver(Stood{Call: id, Attempt: p.attempts - 1, Server: p.server,
+		w.deliver(Established{Call: id, Attempt: p.attempts - 1, Server: p.server,
 			Latency: time.Duration(w.random.IntN(900)) * ms})
 	case p.inFlight:
 		w.endAttempt(id, p, []Outcome{Faulted, Rejected, TimedOut, Unreachable, Cut, NotSent}[w.random.IntN(6)])
--- a/reason.go
+++ b/reason.go
@@ -91,9 +91,9 @@
 	return ServerRejected
 }
 
-// RetryBudget returns what remains of the budget set by the latest Further.
-func (c *Controller) RetryBudget() Further {
-	return Further{c.retryBudget.Limited, max(c.retryBudget.Remaining, 0)}
+// RetryBudget returns what remains of the budget set by the latest RetryBudget event.
+func (c *Controller) RetryBudget() RetryBudget {
+	return RetryBudget{c.retryBudget.Limited, max(c.retryBudget.Remaining, 0)}
 }
 
 // BlockReason returns why a call without a pending attempt or final answer is waiting, and the ID of its
--- a/router/router.go
+++ b/router/router.go
@@ -418,9 +418,9 @@
 	return r.unexpectedReleases <= maxUnexpectedReleases
 }
 
-// AllowForeignReleases allows the given number of releases of another process's calls in addition to
+// AllowReleasesOfOtherProcess allows the given number of releases of another process's calls in addition to
 // maxUnexpectedReleases.
-func (r *Router) AllowForeignReleases(calls int) {
+func (r *Router) AllowReleasesOfOtherProcess(calls int) {
 	r.serialize(nil, func([]byte) { r.foreignReleases += calls })
 }
 
@@ -508,15 +508,15 @@
 	}
 }
 
-// ColdPart sets this router's share of the rate that all routers together may send to a server that has just
+// SetColdFraction sets this router's share of the rate that all routers together may send to a server that has just
 // started.
-func (r *Router) ColdPart(part threadglade.ColdPart) {
+func (r *Router) SetColdFraction(part threadglade.ColdFraction) {
 	r.serialize(nil, func([]byte) { r.notifyController(part) })
 }
 
 // UpdateRetryBudget replaces the number of retry attempts that this router's calls may make by what grant returns
 // for the number left.
-func (r *Router) UpdateRetryBudget(grant func(left int) threadglade.Further) {
+func (r *Router) UpdateRetryBudget(grant func(left int) threadglade.RetryBudget) {
 	r.serialize(nil, func([]byte) {
 		previous := r.controller.RetryBudget()
 		if budget := grant(previous.Remaining); budget != previous {
@@ -535,7 +535,7 @@
 }
 
 // Avoid sets until when a server is to be avoided because of what all routers together know about it.
-func (r *Router) Avoid(avoid threadglade.Care, evidence AvoidanceEvidence) {
+func (r *Router) Avoid(avoid threadglade.Avoidance, evidence AvoidanceEvidence) {
 	r.serialize(nil, func([]byte) {
 		r.notifyController(avoid)
 		if r.cfg.Observer != nil {
@@ -579,7 +579,7 @@
 		r.counters.Stood++
 		r.observeCall(Established, call)
 		call.front.Established(id, answer)
-		r.notifyController(threadglade.Stood{Call: id, Attempt: index, Server: call.attempt.Server,
+		r.notifyController(threadglade.Established{Call: id, Attempt: index, Server: call.attempt.Server,
 			Latency: r.cfg.Clock() - call.sentAt})
 	})
 }
