--- a/internal/drill/plan.go
+++ b/internal/drill/plan.go
@@ -23,8 +23,9 @@
 	Duration       time.Duration // duration of the drill
 	Keepers        int
 	Routers        int
-	Servers        int // case servers
-	CallRate       int // set-ups per second from callers, over all routers
+	Servers        int  // case servers
+	CallRate       int  // set-ups per second from callers, over all routers
+	StaggeredLoad  bool // callers' connections send in turn, not all at the same moments
 	Lease          time.Duration
 	RenewInterval  time.Duration // interval of lease renewals
 	BeaconInterval time.Duration // interval of beacons
@@ -120,6 +121,9 @@
 	s.Int("liars", &plan.Liars, 0, 64)
 	s.Int("redials", &plan.Redials, 0, 100)
 	s.Int("load", &plan.CallRate, 0, 100_000)
+	loadShape := "bursts"
+	s.Choice("load-shape", &loadShape, "bursts", "staggered")
+	plan.StaggeredLoad = loadShape == "staggered"
 	s.Duration("lease", &plan.Lease, 200*time.Millisecond, time.Minute)
 	plan.RenewInterval = plan.Lease / 3
 	s.Duration("renew", &plan.RenewInterval, 50*time.Millisecond, 30*time.Second)
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -537,7 +537,8 @@
 	var next atomic.Uint64
 	// A router accepts 400 set-ups a second from one connection, so callers that redial need more connections.
 	d.load = standin.StartLoad(ctx, standin.LoadConfig{Connections: (2 + min(d.plan.Redials, 6)) * d.plan.Routers,
-		Seed: uint64(d.plan.Seed), Rate: float64(d.plan.CallRate), Classes: []string{"voice", "data"},
+		Seed: uint64(d.plan.Seed), Rate: float64(d.plan.CallRate), Staggered: d.plan.StaggeredLoad,
+		Classes:    []string{"voice", "data"},
 		MaxRedials: d.plan.Redials, MaxRedialDelay: time.Second, RecordFirstTries: true, RecordOutcomes: true,
 		NumberPrefixes: d.plan.Numbers, Servers: d.plan.Servers,
 		Target: func() string {
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -21,7 +21,10 @@
 	Seed        uint64
 	// Rate is the number of set-ups per second over all connections, sent by the clock regardless of the answers
 	// (open loop). At 0, each connection keeps Window set-ups pending instead (closed loop).
-	Rate           float64
+	Rate float64
+	// Staggered spreads the set-ups of the connections evenly over time in an open loop. Otherwise connections that
+	// open at the same time send their set-ups at the same moments, in bursts of Connections set-ups.
+	Staggered      bool
 	Window         int // set-ups pending per connection in a closed loop; 0: 16
 	MaxInvites     int // total number of set-ups; 0: no limit until the context ends
 	Classes        []string
@@ -200,7 +203,11 @@
 		l.mu.Unlock()
 		disconnected := make(chan bool)
 		go func() { caller.readMessages(); close(disconnected) }()
-		if !caller.sendInvites(ctx, disconnected) {
+		phase := 0.0
+		if l.cfg.Staggered {
+			phase = float64(number) / float64(l.cfg.Connections)
+		}
+		if !caller.sendInvites(ctx, phase, disconnected) {
 			caller.awaitPending(disconnected)
 			conn.Close()
 			<-disconnected
@@ -229,11 +236,12 @@
 }
 
 // sendInvites sends set-ups until the connection or the context ends, or enough were sent. It returns true if the
-// connection ended first.
-func (c *callerConn) sendInvites(ctx context.Context, disconnected chan bool) bool {
+// connection ended first. phase is the fraction of the first interval between set-ups that counts as past, in an open
+// loop.
+func (c *callerConn) sendInvites(ctx context.Context, phase float64, disconnected chan bool) bool {
 	cfg := &c.load.cfg
 	var tick <-chan time.Time
-	var due float64
+	due := phase
 	last := time.Now()
 	if cfg.Rate > 0 {
 		t := time.NewTicker(2 * time.Millisecond)
