--- a/internal/fleetio/clock.go
+++ b/internal/fleetio/clock.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock returns CLOCK_BOOTTIME: it advances also while the process is stopped or the machine is suspended, and is
+// Clock returns CLOCK_BOOTTIME, which also advances while the process is stopped or the machine is suspended, and is
 // never stepped.
 func Clock() time.Duration {
 	var t unix.Timespec
--- a/internal/fleetio/fleet.go
+++ b/internal/fleetio/fleet.go
@@ -1,7 +1,8 @@
-// Package fleetio connects a process to its fleet: it has the links between processes, a keeper's directory, and the
-// core, one goroutine beside the event loop that drives the I/O-free packages fleet, verdict and takeover by the
-// clock. The loop reads the lease and bounded queues, and never blocks on the core. This package must never decide
-// who may act: that follows from the leases of package fleet alone.
+// Package fleetio connects a process to its fleet. It implements the links between processes, the storage of a keeper,
+// and the core: one goroutine beside the event loop that does the I/O of the packages fleet, verdict and takeover and
+// calls them at the times that they set. The event loop reads the lease, exchanges data with the core through bounded
+// queues, and never blocks on the core. This package must never decide which process may act: the leases of package
+// fleet alone determine that.
 package fleetio
 
 import (
@@ -31,7 +32,7 @@
 	"threadglade.example/threadglade/verdict"
 )
 
-// maxQueuedNotes is how many notes may be queued for the loop. Further ones are counted as missed and not repeated:
+// maxQueuedNotes is how many notes may be queued for the loop. Further ones are dropped and counted as missed, since
 // the state that they report can be read at any time.
 const maxQueuedNotes = 4096
 
@@ -41,19 +42,19 @@
 	FS     durable.FS
 	Name   string // of this process, unique in the fleet
 	Member bool   // routes calls and therefore holds a lease
-	Wake   func() // starts a loop iteration soon; called on any goroutine
+	Wake   func() // has the loop run an iteration soon; called on any goroutine
 	Log    zerolog.Logger
 	// OnNote is called on the loop with each note; may be nil.
 	OnNote func(fleet.Note)
 	// OnColdShares is called on the loop with this router's shares of the calls that cold case servers may be sent,
-	// how long from now they are valid, and the share of a router without a lease; may be nil.
-	OnColdShares func(parts []quota.ColdShare, hold time.Duration, alone float64)
+	// how long from now they are valid, and the share that applies without a lease; may be nil.
+	OnColdShares func(shares []quota.ColdShare, validFor time.Duration, withoutLease float64)
 	// SetRetryLender is called on the loop with the function that lends retry attempts under the fleet's limit; may
 	// be nil.
 	SetRetryLender func(lend func(left int) (lent int, limited bool))
-	// OnAvoidance is called on the loop with a server to be avoided because of what all routers know, and for how
-	// long from now; 0 ends the avoidance. May be nil.
-	OnAvoidance func(c verdict.Avoidance, hold time.Duration)
+	// OnAvoidance is called on the loop with a server to be avoided according to the routers' common evidence, and for
+	// how long from now; 0 ends the avoidance. May be nil.
+	OnAvoidance func(avoidance verdict.Avoidance, duration time.Duration)
 	// Now is the clock of the times passed to AttemptSent, AttemptAnswered and AttemptEnded; nil: Clock.
 	Now func() time.Duration
 	// CallHandler, OpenCalls, Tenant and SetupTarget are used by takeover only; the functions are called on the loop.
@@ -61,7 +62,8 @@
 	OpenCalls   []string                         // calls established before the start whose ends are unknown
 	Tenant      func(router.Event) string        // tenant of a call
 	SetupTarget func(class string) time.Duration // set-up time to aim at, by class
-	Limits      []quota.Limit                    // from the settings; nil: this process neither divides nor enforces limits
+	// Limits are the fleet-wide limits of the settings; nil: this process neither divides nor enforces limits.
+	Limits []quota.Limit
 }
 
 // Fleet is one process's connection to its fleet: a keeper, a member, or both. Unless said otherwise, methods are
@@ -89,7 +91,7 @@
 	lastRefusalLog atomic.Int64 // Unix seconds
 	count          counters
 
-	voterLinks map[uint64]*link // of the core: links dialled to other keepers, by voter number
+	voterLinks map[uint64]*link // used by the core: links dialled to other keepers, by raft ID
 
 	// Shared by the core and the loop.
 	lease       atomic.Pointer[fleet.Lease]
@@ -98,20 +100,20 @@
 	limiter     *limiterState                 // nil: no limits
 	verdicts    *verdictState                 // nil: no verdicts
 	takeover    *takeoverState                // nil: calls are not replicated
-	routerDials map[string]context.CancelFunc // of the core: links to other routers, by name and address
+	routerDials map[string]context.CancelFunc // used by the core: ends links to other routers, by name and address
 	pendingEnds []takeover.End                // ends to forward when this router closes
 
-	// Of the loop, except as noted.
+	// Used by the loop, except as noted.
 	beacon           *net.UDPConn
 	nextBeacon       time.Duration
 	beaconCount      uint64
-	leaderBeacon     *net.UDPConn  // of the core: connected to the same address
-	nextLeaderBeacon time.Duration // of the core
+	leaderBeacon     *net.UDPConn  // used by the core; connected to the same address
+	nextLeaderBeacon time.Duration // used by the core
 	halted           atomic.Bool   // set by the core
 }
 
-// Open connects a process to its fleet and starts the core. It returns an error if a keeper's directory is missing or
-// damaged, or another keeper's; then the process must not go on without it.
+// Open connects a process to its fleet and starts the core. It returns an error if, for example, a keeper's directory
+// is missing, damaged or another keeper's. The process must then not run without its fleet.
 func Open(cfg Config) (*Fleet, error) {
 	f := &Fleet{
 		cfg:         cfg,
@@ -140,7 +142,7 @@
 	}
 	if cfg.Member {
 		if !cfg.Settings.IsListed(cfg.Name) {
-			return nil, fmt.Errorf("fleet: %q is not among the members that the settings list", cfg.Name)
+			return nil, fmt.Errorf("fleet: %q is not one of the members listed in the settings", cfg.Name)
 		}
 		f.member = fleet.NewMember(cfg.Settings, cfg.Name, f.process)
 	}
@@ -191,7 +193,8 @@
 	}
 	if f.keeper != nil {
 		cfg.Log.Info().Str("event", "fleet_keeping").Str("address", f.address).Msgf(
-			"fleet %s: keeper %s on %s, log at %d", cfg.Settings.Fleet, cfg.Name, f.address, f.keeper.Machine.Index)
+			"fleet %s: keeper %s is listening on %s, log index %d",
+			cfg.Settings.Fleet, cfg.Name, f.address, f.keeper.Machine.Index)
 	}
 	for _, name := range cfg.Settings.Keepers {
 		if f.keeper != nil && name != cfg.Name {
@@ -221,7 +224,8 @@
 	}
 	if f.keeper, err = fleet.NewKeeper(f.cfg.Settings, contents.Stored, random, now); err == nil &&
 		contents.Identity.Name != f.cfg.Name {
-		err = fmt.Errorf("%s: the files of keeper %s, this is %s", f.cfg.Dir, contents.Identity.Name, f.cfg.Name)
+		err = fmt.Errorf("%s: the files are those of keeper %s, this is keeper %s",
+			f.cfg.Dir, contents.Identity.Name, f.cfg.Name)
 	}
 	if err == nil {
 		err = opened.openLog(f.keeper, contents.Scan, f.cfg.MaxSegmentBytes)
@@ -231,14 +235,15 @@
 		return err
 	}
 	for _, torn := range contents.Torn {
-		f.cfg.Log.Warn().Str("event", "fleet_torn").Msgf("fleet: cut off by a crash, and never answered for: %s", torn)
+		f.cfg.Log.Warn().Str("event", "fleet_torn").
+			Msgf("fleet: incomplete write ignored, cut off by a crash and never acknowledged: %s", torn)
 	}
 	f.store, f.voters = opened, f.keeper.Voters()
 	return nil
 }
 
-// recreateKeeperFiles is the mutant files-forgotten: a keeper that has lost its files starts with those of a new
-// fleet.
+// recreateKeeperFiles implements the mutant files-forgotten: a keeper that has lost its files starts with those of a
+// new fleet.
 func (f *Fleet) recreateKeeperFiles() error {
 	list, err := fleet.Bootstrap(f.cfg.Settings, rand.New(rand.NewPCG(1, 1))) // the seed that drills use
 	for _, state := range list {
@@ -249,7 +254,7 @@
 	return err
 }
 
-// runCore is the core: the one goroutine that drives the keeper, the member, the verdicts and the takeover.
+// runCore is the core: the one goroutine that runs the keeper, the member, the verdicts and the takeover.
 func (f *Fleet) runCore() {
 	defer close(f.coreDone)
 	tick := time.NewTimer(fleet.TickInterval)
@@ -260,7 +265,7 @@
 	}
 	for {
 		wait := fleet.TickInterval
-		if f.keeper == nil { // a process that is no keeper wakes only when something is due
+		if f.keeper == nil { // a process that isn't a keeper wakes up only when something is due
 			wait = min(max(f.member.NextTick()-Clock(), time.Millisecond), time.Second)
 		}
 		if f.verdicts != nil {
@@ -339,7 +344,7 @@
 			}),
 		}})
 	case f.keeper == nil:
-		f.countRefusal(fmt.Sprintf("%s: this process keeps nothing", l.name))
+		f.countRefusal(fmt.Sprintf("%s: sent a frame for keepers, but this process is not a keeper", l.name))
 		l.cancel()
 	case e.closed:
 		f.keeper.RemoveLink(l.id)
@@ -364,7 +369,7 @@
 			Report: f.report(now, l, e.frame.GetInquiry(), f.keeper.Report(e.frame.GetInquiry().Seq)),
 		}})
 	default:
-		f.countRefusal(fmt.Sprintf("%s: a frame that is not its to send", l.name))
+		f.countRefusal(fmt.Sprintf("%s: sent a frame that it is not allowed to send", l.name))
 		l.cancel()
 	}
 }
@@ -442,8 +447,8 @@
 	for _, note := range notes {
 		f.logNote(note)
 		if f.limiter != nil && note.Kind == fleet.FactWritten && strings.HasPrefix(note.Name, quota.OperatorKeyPrefix) {
-			list := effectiveLimits(f.cfg.Limits, f.member.Machine.Facts())
-			f.limiter.newLimits.Store(&list)
+			limits := effectiveLimits(f.cfg.Limits, f.member.Machine.Facts())
+			f.limiter.newLimits.Store(&limits)
 			f.limiter.limitsChanged.Store(true)
 		}
 		if f.verdicts != nil {
@@ -467,31 +472,31 @@
 	switch note.Kind {
 	case fleet.LeaseGranted:
 		logger.Info().Str("event", "fleet_granted").Uint64("incarnation", note.Incarnation).
-			Msgf("fleet: acts as %s by incarnation %d", note.Name, note.Incarnation)
+			Msgf("fleet: lease granted: this router acts as %s, incarnation %d", note.Name, note.Incarnation)
 	case fleet.LeaseRegained:
 		logger.Info().Str("event", "fleet_regained").Uint64("incarnation", note.Incarnation).
-			Msgf("fleet: holds its lease again, incarnation %d", note.Incarnation)
+			Msgf("fleet: lease regained, incarnation %d", note.Incarnation)
 	case fleet.LeaseExpired:
 		logger.Warn().Str("event", "fleet_cut_off").Uint64("incarnation", note.Incarnation).
-			Msgf("fleet: no keeper has renewed the lease of incarnation %d in time: calls go on, nothing is done for the fleet",
-				note.Incarnation)
+			Msgf("fleet: the lease of incarnation %d expired before a keeper renewed it: "+
+				"calls continue, but this router does nothing on behalf of the fleet", note.Incarnation)
 	case fleet.IncarnationEnded:
 		logger.Warn().Str("event", "fleet_ended").Uint64("incarnation", note.Incarnation).
-			Msgf("fleet: incarnation %d is over, a new one is asked for", note.Incarnation)
+			Msgf("fleet: incarnation %d has ended, requesting a new one", note.Incarnation)
 	case fleet.NameInUse:
 		logger.Warn().Str("event", "fleet_waits").Msgf("fleet: no lease yet: %s", note.Text)
 	case fleet.MemberLost:
 		logger.Warn().Str("event", "fleet_lost").Str("member", note.Name).Uint64("incarnation", note.Incarnation).
-			Msgf("fleet: %s is lost, incarnation %d", note.Name, note.Incarnation)
+			Msgf("fleet: router %s is lost: the lease of its incarnation %d has expired", note.Name, note.Incarnation)
 	case fleet.LeadershipGained:
 		logger.Info().Str("event", "fleet_leads").Uint64("term", note.Number).
-			Msgf("fleet: %s leads, term %d", note.Name, note.Number)
+			Msgf("fleet: keeper %s is the leader, term %d", note.Name, note.Number)
 	case fleet.LeadershipLost:
 		logger.Info().Str("event", "fleet_follows").Uint64("term", note.Number).
-			Msgf("fleet: %s leads no more, term %d", note.Name, note.Number)
+			Msgf("fleet: keeper %s is no longer the leader, term %d", note.Name, note.Number)
 	case fleet.KeeperHalted:
 		logger.Error().Str("event", "fleet_halted").Str("why", note.Text).
-			Msgf("fleet: keeper %s has stopped for good, its disk failed: %s", note.Name, note.Text)
+			Msgf("fleet: keeper %s has halted permanently, its disk failed: %s", note.Name, note.Text)
 	case fleet.MemberBegan, fleet.MemberLeft, fleet.SuccessorChanged, fleet.FactWritten:
 		logger.Debug().Str("event", "fleet_"+note.Kind.String()).Str("name", note.Name).
 			Uint64("incarnation", note.Incarnation).Uint64("number", note.Number).
@@ -499,8 +504,8 @@
 	}
 }
 
-// HoldsLease returns the incarnation by which this router may act at a time of Clock, and whether it may. Safe for
-// concurrent use.
+// HoldsLease returns this router's incarnation and whether its lease allows it to act at now, a time of Clock. Safe
+// for concurrent use.
 func (f *Fleet) HoldsLease(now time.Duration) (incarnation uint64, ok bool) {
 	l := f.lease.Load()
 	return l.Incarnation, l.IsHeld(now)
@@ -566,9 +571,9 @@
 	}
 }
 
-// Leave gives up the lease while the process goes on with its calls in progress: a new process has taken its place,
-// and takes over its name as soon as the log has the end of this incarnation. From now on fleet-wide limits admit no
-// call here. Safe for concurrent use.
+// Leave gives up the lease while the process continues to handle its calls in progress: a new process has been started
+// in its place, and gets its name as soon as the log has recorded the end of this incarnation. From now on fleet-wide
+// limits admit no call here. Safe for concurrent use.
 func (f *Fleet) Leave() {
 	if f.member == nil {
 		return
@@ -595,7 +600,8 @@
 	}
 	if f.takeover != nil {
 		c := &f.takeover.count
-		extra += fmt.Sprintf(" Work:{Records:%d Dropped:%d Hurried:%d Alone:%d Ceased:%d Adopted:%d Again:%d Evacuated:%d Late:%d Missed:%d}",
+		extra += fmt.Sprintf(" Work:{Records:%d Dropped:%d Hurried:%d Alone:%d Ceased:%d Adopted:%d Again:%d "+
+			"Evacuated:%d Late:%d Missed:%d}",
 			f.takeover.recorder.Count.Records, f.takeover.recorder.Count.Dropped, c.Hurried.Load(), c.Alone.Load(),
 			f.takeover.ownership.Count.Ceased, f.takeover.ownership.Count.Adopted, f.takeover.ownership.Count.Again,
 			f.takeover.ownership.Count.Evacuated, c.Late.Load(), c.Missed.Load())
@@ -608,8 +614,8 @@
 		c.Refused.Load(), c.Dropped.Load(), c.Missed.Load(), f.links.Size(), extra)
 }
 
-// SetPendingEnds sets the ends of calls of which this router couldn't notify the callers; Close forwards them to a
-// linked router, which notifies them instead.
+// SetPendingEnds sets the ends of calls whose callers this router couldn't notify; Close forwards them to a linked
+// router, which notifies the callers instead.
 func (f *Fleet) SetPendingEnds(list []takeover.End) { f.pendingEnds = list }
 
 // Close leaves the fleet, ends the core and all links, and closes a keeper's directory. The process must have stopped
--- a/internal/fleetio/limits.go
+++ b/internal/fleetio/limits.go
@@ -21,17 +21,17 @@
 	// shortest time between lease renewals while the router's share doesn't meet its demand.
 	claimInterval       = 100 * time.Millisecond
 	unmetDemandInterval = 250 * time.Millisecond
-	claimPacingBytes    = 32 << 10 // each further such amount of claims adds one claimInterval between updates
-	maxQueuedGrants     = 256      // answers queued for the loop
+	claimPacingBytes    = 32 << 10 // each full claimPacingBytes of claims add one claimInterval between updates
+	maxQueuedGrants     = 256      // grant batches queued for the loop
 )
 
 // ReadLimits reads a (limits ...) section; docs/operators/quota.md describes every field. Errors are recorded with
 // the section.
 func ReadLimits(s *settings.Section) (list []quota.Limit) {
-	s.EachSection("limit", func(one *settings.Section) {
-		l := readLimit(one)
+	s.EachSection("limit", func(section *settings.Section) {
+		l := readLimit(section)
 		if slices.ContainsFunc(list, func(o quota.Limit) bool { return o.Name == l.Name }) {
-			one.Errorf("", "limit %q is defined twice", l.Name)
+			section.Errorf("", "limit %q is defined twice", l.Name)
 		}
 		list = append(list, l)
 	})
@@ -44,7 +44,7 @@
 // readLimit reads one (limit "name" ...) section.
 func readLimit(s *settings.Section) quota.Limit {
 	limit := quota.Limit{Name: s.Label(), Burst: 200 * time.Millisecond, MaxCallDuration: 10 * time.Minute}
-	number := func(field string, target *float64) bool {
+	readNumber := func(field string, target *float64) bool {
 		var text string
 		if !s.String(field, &text) {
 			return false
@@ -56,25 +56,25 @@
 		*target = value
 		return true
 	}
-	if number("rate", &limit.Max) {
+	if readNumber("rate", &limit.Max) {
 		limit.Kind = quota.Rate
 	}
-	if number("calls", &limit.Max) {
+	if readNumber("calls", &limit.Max) {
 		if limit.Kind != 0 {
-			s.Errorf("calls", "rate and calls exclude each other")
+			s.Errorf("calls", "cannot be combined with rate")
 		}
 		limit.Kind = quota.Calls
 	}
-	if number("retries", &limit.Max) {
+	if readNumber("retries", &limit.Max) {
 		if limit.Kind != 0 {
-			s.Errorf("retries", "excludes rate and calls")
+			s.Errorf("retries", "cannot be combined with rate or calls")
 		}
 		limit.Kind = quota.Retries
 	}
 	cold := "no"
 	if s.Choice("cold", &cold, "yes", "no"); cold == "yes" {
 		if limit.Kind != 0 {
-			s.Errorf("cold", "excludes rate, calls and retries")
+			s.Errorf("cold", "cannot be combined with rate, calls or retries")
 		}
 		limit.Kind, limit.Max = quota.Cold, 1
 	}
@@ -83,8 +83,8 @@
 	mode := "closed"
 	s.Choice("cut-off", &mode, "closed", "floor", "open")
 	limit.CutOff = map[string]quota.CutOff{"closed": quota.Closed, "floor": quota.Floor, "open": quota.Open}[mode]
-	number("floor", &limit.Floor)
-	number("cap", &limit.Cap)
+	readNumber("floor", &limit.Floor)
+	readNumber("cap", &limit.Cap)
 	s.Int("routers", &limit.MaxRouters, 1, 100_000)
 	var each string
 	if s.Choice("each", &each, "tenant", "number", "class"); each != "" {
@@ -138,7 +138,8 @@
 		if text == "" {
 			delete(byName, name)
 		} else if err == nil && limit.Name == name {
-			// A text that can't be parsed was refused before it was written, or is of another version: ignored.
+			// Texts that can't be parsed are ignored: the commands refuse to write them, so they come from another version
+			// of the program.
 			byName[name] = limit
 		}
 	}
@@ -153,7 +154,7 @@
 
 // limiterState is a router's limiter and what the loop and the core exchange about it.
 type limiterState struct {
-	*quota.Limiter                               // of the loop
+	*quota.Limiter                               // used by the loop only
 	nextClaims     time.Duration                 // when the loop updates claims next, by Clock
 	claims         atomic.Pointer[[]byte]        // marshalled by the loop, sent by the core
 	newLimits      atomic.Pointer[[]quota.Limit] // limits in effect, set by the core before limitsChanged
@@ -238,8 +239,8 @@
 	if f.cfg.OnColdShares == nil {
 		return
 	}
-	if parts, alone, ok := f.limiter.ColdShares(now); ok {
-		f.cfg.OnColdShares(parts, f.limiter.LeaseUntil()-now, alone)
+	if shares, withoutLease, ok := f.limiter.ColdShares(now); ok {
+		f.cfg.OnColdShares(shares, f.limiter.LeaseUntil()-now, withoutLease)
 	}
 }
 
@@ -249,12 +250,12 @@
 // Admit reports whether this router's shares allow a call now. If not, it names the limit and returns how long to
 // wait before a retry. Called by the loop.
 func (f *Fleet) Admit(slot uint32, class, tenant, number string, retry bool) (
-	ok bool, by string, after time.Duration,
+	ok bool, limitedBy string, retryAfter time.Duration,
 ) {
 	return f.limiter.Admit(Clock(), slot, class, tenant, number, retry)
 }
 
-// Release frees what an admitted call has used, at its end. Called by the loop.
+// Release frees the part of the limits that an admitted call has used, at its end. Called by the loop.
 func (f *Fleet) Release(slot uint32) { f.limiter.Release(slot) }
 
 // LimitStatus returns the state of each limit. Called by the loop.
--- a/internal/fleetio/links.go
+++ b/internal/fleetio/links.go
@@ -167,7 +167,7 @@
 func (f *Fleet) acceptLink(s grpc.ServerStream) error {
 	if f.acceptedLinks.Add(1) > maxAcceptedLinks {
 		f.acceptedLinks.Add(-1)
-		f.countRefusal("a link too many")
+		f.countRefusal("too many links")
 		return status.Error(codes.ResourceExhausted, "too many links")
 	}
 	defer f.acceptedLinks.Add(-1)
@@ -184,7 +184,7 @@
 		f.countRefusal("no hello in time")
 		return status.Error(codes.DeadlineExceeded, "no hello in time")
 	case <-f.stop:
-		return status.Error(codes.Unavailable, "ending")
+		return status.Error(codes.Unavailable, "the process is shutting down")
 	}
 	hello := frame.GetHello()
 	if err := f.cfg.Settings.CheckHello(hello, f.voters); err != nil {
@@ -205,7 +205,7 @@
 		cancel:         cancel,
 	}
 	err := f.serveLink(ctx, s, l, false)
-	if s, bad := status.FromError(err); bad && s != nil {
+	if s, isStatus := status.FromError(err); isStatus && s != nil {
 		switch s.Code() {
 		case codes.ResourceExhausted, codes.Internal, codes.InvalidArgument:
 			f.countRefusal(fmt.Sprintf("%s: %s", l.name, s.Message()))
@@ -293,7 +293,7 @@
 	defer f.goroutines.Done()
 	conn, err := Dial(addr)
 	if err != nil {
-		f.cfg.Log.Error().Str("event", "fleet_link").Str("keeper", name).Msgf("fleet: %s: %v", name, err)
+		f.cfg.Log.Error().Str("event", "fleet_link").Str("keeper", name).Msgf("fleet: cannot dial %s: %v", name, err)
 		return
 	}
 	defer conn.Close()
@@ -311,7 +311,7 @@
 		inTime := deadline.Stop()
 		if err == nil && inTime {
 			if other.Name != name {
-				err = fmt.Errorf("%s answers at the address of %s", other.Name, name)
+				err = fmt.Errorf("%s is listening at the address of %s", other.Name, name)
 			} else {
 				err = f.cfg.Settings.CheckHello(other, f.voters)
 			}
@@ -329,7 +329,8 @@
 		} else if code := status.Code(err); (code == codes.PermissionDenied || code == codes.Unknown) && err != nil &&
 			lastRefusal != err.Error() {
 			lastRefusal = err.Error()
-			f.cfg.Log.Warn().Str("event", "fleet_refused_by").Str("keeper", name).Msgf("fleet: %s: %v", name, err)
+			f.cfg.Log.Warn().Str("event", "fleet_refused_by").Str("keeper", name).
+				Msgf("fleet: no link to %s: %v", name, err)
 		}
 		cancel()
 		select {
@@ -372,8 +373,8 @@
 	return inquire(ctx, fleetName, addr, &fleetpb.Inquiry{Seq: 1, Find: find})
 }
 
-// Evacuate requests that a router hands its established calls over to other routers, as an operator; the report has
-// the progress or the reason of a refusal.
+// Evacuate requests, as an operator, that a router hand its established calls over to other routers. The report has
+// the progress or the reason for a refusal.
 func Evacuate(ctx context.Context, fleetName, addr string) (*fleetpb.Report, error) {
 	return inquire(ctx, fleetName, addr, &fleetpb.Inquiry{Seq: 1, Evacuate: true})
 }
@@ -389,8 +390,8 @@
 	return r, err
 }
 
-// PutFact writes a fact through the leading keeper, as an operator, and returns its version. Version 0: refused,
-// since the fact has changed meanwhile or the keeper doesn't lead.
+// PutFact writes a fact through the leading keeper, as an operator, and returns its version. Version 0 means that the
+// write was refused because the fact has changed in the meantime or the keeper doesn't lead.
 func PutFact(ctx context.Context, fleetName, addr string, p *fleetpb.Put) (version uint64, err error) {
 	err = sendOperatorFrame(ctx, fleetName, addr, &fleetpb.Frame{
 		What: &fleetpb.Frame_Ask{Ask: &fleetpb.Ask{Seq: 1, Put: p}},
--- a/internal/fleetio/settings.go
+++ b/internal/fleetio/settings.go
@@ -129,7 +129,8 @@
 func (o *Options) Describe(w io.Writer) {
 	fleetSettings := o.Settings
 	fmt.Fprintf(w, "\n  (fleet (name %q) (lease %q) (renew %q) (drift-percent %.0f) (file-kb %d)",
-		fleetSettings.Fleet, fleetSettings.LeaseDuration, fleetSettings.RenewInterval, fleetSettings.ClockDrift*100, o.MaxSegmentBytes>>10)
+		fleetSettings.Fleet, fleetSettings.LeaseDuration, fleetSettings.RenewInterval, fleetSettings.ClockDrift*100,
+		o.MaxSegmentBytes>>10)
 	if o.Dir != "" {
 		fmt.Fprintf(w, " (directory %q)", o.Dir)
 	}
@@ -152,7 +153,7 @@
 	for _, m := range fleetSettings.Members {
 		fmt.Fprintf(w, " %q", m)
 	}
-	fmt.Fprintf(w, ")) ; a lost router is known within %v, keepers wait %v",
+	fmt.Fprintf(w, ")) ; a lost router is detected within %v, keepers grant its name again after %v",
 		fleetSettings.LossDetectionTime(), fleetSettings.RegrantDelay().Round(time.Millisecond))
 	fmt.Fprintln(w)
 }
--- a/internal/fleetio/store.go
+++ b/internal/fleetio/store.go
@@ -30,8 +30,8 @@
 )
 
 // ErrNoFiles is returned for a directory without a keeper's complete state.
-var ErrNoFiles = errors.New("no files of a keeper: found a new fleet with 'threadglade fleet found', " +
-	"or bring this keeper's own files back; a keeper without them must not vote")
+var ErrNoFiles = errors.New("no files of a keeper: create a new fleet with 'threadglade fleet found', " +
+	"or restore this keeper's own files; a keeper without them must not vote")
 
 // Contents is the state read from a keeper's directory, and where its log ends.
 type Contents struct {
@@ -65,7 +65,7 @@
 			return err
 		}
 		if c.Identity != nil && !proto.Equal(one, c.Identity) {
-			return errors.New("the directory mixes the files of several keepers")
+			return errors.New("the directory contains files of several keepers")
 		}
 		c.Identity = one
 	case frameSnapshot:
@@ -125,8 +125,9 @@
 	if err != nil {
 		return err
 	}
-	l, err := durable.ContinueLog(durable.LogConfig{FS: fs, Dir: dir, Name: logName, Kind: kindFleet, MaxSegmentBytes: 1 << 20,
-		Checkpoint: func() []durable.Frame { return list }}, durable.Scan{})
+	l, err := durable.ContinueLog(durable.LogConfig{FS: fs, Dir: dir, Name: logName, Kind: kindFleet,
+		MaxSegmentBytes: 1 << 20,
+		Checkpoint:      func() []durable.Frame { return list }}, durable.Scan{})
 	if err != nil {
 		return err
 	}
@@ -160,9 +161,10 @@
 	return &store{lock: lock, fs: fs, dir: dir, lastSegment: 0}, c, nil
 }
 
-// openLog opens the log for writing, with checkpoints from the keeper; a new segment begins at roll bytes.
-func (s *store) openLog(k *fleet.Keeper, scan durable.Scan, roll int64) (err error) {
-	s.log, err = durable.ContinueLog(durable.LogConfig{FS: s.fs, Dir: s.dir, Name: logName, Kind: kindFleet, MaxSegmentBytes: roll,
+// openLog opens the log for writing, with checkpoints from the keeper; a new segment begins at maxSegmentBytes.
+func (s *store) openLog(k *fleet.Keeper, scan durable.Scan, maxSegmentBytes int64) (err error) {
+	s.log, err = durable.ContinueLog(durable.LogConfig{FS: s.fs, Dir: s.dir, Name: logName, Kind: kindFleet,
+		MaxSegmentBytes: maxSegmentBytes,
 		Checkpoint: func() []durable.Frame {
 			var list []durable.Frame
 			c, err := k.Checkpoint()
@@ -175,27 +177,28 @@
 	return err
 }
 
-// write appends what a keeper wants stored, and syncs it if asked to; older segments are deleted once a new one has
+// write appends a keeper's update, and syncs it if MustSync is set. Older segments are deleted once a new one has
 // begun. After an error the keeper has to halt.
-func (s *store) write(o *fleet.StoreUpdate) error {
+func (s *store) write(update *fleet.StoreUpdate) error {
 	if fleet.Mutated() == "unwritten" {
 		return nil
 	}
-	list, err := encodeFrames(fleet.Stored{Snapshot: o.Snapshot, Entries: o.Entries, HardState: o.HardState})
+	list, err := encodeFrames(fleet.Stored{
+		Snapshot: update.Snapshot, Entries: update.Entries, HardState: update.HardState})
 	if err != nil {
 		return err
 	}
 	if err := errors.Join(s.log.Append(list...), s.checkpointErr); err != nil {
 		return err
 	}
-	if o.MustSync {
+	if update.MustSync {
 		if err := s.log.Sync(); err != nil {
 			return err
 		}
 	}
-	if now := s.log.Segment(); now != s.lastSegment {
-		s.lastSegment = now
-		if _, err := s.log.RemoveSegments(now); err != nil {
+	if segment := s.log.Segment(); segment != s.lastSegment {
+		s.lastSegment = segment
+		if _, err := s.log.RemoveSegments(segment); err != nil {
 			return err
 		}
 	}
--- a/internal/fleetio/store_test.go
+++ b/internal/fleetio/store_test.go
@@ -19,25 +19,25 @@
 	"threadglade.example/threadglade/internal/settings"
 )
 
-// testTerms returns the settings of a fleet with the keeper k1.
-func testTerms() fleet.Settings {
-	t := fleet.DefaultSettings()
-	t.Fleet, t.Keepers, t.Members = "f", []string{"k1"}, []string{"r*"}
-	return t
+// testSettings returns the settings of a fleet with the keeper k1.
+func testSettings() fleet.Settings {
+	s := fleet.DefaultSettings()
+	s.Fleet, s.Keepers, s.Members = "f", []string{"k1"}, []string{"r*"}
+	return s
 }
 
 // acknowledgements has the versions of the facts that a keeper has acknowledged, by key.
 type acknowledgements map[string]uint64
 
-// runKeeper runs a single keeper on a directory for 3 s; many routers begin and write one fact each. It ends early if
-// the disk fails.
+// runKeeper runs a single keeper on a directory for 3 s, during which many routers get a lease and write one fact each.
+// It ends early if the disk fails.
 func runKeeper(fs *durabletest.FS, seed uint64, acknowledged acknowledgements) (err error) {
 	opened, contents, err := openStore(fs, "k1")
 	if err != nil {
 		return err
 	}
 	defer opened.close()
-	keeper, err := fleet.NewKeeper(testTerms(), contents.Stored, rand.New(rand.NewPCG(seed, 1)), 0)
+	keeper, err := fleet.NewKeeper(testSettings(), contents.Stored, rand.New(rand.NewPCG(seed, 1)), 0)
 	if err != nil {
 		return err
 	}
@@ -86,11 +86,11 @@
 // TestDiskFaultAtEveryStep injects each kind of fault at each disk operation in turn: an error, a torn write, a crash
 // of the process or of the machine. What the keeper has acknowledged must be there after the restart.
 func TestDiskFaultAtEveryStep(t *testing.T) {
-	founded, err := fleet.Bootstrap(testTerms(), rand.New(rand.NewPCG(1, 1)))
+	states, err := fleet.Bootstrap(testSettings(), rand.New(rand.NewPCG(1, 1)))
 	require.NoError(t, err)
 	fresh := func(seed uint64) *durabletest.FS {
 		fs := durabletest.New(seed)
-		require.NoError(t, CreateKeeperFiles(fs, "k1", founded[0]))
+		require.NoError(t, CreateKeeperFiles(fs, "k1", states[0]))
 		return fs
 	}
 	fs := fresh(1)
@@ -123,7 +123,7 @@
 	fs.Restart()
 	contents, err := Load(fs, "k1")
 	require.NoError(t, err, "%v at step %d", fault, n)
-	keeper, err := fleet.NewKeeper(testTerms(), contents.Stored, rand.New(rand.NewPCG(9, 9)), 0)
+	keeper, err := fleet.NewKeeper(testSettings(), contents.Stored, rand.New(rand.NewPCG(9, 9)), 0)
 	require.NoError(t, err)
 	// A single keeper commits all that it has stored.
 	for now := time.Duration(0); now < 2*time.Second; now += fleet.TickInterval {
@@ -138,15 +138,15 @@
 	}
 }
 
-// TestKeeperFolders checks that a directory without files, a damaged one and one of another fleet are refused.
-func TestKeeperFolders(t *testing.T) {
-	founded, err := fleet.Bootstrap(testTerms(), rand.New(rand.NewPCG(1, 1)))
+// TestKeeperDirectories checks that a directory without files, a damaged one and one of another fleet are refused.
+func TestKeeperDirectories(t *testing.T) {
+	states, err := fleet.Bootstrap(testSettings(), rand.New(rand.NewPCG(1, 1)))
 	require.NoError(t, err)
 	fs := durabletest.New(1)
 	_, err = Load(fs, "none")
 	require.ErrorIs(t, err, ErrNoFiles)
-	require.NoError(t, CreateKeeperFiles(fs, "k1", founded[0]))
-	require.ErrorContains(t, CreateKeeperFiles(fs, "k1", founded[0]), "already")
+	require.NoError(t, CreateKeeperFiles(fs, "k1", states[0]))
+	require.ErrorContains(t, CreateKeeperFiles(fs, "k1", states[0]), "already")
 	name := filepath.Join("k1", "fleet-00000001.tgl")
 	for bit := 0; bit < fs.Size(name)*8; bit += 13 {
 		fs.FlipBit(name, bit)
@@ -154,9 +154,9 @@
 		require.Error(t, err, "bit %d", bit)
 		fs.FlipBit(name, bit)
 	}
-	other := testTerms()
+	other := testSettings()
 	other.Fleet = "g"
-	_, err = fleet.NewKeeper(other, founded[0], rand.New(rand.NewPCG(1, 1)), 0)
+	_, err = fleet.NewKeeper(other, states[0], rand.New(rand.NewPCG(1, 1)), 0)
 	require.ErrorContains(t, err, `fleet "f"`)
 }
 
@@ -189,16 +189,16 @@
 // BenchmarkAct measures the check of the lease and the beacon datagram after it: a stop of the process has to fall
 // between the two for an act to be late.
 func BenchmarkAct(b *testing.B) {
-	hearer, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	listener, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(b, err)
-	defer hearer.Close()
-	t := testTerms()
+	defer listener.Close()
+	s := testSettings()
 	f, err := Open(Config{
 		Options: Options{
-			Settings:       t,
+			Settings:       s,
 			Addresses:      map[string]string{"k1": "127.0.0.1:1"},
 			BeaconInterval: time.Nanosecond,
-			Beacon:         netip.MustParseAddrPort(hearer.LocalAddr().String()),
+			Beacon:         netip.MustParseAddrPort(listener.LocalAddr().String()),
 		},
 		Name:   "r1",
 		Member: true,
--- a/internal/fleetio/verdicts.go
+++ b/internal/fleetio/verdicts.go
@@ -28,19 +28,19 @@
 	maxHoldDuration = 24 * time.Hour
 )
 
-// verdictState is what the loop and the core keep, and exchange, about verdicts.
+// verdictState is the state of the verdicts that the loop and the core keep and exchange.
 type verdictState struct {
-	// Of the loop.
+	// Used by the loop.
 	watch             *verdict.Watch
 	nextCheck         time.Duration
 	appliedEvaluation *evaluation
 	clockOffset       time.Duration // Clock minus Config.Now
-	// Of the core.
+	// Used by the core.
 	table       *verdict.Table
 	links       map[string]*link // to neighbours, by name
 	evaluatedAt time.Duration
 	holds       map[string]operatorHold // by server
-	// Shared by both.
+	// Used by both.
 	evaluation atomic.Pointer[evaluation]
 	avoided    atomic.Pointer[map[verdict.Key]bool] // servers avoided because of verdicts
 }
@@ -117,8 +117,8 @@
 	f.updateRouterLinks(names)
 }
 
-// applyOperatorHold applies a fact about a hold. A hold ends at its end by the wall clock, and at the latest its
-// duration after it was received, so that a wrong clock can't prolong it.
+// applyOperatorHold applies a fact about a hold. A hold ends at the wall-clock time in the fact, but no later than its
+// duration after the fact was received, so that a wrong clock can't prolong it.
 func (f *Fleet) applyOperatorHold(server string, note fleet.Note) {
 	state := f.verdicts
 	_, why, text := DecodeOperatorValue(note.Value)
@@ -186,7 +186,7 @@
 		state.table.Receive(now, l.name, frame)
 	case e.frame.GetTalk() != nil: // verdicts are disabled here: ignored
 	default:
-		f.countRefusal(l.name + ": a frame that is not its to send")
+		f.countRefusal(l.name + ": sent a frame that it is not allowed to send")
 		l.cancel()
 	}
 }
@@ -224,7 +224,7 @@
 			f.cfg.Log.Warn().Str("event", "verdict").Str("server", v.Server).Stringer("verdict", v.Kind).
 				Strs("zones", v.Zones).Int("bad", v.Bad).Int("good", v.Good).
 				Strs("sources", v.Sources).Dur("age", v.Age).
-				Msgf("verdict: %s is %s: %d routers of %d miss its answers, %d have had one since",
+				Msgf("verdict: server %s is %s: %d of %d routers miss its answers, %d have had an answer since",
 					v.Server, v.Kind, v.Bad, v.Routers, v.Good)
 		}
 		delete(kinds, v.Key)
@@ -232,7 +232,7 @@
 	for key, kind := range kinds {
 		if kind != verdict.Fit {
 			f.cfg.Log.Info().Str("event", "verdict").Str("server", key.Server).Stringer("verdict", verdict.Fit).
-				Msgf("verdict: nobody finds fault with %s any more", key.Server)
+				Msgf("verdict: server %s is fit: no fault found any more", key.Server)
 		}
 	}
 }
@@ -288,7 +288,7 @@
 		select {
 		case f.tasks <- func(now time.Duration) { state.table.AddOwn(now, own) }:
 		default:
-			f.count.Missed.Add(1) // sent when it changes again
+			f.count.Missed.Add(1) // the records are passed on when they next change
 		}
 	}
 	avoidances := watch.UpdateAvoidances(now, current.verdicts)
--- a/internal/fleetio/work.go
+++ b/internal/fleetio/work.go
@@ -21,14 +21,15 @@
 	"threadglade.example/threadglade/verdict"
 )
 
-// Replication and takeover of calls: transport and timing for package takeover. Records go from the loop to the core
-// by a bounded queue, and actions such as calls to take over come back by another. Between routers both use the links
-// that verdicts use, too.
+// Replication and takeover of calls: transport and timing for package takeover. The loop passes records to the core
+// through a bounded queue, and the core returns actions, such as calls to take over, through another. Routers exchange
+// takeover frames on the same links as verdicts.
 
 const (
 	maxQueuedBatches = 1024    // batches of records, and lists of actions, queued between loop and core
 	maxQueuedEnds    = 1 << 14 // ends of unknown calls, queued for the core
-	// maxWaitingTickets is how many loop iterations' bytes may wait for replica holders; beyond, the oldest are sent.
+	// maxWaitingTickets is how many loop iterations may have output that waits for replica holders. When it is reached,
+	// the oldest output is sent without waiting.
 	maxWaitingTickets = 4096
 )
 
@@ -60,35 +61,35 @@
 
 // batch is the records of one loop iteration, and what the core has to do after them.
 type batch struct {
-	batchID    uint64 // of the replica holder, whose calls to adopt are in the records; 0: none
+	batchID    uint64 // BatchID of the Actions whose calls to adopt are in the records; 0: none
 	relinquish bool   // after the records: the router has relinquished all calls
 	evacuate   bool   // after the records: the router has relinquished the established calls
 	first      uint64 // number of the first record
 	records    []takeover.Record
 }
 
-// takeoverState is what the loop and the core keep, and exchange, about replication and takeover.
+// takeoverState is the state of replication and takeover that the loop and the core keep and exchange.
 type takeoverState struct {
 	settings takeover.Settings
-	// Of the loop.
+	// Used by the loop.
 	recorder           *takeover.Recorder
 	waiting            []ticket
 	lastTicket         uint64
 	ownership          *takeover.OwnershipManager
 	delayedBatches     []batch // for which the queue to the core had no room
-	evacuationsStarted uint64  // of evacuationsRequested
-	// Of the core.
+	evacuationsStarted uint64  // the value of evacuationsRequested at the latest start of an evacuation
+	// Used by the core.
 	owner                *takeover.Owner
 	holder               *takeover.ReplicaHolder
 	incarnationSince     time.Duration // when the lease of this incarnation was granted or regained
 	unconfirmedBatches   []batch       // with calls to adopt, whose records no replica holder has confirmed
 	reclaimSignalled     bool          // reclaimDue has been set for this incarnation
 	leaving              bool
-	evacuatedIncarnation uint64 // latest one that was evacuated
+	evacuatedIncarnation uint64 // the latest incarnation that was evacuated
 	allLinks             map[string][]*link
 	links                map[string]*link // the latest link to each router, which is used
 	linkReported         map[string]bool  // the owner has been notified of the link in use
-	// Shared by both.
+	// Used by both.
 	batchQueue           *xsync.SPSCQueue[batch]
 	actionQueue          *xsync.SPSCQueue[takeover.Actions]
 	endQueue             *xsync.SPSCQueue[takeover.End] // from the loop to the core
@@ -100,8 +101,11 @@
 	evacuationsRequested atomic.Uint64
 	evacuationsDone      atomic.Uint64
 	evacuatedCalls       atomic.Uint64 // established calls at the latest evacuation
-	reclaimDue           atomic.Bool   // no further calls were taken over: the loop reclaims the rest
-	count                struct{ Hurried, Alone, Missed, Late atomic.Uint64 }
+	reclaimDue           atomic.Bool   // all calls that others have taken over are known: the loop reclaims the rest
+	// count counts loop iterations whose output was sent without waiting any longer for a replica holder (Hurried) or
+	// while none was linked (Alone), ends and calls to adopt that a full queue dropped (Missed), and flushes after which
+	// batches were still delayed (Late).
+	count struct{ Hurried, Alone, Missed, Late atomic.Uint64 }
 }
 
 // ticket stands for the bytes of one loop iteration: they may be sent once the inner gate has released them and a
@@ -140,7 +144,7 @@
 	f.takeover = state
 }
 
-// memberLog answers package takeover's questions about the fleet's log, as far as the member has received it.
+// memberLog implements takeover.FleetLog with the part of the fleet's log that the member has received.
 type memberLog struct{ fleet *Fleet }
 
 func (l memberLog) IsOver(name string, incarnation uint64) bool {
@@ -211,7 +215,7 @@
 	state := f.takeover
 	frame := &takeoverpb.Frame{}
 	if state == nil || proto.Unmarshal(data, frame) != nil {
-		f.countRefusal(l.name + ": a word on work in hand that cannot be read")
+		f.countRefusal(l.name + ": sent a takeover frame that is malformed, or takeover is disabled here")
 		l.cancel()
 		return
 	}
@@ -255,7 +259,8 @@
 			state.evacuationsDone.Store(state.evacuationsRequested.Load())
 			f.cfg.Log.Warn().Str("event", "work_evacuated").
 				Uint64("incarnation", state.evacuatedIncarnation).Uint64("calls", state.evacuatedCalls.Load()).
-				Msgf("work in hand: %d calls that stand are passed on, as an operator wants", state.evacuatedCalls.Load())
+				Msgf("takeover: %d established calls are handed over to another router at an operator's request",
+					state.evacuatedCalls.Load())
 		}
 		if one.batchID != 0 {
 			state.unconfirmedBatches = append(state.unconfirmedBatches, one)
@@ -302,7 +307,8 @@
 	if actions.BatchID != 0 || len(actions.Drop)+len(actions.Ends) > 0 {
 		if len(actions.Adopt) > 0 {
 			f.cfg.Log.Warn().Str("event", "work_taken").Int("calls", len(actions.Adopt)).
-				Msgf("work in hand: %d calls of routers that are lost are this one's now", len(actions.Adopt))
+				Msgf("takeover: this router takes over %d calls of other routers, whose incarnations have ended",
+					len(actions.Adopt))
 		}
 		if !state.actionQueue.TryEnqueue(actions) {
 			state.count.Missed.Add(uint64(len(actions.Adopt)))
@@ -402,8 +408,8 @@
 func (f *Fleet) CheckOwnership(now time.Duration) {
 	state := f.takeover
 	if state.evacuationsStarted != state.evacuationsDone.Load() {
-		// The established calls are relinquished; the router must not act by another incarnation before the core has
-		// given up this one.
+		// The established calls are relinquished already. The router must not act by another incarnation before the core
+		// has given up this one.
 		return
 	}
 	incarnation, ok := f.HoldsLease(now)
@@ -416,7 +422,8 @@
 		return
 	}
 	f.cfg.Log.Warn().Str("event", "work_ceased").
-		Msg("work in hand: no lease, and nobody vouches: what was in hand is another's, new calls go on")
+		Msg("takeover: no valid lease and no guarantee by replica holders: " +
+			"all calls in progress are given up for another router to take over, new calls continue")
 	f.flushRecords(0, true)
 }
 
@@ -507,8 +514,8 @@
 }
 
 // WrapGate returns an output gate that adds replication to an inner one, which may be nil: the bytes of a loop
-// iteration are sent once the inner gate has released them, and a replica holder has the records behind them, except
-// for classes that don't wait for replication.
+// iteration are sent once the inner gate has released them and a replica holder has confirmed the records that were
+// made before them, except for classes that don't wait for replication.
 func (f *Fleet) WrapGate(inner loop.OutputGate) loop.OutputGate {
 	return &replicationGate{f: f, inner: inner}
 }
@@ -622,16 +629,16 @@
 	f.sendTakeoverFrames(f.takeover.owner.AnnounceLeave(now))
 }
 
-// requestEvacuation handles an operator's request to hand over the established calls. It returns the reason of a
+// requestEvacuation handles an operator's request to hand over the established calls. It returns the reason for a
 // refusal, or an empty string. Called by the core.
 func (f *Fleet) requestEvacuation(now time.Duration) (refusal string) {
 	switch state := f.takeover; {
 	case state == nil:
-		return "nobody else has what this router has in hand: no (takeover ...) section"
+		return "its calls are not replicated to other routers: the settings have no (takeover ...) section"
 	case !f.member.Lease().IsHeld(now):
-		return "it has no lease: what stands could not be passed on"
+		return "it has no lease, so its established calls cannot be handed over"
 	case state.owner.Unreplicated():
-		return "no other router holds its work"
+		return "no other router holds replicas of its calls"
 	case state.evacuationsRequested.Load() == state.evacuationsDone.Load(): // else a request is pending already
 		state.evacuationsRequested.Add(1)
 		f.cfg.Wake()
