--- a/internal/callcontrol/callcontrol.go
+++ b/internal/callcontrol/callcontrol.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// answerMargin is subtracted from the time in which a client wants its answer, as on the SIP side, because the
-	// client's clock runs from when it sent the request.
+	// answerMargin is subtracted from a request's answerWithinMs, as on the SIP side, because the client counts from
+	// when it sent the request, and the answer has to reach it in time.
 	answerMargin = 30 * time.Millisecond
 	// pingIdleTimeout is how long the client may be silent before it is sent a ping.
 	pingIdleTimeout = 15 * time.Second
@@ -42,7 +42,7 @@
 	maxPlaceBurst = 64
 	// maxUnsentBytes bounds the output buffered for a client that does not read.
 	maxUnsentBytes = 64 << 10
-	// faultLogInterval is the least time between two log lines about clients' faults.
+	// faultLogInterval is the shortest time between two log lines about clients' faults.
 	faultLogInterval = time.Second
 	// maxCallsPerIdentity bounds the calls of one identity that are held at once.
 	maxCallsPerIdentity = 1000
@@ -217,11 +217,12 @@
 }
 
 // Reconfigure replaces the configuration. Origins and MaxSockets apply to connections that are opened from now on,
-// GraceMs to grace periods that start from now on. The listen address takes a restart and stays as it is; sockets and
-// calls are kept.
+// GraceMs to grace periods that start from now on. A change of the listen address takes effect only after a restart.
+// Sockets and calls are kept.
 func (f *Front) Reconfigure(c Config) {
 	if c.Addr != f.cfg.Addr {
-		f.log.Warn().Str("event", "callcontrol_listen").Msg("call control: listen has changed, which takes a restart")
+		f.log.Warn().Str("event", "callcontrol_listen").
+			Msg("call control: the changed listen address takes effect after a restart")
 		c.Addr = f.cfg.Addr
 	}
 	f.cfg = c
@@ -354,9 +355,9 @@
 	if err == nil && n == 0 {
 		return 0
 	}
-	accept, keyed := acceptKey(h.key)
+	accept, validKey := acceptKey(h.key)
 	switch {
-	case err != nil, !h.upgrade, !keyed:
+	case err != nil, !h.upgrade, !validKey:
 		s.reject("400 Bad Request", "")
 		return len(b)
 	case h.version != "13":
@@ -369,7 +370,7 @@
 	caller, err := s.front.verify(h.token)
 	if err != nil {
 		s.front.counters.Unauthorised++
-		s.front.logFault("callcontrol_turned", "call control: %s turned away: %v", s.conn.Remote(), err)
+		s.front.logFault("callcontrol_turned", "call control: connection from %s rejected: %v", s.conn.Remote(), err)
 		if errors.Is(err, identity.ErrNoBundle) {
 			s.reject("503 Service Unavailable", "Retry-After: 1\r\n")
 		} else {
@@ -393,7 +394,8 @@
 	s.finishConnection()
 }
 
-// finishConnection closes the connection once the client has had time to read what was sent last.
+// finishConnection ends the connection gracefully: what has been sent still reaches the client, which has closeTimeout
+// to close its side.
 func (s *socket) finishConnection() {
 	s.closing, s.deadline = true, s.front.clock()+closeTimeout
 	s.conn.Finish()
--- a/internal/callcontrol/codec.go
+++ b/internal/callcontrol/codec.go
@@ -1,8 +1,8 @@
 // Package callcontrol serves the call control API, JSON-RPC 2.0 over WebSocket, as a second front beside SIP on the
 // same event loop. codec.go implements the WebSocket protocol (RFC 6455), callcontrol.go the calls and their owners.
-// The package holds the state of the sockets and which identity each call belongs to. It must never decide about a
-// call, treat one better or worse than a SIP caller's, let one identity see another's calls, or use a length, an
-// origin or a token unchecked.
+// The package holds the state of the sockets and records which identity each call belongs to. It must never decide
+// whether or where a call is sent, treat a call better or worse than a SIP caller's, let one identity see another's
+// calls, or use a length, an origin or a token that it hasn't checked.
 package callcontrol
 
 import (
@@ -50,7 +50,7 @@
 }
 
 // Error implements error.
-func (f *protocolError) Error() string { return f.reason }
+func (e *protocolError) Error() string { return e.reason }
 
 // errHandshake is returned for an opening handshake that is not a valid HTTP request.
 var errHandshake = errors.New("malformed handshake")
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -117,7 +117,7 @@
 		//lint:ignore SA4023 the client always returns an error today, but the interface allows nil
 		if err := client.WatchJWTBundles(ctx, v); err != nil && ctx.Err() == nil {
 			v.log.Error().Str("event", "identity_watch_ended").
-				Msgf("identity: the watch of the trust bundles has ended: %v", err)
+				Msgf("identity: no longer receiving trust bundles: %v", err)
 		}
 	}()
 	return nil
@@ -127,7 +127,7 @@
 func (v *Verifier) OnJWTBundlesUpdate(set *jwtbundle.Set) {
 	v.bundles.Store(set)
 	v.log.Info().Str("event", "identity_bundles").Int("domains", set.Len()).
-		Msgf("identity: trust bundles of %d domains", set.Len())
+		Msgf("identity: received trust bundles of %d domains", set.Len())
 }
 
 // OnJWTBundlesWatchError implements workloadapi.JWTBundleWatcher. The bundles received before stay in force.
