--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -14,12 +14,12 @@
 	Discovery      string  `json:"discovery"`
 	OverShareWorth float64 `json:"overShareWorth"`
 	Classes        []struct {
-		Name     string  `json:"name"`
-		Aim      float64 `json:"aimMs"`
-		Deadline float64 `json:"deadlineMs"`
-		Gain     float64 `json:"gain"`
-		Late     float64 `json:"lateWorth"`
-		Repeat   string  `json:"repeat"`
+		Name       string  `json:"name"`
+		Aim        float64 `json:"aimMs"`
+		Deadline   float64 `json:"deadlineMs"`
+		Worth      float64 `json:"gain"`
+		LateFactor float64 `json:"lateWorth"`
+		Repeat     string  `json:"repeat"`
 	} `json:"classes"`
 	Tenants []struct {
 		Name  string  `json:"name"`
@@ -27,27 +27,27 @@
 		Share float64 `json:"share"`
 	} `json:"orgs"`
 	Callers struct {
-		Marks bool `json:"marksRetry"`
+		MarkRetries bool `json:"marksRetry"`
 	} `json:"clientHabits"`
 	Domain struct {
-		Pools   [][]int   `json:"allowedPools"`
-		Width   []int     `json:"classWidth"`
-		Release float64   `json:"clearWaitMs"`
-		Holding []float64 `json:"holdingMs"`
-		Form    string    `json:"networkForm"`
+		Pools        [][]int   `json:"allowedPools"`
+		Circuits     []int     `json:"classWidth"`
+		ReleaseWait  float64   `json:"clearWaitMs"`
+		HoldingTimes []float64 `json:"holdingMs"`
+		NetworkForm  string    `json:"networkForm"`
 	} `json:"domain"`
 	Limits struct {
-		Cancel      bool    `json:"cancel"`
-		MaxAttempts int     `json:"maxAttempts"`
-		MaxPause    float64 `json:"maxRetryAfterMs"`
-		RetryAfter  bool    `json:"retryAfter"`
+		Cancel        bool    `json:"cancel"`
+		MaxAttempts   int     `json:"maxAttempts"`
+		MaxRetryAfter float64 `json:"maxRetryAfterMs"`
+		RetryAfter    bool    `json:"retryAfter"`
 	} `json:"limits"`
 	Rules struct {
-		ColdFrom   float64 `json:"coldFrom"`
-		DrainGrace float64 `json:"drainGraceMs"`
-		Multiple   float64 `json:"fallMultiple"`
-		Window     float64 `json:"overloadForMs"`
-		WarmWithin float64 `json:"warmWithinMs"`
+		ColdFrom         float64 `json:"coldFrom"`
+		DrainGrace       float64 `json:"drainGraceMs"`
+		CollapseMultiple float64 `json:"fallMultiple"`
+		CollapseWindow   float64 `json:"overloadForMs"`
+		WarmWithin       float64 `json:"warmWithinMs"`
 	} `json:"rules"`
 }
 
@@ -63,28 +63,28 @@
 	}
 	s := threadglade.Settings{
 		Index: p.Index, Proxies: p.Proxies, OverQuotaFactor: p.OverShareWorth,
-		Network: p.Domain.Form == "network", SubscribeList: p.Discovery == "on_request",
-		Limits: threadglade.Limits{MaxAttempts: p.Limits.MaxAttempts, MaxRetryAfter: Duration(p.Limits.MaxPause),
+		Network: p.Domain.NetworkForm == "network", SubscribeList: p.Discovery == "on_request",
+		Limits: threadglade.Limits{MaxAttempts: p.Limits.MaxAttempts, MaxRetryAfter: Duration(p.Limits.MaxRetryAfter),
 			RetryAfter: p.Limits.RetryAfter, Cancel: p.Limits.Cancel},
-		Rules: threadglade.Rules{ReleaseWait: Duration(p.Domain.Release), DrainGrace: Duration(p.Rules.DrainGrace),
+		Rules: threadglade.Rules{ReleaseWait: Duration(p.Domain.ReleaseWait), DrainGrace: Duration(p.Rules.DrainGrace),
 			ColdCapacity: p.Rules.ColdFrom, WarmUpTime: Duration(p.Rules.WarmWithin),
-			CollapseMultiple: p.Rules.Multiple, CollapseWindow: Duration(p.Rules.Window)},
-		Callers: threadglade.Callers{MarkRetries: p.Callers.Marks},
+			CollapseMultiple: p.Rules.CollapseMultiple, CollapseWindow: Duration(p.Rules.CollapseWindow)},
+		Callers: threadglade.Callers{MarkRetries: p.Callers.MarkRetries},
 	}
 	for i, c := range p.Classes {
 		if _, known := repeatsByName[c.Repeat]; !known {
 			return s, fmt.Errorf("classes[%d].repeat: %q is unknown", i, c.Repeat)
 		}
-		class := threadglade.Class{Name: c.Name, Aim: Duration(c.Aim), Deadline: Duration(c.Deadline), Worth: c.Gain,
-			LateFactor: c.Late, Repeat: repeatsByName[c.Repeat]}
+		class := threadglade.Class{Name: c.Name, Aim: Duration(c.Aim), Deadline: Duration(c.Deadline), Worth: c.Worth,
+			LateFactor: c.LateFactor, Repeat: repeatsByName[c.Repeat]}
 		if i < len(p.Domain.Pools) {
 			class.Servers = p.Domain.Pools[i]
 		}
-		if i < len(p.Domain.Width) {
-			class.Circuits = p.Domain.Width[i]
+		if i < len(p.Domain.Circuits) {
+			class.Circuits = p.Domain.Circuits[i]
 		}
-		if i < len(p.Domain.Holding) {
-			class.HoldingTime = Duration(p.Domain.Holding[i])
+		if i < len(p.Domain.HoldingTimes) {
+			class.HoldingTime = Duration(p.Domain.HoldingTimes[i])
 		}
 		s.Classes = append(s.Classes, class)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -89,7 +89,7 @@
 		"unknown ending": {start + `{"cmd":"ClosedAttempt","proxyId":"proxy/0","ending":"WHAT"}` + "\n", `ending "WHAT"`},
 		"unknown state": {`{"cmd":"Pool","table":1,"rows":[{"state":"odd"}]}` + "\n" +
 			`{"cmd":"Registry","proxyId":"p","table":1}`, `state "odd"`},
-		"settings by sum": {`{"cmd":"PowerOn","proxyId":"p","params":7}` + "\n", "params"},
+		"settings not an object": {`{"cmd":"PowerOn","proxyId":"p","params":7}` + "\n", "params"},
 	} {
 		if _, err := serve(t, c.in); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want one with %q", name, err, c.want)
@@ -115,7 +115,7 @@
 	}
 }
 
-// FuzzServe checks that no input makes Serve panic or write half a reply.
+// FuzzServe checks that no input makes Serve panic or write an incomplete reply.
 func FuzzServe(f *testing.F) {
 	f.Add(start + call)
 	f.Add("{}")
@@ -124,7 +124,7 @@
 		var out bytes.Buffer
 		_ = Serve(strings.NewReader(in), &out)
 		if text := out.String(); text != "" && !strings.HasSuffix(text, "{\"cmd\":\"End\"}\n") {
-			t.Errorf("half a reply: %q", text)
+			t.Errorf("incomplete reply: %q", text)
 		}
 	})
 }
