--- a/internal/traceio/bench_test.go
+++ b/internal/traceio/bench_test.go
@@ -17,7 +17,7 @@
 func BenchmarkRecorder(b *testing.B) {
 	options := DefaultOptions()
 	options.Dir = b.TempDir()
-	now := time.Duration(day) * time.Microsecond
+	now := time.Duration(baseTime) * time.Microsecond
 	recorder, err := NewRecorder(Config{Options: options, FS: durable.OS{}, Router: "n0",
 		Clock: func() time.Duration { return now }, Log: zerolog.Nop()})
 	require.NoError(b, err)
--- a/internal/traceio/file.go
+++ b/internal/traceio/file.go
@@ -34,20 +34,20 @@
 // Extension is the file name extension of trace files.
 const Extension = ".tgt"
 
-// maxReachCalls limits the calls without a slot whose first block a Writer remembers.
-const maxReachCalls = 1 << 20
+// maxOpenCalls limits the calls without a slot that a Writer tracks.
+const maxOpenCalls = 1 << 20
 
 // Writer writes one trace file block by block. It is not safe for concurrent use.
 type Writer struct {
-	frames         *durable.Writer
-	encoder        *trace.Encoder
-	index          trace.Index
-	openCalls      map[string]int // open calls without a slot: block number of their request
-	slotBlocks     []int          // by call slot: block number of the request plus one; 0 if unknown
-	nextReach      int            // reach of the next block: first block of the oldest call in it
-	writeErr       error          // first failure to write a block; nothing is written after it
-	WrittenRecords int64          // records in written blocks
-	LostRecords    int            // records in the block that could not be written
+	frames           *durable.Writer
+	encoder          *trace.Encoder
+	index            trace.Index
+	openCalls        map[string]int // open calls without a slot: block number of their request
+	slotBlocks       []int          // by call slot: block number of the request plus one; 0 if unknown
+	nextRequestBlock int            // OldestRequestBlock of the next block, by the records added so far
+	writeErr         error          // first failure to write a block; nothing is written after it
+	WrittenRecords   int64          // records in written blocks
+	LostRecords      int            // records in the block that could not be written
 }
 
 // NewWriter writes the file header and meta to the start of a file.
@@ -70,9 +70,9 @@
 // Add appends a record to the next block and writes the block once it is full. For slot see trace.Encoder.Add.
 func (w *Writer) Add(record *trace.Record, slot uint32) error {
 	if w.encoder.Len() == 0 {
-		w.nextReach = len(w.index.Blocks)
+		w.nextRequestBlock = len(w.index.Blocks)
 	}
-	w.nextReach = min(w.nextReach, w.updateReach(record, slot))
+	w.nextRequestBlock = min(w.nextRequestBlock, w.trackRequestBlock(record, slot))
 	w.encoder.Add(record, slot)
 	if w.encoder.Len() >= trace.BlockRecords {
 		return w.Flush()
@@ -94,7 +94,7 @@
 		return w.writeErr
 	}
 	block := w.encoder.Block()
-	block.Info.OldestRequestBlock = w.nextReach
+	block.Info.OldestRequestBlock = w.nextRequestBlock
 	if w.writeErr = w.WriteBlock(block); w.writeErr != nil {
 		w.LostRecords = n
 		return w.writeErr
@@ -103,9 +103,9 @@
 	return nil
 }
 
-// updateReach tracks the call of a record and returns the block that holds the call's request. It returns the
-// current block if that is not known.
-func (w *Writer) updateReach(record *trace.Record, slot uint32) int {
+// trackRequestBlock tracks the call of a record and returns the number of the block that holds the call's request. It
+// returns the current block if that is not known.
+func (w *Writer) trackRequestBlock(record *trace.Record, slot uint32) int {
 	block, call := len(w.index.Blocks), record.Texts[trace.Call]
 	if call == "" {
 		return block
@@ -129,7 +129,7 @@
 		return block
 	}
 	if record.Kind == trace.Request {
-		if len(w.openCalls) < maxReachCalls {
+		if len(w.openCalls) < maxOpenCalls {
 			w.openCalls[call] = block
 		}
 		return block
@@ -144,13 +144,13 @@
 	return block
 }
 
-// blockReach returns the reach of a block of records without slots: the first block of the oldest call in it.
-func (w *Writer) blockReach(records []trace.Record) int {
-	reach := len(w.index.Blocks)
+// oldestRequestBlock returns the OldestRequestBlock of a block of records without slots.
+func (w *Writer) oldestRequestBlock(records []trace.Record) int {
+	oldest := len(w.index.Blocks)
 	for i := range records {
-		reach = min(reach, w.updateReach(&records[i], 0))
+		oldest = min(oldest, w.trackRequestBlock(&records[i], 0))
 	}
-	return reach
+	return oldest
 }
 
 // WriteBlock writes an encoded block and adds it to the index with the offsets it has in this file.
@@ -272,11 +272,12 @@
 		blockOffset := t.reader.Offset()
 		kind, stringsFrame, err := t.reader.Next()
 		if err == io.EOF {
-			t.Truncation = fmt.Sprintf("%s: offset %d: it ends without an index", t.reader.Name(), blockOffset)
+			t.Truncation = fmt.Sprintf("%s: offset %d: ends without an index", t.reader.Name(), blockOffset)
 			break
 		}
 		if errors.Is(err, durable.ErrTorn) {
-			t.Truncation = fmt.Sprintf("%s: offset %d: %d bytes", t.reader.Name(), blockOffset, t.reader.Size()-blockOffset)
+			t.Truncation = fmt.Sprintf("%s: offset %d: incomplete block of %d bytes",
+				t.reader.Name(), blockOffset, t.reader.Size()-blockOffset)
 			break
 		}
 		if err != nil {
@@ -286,7 +287,8 @@
 			if _, _, err := t.reader.Next(); err != io.EOF && !errors.Is(err, durable.ErrTorn) {
 				return cmp.Or(err, t.reader.Damagef(blockOffset, "unexpected frame after the index"))
 			}
-			t.Truncation = fmt.Sprintf("%s: offset %d: the index's end is missing", t.reader.Name(), blockOffset)
+			t.Truncation = fmt.Sprintf("%s: offset %d: the tail frame after the index is missing or incomplete",
+				t.reader.Name(), blockOffset)
 			break
 		}
 		if kind != frameStrings {
@@ -296,7 +298,8 @@
 		columns := t.reader.Offset()
 		kind, columnsFrame, err := t.reader.Next()
 		if err == io.EOF || errors.Is(err, durable.ErrTorn) {
-			t.Truncation = fmt.Sprintf("%s: offset %d: %d bytes", t.reader.Name(), blockOffset, t.reader.Size()-blockOffset)
+			t.Truncation = fmt.Sprintf("%s: offset %d: incomplete block of %d bytes",
+				t.reader.Name(), blockOffset, t.reader.Size()-blockOffset)
 			break
 		}
 		if err != nil {
@@ -310,7 +313,7 @@
 			return t.reader.Damagef(blockOffset, "%v", err)
 		}
 		info := trace.DescribeBlock(records)
-		info.Offset, info.Columns, info.OldestRequestBlock = blockOffset, columns, indexer.blockReach(records)
+		info.Offset, info.Columns, info.OldestRequestBlock = blockOffset, columns, indexer.oldestRequestBlock(records)
 		indexer.index.Add(info)
 	}
 	t.Index = &indexer.index
--- a/internal/traceio/recorder.go
+++ b/internal/traceio/recorder.go
@@ -56,7 +56,8 @@
 
 // DefaultOptions returns the defaults of Options.
 func DefaultOptions() Options {
-	return Options{FileBytes: 64 << 20, FileSpan: time.Hour, TotalBytes: 1 << 30, MaxBlockDelay: 5 * time.Second, FlightRecords: 20_000}
+	return Options{FileBytes: 64 << 20, FileSpan: time.Hour, TotalBytes: 1 << 30, MaxBlockDelay: 5 * time.Second,
+		FlightRecords: 20_000}
 }
 
 // ReadOptions reads a (trace ...) section. Errors are reported through the section.
@@ -78,11 +79,11 @@
 	section.Int("trigger", &options.FlightTrigger, 1, 1_000_000)
 	switch {
 	case options.Dir == "" && options.FlightSpan == 0:
-		section.Errorf("", "directory or flight is wanted")
+		section.Errorf("", "neither directory nor flight is set")
 	case options.FlightSpan > 0 && options.FlightDir == "" && options.Dir == "":
-		section.Errorf("flight-directory", "is missing: where is the flight written out?")
+		section.Errorf("flight-directory", "is missing; flight requires it if directory is not set")
 	case options.TotalBytes < 2*options.FileBytes && options.Dir != "":
-		section.Errorf("total-mb", "is less than two files of file-mb")
+		section.Errorf("total-mb", "is less than twice file-mb")
 	}
 	if options.FlightDir == "" {
 		options.FlightDir = options.Dir
@@ -114,7 +115,7 @@
 	ring              []rawRecord   // flight recorder; nil if off
 	ringStart         int           // index of the oldest record once the ring is full
 	unreportedDrops   int64         // records dropped since the last one that was queued
-	lossesPerSecond   [2]int64      // refusals and failures in the previous and the current window
+	lossCounts        [2]int64      // refusals and failures in the previous and the current window
 	lossWindowStart   time.Duration // windows last at least a second
 	lastTriggeredDump time.Duration
 	dumpCount         int
@@ -151,7 +152,7 @@
 
 // trackedCall is the state of an open call.
 type trackedCall struct {
-	call, class, tenant   string
+	id, class, tenant     string
 	server                string
 	arrivedAt, sentAt     time.Duration
 	attempt               int
@@ -229,7 +230,8 @@
 		}
 		return record
 	}
-	record.Texts[trace.Number], record.Texts[trace.Identity], record.Texts[trace.Front] = raw.server, raw.identity, raw.front
+	record.Texts[trace.Number], record.Texts[trace.Identity], record.Texts[trace.Front] =
+		raw.server, raw.identity, raw.front
 	if raw.figures[addrKind] == 0 {
 		return record
 	}
@@ -267,7 +269,7 @@
 // pendingSetup is a set-up sent to a server.
 type pendingSetup struct {
 	tracked *trackedCall // may be reused for another call by now
-	call    string
+	callID  string
 	sentAt  time.Duration
 }
 
@@ -364,7 +366,7 @@
 }
 
 // commitRecord completes a record that beginRecord returned: it is added to the ring and made visible to the
-// writer.
+// writer, or counted as dropped if there was no chunk for it.
 func (r *Recorder) commitRecord(record *rawRecord) {
 	r.counters.Records++
 	if r.ring != nil {
@@ -501,7 +503,7 @@
 func (r *Recorder) beginCallRecord(kind trace.Kind, call *trackedCall, event *router.Event) *rawRecord {
 	record := r.beginRecord(kind, event.At)
 	record.call, record.server, record.class, record.tenant, record.slot =
-		call.call, event.Server, call.class, call.tenant, call.slot
+		call.id, event.Server, call.class, call.tenant, call.slot
 	return record
 }
 
@@ -529,7 +531,7 @@
 	}
 	r.openCalls++
 	call.slot = event.Slot
-	call.call, call.class, call.tenant, call.arrivedAt = event.Call, event.Class, event.Tenant, event.At
+	call.id, call.class, call.tenant, call.arrivedAt = event.Call, event.Class, event.Tenant, event.At
 	if r.cfg.Tenants != nil {
 		call.tenant = r.cfg.Tenants.Tenant(event.Tenant, event.Identity, event.Caller, event.Number)
 	}
@@ -545,8 +547,8 @@
 }
 
 // actions maps the decision events of the router to the actions of a Decision.
-var actions = [32]trace.Action{router.Sent: trace.ActionSent, router.Held: trace.ActionHeld, router.Withdrawn: trace.ActionWithdrawn,
-	router.Refused: trace.ActionRefused, router.Failed: trace.ActionFailed}
+var actions = [32]trace.Action{router.Sent: trace.ActionSent, router.Held: trace.ActionHeld,
+	router.Withdrawn: trace.ActionWithdrawn, router.Refused: trace.ActionRefused, router.Failed: trace.ActionFailed}
 
 // recordDecision records a decision with what the router knew of the server then, after a ControlChange record if the
 // server's phase has changed.
@@ -602,7 +604,7 @@
 func (r *Recorder) oldestPending(server *serverState, now time.Duration) time.Duration {
 	for server.pendingHead < len(server.pendingSetups) {
 		oldest := server.pendingSetups[server.pendingHead]
-		if oldest.tracked.inFlight && oldest.tracked.sentAt == oldest.sentAt && oldest.tracked.call == oldest.call {
+		if oldest.tracked.inFlight && oldest.tracked.sentAt == oldest.sentAt && oldest.tracked.id == oldest.callID {
 			return now - oldest.sentAt
 		}
 		server.pendingSetups[server.pendingHead] = pendingSetup{}
@@ -629,9 +631,9 @@
 	r.commitRecord(record)
 	if end == trace.AnswerRefused || end == trace.AnswerFailed {
 		if event.At-r.lossWindowStart >= time.Second {
-			r.lossWindowStart, r.lossesPerSecond = event.At, [2]int64{r.lossesPerSecond[1], 0}
+			r.lossWindowStart, r.lossCounts = event.At, [2]int64{r.lossCounts[1], 0}
 		}
-		if r.lossesPerSecond[1]++; r.cfg.FlightTrigger > 0 && r.lossesPerSecond[1] == int64(r.cfg.FlightTrigger) {
+		if r.lossCounts[1]++; r.cfg.FlightTrigger > 0 && r.lossCounts[1] == int64(r.cfg.FlightTrigger) {
 			r.triggerDump(event.At, "losses")
 		}
 	}
@@ -655,19 +657,19 @@
 func (r *Recorder) SetTenants(d *ledger.Directory) { r.cfg.Tenants = d }
 
 // triggerDump dumps the flight recorder, at most once per minDumpInterval.
-func (r *Recorder) triggerDump(now time.Duration, why string) {
+func (r *Recorder) triggerDump(now time.Duration, trigger string) {
 	if r.ring != nil && (r.lastTriggeredDump == 0 || now-r.lastTriggeredDump >= minDumpInterval) {
 		r.lastTriggeredDump = now
-		r.DumpFlight(why)
+		r.DumpFlight(trigger)
 	}
 }
 
 // DumpFlight writes the records of the flight recorder to a file, in a goroutine of its own. Copying them takes
 // the loop about a millisecond for 20,000 records.
-func (r *Recorder) DumpFlight(why string) {
+func (r *Recorder) DumpFlight(trigger string) {
 	if r.ring == nil {
 		r.cfg.Log.Warn().Str("event", "trace_flight_off").
-			Msg("trace: there is no flight recorder; (flight SPAN) in the settings has one")
+			Msg("trace: the flight recorder is off; (flight SPAN) in the trace settings turns it on")
 		return
 	}
 	records := make([]rawRecord, 0, len(r.ring))
@@ -700,12 +702,13 @@
 		})
 		if err != nil {
 			r.errorCount.Add(1)
-			r.cfg.Log.Error().Str("event", "trace_flight_failed").Msgf("trace: flight: %v", err)
+			r.cfg.Log.Error().Str("event", "trace_flight_failed").
+				Msgf("trace: writing the flight recording failed: %v", err)
 			return
 		}
 		r.flightCount.Add(1)
-		r.cfg.Log.Warn().Str("event", "trace_flight").Str("file", path).Str("why", why).
-			Msgf("trace: the last %v are in %s (%s)", r.cfg.FlightSpan, path, why)
+		r.cfg.Log.Warn().Str("event", "trace_flight").Str("file", path).Str("why", trigger).
+			Msgf("trace: wrote the records of the last %v to %s, triggered by %s", r.cfg.FlightSpan, path, trigger)
 	}()
 }
 
@@ -722,7 +725,7 @@
 	case <-ended:
 		return nil
 	case <-time.After(time.Second):
-		return fmt.Errorf("trace: the last records were not written within a second")
+		return fmt.Errorf("trace: the remaining records were not written within a second")
 	}
 }
 
@@ -743,11 +746,11 @@
 	writer       *Writer
 	openedAt     time.Time
 	pendingSince time.Time          // when the first pending record was taken
-	classes      *[]trace.ClassMeta // those in its metadata
+	classes      *[]trace.ClassMeta // in its metadata
 }
 
 // runWriter is the writer goroutine. It moves records from the queue to the open file until Close is called, and
-// then writes what is left.
+// then writes the remaining ones.
 func (r *Recorder) runWriter() {
 	defer r.done.Done()
 	var out *output
@@ -760,7 +763,8 @@
 	defer ticker.Stop()
 	fail := func(err error) {
 		r.errorCount.Add(1)
-		r.cfg.Log.Error().Str("event", "trace_failed").Msgf("trace: %v; records are dropped until it works again", err)
+		r.cfg.Log.Error().Str("event", "trace_failed").
+			Msgf("trace: %v; records are dropped until a file can be written again", err)
 		if out != nil {
 			out.file.Close()
 			lost := out.writer.PendingRecords() + out.writer.LostRecords
--- a/internal/traceio/tools.go
+++ b/internal/traceio/tools.go
@@ -47,14 +47,14 @@
 }
 
 // writeCut writes the selected records to writer, preceded by the requests of calls that were open when the range
-// starts, and adds up result.
+// starts, and updates result.
 func (t *File) writeCut(writer *Writer, selection trace.Selection, result *CutResult) error {
-	picker := trace.NewSelector(selection)
-	blocksRead := roaring.New() // a set, as a selection of calls reads some blocks twice
+	selector := trace.NewSelector(selection)
+	blocksRead := roaring.New() // a set, because some blocks are read twice
 	defer func() { result.BlocksRead = int(blocksRead.GetCardinality()) }()
 	blocks := t.Index.Find(selection)
-	narrow := selection != trace.Selection{From: selection.From, To: selection.To}
-	if narrow { // first pass: find the matching calls; all their records are then selected
+	filtered := selection != trace.Selection{From: selection.From, To: selection.To}
+	if filtered { // first pass: find the matching calls; all their records are then selected
 		for _, n := range blocks {
 			list, err := t.Records(int(n))
 			if err != nil {
@@ -62,49 +62,49 @@
 			}
 			blocksRead.Add(n)
 			for i := range list {
-				picker.NoteMatch(&list[i])
+				selector.NoteMatch(&list[i])
 			}
 		}
 		blocks = t.Index.Find(trace.Selection{From: selection.From, To: selection.To})
 	}
-	// Find the requests of calls that began before the range: read blocks backwards to the one where the oldest
-	// began.
-	missing := map[string]bool{}
-	reach, first := len(t.Index.Blocks), 0
+	// Find the selected calls whose requests are before the range. Then read blocks backwards, to the block with the
+	// oldest of these requests.
+	missingRequests := map[string]bool{}
+	oldestBlock, first := len(t.Index.Blocks), 0
 	if len(blocks) > 0 {
 		first = int(blocks[0])
 	}
-	wanted := func(n uint32) bool {
+	copyWhole := func(n uint32) bool {
 		block := t.Index.Blocks[n]
-		return !narrow && block.From >= selection.From && (selection.To == 0 || block.To < selection.To)
+		return !filtered && block.From >= selection.From && (selection.To == 0 || block.To < selection.To)
 	}
 	for _, n := range blocks {
-		if block := t.Index.Blocks[n]; block.OldestRequestBlock < int(n) || !wanted(n) {
+		if block := t.Index.Blocks[n]; block.OldestRequestBlock < int(n) || !copyWhole(n) {
 			list, err := t.Records(int(n))
 			if err != nil {
 				return err
 			}
 			blocksRead.Add(n)
 			for i := range list {
-				if picker.Selects(&list[i]) && picker.NeedsRequest(&list[i]) {
-					missing[list[i].Texts[trace.Call]] = true
-					reach = min(reach, block.OldestRequestBlock)
+				if selector.Selects(&list[i]) && selector.NeedsRequest(&list[i]) {
+					missingRequests[list[i].Texts[trace.Call]] = true
+					oldestBlock = min(oldestBlock, block.OldestRequestBlock)
 				}
 			}
-		} else if err := t.noteRequests(int(n), picker); err != nil {
+		} else if err := t.noteRequests(int(n), selector); err != nil {
 			return err
 		}
 	}
 	var carried []trace.Record
-	for n := min(first, len(t.Index.Blocks)-1); n >= reach && n >= 0 && len(missing) > 0; n-- {
+	for n := min(first, len(t.Index.Blocks)-1); n >= oldestBlock && n >= 0 && len(missingRequests) > 0; n-- {
 		list, err := t.Records(n)
 		if err != nil {
 			return err
 		}
 		blocksRead.Add(uint32(n))
 		for i := range list {
-			if r := &list[i]; r.Kind == trace.Request && missing[r.Texts[trace.Call]] {
-				delete(missing, r.Texts[trace.Call])
+			if r := &list[i]; r.Kind == trace.Request && missingRequests[r.Texts[trace.Call]] {
+				delete(missingRequests, r.Texts[trace.Call])
 				r.Carried = true
 				carried = append(carried, *r)
 			}
@@ -119,7 +119,7 @@
 		result.Records++
 	}
 	for _, n := range blocks {
-		if wanted(n) {
+		if copyWhole(n) {
 			if err := writer.Flush(); err != nil {
 				return err
 			}
@@ -127,12 +127,12 @@
 			if err != nil {
 				return err
 			}
-			list, err := t.decoder.Decode(block.Strings, block.Columns) // verifies the block and yields its reach
+			list, err := t.decoder.Decode(block.Strings, block.Columns) // verifies the block; gives its index entry
 			if err != nil {
 				return t.reader.Damagef(block.Info.Offset, "%v", err)
 			}
 			info := trace.DescribeBlock(list)
-			info.OldestRequestBlock = writer.blockReach(list)
+			info.OldestRequestBlock = writer.oldestRequestBlock(list)
 			block.Info = info
 			if err := writer.WriteBlock(block); err != nil {
 				return err
@@ -147,7 +147,7 @@
 			return err
 		}
 		for i := range list {
-			if picker.Selects(&list[i]) {
+			if selector.Selects(&list[i]) {
 				if err := writer.Add(&list[i], 0); err != nil {
 					return err
 				}
@@ -158,11 +158,11 @@
 	return nil
 }
 
-// noteRequests decodes block n and notes in p the calls that begin in it.
-func (t *File) noteRequests(n int, p *trace.Selector) error {
+// noteRequests decodes block n and notes in selector the calls whose requests are in it.
+func (t *File) noteRequests(n int, selector *trace.Selector) error {
 	list, err := t.Records(n)
 	for i := range list {
-		p.Selects(&list[i])
+		selector.Selects(&list[i])
 	}
 	return err
 }
@@ -197,7 +197,7 @@
 			cmp.Compare(a.Meta.Part, b.Meta.Part),
 		)
 	})
-	sightings := trace.NewClockEstimator()
+	estimator := trace.NewClockEstimator()
 	for _, file := range files {
 		src := file.Source()
 		for {
@@ -208,10 +208,10 @@
 			if err != nil {
 				return nil, 0, err
 			}
-			sightings.Add(file.Meta.Incarnation, record)
+			estimator.Add(file.Meta.Incarnation, record)
 		}
 	}
-	clocks = sightings.Estimate()
+	clocks = estimator.Estimate()
 	merger := trace.NewMerger(clocks)
 	for i := 0; i < len(files); {
 		chain, meta := Chain{}, files[i].Meta
@@ -250,7 +250,7 @@
 // AnonymizeFile copies file from to file to with personal data replaced by keyed hashes. The columns are copied
 // without re-encoding. It returns the number of blocks.
 func AnonymizeFile(fileSystem durable.FS, from, to string, key []byte) (blocks int, err error) {
-	hider, err := trace.NewAnonymizer(key)
+	anonymizer, err := trace.NewAnonymizer(key)
 	if err != nil {
 		return 0, err
 	}
@@ -263,7 +263,7 @@
 	meta.Anonymized = true
 	if meta.Cut != nil {
 		cut := *meta.Cut
-		cut.Call = hider.Anonymize(trace.Call, cut.Call)
+		cut.Call = anonymizer.Anonymize(trace.Call, cut.Call)
 		meta.Cut = &cut
 	}
 	err = durable.WriteFile(fileSystem, to, func(out io.Writer) error {
@@ -277,7 +277,7 @@
 			if err != nil {
 				return err
 			}
-			if block.Strings, err = hider.AnonymizeStrings(decoder, encoder, block.Strings); err != nil {
+			if block.Strings, err = anonymizer.AnonymizeStrings(decoder, encoder, block.Strings); err != nil {
 				return source.reader.Damagef(block.Info.Offset, "%v", err)
 			}
 			list, err := decoder.Decode(block.Strings, block.Columns)
--- a/internal/traceio/traceio_test.go
+++ b/internal/traceio/traceio_test.go
@@ -31,8 +31,8 @@
 )
 
 const (
-	second = int64(1_000_000)
-	day    = 1_700_000_000 * second
+	second   = int64(1_000_000)
+	baseTime = 1_700_000_000 * second
 )
 
 // incompressibleID returns an ID that, like the IDs of callers, doesn't compress.
@@ -40,7 +40,7 @@
 
 // callRecords returns the four records of call n, which lasts 30 s.
 func callRecords(n int) (list []trace.Record) {
-	r := trace.Record{Kind: trace.Request, At: day + int64(n)*20_000}
+	r := trace.Record{Kind: trace.Request, At: baseTime + int64(n)*20_000}
 	r.Texts[trace.Call], r.Texts[trace.Class], r.Texts[trace.Tenant], r.Texts[trace.Number] =
 		incompressibleID(n+1), []string{"voice", "data"}[n%2], "lda", fmt.Sprintf("92%05d", n)
 	r.Texts[trace.Caller], r.Texts[trace.Identity] =
@@ -100,7 +100,7 @@
 }
 
 // TestTruncatedFile truncates a file, as a crash does, at every byte of its last two blocks and its index.
-// Exactly the complete blocks must be read and the truncation noted.
+// Exactly the complete blocks must be read, and the truncation must be noted.
 func TestTruncatedFile(t *testing.T) {
 	f := durabletest.New(1)
 	require.NoError(t, durable.WriteFile(f, "x.tgt", func(out io.Writer) error {
@@ -181,13 +181,13 @@
 	f := durabletest.New(1)
 	writeCalls(t, f, "x.tgt", trace.Meta{Router: "n0"}, 20_000)
 	all := readAll(t, f, "x.tgt", trace.Selection{})
-	middle := day + 200*second
+	middle := baseTime + 200*second
 	one, err := CutFile(f, "x.tgt", "a.tgt", trace.Selection{To: middle})
 	require.NoError(t, err)
 	two, err := CutFile(f, "x.tgt", "b.tgt", trace.Selection{From: middle})
 	require.NoError(t, err)
 	require.Zero(t, one.Carried)
-	require.InDelta(t, 30*50, two.Carried, 60, "the calls that stood at the cut")
+	require.InDelta(t, 30*50, two.Carried, 60, "the calls that were open at the cut")
 	require.EqualValues(t, len(all), one.Records+two.Records-two.Carried)
 	a, b := readAll(t, f, "a.tgt", trace.Selection{}), readAll(t, f, "b.tgt", trace.Selection{})
 	carried := b[:two.Carried]
@@ -197,19 +197,20 @@
 		require.Less(t, r.At, middle)
 	}
 	order := func(a, b trace.Record) int {
-		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Texts[trace.Call], b.Texts[trace.Call]), cmp.Compare(a.Kind, b.Kind))
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Texts[trace.Call], b.Texts[trace.Call]),
+			cmp.Compare(a.Kind, b.Kind))
 	}
 	halves := append(append([]trace.Record{}, a...), b[two.Carried:]...)
 	slices.SortFunc(halves, order)
 	slices.SortFunc(all, order)
-	require.True(t, slices.Equal(all, halves), "the halves are not the whole")
+	require.True(t, slices.Equal(all, halves), "the halves differ from the whole")
 	// Each call of the second half must have its request.
-	began := map[string]bool{}
+	hasRequest := map[string]bool{}
 	for _, r := range b {
 		if r.Kind == trace.Request {
-			began[r.Texts[trace.Call]] = true
+			hasRequest[r.Texts[trace.Call]] = true
 		}
-		require.True(t, began[r.Texts[trace.Call]], "%s has no first record", r.Texts[trace.Call])
+		require.True(t, hasRequest[r.Texts[trace.Call]], "call %s has no request", r.Texts[trace.Call])
 	}
 	ten, err := CutFile(f, "x.tgt", "c.tgt", trace.Selection{From: middle, To: middle + 10*second})
 	require.NoError(t, err)
@@ -272,16 +273,16 @@
 		r := callRecords(i)[0]
 		for _, s := range []trace.Text{trace.Call, trace.Number, trace.Caller, trace.Identity} {
 			if v := r.Texts[s]; strings.Contains(text, `"`+v+`"`) || len(v) > 8 && strings.Contains(text, v) {
-				require.Fail(t, "a value is left", "%s %s", s, v)
+				require.Fail(t, "personal data is left", "%s %s", s, v)
 			}
 		}
 	}
 	plain := readAll(t, f, "x.tgt", trace.Selection{})
-	hidden := map[string]string{}
+	replacements := map[string]string{}
 	for i := range plain {
-		was, is := plain[i].Texts[trace.Call], list[i].Texts[trace.Call]
-		require.True(t, hidden[was] == "" || hidden[was] == is)
-		hidden[was] = is
+		original, replacement := plain[i].Texts[trace.Call], list[i].Texts[trace.Call]
+		require.True(t, replacements[original] == "" || replacements[original] == replacement)
+		replacements[original] = replacement
 		require.Equal(t, plain[i].Figures, list[i].Figures)
 		require.Equal(t, plain[i].Texts[trace.Server], list[i].Texts[trace.Server])
 	}
@@ -304,7 +305,7 @@
 func startRecorder(
 	t *testing.T, change func(*Options), plan ...func(durabletest.Step) durabletest.Fault) *recorderRig {
 	g := &recorderRig{fs: durabletest.New(1)}
-	g.now.Store(day * 1000)
+	g.now.Store(baseTime * 1000)
 	for _, p := range plan {
 		g.fs.Plan = p
 	}
@@ -371,7 +372,7 @@
 		gaps += r.Figures[trace.Count] * map[bool]int64{true: 1}[r.Kind == trace.Gap]
 	}
 	c := g.recorder.Counters()
-	require.EqualValues(t, c.Dropped, gaps, "each record that is missing is counted in a gap")
+	require.EqualValues(t, c.Dropped, gaps, "each dropped record is counted in a gap")
 	require.EqualValues(t, c.Records-c.Dropped, len(list)-countKind(list, trace.Gap))
 }
 
@@ -423,7 +424,9 @@
 // TestFileRotation checks that files are closed by size, that the oldest are removed when the total is exceeded,
 // and that the newest records are kept.
 func TestFileRotation(t *testing.T) {
-	g := startRecorder(t, func(o *Options) { o.FileBytes, o.TotalBytes, o.MaxBlockDelay = 2000, 9000, 100*time.Millisecond })
+	g := startRecorder(t, func(o *Options) {
+		o.FileBytes, o.TotalBytes, o.MaxBlockDelay = 2000, 9000, 100*time.Millisecond
+	})
 	for i := range 20 {
 		for j := range 40 {
 			g.call(incompressibleID(i*40+j+1), router.Established)
@@ -443,7 +446,7 @@
 	}
 	require.Less(t, total, 12_000)
 	list, _ := g.readFiles(t, "trace")
-	require.Equal(t, incompressibleID(800), list[len(list)-1].Texts[trace.Call], "the latest are there")
+	require.Equal(t, incompressibleID(800), list[len(list)-1].Texts[trace.Call], "the latest records are kept")
 }
 
 // TestFlightRecorder checks that, without trace files, the latest records are kept in memory and dumped on
@@ -474,14 +477,14 @@
 		Outcome: threadglade.NotSent})
 	require.True(t, durabletest.WaitFor(func() bool { return g.log.Contains(`"why":"backstop"`) }))
 	require.NoError(t, g.recorder.Close())
-	require.EqualValues(t, 3, g.recorder.Counters().Flights, "not again within a minute")
+	require.EqualValues(t, 3, g.recorder.Counters().Flights, "no second dump within a minute")
 }
 
 // TestDecisionServerState checks that a decision records the reports, phase and pending set-ups of its server.
 func TestDecisionServerState(t *testing.T) {
 	g := startRecorder(t, func(*Options) {})
 	at := func(ms int) time.Duration {
-		return time.Duration(day)*time.Microsecond + time.Duration(ms)*time.Millisecond
+		return time.Duration(baseTime)*time.Microsecond + time.Duration(ms)*time.Millisecond
 	}
 	g.recorder.Observe(router.Event{Kind: router.AgentsReported, At: at(0), Server: "s0", Free: 7, Total: 9})
 	g.recorder.Observe(router.Event{Kind: router.LoadReported, At: at(10), Server: "s0",
@@ -541,9 +544,9 @@
 // TestSettings checks the errors that ReadOptions reports for invalid sections.
 func TestSettings(t *testing.T) {
 	for text, want := range map[string]string{
-		"(trace)":                                        "directory or flight is wanted",
+		"(trace)":                                        "neither directory nor flight is set",
 		"(trace (flight 10s))":                           "flight-directory: is missing",
-		"(trace (directory d) (total-mb 64))":            "total-mb: is less than two files",
+		"(trace (directory d) (total-mb 64))":            "total-mb: is less than twice file-mb",
 		"(trace (directory d) (block 1ms))":              "block",
 		"(trace (directory d) (colour red))":             `unknown field "colour"`,
 		"(trace (directory d) (flight 10s) (trigger x))": "trigger",
@@ -565,7 +568,7 @@
 	require.NoError(t, g.recorder.Close())
 }
 
-var fixture = flag.Bool("fixture", false, "write testdata/v1.tgt anew")
+var fixture = flag.Bool("fixture", false, "rewrite testdata/v1.tgt")
 
 // TestFormatVersions checks that a stored file of format version 1 is still read correctly, by its index and
 // without it, and that a file of the next version is rejected with its version number.
@@ -573,7 +576,7 @@
 	const path = "testdata/v1.tgt"
 	if *fixture {
 		writeCalls(t, durable.OS{}, path, trace.Meta{
-			Router: "n0", Incarnation: day, Part: 1, Build: "v1",
+			Router: "n0", Incarnation: baseTime, Part: 1, Build: "v1",
 			Classes: []trace.ClassMeta{{Name: "voice", AimMs: 1200, Worth: 1, LateWorth: 0.2}},
 		}, 40)
 	}
@@ -594,9 +597,9 @@
 			_, err := w.Write(text[:len(text)-cut])
 			return err
 		}))
-		have := readAll(t, f, "old.tgt", trace.Selection{})
-		slices.SortStableFunc(have, order)
-		require.True(t, slices.Equal(want, have))
+		records := readAll(t, f, "old.tgt", trace.Selection{})
+		slices.SortStableFunc(records, order)
+		require.True(t, slices.Equal(want, records))
 	}
 	file, err := Open(durable.OS{}, path)
 	require.NoError(t, err)
--- a/trace/block.go
+++ b/trace/block.go
@@ -51,9 +51,11 @@
 		texts   [maxTexts]textColumn
 		figures [MaxFigures]deltaColumn
 	}
-	buffer       []byte
-	from, to     int64  // earliest and latest time of the current block
-	outcomes     uint64 // bit set by index in OutcomeNames, final answers from bit 16, bit 63 for any other outcome
+	buffer   []byte
+	from, to int64 // earliest and latest time of the current block
+	// outcomes is a bit set: the outcome of an attempt or release sets the bit of its index in OutcomeNames, a final
+	// answer bit 16 plus its AnswerResult, and an unknown outcome bit 63.
+	outcomes     uint64
 	reasons      [256]bool
 	otherReasons map[int64]bool // numbers that don't fit into reasons
 }
@@ -115,8 +117,8 @@
 // Len returns the number of records in the current block.
 func (e *Encoder) Len() int { return len(e.kinds) }
 
-// Add appends a record to the current block. A slot other than 0 is a small number that no other open call has, and
-// that is reused after the call; it saves looking up the call's ID in the string table.
+// Add appends a record to the current block. A slot other than 0 is a small number that is unique among the open calls
+// and reused after the call; it saves looking up the call's ID in the string table.
 func (e *Encoder) Add(r *Record, slot uint32) {
 	if len(e.kinds) == 0 || r.At < e.from {
 		e.from = r.At
@@ -161,8 +163,8 @@
 	}
 }
 
-// noteOutcome marks an outcome as present in the block. Outcomes are numbered from 0 and stored at
-// OutcomeNames[low:high]; for final answers (low 0) n is an AnswerResult.
+// noteOutcome marks outcome n as present in the block. With low 0, n is an AnswerResult; otherwise it is a
+// threadglade.Outcome, whose names are OutcomeNames[low:high].
 func (e *Encoder) noteOutcome(n, low, high int64) {
 	if low == 0 {
 		e.outcomes |= 1 << (16 + uint(min(max(n, 0), high))) // clamped as in AnswerResult.String
@@ -239,7 +241,7 @@
 	return block
 }
 
-// blockInfo returns what DescribeBlock would, from what Add has recorded.
+// blockInfo returns the same index entry as DescribeBlock, from what Add has noted of the current block's records.
 func (e *Encoder) blockInfo() BlockInfo {
 	info := BlockInfo{From: e.from, To: e.to, Count: len(e.kinds), Names: map[string][]string{}}
 	if info.Count == 0 {
@@ -259,9 +261,9 @@
 			seen[name] = true
 		}
 	}
-	for i := range endNames {
-		if e.outcomes>>(16+i)&1 == 1 && endNames[i] != "" {
-			seen[endNames[i]] = true
+	for i := range answerNames {
+		if e.outcomes>>(16+i)&1 == 1 && answerNames[i] != "" {
+			seen[answerNames[i]] = true
 		}
 	}
 	if e.outcomes>>63 == 1 {
@@ -269,8 +271,8 @@
 	}
 	info.Names[ByOutcome] = slices.Sorted(maps.Keys(seen))
 	clear(seen)
-	for n, is := range e.reasons {
-		if is {
+	for n, occurs := range e.reasons {
+		if occurs {
 			seen[reasonName(int64(n))] = true
 		}
 	}
--- a/trace/clock.go
+++ b/trace/clock.go
@@ -55,11 +55,11 @@
 
 // String describes the clock for operators.
 func (c *Clock) String() string {
-	text := fmt.Sprintf("%s life %d", c.Router, c.Incarnation)
+	text := fmt.Sprintf("%s incarnation %d", c.Router, c.Incarnation)
 	if c.Segment > 0 {
-		text += fmt.Sprintf(" after step %d", c.Segment)
+		text += fmt.Sprintf(" after clock step %d", c.Segment)
 	}
-	return fmt.Sprintf("%s: offset %+.3f s (from %+.3f to %+.3f), drift %+.1f ppm, %d lists and %d causes seen alike",
+	return fmt.Sprintf("%s: offset %+.3f s (from %+.3f to %+.3f), drift %+.1f ppm, from %d shared lists and %d retries",
 		text,
 		float64(c.Offset)/1e6, float64(c.Low)/1e6, float64(c.High)/1e6, c.Drift, c.SharedLists, c.RetryPairs)
 }
@@ -135,7 +135,7 @@
 	}
 }
 
-// addEvent stores an event of a called number, within limits of memory.
+// addEvent stores an event of a called number, unless a limit on memory is reached.
 func (s *ClockEstimator) addEvent(m map[string][]clockEvent, number string, e clockEvent) {
 	if len(m) < maxNumbers && len(m[number]) < 16 {
 		m[number] = append(m[number], e)
@@ -340,8 +340,8 @@
 // Add adds a source of a router's incarnation. Files of one incarnation are added in order as one source. end is the
 // error by which the source reports its end; other errors of the source are returned.
 func (m *Merger) Add(router string, incarnation int64, src Source, end error) error {
-	c := &cursor{source: src, incarnation: incarnation, clocks: m.clocks[incarnationKey(router, incarnation)], order: len(m.queue),
-		last: -1 << 62, sortTime: -1 << 62}
+	c := &cursor{source: src, incarnation: incarnation, clocks: m.clocks[incarnationKey(router, incarnation)],
+		order: len(m.queue), last: -1 << 62, sortTime: -1 << 62}
 	if len(c.clocks) == 0 {
 		c.clocks = []*Clock{{}}
 	}
--- a/trace/diagnose.go
+++ b/trace/diagnose.go
@@ -117,7 +117,7 @@
 	maxLagSince  int64
 	lostWorth    float64
 	goneAttempts int64 // attempts at servers that other routers knew as draining or removed
-	lag          int64 // how long its list has been outdated
+	lag          int64 // how long its list has been outdated now
 }
 
 // openCall is a call without its final answer yet.
@@ -166,13 +166,13 @@
 		window = 1
 	}
 	totals := &d.windows[window]
-	listState := d.routers[r.Texts[Router]]
-	if listState == nil {
-		listState = &routerStats{}
-		d.routers[r.Texts[Router]] = listState
+	router := d.routers[r.Texts[Router]]
+	if router == nil {
+		router = &routerStats{}
+		d.routers[r.Texts[Router]] = router
 	}
 	if r.Kind == Request || r.Kind == Decision || r.Kind == AttemptEnd || r.Kind == Answer {
-		d.updateListLag(listState, r.At)
+		d.updateListLag(router, r.At)
 	}
 	switch r.Kind {
 	case Request:
@@ -230,8 +230,8 @@
 			server.timeout[window]++
 			d.updateSilence(server, r.At)
 		case threadglade.Cut, threadglade.Unreachable, threadglade.NotSent:
-			if server.downSince > 0 && listState.lag > maxNormalListDelay {
-				listState.goneAttempts++ // attributed to the router, whose list is outdated
+			if server.downSince > 0 && router.lag > maxNormalListDelay {
+				router.goneAttempts++ // attributed to the router, whose list is outdated
 			} else {
 				server.lostCalls[window]++
 			}
@@ -259,7 +259,7 @@
 		offered, earned, _ := d.meta.answerWorth(r.Texts[Class], elapsed)
 		totals.earned += earned
 		if lost := offered - earned; lost > 0 {
-			d.addLoss(window, r, call, lost, listState)
+			d.addLoss(window, r, call, lost, router)
 		}
 	case Release:
 		if threadglade.Outcome(r.Figures[Outcome]) == threadglade.Cut {
@@ -268,7 +268,7 @@
 			offered, _, _ := d.meta.answerWorth(r.Texts[Class], -1)
 			totals.earned -= offered
 			d.addLoss(window, r,
-				&openCall{server: r.Texts[Server], reason: int64(threadglade.NoReason)}, offered, listState)
+				&openCall{server: r.Texts[Server], reason: int64(threadglade.NoReason)}, offered, router)
 		}
 	case Report:
 		server := d.serverFor(r.Texts[Server])
@@ -277,11 +277,11 @@
 			server.reports[window]++
 		}
 	case List:
-		if listState.serial = r.Figures[Serial]; d.firstListTimes[listState.serial] == 0 {
-			d.firstListTimes[listState.serial] = r.At
+		if router.serial = r.Figures[Serial]; d.firstListTimes[router.serial] == 0 {
+			d.firstListTimes[router.serial] = r.At
 		}
-		d.newestSerial = max(d.newestSerial, listState.serial)
-		listState.lastListAt = r.At
+		d.newestSerial = max(d.newestSerial, router.serial)
+		router.lastListAt = r.At
 	case ListEntry:
 		server := d.serverFor(r.Texts[Server])
 		server.state = threadglade.ServerState(r.Figures[State])
@@ -303,31 +303,32 @@
 }
 
 // updateListLag measures for how long a router's list has been older than the newest list of any router.
-func (d *Diagnoser) updateListLag(l *routerStats, now int64) {
-	l.lag = 0
-	if l.serial >= d.newestSerial {
+func (d *Diagnoser) updateListLag(router *routerStats, now int64) {
+	router.lag = 0
+	if router.serial >= d.newestSerial {
 		return
 	}
 	first := int64(0) // when the first list that it lacks reached any router
 	for serial, at := range d.firstListTimes {
-		if serial > l.serial && (first == 0 || at < first) {
+		if serial > router.serial && (first == 0 || at < first) {
 			first = at
 		}
 	}
-	l.lag = now - first
-	if late := now - first; first > 0 && now >= d.from && late > l.maxLag {
-		l.maxLag, l.maxLagSince = late, first
+	router.lag = now - first
+	if lag := now - first; first > 0 && now >= d.from && lag > router.maxLag {
+		router.maxLag, router.maxLagSince = lag, first
 	}
 }
 
-// addLoss attributes lost worth to the class, tenant, router, server and reason of a call, which may be nil.
-func (d *Diagnoser) addLoss(window int, r *Record, call *openCall, lost float64, list *routerStats) {
+// addLoss attributes the worth that a call lost to its class, tenant and router and, unless call is nil, to its server
+// and reason.
+func (d *Diagnoser) addLoss(window int, r *Record, call *openCall, lost float64, router *routerStats) {
 	totals := &d.windows[window]
 	totals.lost[[2]string{ByClass, r.Texts[Class]}] += lost
 	totals.lost[[2]string{ByTenant, r.Texts[Tenant]}] += lost
 	totals.lost[[2]string{"router", r.Texts[Router]}] += lost
 	if window == 1 {
-		list.lostWorth += lost
+		router.lostWorth += lost
 		if d.firstLoss == 0 {
 			d.firstLoss = r.At
 		}
@@ -336,7 +337,7 @@
 		return
 	}
 	if call.server != "" {
-		if s := d.serverFor(call.server); s.downSince == 0 || list.lag <= maxNormalListDelay {
+		if s := d.serverFor(call.server); s.downSince == 0 || router.lag <= maxNormalListDelay {
 			s.lostWorth[window] += lost
 		}
 		totals.lost[[2]string{ByServer, call.server}] += lost
@@ -400,9 +401,9 @@
 		slices.Sort(list)
 		return max(1, list[(len(list)-1)/2])
 	}
-	rise := 0.0
+	requestRatio := 0.0
 	if before.requests > 0 {
-		rise = float64(during.requests) / float64(before.requests)
+		requestRatio = float64(during.requests) / float64(before.requests)
 	}
 	addCause := func(kind, name string, score float64, first int64, format string, args ...any) {
 		if score > 0.02 {
@@ -415,34 +416,34 @@
 		lossShare := fraction(server.lostWorth[1], total)
 		silent := server.longestSilence >= minSilence
 		if server.downSince > 0 {
-			word := "drains"
+			change := "is draining"
 			if server.state == threadglade.Removed {
-				word = "is gone"
+				change = "was removed"
 			}
 			addCause("draining", id, 0.5*lossShare+0.4*fraction(float64(server.lostCalls[1]), 3)+0.1,
-				server.downSince, "server %s %s; %s there cut, %.0f%% of the loss",
-				id, word, plural(int(server.lostCalls[1]), "call"), 100*lossShare)
+				server.downSince, "server %s %s; %s cut there, %.0f%% of the loss",
+				id, change, plural(int(server.lostCalls[1]), "call"), 100*lossShare)
 		}
 		if silent && server.downSince == 0 {
 			addCause("silent", id, 0.6+0.4*lossShare, server.silenceStart,
-				"server %s answered nothing for %.1f s while set-ups went there; %d timed out or were withdrawn, %.0f%% of the loss",
+				"server %s answered nothing for %.1f s while set-ups were sent to it; %d timed out or were withdrawn, %.0f%% of the loss",
 				id, float64(server.longestSilence)/1e6, server.timeout[1], 100*lossShare)
 		}
 		if ratio := slowdowns[id] / othersSlowdown(id); ratio > 1.3 && !silent && server.downSince == 0 {
 			addCause("slow", id, 0.6*rampFromOne(ratio, 2.5)+0.4*lossShare, server.firstSlowAt,
-				"server %s answers %.1f times slower than before (others %.1f times): %.0f ms at the median, %.0f%% of the loss",
+				"server %s takes %.1f times as long to answer as before (other servers %.1f times), %.0f ms at the median, %.0f%% of the loss",
 				id, slowdowns[id], othersSlowdown(id), float64(server.answerTimes[1].ValueAtQuantile(50))/1000,
 				100*lossShare)
 		}
-		if server.rejected[1] > 2*server.rejected[0]+5 && rise < 1.2 {
+		if server.rejected[1] > 2*server.rejected[0]+5 && requestRatio < 1.2 {
 			addCause("refusing", id, 0.25+0.25*lossShare, server.firstRejectAt,
-				"server %s turned %d set-ups away, %d before", id, server.rejected[1], server.rejected[0])
+				"server %s rejected %d set-ups, %d before", id, server.rejected[1], server.rejected[0])
 		}
 	}
-	if rise > 1.15 {
-		addCause("burst", "", 0.95*rampFromOne(rise, 1.5), d.burstStart(),
-			"%.1f requests a second came, %.1f before: %.2f times", float64(during.requests)/seconds,
-			float64(before.requests)/seconds, rise)
+	if requestRatio > 1.15 {
+		addCause("burst", "", 0.95*rampFromOne(requestRatio, 1.5), d.burstStart(),
+			"%.1f requests per second, %.1f before: %.2f times as many", float64(during.requests)/seconds,
+			float64(before.requests)/seconds, requestRatio)
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.routers)) {
 		router := d.routers[id]
@@ -450,7 +451,7 @@
 			addCause("stale", id,
 				0.6+0.2*fraction(router.lostWorth, total)+0.2*fraction(float64(router.goneAttempts), 5),
 				router.maxLagSince,
-				"router %s works with list %d while others have %d, %.1f s behind; %s at servers that others know as gone, %.0f%% of the loss",
+				"router %s has server list %d while others have %d, %.1f s behind; %s at servers that others know as draining or removed, %.0f%% of the loss",
 				id, router.serial, d.newestSerial, float64(router.maxLag)/1e6,
 				plural(int(router.goneAttempts), "lost attempt"), 100*fraction(router.lostWorth, total))
 		}
@@ -482,7 +483,8 @@
 	const minSamples = 5
 	ratio := 0.0
 	if s.answerTimes[0].TotalCount() >= minSamples && s.answerTimes[1].TotalCount() >= minSamples {
-		// Answers that never came have no time, so an upper quantile of those that came is compared.
+		// Set-ups that were never answered are missing from the histograms, which lowers the quantiles, so an upper one
+		// is compared.
 		ratio = float64(s.answerTimes[1].ValueAtQuantile(75)) /
 			float64(max(1000, s.answerTimes[0].ValueAtQuantile(75)))
 	}
--- a/trace/explain.go
+++ b/trace/explain.go
@@ -11,43 +11,44 @@
 	"threadglade.example/threadglade/router"
 )
 
-// reasonTexts holds the clause for each reason; its subject is the server named before it, or the call.
-var reasonTexts = map[threadglade.Reason]string{
+// reasonClauses holds a clause for each reason. DescribeCall writes it after naming the server or the call, to which
+// "it" refers.
+var reasonClauses = map[threadglade.Reason]string{
 	threadglade.FirstChoice:    "it is the call's first choice",
-	threadglade.Remembered:     "the first choice did not take it, and this one was remembered",
-	threadglade.Drawn:          "the first choice did not take it, and this one was drawn at random",
+	threadglade.Remembered:     "the first choice did not take the call, and this server was the remembered alternative",
+	threadglade.Drawn:          "the first choice did not take the call, and this server was drawn at random",
 	threadglade.Gapped:         "its admission rate was used up",
-	threadglade.InCoolDown:     "it had failed a moment ago and was left alone",
-	threadglade.OnProbation:    "set-ups there had been unanswered for too long",
-	threadglade.WouldBeLate:    "its latest answers came too late for this call's aim",
-	threadglade.ShareExhausted: "this router's share of what it can take was used up",
-	threadglade.NotUp:          "it drained or was gone",
-	threadglade.NotSkilled:     "it may not take this class",
+	threadglade.InCoolDown:     "it was in cool-down after a failure",
+	threadglade.OnProbation:    "it was on probation, having left set-ups unanswered for too long",
+	threadglade.WouldBeLate:    "its latest answers were too slow for this call's aim",
+	threadglade.ShareExhausted: "this router's share of the server's free agents or cold-start budget was used up",
+	threadglade.NotUp:          "it was draining or had been removed",
+	threadglade.NotSkilled:     "it does not serve calls of this class",
 	threadglade.NoServer:       "no server was known for the call",
 	threadglade.UnknownClass:   "the class does not exist",
-	threadglade.OutOfTime:      "the caller's time was up",
+	threadglade.OutOfTime:      "the call's deadline had passed",
 	threadglade.NumberBusy:     "all lines of the number were busy",
-	threadglade.Displaced:      "too many calls waited that are worth more",
-	threadglade.ServerRejected: "the server had turned it away",
-	threadglade.CallFaulted:    "servers had found fault with it",
-	threadglade.NoRetryAttempt: "no further attempt was allowed or would have come in time",
-	threadglade.Overtaken:      "a later set-up was answered first, so this one was lost",
+	threadglade.Displaced:      "the queue was full of calls that are worth more",
+	threadglade.ServerRejected: "the server had rejected the call",
+	threadglade.CallFaulted:    "several servers had reported a fault for the call",
+	threadglade.NoRetryAttempt: "no retry was permitted, or it would have come too late",
+	threadglade.Overtaken:      "a later set-up was answered first, so this one was taken as lost",
 	threadglade.Unbillable:     "it could not have been billed",
-	threadglade.Avoided:        "the routers together had found its first choice unfit, and this one was sent it in its place",
-	threadglade.TakenOver:      "this router's lease had run out and nobody vouched for it: what it had in hand was another's",
-	threadglade.SharedVerdict:  "the routers together had found its first choice unfit, while this one had not",
-	threadglade.OverLimit:      "a limit of the whole fleet was reached: the share that this router had of it was used up",
+	threadglade.Avoided:        "all routers together had found the first choice unfit, and this server stood in for it",
+	threadglade.TakenOver:      "this router had no lease or guarantee left, so its calls passed to other routers",
+	threadglade.SharedVerdict:  "all routers together had found the first choice unfit, though this router had not",
+	threadglade.OverLimit:      "this router's share of a fleet-wide limit was used up",
 }
 
-// reasonSentence returns the clause for the number of a reason.
-func reasonSentence(n int64) string {
-	if text := reasonTexts[threadglade.Reason(n)]; text != "" {
+// reasonClause returns the clause for the number of a reason.
+func reasonClause(n int64) string {
+	if text := reasonClauses[threadglade.Reason(n)]; text != "" {
 		return text
 	}
-	return "for " + reasonName(n)
+	return "reason " + reasonName(n)
 }
 
-// serverState describes the state of the server as known at a decision.
+// serverState describes, in parentheses, what the router knew of the server at a decision; empty without a server.
 func serverState(r *Record) string {
 	if r.Texts[Server] == "" {
 		return ""
@@ -58,9 +59,9 @@
 	if r.Figures[RateMilli] >= 0 {
 		add("admission rate %s", rate(r.Figures[RateMilli]))
 	} else {
-		add("no control on it")
+		add("admission not controlled")
 	}
-	add("calls for it %s", rate(r.Figures[LambdaMilli]))
+	add("arrival rate %s", rate(r.Figures[LambdaMilli]))
 	if r.Figures[InFlight] > 0 {
 		add("%s unanswered, the oldest for %d ms", plural(int(r.Figures[InFlight]), "set-up"), r.Figures[OldestPendingMs])
 	}
@@ -68,7 +69,7 @@
 		add("%d agents free %d ms ago", r.Figures[Free], r.Figures[FreeAgeMs])
 	}
 	if r.Figures[LoadAgeMs] >= 0 {
-		add("reported %d ms ago a wait of %.0f ms and room for %s", r.Figures[LoadAgeMs],
+		add("%d ms ago it reported a latency of %.0f ms and a capacity of %s", r.Figures[LoadAgeMs],
 			float64(r.Figures[LatencyUs])/1000, rate(r.Figures[QPSMilli]))
 	}
 	return " (" + r.Texts[Server] + ": " + strings.Join(parts, ", ") + ")"
@@ -116,36 +117,36 @@
 		case Request:
 			extra := ""
 			if r.Figures[Retry] != 0 {
-				extra = ", a marked repeat"
+				extra = ", marked as a retry"
 			}
 			if r.Carried {
-				extra += ", before this file was cut"
+				extra += "; this request is from before the start of the cut"
 			}
 			appendLine(r,
-				"%s: router %s took call %s of class %s, tenant %s, for number %s, by %s; first choice server number %d, %d ms to go%s.",
+				"%s: router %s received call %s of class %s, tenant %s, to number %s via %s; first choice: server number %d; %d ms until the deadline%s.",
 				r.Time().Format(time.RFC3339Nano), r.Texts[Router], r.Texts[Call], r.Texts[Class], r.Texts[Tenant],
 				r.Texts[Number], r.Texts[Front], r.Figures[Destination], r.Figures[DeadlineMs], extra)
 		case Decision:
 			switch Action(r.Figures[ActionCode]) {
 			case ActionSent:
 				appendLine(r, "Attempt %d went to %s: %s%s%s.", r.Figures[Attempt]+1, r.Texts[Server],
-					reasonSentence(r.Figures[Reason]), avoidanceText(r), serverState(r))
+					reasonClause(r.Figures[Reason]), avoidanceText(r), serverState(r))
 			case ActionHeld:
-				at := r.Texts[Server]
-				if at == "" {
-					at = "its first choice"
+				server := r.Texts[Server]
+				if server == "" {
+					server = "its first choice"
 				}
-				appendLine(r, "It waited, for %s did not take it: %s%s%s.", at, reasonSentence(r.Figures[Reason]),
+				appendLine(r, "It waited, because %s did not take it: %s%s%s.", server, reasonClause(r.Figures[Reason]),
 					avoidanceText(r), serverState(r))
 			case ActionRefused:
-				appendLine(r, "It was given up: %s%s%s.", reasonSentence(r.Figures[Reason]), avoidanceText(r),
+				appendLine(r, "It was refused: %s%s%s.", reasonClause(r.Figures[Reason]), avoidanceText(r),
 					serverState(r))
 			case ActionFailed:
-				appendLine(r, "It was given up, and an attempt may have run: %s%s.",
-					reasonSentence(r.Figures[Reason]), serverState(r))
+				appendLine(r, "It failed, and a server may have processed an attempt: %s%s.",
+					reasonClause(r.Figures[Reason]), serverState(r))
 			case ActionWithdrawn:
 				appendLine(r, "The attempt at %s was withdrawn: %s%s.", r.Texts[Server],
-					reasonSentence(r.Figures[Reason]), serverState(r))
+					reasonClause(r.Figures[Reason]), serverState(r))
 			}
 		case AttemptEnd:
 			appendLine(r, "Attempt %d at %s ended after %.0f ms: %s.", r.Figures[Attempt]+1, r.Texts[Server],
@@ -153,19 +154,19 @@
 		case Answer:
 			switch AnswerResult(r.Figures[FinalAnswer]) {
 			case AnswerEstablished:
-				appendLine(r, "%s answered, the call stands, %.0f ms after it came.", r.Texts[Server],
+				appendLine(r, "%s answered and the call was established, %.0f ms after the request.", r.Texts[Server],
 					float64(r.Figures[ElapsedUs])/1000)
 			case AnswerRefused:
-				text := "The caller was told: refused"
+				text := "The caller was sent a refusal"
 				if r.Figures[RetryAfterMs] > 0 {
-					text += fmt.Sprintf(", come back in %d ms", r.Figures[RetryAfterMs])
+					text += fmt.Sprintf(", with a retry after %d ms", r.Figures[RetryAfterMs])
 				}
 				appendLine(r, "%s.", text)
 			case AnswerFailed:
-				appendLine(r, "The caller was told: failed, since %s.",
-					failureText(router.Failure(r.Figures[FailureCode])))
+				appendLine(r, "The caller was sent a failure: %s.",
+					failureClause(router.Failure(r.Figures[FailureCode])))
 			case AnswerAbandoned:
-				appendLine(r, "The caller gave it up, %.0f ms after it came.", float64(r.Figures[ElapsedUs])/1000)
+				appendLine(r, "The caller hung up, %.0f ms after the request.", float64(r.Figures[ElapsedUs])/1000)
 			}
 		case Release:
 			how := "was released"
@@ -174,7 +175,7 @@
 			}
 			appendLine(r, "The call at %s %s after %.1f s.", r.Texts[Server], how, float64(r.Figures[ElapsedUs])/1e6)
 		case UnexpectedRelease:
-			appendLine(r, "A release came of a call that router %s did not know.", r.Texts[Router])
+			appendLine(r, "Router %s received the release of a call that it did not know.", r.Texts[Router])
 		}
 	}
 	return lines
@@ -187,7 +188,7 @@
 	case threadglade.CauseNoAgent:
 		text += ", no agent free"
 	case threadglade.CauseSentBack:
-		text += ", turned back further on"
+		text += ", sent back by another exchange"
 	case threadglade.CauseProcessorFull:
 		text += ", processor full"
 	case threadglade.CauseLinesBusy:
--- a/trace/export.go
+++ b/trace/export.go
@@ -224,18 +224,18 @@
 func hexIDs(v any) {
 	switch v := v.(type) {
 	case []any:
-		for _, one := range v {
-			hexIDs(one)
+		for _, element := range v {
+			hexIDs(element)
 		}
 	case map[string]any:
-		for key, one := range v {
+		for key, element := range v {
 			switch key {
 			case "traceId", "spanId", "parentSpanId":
-				if b, err := base64.StdEncoding.DecodeString(fmt.Sprint(one)); err == nil {
+				if b, err := base64.StdEncoding.DecodeString(fmt.Sprint(element)); err == nil {
 					v[key] = hex.EncodeToString(b)
 				}
 			default:
-				hexIDs(one)
+				hexIDs(element)
 			}
 		}
 	}
--- a/trace/index.go
+++ b/trace/index.go
@@ -160,11 +160,11 @@
 		if name == "" {
 			continue
 		}
-		have := x.bitmaps[dimension][name]
-		if have == nil {
+		bitmap := x.bitmaps[dimension][name]
+		if bitmap == nil {
 			return nil
 		}
-		set.And(have)
+		set.And(bitmap)
 	}
 	return set.ToArray()
 }
--- a/trace/record.go
+++ b/trace/record.go
@@ -38,7 +38,7 @@
 var kindNames = [kindCount]string{"", "request", "decision", "attempt end", "answer", "release", "stray", "list",
 	"listed", "report", "turn", "reload", "start", "gap", "care"}
 
-// String returns the name that is written to JSON and pages.
+// String returns the name that is written to JSON and HTML reports.
 func (k Kind) String() string {
 	if k >= kindCount {
 		return fmt.Sprintf("kind %d", uint8(k))
@@ -93,7 +93,7 @@
 	Cause                         // threadglade.Cause
 	FinalAnswer                   // of an Answer: an AnswerResult
 	FailureCode                   // of a failure: router.Failure
-	RetryAfterMs                  // of a refusal: when the caller may retry
+	RetryAfterMs                  // of a refusal: time until the caller may retry
 	State                         // threadglade.ServerState; of a ControlChange: threadglade.Phase
 	Free                          // free agents
 	Total                         // all agents; of an Avoidance: all other routers
@@ -135,10 +135,10 @@
 // String returns the name that is written to JSON.
 func (a Action) String() string { return actionNames[min(max(int(a), 0), len(actionNames)-1)] }
 
-// AnswerResult is the result that a call ended its set-up with.
+// AnswerResult is the result of a call's set-up.
 type AnswerResult int64
 
-// Results of the final answer.
+// Results of set-ups.
 const (
 	AnswerEstablished AnswerResult = iota + 1
 	AnswerRefused
@@ -146,10 +146,10 @@
 	AnswerAbandoned // the caller hung up first
 )
 
-var endNames = []string{"", "stood", "refused", "failed", "left"}
+var answerNames = []string{"", "stood", "refused", "failed", "left"}
 
 // String returns the name that is written to JSON and indexes.
-func (e AnswerResult) String() string { return endNames[min(max(int(e), 0), len(endNames)-1)] }
+func (e AnswerResult) String() string { return answerNames[min(max(int(e), 0), len(answerNames)-1)] }
 
 // OutcomeNames are the names of outcomes in selections and indexes: final answers first, then outcomes of attempts.
 var OutcomeNames = []string{"stood", "refused", "failed", "left", "concluded", "faulted", "rejected", "timed_out",
@@ -186,17 +186,17 @@
 	return OutcomeNames[4+int(o)]
 }
 
-// failureText returns the cause of a failure as a clause for DescribeCall.
-func failureText(f router.Failure) string {
+// failureClause returns the cause of a failure as a clause for DescribeCall.
+func failureClause(f router.Failure) string {
 	switch f {
 	case router.GivenUp:
-		return "something may have run, and no attempt was left"
+		return "a server may have processed an attempt, and no retry attempt was left"
 	case router.DeadlineExceeded:
-		return "its time was up"
+		return "no time was left until its deadline"
 	case router.DuplicateID:
-		return "its id was another call's"
+		return "its ID was that of another call"
 	}
-	return "for an unknown reason"
+	return "the reason is unknown"
 }
 
 // layout lists the columns of each kind in file order.
--- a/trace/report.go
+++ b/trace/report.go
@@ -88,12 +88,12 @@
 	switch record.Kind {
 	case ListEntry:
 		if state := threadglade.ServerState(record.Figures[State]); state != threadglade.Up && len(r.Notes) < 200 {
-			word := "drains"
+			change := "is draining"
 			if state == threadglade.Removed {
-				word = "is gone"
+				change = "was removed"
 			}
 			r.Notes = append(r.Notes,
-				record.Time().Format("15:04:05.000")+" "+record.Texts[Router]+": server "+record.Texts[Server]+" "+word)
+				record.Time().Format("15:04:05.000")+" "+record.Texts[Router]+": server "+record.Texts[Server]+" "+change)
 		}
 	case Gap, Reload, Start:
 		if len(r.Notes) < 200 {
@@ -115,9 +115,9 @@
 }
 
 // drawChart draws lines as an SVG image.
-func drawChart(title, y string, lines map[string]plotter.XYs) (template.HTML, error) {
+func drawChart(title, yLabel string, lines map[string]plotter.XYs) (template.HTML, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", yLabel
 	p.Legend.Top = true
 	names := slices.SortedFunc(maps.Keys(lines), func(a, b string) int { return cmp.Compare(a, b) })
 	for i, name := range names[:min(len(names), len(lineColors))] {
@@ -151,25 +151,25 @@
 	add := func(m map[string]plotter.XYs, name string, x, y float64) {
 		m[name] = append(m[name], plotter.XY{X: x, Y: y})
 	}
-	span := float64(r.interval) / 1e6
+	intervalSeconds := float64(r.interval) / 1e6
 	for _, g := range r.timeSummary.Groups() {
 		x := float64(g.From-r.From) / 1e6
 		if g.Worth > 0 {
 			add(service, "earned / offered", x, g.Earned/g.Worth)
 		}
-		add(answers, "offered", x, float64(g.Offered)/span)
-		add(answers, "stood", x, float64(g.Stood)/span)
-		add(answers, "refused", x, float64(g.Refused)/span)
-		add(answers, "failed", x, float64(g.Failed)/span)
+		add(answers, "offered", x, float64(g.Offered)/intervalSeconds)
+		add(answers, "stood", x, float64(g.Stood)/intervalSeconds)
+		add(answers, "refused", x, float64(g.Refused)/intervalSeconds)
+		add(answers, "failed", x, float64(g.Failed)/intervalSeconds)
 	}
 	if r.Service, err = drawChart("Service", "worth earned over offered", service); err != nil {
 		return err
 	}
-	if r.Answers, err = drawChart("Requests and answers", "a second", answers); err != nil {
+	if r.Answers, err = drawChart("Requests and answers", "per second", answers); err != nil {
 		return err
 	}
 	if len(r.rates) > 0 {
-		if r.Rates, err = drawChart("Admission rates of controlled servers", "calls a second", r.rates); err != nil {
+		if r.Rates, err = drawChart("Admission rates of controlled servers", "calls per second", r.rates); err != nil {
 			return err
 		}
 	}
--- a/trace/select.go
+++ b/trace/select.go
@@ -21,7 +21,7 @@
 type Selector struct {
 	Selection
 	matchedCalls map[string]bool
-	started      map[string]bool
+	started      map[string]bool // calls whose request was selected or is to be looked up
 }
 
 // NewSelector returns a Selector for a selection.
@@ -29,7 +29,7 @@
 	return &Selector{Selection: s, matchedCalls: map[string]bool{}, started: map[string]bool{}}
 }
 
-// NoteMatch takes a record in the first pass.
+// NoteMatch notes, in the first pass, the call of a record that matches the selection.
 func (p *Selector) NoteMatch(r *Record) {
 	if p.hasFilter() && p.containsTime(r.At) && r.Texts[Call] != "" && p.matches(r) {
 		p.matchedCalls[r.Texts[Call]] = true
@@ -42,14 +42,14 @@
 	if !p.containsTime(r.At) {
 		return false
 	}
-	wanted := !p.hasFilter() || p.matchedCalls[r.Texts[Call]]
+	selected := !p.hasFilter() || p.matchedCalls[r.Texts[Call]]
 	if r.Texts[Call] == "" {
-		wanted = !p.hasFilter() || p.Server != "" && r.Texts[Server] == p.Server
+		selected = !p.hasFilter() || p.Server != "" && r.Texts[Server] == p.Server
 	}
-	if wanted && r.Texts[Call] != "" && r.Kind == Request {
+	if selected && r.Texts[Call] != "" && r.Kind == Request {
 		p.started[r.Texts[Call]] = true
 	}
-	return wanted
+	return selected
 }
 
 // NeedsRequest reports whether the call of a selected record started before the cut, so that its request has to be
@@ -137,7 +137,7 @@
 	Build       string      `json:"build,omitempty"`
 	Classes     []ClassMeta `json:"classes"`
 	Clocks      []*Clock    `json:"clocks,omitempty"` // of a merged file: how its routers' clocks were corrected
-	Cut         *Selection  `json:"cut,omitempty"`    // of a file cut out of another: what was selected
+	Cut         *Selection  `json:"cut,omitempty"`    // of a file cut out of another: the selection
 	Anonymized  bool        `json:"hidden,omitempty"`
 }
 
@@ -186,12 +186,12 @@
 }
 
 // plural returns a count with its noun in the singular or the plural.
-func plural(n int, one string) string {
+func plural(n int, noun string) string {
 	if n == 1 {
-		return "1 " + one
+		return "1 " + noun
 	}
-	if strings.HasSuffix(one, "s") {
-		return fmt.Sprintf("%d %ses", n, one)
+	if strings.HasSuffix(noun, "s") {
+		return fmt.Sprintf("%d %ses", n, noun)
 	}
-	return fmt.Sprintf("%d %ss", n, one)
+	return fmt.Sprintf("%d %ss", n, noun)
 }
--- a/trace/summary.go
+++ b/trace/summary.go
@@ -61,7 +61,7 @@
 		lastReasons: map[string]int64{}}, nil
 }
 
-// groupFor returns the group that a record counts in.
+// groupFor returns the group that a record is counted in and creates it if needed.
 func (s *Summary) groupFor(r *Record, reason string) *Group {
 	key := groupKey{}
 	if s.interval > 0 {
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -45,9 +45,9 @@
 		list := rapid.SliceOfN(rapid.Custom(drawRecord), 0, 40).Draw(t, "records")
 		b := NewEncoder().Encode(list)
 		require.Equal(t, DescribeBlock(list), b.Info)
-		have, err := NewDecoder().Decode(b.Strings, b.Columns)
+		decoded, err := NewDecoder().Decode(b.Strings, b.Columns)
 		require.NoError(t, err)
-		require.Equal(t, list, append([]Record{}, have...))
+		require.Equal(t, list, append([]Record{}, decoded...))
 		part := &b.Strings
 		if rapid.Bool().Draw(t, "columns") {
 			part = &b.Columns
@@ -73,9 +73,9 @@
 			}
 			require.Equal(t, len(list), e.Len())
 			b := e.Block()
-			have, err := d.Decode(b.Strings, b.Columns)
+			decoded, err := d.Decode(b.Strings, b.Columns)
 			require.NoError(t, err)
-			require.Equal(t, list, append([]Record(nil), have...))
+			require.Equal(t, list, append([]Record(nil), decoded...))
 		}
 	})
 }
@@ -116,7 +116,9 @@
 
 func (p *recordScript) add(r Record) { p.records = append(p.records, r) }
 
-// addCall adds the records of a call that a router receives, sends to a server, and gets the given result for.
+// addCall adds the records of a call that a router receives and sends to a server, and returns its ID. The answer
+// comes took microseconds after at; a call that is not established has an AttemptEnd with the outcome, others a
+// Release.
 func (p *recordScript) addCall(router, server string, at int64, took int64, end AnswerResult,
 	outcome threadglade.Outcome) string {
 	p.nextID++
@@ -163,14 +165,14 @@
 
 // TestDiagnosis checks that the diagnosis ranks the right cause first for each of five scripted faults.
 func TestDiagnosis(t *testing.T) {
-	script := func(trouble func(p *recordScript, i int, at int64, server string) bool) *recordScript {
+	script := func(fault func(p *recordScript, i int, at int64, server string) bool) *recordScript {
 		p := &recordScript{}
 		for _, router := range []string{"n0", "n1"} {
 			p.addList(router, 7, second)
 		}
-		for i := range 2000 { // 40 s at 50 a second; trouble from 20 s on
+		for i := range 2000 { // 40 s at 50 calls per second, with the fault in the last 20 s
 			at, server := 2*second+int64(i)*20_000, fmt.Sprintf("s%d", i%3)
-			if at >= 22*second && trouble(p, i, at, server) {
+			if at >= 22*second && fault(p, i, at, server) {
 				continue
 			}
 			p.addCall(fmt.Sprintf("n%d", i%2), server, at, 60_000+int64(i%7)*5000, AnswerEstablished,
@@ -178,7 +180,7 @@
 		}
 		return p
 	}
-	down := func(p *recordScript, routers ...string) {
+	drainS1 := func(p *recordScript, routers ...string) {
 		for _, router := range routers {
 			r := Record{Kind: ListEntry, At: 23 * second}
 			r.Texts[Router], r.Texts[Server], r.Figures[State] = router, "s1", int64(threadglade.Draining)
@@ -187,8 +189,8 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		kind, who string
-		play      func() *recordScript
+		kind, name string // of the first cause
+		records    func() *recordScript
 	}{
 		"slow server": {"slow", "s1", func() *recordScript {
 			return script(func(p *recordScript, i int, at int64, server string) bool {
@@ -231,7 +233,7 @@
 				}
 				return true
 			})
-			down(p, "n0", "n1")
+			drainS1(p, "n0", "n1")
 			return p
 		}},
 		"stale list": {"stale", "n1", func() *recordScript {
@@ -242,31 +244,31 @@
 				p.addCall("n1", server, at, 100_000, AnswerFailed, threadglade.Unreachable)
 				return true
 			})
-			down(p, "n0")
+			drainS1(p, "n0")
 			return p
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			q := NewDiagnoser(meta, 22*second, 42*second)
-			list := c.play().sorted()
+			diagnoser := NewDiagnoser(meta, 22*second, 42*second)
+			list := c.records().sorted()
 			for i := range list {
-				q.Add(&list[i])
+				diagnoser.Add(&list[i])
 			}
-			v := q.Diagnosis()
-			require.NotEmpty(t, v.Causes)
-			require.Equal(t, c.kind, v.Causes[0].Kind, "%+v", v.Causes)
-			require.Equal(t, c.who, v.Causes[0].Name, "%+v", v.Causes)
-			require.InDelta(t, 23*second, v.Causes[0].FirstSign, float64(3*second), "the first sign")
-			require.Less(t, v.ServiceDuring, v.ServiceBefore)
+			diagnosis := diagnoser.Diagnosis()
+			require.NotEmpty(t, diagnosis.Causes)
+			require.Equal(t, c.kind, diagnosis.Causes[0].Kind, "%+v", diagnosis.Causes)
+			require.Equal(t, c.name, diagnosis.Causes[0].Name, "%+v", diagnosis.Causes)
+			require.InDelta(t, 23*second, diagnosis.Causes[0].FirstSign, float64(3*second), "the first sign")
+			require.Less(t, diagnosis.ServiceDuring, diagnosis.ServiceBefore)
 		})
 	}
-	// Without a fault there must be no cause.
-	q := NewDiagnoser(meta, 22*second, 42*second)
+	// Without a fault, the diagnosis must find no cause.
+	diagnoser := NewDiagnoser(meta, 22*second, 42*second)
 	list := script(func(*recordScript, int, int64, string) bool { return false }).sorted()
 	for i := range list {
-		q.Add(&list[i])
+		diagnoser.Add(&list[i])
 	}
-	require.Empty(t, q.Diagnosis().Causes)
+	require.Empty(t, diagnoser.Diagnosis().Causes)
 }
 
 // source is a Source of records in memory.
@@ -282,30 +284,31 @@
 }
 
 // TestClockEstimates merges routers whose clocks are 90 s apart, drift, and step back an hour. The estimates must be
-// right within their bounds, calls stay in order, and no retry come before the answer that it follows.
+// right within their bounds, the records of a router must stay in order, and no retry may come before the answer that
+// it follows.
 func TestClockEstimates(t *testing.T) {
-	const day = 1_700_000_000 * second
-	wrong := map[string]func(trueTime int64) int64{
+	const baseTime = 1_700_000_000 * second
+	routerClocks := map[string]func(trueTime int64) int64{
 		"n0": func(at int64) int64 { return at },
-		"n1": func(at int64) int64 { return at + 90*second + (at-day)*80/1_000_000 },
+		"n1": func(at int64) int64 { return at + 90*second + (at-baseTime)*80/1_000_000 },
 		"n2": func(at int64) int64 { // steps back an hour in the middle
-			if at >= day+300*second {
+			if at >= baseTime+300*second {
 				return at - 3600*second
 			}
 			return at - 5*second
 		},
 	}
 	lists := map[string][]Record{}
-	truth := map[string]int64{}
+	trueTimes := map[string]int64{}
 	for i, router := range []string{"n0", "n1", "n2"} {
 		p := &recordScript{nextID: i << 32}
 		for serial := range int64(40) { // each list reaches all routers within 0.3 s
-			p.addList(router, serial+1, day+serial*15*second+int64(i)*100_000+serial*7919%50_000)
+			p.addList(router, serial+1, baseTime+serial*15*second+int64(i)*100_000+serial*7919%50_000)
 		}
 		for n := range int64(600) {
-			at := day + n*second + int64(i)*1000
+			at := baseTime + n*second + int64(i)*1000
 			id := p.addCall(router, "s0", at, 100_000, AnswerRefused, threadglade.Rejected)
-			truth[id] = at
+			trueTimes[id] = at
 			for k := range p.records {
 				if p.records[k].Texts[Call] == id {
 					p.records[k].Texts[Number] = fmt.Sprintf("%d", n)
@@ -317,21 +320,21 @@
 					}
 				}
 			}
-			truth[id] += int64(i) * 101_000
+			trueTimes[id] += int64(i) * 101_000
 		}
 		list := p.sorted()
 		for k := range list {
-			list[k].At = wrong[router](list[k].At)
+			list[k].At = routerClocks[router](list[k].At)
 		}
 		lists[router] = list
 	}
-	seen := NewClockEstimator()
+	estimator := NewClockEstimator()
 	for _, router := range []string{"n0", "n1", "n2"} {
 		for k := range lists[router] {
-			seen.Add(1, &lists[router][k])
+			estimator.Add(1, &lists[router][k])
 		}
 	}
-	clocks := seen.Estimate()
+	clocks := estimator.Estimate()
 	require.Len(t, clocks, 4)
 	for _, c := range clocks {
 		require.False(t, c.Assumed)
@@ -358,13 +361,13 @@
 		got++
 		require.GreaterOrEqual(t, r.At, last, "out of order")
 		last = r.At
-		if at, known := truth[r.Texts[Call]]; known && r.Kind == Request {
+		if at, known := trueTimes[r.Texts[Call]]; known && r.Kind == Request {
 			require.InDelta(t, at, r.At, 1.0e6, "%s", r.Texts[Router])
 		}
 		number := r.Texts[Number]
 		switch {
 		case r.Kind == Request && r.Texts[Router] != "n0":
-			require.Contains(t, answered, number, "a repeat of %s at %s before the answer that it follows", number,
+			require.Contains(t, answered, number, "retry of %s at %s before the answer that it follows", number,
 				r.Texts[Router])
 		case r.Kind == Answer:
 			answered[number] = r.At
@@ -377,28 +380,31 @@
 		for _, r := range lists[router] {
 			want = append(want, fmt.Sprint(r.Texts[Call], r.Kind))
 		}
-		require.Equal(t, want, order, "the order of one router is that of its file")
+		require.Equal(t, want, order, "the order of a router's records has changed")
 	}
 }
 
-// TestDescribeCall checks that the account of a call names what was known at each decision.
+// TestDescribeCall checks that the account of a call states its course and, at each decision, what was known of the
+// server.
 func TestDescribeCall(t *testing.T) {
 	p := &recordScript{}
 	p.addCall("n0", "s1", 1_700_000_000*second, 80_000, AnswerEstablished, threadglade.Concluded)
 	held := p.records[1]
 	held.Figures[ActionCode], held.Figures[Reason], held.Figures[RateMilli], held.Figures[LambdaMilli],
-		held.Figures[LoadAgeMs], held.Figures[LatencyUs], held.Figures[QPSMilli], held.Figures[InFlight], held.Figures[OldestPendingMs] =
+		held.Figures[LoadAgeMs], held.Figures[LatencyUs], held.Figures[QPSMilli], held.Figures[InFlight],
+		held.Figures[OldestPendingMs] =
 		int64(ActionHeld), int64(threadglade.Gapped), 4500, 6000, 130, 240_000, 9000, 3, 210
-	story := strings.Join(DescribeCall(slices.Insert(p.records, 1, held)), "\n")
-	for _, want := range []string{"router n0 took call 0000000000000001 of class voice",
-		"It waited, for s1 did not take it: its admission rate was used up (s1: admission rate 4.5/s, calls for it 6.0/s, 3 set-ups unanswered, the oldest for 210 ms, reported 130 ms ago a wait of 240 ms and room for 9.0/s)",
-		"Attempt 1 went to s1: it is the call's first choice", "s1 answered, the call stands, 80 ms after it came",
+	text := strings.Join(DescribeCall(slices.Insert(p.records, 1, held)), "\n")
+	for _, want := range []string{"router n0 received call 0000000000000001 of class voice",
+		"It waited, because s1 did not take it: its admission rate was used up (s1: admission rate 4.5/s, arrival rate 6.0/s, 3 set-ups unanswered, the oldest for 210 ms, 130 ms ago it reported a latency of 240 ms and a capacity of 9.0/s)",
+		"Attempt 1 went to s1: it is the call's first choice",
+		"s1 answered and the call was established, 80 ms after the request",
 		"was released after 2.0 s"} {
-		require.Contains(t, story, want)
+		require.Contains(t, text, want)
 	}
 }
 
-// TestSummary checks that the sums agree between all dimensions.
+// TestSummary checks that the totals are the same for every dimension.
 func TestSummary(t *testing.T) {
 	p := &recordScript{}
 	for i := range 100 {
@@ -433,7 +439,7 @@
 // TestAnonymizer checks that a value has one hash per key, differs between keys, and that names of servers stay
 // readable.
 func TestAnonymizer(t *testing.T) {
-	h, err := NewAnonymizer(bytes.Repeat([]byte("k"), 16))
+	anonymizer, err := NewAnonymizer(bytes.Repeat([]byte("k"), 16))
 	require.NoError(t, err)
 	other, err := NewAnonymizer(bytes.Repeat([]byte("o"), 16))
 	require.NoError(t, err)
@@ -441,13 +447,13 @@
 		t     Text
 		value string
 	}{{Call, "00112233445566ff"}, {Number, "924211"}, {Identity, "spiffe://b.example/x"}, {Caller, "10.4.0.9"}} {
-		hidden := h.Anonymize(c.t, c.value)
+		hidden := anonymizer.Anonymize(c.t, c.value)
 		require.NotEqual(t, c.value, hidden)
-		require.Equal(t, hidden, h.Anonymize(c.t, c.value))
+		require.Equal(t, hidden, anonymizer.Anonymize(c.t, c.value))
 		require.NotEqual(t, hidden, other.Anonymize(c.t, c.value))
 	}
-	require.Equal(t, "s0", h.Anonymize(Server, "s0"))
-	require.Empty(t, h.Anonymize(Number, ""))
+	require.Equal(t, "s0", anonymizer.Anonymize(Server, "s0"))
+	require.Empty(t, anonymizer.Anonymize(Number, ""))
 	_, err = NewAnonymizer([]byte("short"))
 	require.Error(t, err)
 }
