--- a/internal/traceio/tools.go
+++ b/internal/traceio/tools.go
@@ -74,7 +74,7 @@
 	if len(blocks) > 0 {
 		first = int(blocks[0])
 	}
-	copyWhole := func(n uint32) bool {
+	copyWhole := func(n uint32) bool { // the selection is by time alone and covers the block
 		block := t.Index.Blocks[n]
 		return !filtered && block.From >= selection.From && (selection.To == 0 || block.To < selection.To)
 	}
--- a/trace/explain.go
+++ b/trace/explain.go
@@ -23,7 +23,7 @@
 	threadglade.WouldBeLate:    "its latest answers were too slow for this call's aim",
 	threadglade.ShareExhausted: "this router's share of the server's free agents or cold-start budget was used up",
 	threadglade.NotUp:          "it was draining or had been removed",
-	threadglade.NotSkilled:     "it does not serve calls of this class",
+	threadglade.NotSkilled:     "it did not serve calls of this class",
 	threadglade.NoServer:       "no server was known for the call",
 	threadglade.UnknownClass:   "the class does not exist",
 	threadglade.OutOfTime:      "the call's deadline had passed",
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -165,6 +165,8 @@
 
 // TestDiagnosis checks that the diagnosis ranks the right cause first for each of five scripted faults.
 func TestDiagnosis(t *testing.T) {
+	// fault is called for each request of the faulty period. To replace the ordinary call, it adds records and returns
+	// true.
 	script := func(fault func(p *recordScript, i int, at int64, server string) bool) *recordScript {
 		p := &recordScript{}
 		for _, router := range []string{"n0", "n1"} {
