--- a/internal/traceio/traceio_test.go
+++ b/internal/traceio/traceio_test.go
@@ -467,7 +467,7 @@
 		g.call(fmt.Sprintf("%016x", 1000+i), router.Refused)
 	}
 	require.True(t, durabletest.WaitFor(func() bool { return g.recorder.Counters().Flights == 2 }))
-	require.True(t, g.log.Contains(`"why":"losses"`))
+	require.True(t, durabletest.WaitFor(func() bool { return g.log.Contains(`"why":"losses"`) }))
 	for i := range 60 {
 		g.call(fmt.Sprintf("%016x", 2000+i), router.Refused)
 	}
