--- a/cmd/threadglade/drill.go
+++ b/cmd/threadglade/drill.go
@@ -18,10 +18,12 @@
 	var seed int
 	var check bool
 	cmd := add(&cobra.Command{Use: "drill FILE -o DIR",
-		Short: "Start a fleet of this program, cause the faults of a file between its processes, and judge by what stand-ins saw",
+		Short: "Run a fleet of this program with injected faults and check what callers and case servers observe",
 		Args:  cobra.ExactArgs(1),
-		Long: "Start a fleet of this program on loopback, cause the faults of a file between its processes, and judge by what stand-ins saw.\n" +
-			"DIR gets index.html, timeline.svg, verdict.json and each process's folder with its log.\nExit code 0: all held, 1: something did not, 2: usage."},
+		Long: "Start a fleet of this program on loopback, inject the faults listed in FILE between its processes, and\n" +
+			"check what simulated callers and case servers observe. DIR receives index.html, timeline.svg, verdict.json\n" +
+			"and a directory for each process, with its log.\n\n" +
+			"Exit status: 0 all checks passed, 1 a check failed or the drill could not run, 2 invalid command line or FILE."},
 		func(cmd *cobra.Command, args []string) error {
 			plan, err := drill.Load(args[0])
 			if err != nil {
@@ -32,12 +34,12 @@
 			}
 			w := cmd.OutOrStdout()
 			if check {
-				fmt.Fprintf(w, "%s: %d keepers, %d routers, %d faults, %d things must hold, %v\n", plan.Name,
+				fmt.Fprintf(w, "%s: %d keepers, %d routers, %d faults, %d checks, %v\n", plan.Name,
 					plan.Keepers, plan.Routers, len(plan.Faults), len(plan.Checks), plan.Duration)
 				return nil
 			}
 			if out == "" {
-				return usageError(errors.New("fleet drill: -o DIR is wanted"))
+				return usageError(errors.New("fleet drill: -o DIR is required"))
 			}
 			program, err := os.Executable()
 			if err != nil {
@@ -63,19 +65,19 @@
 				}
 				fmt.Fprintf(w, "%-45s %s\n", v.What, text)
 			}
-			for what, f := range r.Measured {
-				fmt.Fprintf(w, "%s: %d times, least %.0f ms, median %.0f, p99 %.0f, most %.0f\n", what, f.N, f.Min,
-					f.Median, f.P99, f.Most)
+			for name, statistics := range r.Measured {
+				fmt.Fprintf(w, "%s: %d times, least %.0f ms, median %.0f, p99 %.0f, most %.0f\n", name, statistics.N,
+					statistics.Min, statistics.Median, statistics.P99, statistics.Most)
 			}
 			fmt.Fprintf(w, "the fleet's links carried %.0f bytes a second; CPU: a keeper %.1f ms a second, a router %.1f\n",
 				r.Use.LinkBytes, r.Use.KeeperCPU, r.Use.RouterCPU)
 			fmt.Fprintf(w, "%d calls offered, %d stood, %d without an answer\n", r.Offered, r.Stood, r.Lost)
 			if !r.OK() {
-				return errors.New("something that must hold did not")
+				return errors.New("a check of the drill failed")
 			}
 			return nil
 		})
-	cmd.Flags().StringVarP(&out, "out", "o", "", "folder for what comes out")
-	cmd.Flags().IntVar(&seed, "seed", 0, "another seed than the file's")
-	cmd.Flags().BoolVar(&check, "check", false, "only read the file")
+	cmd.Flags().StringVarP(&out, "out", "o", "", "output directory")
+	cmd.Flags().IntVar(&seed, "seed", 0, "random seed, instead of the one in the file")
+	cmd.Flags().BoolVar(&check, "check", false, "only validate the file")
 }
--- a/cmd/threadglade/explore.go
+++ b/cmd/threadglade/explore.go
@@ -17,29 +17,31 @@
 // exploreCommand returns the command that explores all event orders of a small world.
 func exploreCommand() *cobra.Command {
 	root := &cobra.Command{Use: "explore",
-		Short: "Try the router's decisions on every order of events in a small world", Args: cobra.NoArgs,
-		Long: "Try the router's own code on every order of events that a small world allows, and check the rules at each step.\n" +
-			"Exit code 0: they hold, or --list; 1: one does not, with a shortest way there, or a bound was reached first; 2: usage."}
+		Short: "Model-check the router's decisions on every order of events in a small world", Args: cobra.NoArgs,
+		Long: "Run the router's own code on every order of events that a small world allows, and check its properties\n" +
+			"after each step. A violation is printed with a shortest sequence of events that leads to it.\n\n" +
+			"Exit status: 0 all properties hold, 1 one is violated or a bound was reached first, 2 invalid command line."}
 	var world, mutant, draw string
 	var list, asJSON, coarse bool
 	var calls, servers, attempts int
 	var limits explore.Limits
-	root.Flags().StringVar(&world, "world", explore.Worlds()[0].Name, "which world")
+	root.Flags().StringVar(&world, "world", explore.Worlds()[0].Name, "world to explore; see --list")
 	root.Flags().StringVar(&mutant, "mutant", "",
-		"build a fault into the router (a build with -tags mutant, which is never to serve)")
-	root.Flags().StringVar(&draw, "draw", "least", "what every random draw gives: least or most")
+		"inject this fault into the router (only in a build with -tags mutant, which must never serve calls)")
+	root.Flags().StringVar(&draw, "draw", "least", "result of every random draw: least or most")
 	root.Flags().BoolVar(&list, "list", false,
-		"name the worlds, the properties and, in a build that has them, the mutants")
+		"list the worlds, the properties and, in a build that has them, the mutants")
 	root.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	root.Flags().IntVar(&calls, "calls", 0, "calls in it; 0: as the world has it")
-	root.Flags().IntVar(&servers, "servers", 0, "case servers in it")
-	root.Flags().IntVar(&attempts, "attempts", 0, "attempts that a call may take")
+	root.Flags().IntVar(&calls, "calls", 0, "number of calls; 0: as defined by the world")
+	root.Flags().IntVar(&servers, "servers", 0, "number of case servers; 0: as defined by the world")
+	root.Flags().IntVar(&attempts, "attempts", 0, "maximum number of attempts of a call; 0: as defined by the world")
 	root.Flags().BoolVar(&coarse, "coarse", false,
-		"let events come only where time has brought something about, or 0.1 s has gone by: far fewer states")
-	root.Flags().IntVar(&limits.Workers, "workers", 0, "states worked on at once; 0: as many as there are processors")
+		"let events occur only once time has had an effect or 0.1 s has passed: far fewer states")
+	root.Flags().IntVar(&limits.Workers, "workers", 0,
+		"number of states processed in parallel; 0: as many as there are processors")
 	root.Flags().Int64Var(&limits.MaxStates, "states", 1_000_000,
-		"end after so many distinct states, which bounds the memory to some 8 kB each; 0: no bound")
-	root.Flags().DurationVar(&limits.MaxDuration, "time", 10*time.Minute, "end after about this time; 0: no bound")
+		"stop after this many distinct states, which bounds memory at about 8 kB for each; 0: no bound")
+	root.Flags().DurationVar(&limits.MaxDuration, "time", 10*time.Minute, "stop after about this time; 0: no bound")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
 	root.RunE = func(cmd *cobra.Command, _ []string) error {
 		if list {
@@ -51,18 +53,18 @@
 		if err != nil {
 			return usageError(fmt.Errorf("%w: %q; see --list", err, world))
 		}
-		for _, n := range []struct {
+		for _, override := range []struct {
 			flag   string
 			value  int
 			target *int
 			limit  int
 		}{{"calls", calls, &w.Calls, 16}, {"servers", servers, &w.Servers, 16},
 			{"attempts", attempts, &w.Attempts, 6}} {
-			if n.value < 0 || n.value > n.limit {
-				return usageError(fmt.Errorf("--%s: %d is not within 1 and %d", n.flag, n.value, n.limit))
+			if override.value < 0 || override.value > override.limit {
+				return usageError(fmt.Errorf("--%s: %d is not between 0 and %d", override.flag, override.value, override.limit))
 			}
-			if n.value > 0 {
-				*n.target = n.value
+			if override.value > 0 {
+				*override.target = override.value
 			}
 		}
 		w.CoarseTime = w.CoarseTime || coarse
@@ -75,8 +77,8 @@
 		}
 		if mutant != "" {
 			if mutants[mutant] == "" {
-				return usageError(fmt.Errorf("--mutant: this build has no %q; one with -tags mutant names its own by --list",
-					mutant))
+				return usageError(fmt.Errorf(
+					"--mutant: this build has no mutant %q; in a build with -tags mutant, --list shows them", mutant))
 			}
 			mutate(mutant)
 		}
@@ -92,7 +94,7 @@
 		case res.Violation != "":
 			return exitError{exitFinding, errors.New("a property does not hold")}
 		case !res.Complete:
-			return exitError{exitFinding, errors.New("a bound was reached before all states were")}
+			return exitError{exitFinding, errors.New("a bound was reached before all states were explored")}
 		}
 		return nil
 	}
@@ -127,8 +129,8 @@
 		float64(r.Transitions)/r.Duration.Seconds())
 	if r.Violation != "" {
 		fmt.Fprintln(out, "broken:", r.Violation)
-		for i, what := range r.Path {
-			fmt.Fprintf(out, "  %2d %s\n", i+1, what)
+		for i, event := range r.Path {
+			fmt.Fprintf(out, "  %2d %s\n", i+1, event)
 		}
 	}
 }
--- a/cmd/threadglade/fleet.go
+++ b/cmd/threadglade/fleet.go
@@ -28,29 +28,32 @@
 // fleetCommand returns the group of commands that run a keeper and inspect and control a fleet.
 func fleetCommand() *cobra.Command {
 	root := &cobra.Command{Use: "fleet",
-		Short: "Keep a fleet's log, look at a fleet, and cause faults between its processes",
-		Long:  "Keep a fleet's log, look at a fleet, and cause faults between its processes.\nExit code 0: good, 1: a finding, 2: usage."}
-	add := newCommandAdder(root, "fleet: keeper, found, status, members, limits, log or drill is wanted; see --help")
+		Short: "Run a keeper, inspect and control a fleet, and run drills",
+		Long: "Run a keeper of a fleet's log, inspect and control a fleet, and run drills with injected faults.\n\n" +
+			"Exit status: 0 success, 1 failure or a problem found, 2 invalid command line."}
+	add := newCommandAdder(root,
+		"fleet: expected keeper, found, status, members, limits, verdicts, work, evacuate, log or drill; see --help")
 	var name, path, out string
 	keeper := add(&cobra.Command{Use: "keeper --settings FILE --name NAME",
-		Short: "Keep the fleet's log without calls, until SIGTERM", Args: cobra.NoArgs},
+		Short: "Run a keeper of the fleet's log, without routing calls, until SIGTERM", Args: cobra.NoArgs},
 		func(cmd *cobra.Command, _ []string) error { return runKeeper(path, name) })
-	keeper.Flags().StringVar(&path, "settings", "", "file of the product's own settings")
-	keeper.Flags().StringVar(&name, "name", "", "which of the keepers it is")
+	keeper.Flags().StringVar(&path, "settings", "", "path of the threadglade settings file, with a (fleet ...) section")
+	keeper.Flags().StringVar(&name, "name", "", "name of this keeper in the settings")
 	keeper.MarkFlagRequired("settings")
 	keeper.MarkFlagRequired("name")
 
 	found := add(&cobra.Command{Use: "found --settings FILE -o DIR",
-		Short: "Draw the keepers' numbers and write a folder for each, once in a fleet's life", Args: cobra.NoArgs},
+		Short: "Create a new fleet: draw an ID and write a directory for each keeper (once per fleet)", Args: cobra.NoArgs},
 		func(cmd *cobra.Command, _ []string) error { return foundFleet(cmd.OutOrStdout(), path, out) })
-	found.Flags().StringVar(&path, "settings", "", "file of the product's own settings")
-	found.Flags().StringVarP(&out, "out", "o", "", "where the folders go, one a keeper's name")
+	found.Flags().StringVar(&path, "settings", "", "path of the threadglade settings file, with a (fleet ...) section")
+	found.Flags().StringVarP(&out, "out", "o", "",
+		"directory in which each keeper's directory is created, under its name")
 	found.MarkFlagRequired("settings")
 	found.MarkFlagRequired("out")
 
 	var asJSON, watch bool
 	var interval time.Duration
-	status := add(&cobra.Command{Use: "status --settings FILE", Short: "Ask each keeper how it stands",
+	status := add(&cobra.Command{Use: "status --settings FILE", Short: "Show the state of each keeper",
 		Args: cobra.NoArgs},
 		func(cmd *cobra.Command, _ []string) error {
 			for {
@@ -61,29 +64,29 @@
 				time.Sleep(interval)
 			}
 		})
-	status.Flags().BoolVar(&watch, "watch", false, "again and again until interrupted")
-	status.Flags().DurationVar(&interval, "every", time.Second, "how often, with --watch")
+	status.Flags().BoolVar(&watch, "watch", false, "print repeatedly until interrupted")
+	status.Flags().DurationVar(&interval, "every", time.Second, "interval of --watch")
 	members := add(&cobra.Command{Use: "members --settings FILE",
-		Short: "List who acts in the fleet, by the leading keeper", Args: cobra.NoArgs},
+		Short: "List the routers of the fleet, as known to the leading keeper", Args: cobra.NoArgs},
 		func(cmd *cobra.Command, _ []string) error {
 			return fleetMembers(cmd.Context(), cmd.OutOrStdout(), path, asJSON)
 		})
 	for _, cmd := range []*cobra.Command{status, members} {
-		cmd.Flags().StringVar(&path, "settings", "", "file of the product's own settings, with a (fleet ...) section")
+		cmd.Flags().StringVar(&path, "settings", "", "path of the threadglade settings file, with a (fleet ...) section")
 		cmd.MarkFlagRequired("settings")
 		cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	}
 
-	logs := &cobra.Command{Use: "log", Short: "Read a keeper's folder; no keeper need be running"}
+	logs := &cobra.Command{Use: "log", Short: "Read a keeper's directory; the keeper does not have to be running"}
 	root.AddCommand(logs)
-	addLog := newCommandAdder(logs, "fleet log: show or verify is wanted; see --help")
+	addLog := newCommandAdder(logs, "fleet log: expected show or verify; see --help")
 	show := addLog(&cobra.Command{Use: "show DIR", Short: "Print a keeper's snapshot and entries",
 		Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			return showLog(cmd.OutOrStdout(), args[0], asJSON, true)
 		})
 	show.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	addLog(&cobra.Command{Use: "verify DIR", Short: "Check every byte of a keeper's folder", Args: cobra.ExactArgs(1)},
+	addLog(&cobra.Command{Use: "verify DIR", Short: "Check every byte of a keeper's directory", Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			return showLog(cmd.OutOrStdout(), args[0], false, false)
 		})
@@ -106,7 +109,7 @@
 		return p, fleetio.Options{}, usageError(err)
 	}
 	if name != "" && !p.Fleet.IsKeeper(name) {
-		return p, *p.Fleet, usageError(fmt.Errorf("%s: %q is no keeper there", path, name))
+		return p, *p.Fleet, usageError(fmt.Errorf("%s: no keeper is called %q", path, name))
 	}
 	return p, *p.Fleet, nil
 }
@@ -150,7 +153,7 @@
 		}
 	}
 	if err == nil {
-		fmt.Fprintf(w, "fleet %s founded: %d folders below %s; each keeper's goes to where its settings' (directory ...) says\n",
+		fmt.Fprintf(w, "fleet %s created: %d directories in %s; move each to the (directory ...) of its keeper's settings\n",
 			o.Settings.Fleet, len(list), out)
 	}
 	return err
@@ -217,7 +220,7 @@
 		}
 	}
 	if leads == 0 {
-		return errors.New("no keeper that answers leads")
+		return errors.New("no keeper that answers is the leader")
 	}
 	return nil
 }
@@ -254,10 +257,11 @@
 		}
 		return t.Flush()
 	}
-	return errors.New("no keeper that answers leads")
+	return errors.New("no keeper that answers is the leader")
 }
 
-// showLog reads and checks a keeper's directory and prints a summary, with printEntries also its snapshot and entries.
+// showLog reads and checks a keeper's directory and prints a summary. With printEntries it also prints the snapshot
+// and the entries.
 func showLog(w io.Writer, dir string, asJSON, printEntries bool) error {
 	contents, err := fleetio.Load(fileSystem, dir)
 	if err != nil {
@@ -289,12 +293,13 @@
 		}
 	}
 	if !asJSON {
-		fmt.Fprintf(w, "keeper %s of fleet %s: snapshot at %d, %d entries after it, agreed on up to %d at least, term %d; %d files, %d frames, %d bytes\n",
+		fmt.Fprintf(w, "keeper %s of fleet %s: snapshot at %d, %d entries after it, committed up to at least %d, term %d; "+
+			"%d files, %d frames, %d bytes\n",
 			contents.Identity.Name, contents.Identity.Fleet,
 			base, len(contents.Entries), contents.HardState.GetCommit(), contents.HardState.GetTerm(),
 			contents.Segments, contents.Frames, contents.Bytes)
 		for _, torn := range contents.Torn {
-			fmt.Fprintln(w, "cut off by a crash, counts for nothing:", torn)
+			fmt.Fprintln(w, "cut off by a crash, ignored:", torn)
 		}
 	}
 	return nil
--- a/cmd/threadglade/fleet_test.go
+++ b/cmd/threadglade/fleet_test.go
@@ -55,7 +55,7 @@
 		{`limits set lda (rate#50)#(tenant#"lda") --why agreed`, 0, "version"}, {"limits", 0, "agreed"},
 		{"limits set lda (rate#x) --why no", exitUsage, "is no number"},
 		{"limits set lda (colour#x) --why no", exitUsage, "colour"}, {"limits set lda (rate#5)", exitUsage, "why"},
-		{"limits explain lda", 0, "a call has room"}, {"limits explain nobody", 0, "all"},
+		{"limits explain lda", 0, "would admit a call"}, {"limits explain nobody", 0, "all"},
 		{"limits unset all --why over", 0, "version"}, {"limits --json", 0, `"limit":"lda"`},
 	} {
 		args := append([]string{"fleet"}, strings.Fields(step.args)...)
@@ -115,7 +115,7 @@
 	}
 	require.Eventually(t, func() bool {
 		out, code = verdicts()
-		return code == 0 && strings.Contains(out, "nobody finds fault") && !strings.Contains(out, "no answer")
+		return code == 0 && strings.Contains(out, "no router reports a problem") && !strings.Contains(out, "no answer")
 	}, 15*time.Second, 200*time.Millisecond, "%s", out)
 	s.servers[1].SetBehaviour(standin.Behaviour{Hang: true})
 	require.Eventually(t, func() bool {
@@ -175,8 +175,8 @@
 		[]byte(`(threadglade (fleet (name "f") (directory "d") (keeper "k" (address "127.0.0.1:1")) (members "n*")))`),
 		0o600))
 	for want, args := range map[string][]string{
-		"no keeper that answers leads": {"r1", "--settings", path},
-		"connection refused":           {"127.0.0.1:1", "--settings", path},
+		"no keeper that answers is the leader": {"r1", "--settings", path},
+		"connection refused":                   {"127.0.0.1:1", "--settings", path},
 	} {
 		out, code := runTool(t, append([]string{"fleet", "evacuate"}, args...)...)
 		require.Equal(t, exitFinding, code, out)
--- a/cmd/threadglade/ledger.go
+++ b/cmd/threadglade/ledger.go
@@ -20,18 +20,20 @@
 	"threadglade.example/threadglade/ledger"
 )
 
-// mergeMemoryLimitBytes is the memory limit of a merge of ordinary size.
+// mergeMemoryLimitBytes is the soft memory limit of a ledger merge: the garbage collector runs more often before the
+// heap grows beyond it. A trace merge has twice this limit.
 const mergeMemoryLimitBytes = 40 << 20
 
-// maxListedClaims is how many calls that several statements claim are listed one by one.
+// maxListedClaims is how many of the calls that several statements claim are listed individually.
 const maxListedClaims = 100
 
 // ledgerCommand returns the group of commands that work on usage ledgers and their exports.
 func ledgerCommand() *cobra.Command {
-	root := &cobra.Command{Use: "ledger", Short: "Work on the files of the tenants' use; no router need be running",
-		Long: "Work on the files of the tenants' use; no router need be running.\nExit code 0: good, 1: a finding, 2: usage."}
+	root := &cobra.Command{Use: "ledger", Short: "Work with usage ledgers and their exports",
+		Long: "Work with ledgers, the files of the tenants' usage, and their exports. No router has to be running.\n\n" +
+			"Exit status: 0 success, 1 failure or a problem found, 2 invalid command line."}
 	asJSON := root.PersistentFlags().Bool("json", false, "print JSON")
-	add := newCommandAdder(root, "ledger: verify, show, export, correct or merge is wanted; see --help")
+	add := newCommandAdder(root, "ledger: expected verify, show, export, correct or merge; see --help")
 
 	add(&cobra.Command{Use: "verify DIR", Short: "Check every byte of a ledger", Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
@@ -39,30 +41,30 @@
 		})
 
 	var tenant, period string
-	show := add(&cobra.Command{Use: "show DIR", Short: "Print what a ledger holds, also of periods that are not closed",
+	show := add(&cobra.Command{Use: "show DIR", Short: "Print the usage in a ledger, including open periods",
 		Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			return showLedger(cmd.OutOrStdout(), args[0], tenant, period, *asJSON)
 		})
 	show.Flags().StringVar(&tenant, "tenant", "", "only this tenant")
-	show.Flags().StringVar(&period, "period", "", "only the period that holds this time (2026-12-01T14:00:00Z)")
+	show.Flags().StringVar(&period, "period", "", "only the period that contains this time (2026-12-01T14:00:00Z)")
 
 	var to string
 	var keep time.Duration
 	export := add(&cobra.Command{Use: "export DIR --to OUT",
-		Short: "State every closed period that has not been exported", Args: cobra.ExactArgs(1)},
+		Short: "Export every closed period that has not been exported yet", Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			return exportLedger(cmd.OutOrStdout(), args[0], to, keep, *asJSON)
 		})
-	export.Flags().StringVar(&to, "to", "", "folder for the exports")
+	export.Flags().StringVar(&to, "to", "", "directory for the exports")
 	export.Flags().DurationVar(&keep, "keep", ledgerio.Defaults().Retention,
-		"how long what was exported is kept in the ledger")
+		"how long exported periods are kept in the ledger")
 	export.MarkFlagRequired("to")
 
 	var c ledger.Correction
 	var at string
 	correct := add(&cobra.Command{Use: "correct DIR",
-		Short: "Correct a figure of a period that was exported; it goes out with the next export",
+		Short: "Correct a figure of an exported period; the next export contains the correction",
 		Args:  cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			t, err := parseTime(at)
@@ -83,26 +85,26 @@
 					formatMillis(c.Period), c.Delta)
 			})
 		})
-	correct.Flags().StringVar(&at, "period", "", "beginning of the period (2026-12-01T14:00:00Z)")
-	correct.Flags().StringVar(&c.Tenant, "tenant", "", "whose figure")
-	correct.Flags().StringVar(&c.Class, "class", "", "of which class")
-	correct.Flags().StringVar(&c.Field, "field", "", "which figure, such as held_ms")
-	correct.Flags().Int64Var(&c.Delta, "delta", 0, "by how much")
-	correct.Flags().StringVar(&c.Reason, "reason", "", "why")
-	correct.Flags().StringVar(&c.By, "by", "", "who says so")
+	correct.Flags().StringVar(&at, "period", "", "start of the period (2026-12-01T14:00:00Z)")
+	correct.Flags().StringVar(&c.Tenant, "tenant", "", "tenant of the figure")
+	correct.Flags().StringVar(&c.Class, "class", "", "class of the figure")
+	correct.Flags().StringVar(&c.Field, "field", "", "figure to correct, such as held_ms")
+	correct.Flags().Int64Var(&c.Delta, "delta", 0, "amount to add; may be negative")
+	correct.Flags().StringVar(&c.Reason, "reason", "", "reason of the correction")
+	correct.Flags().StringVar(&c.By, "by", "", "who makes the correction")
 	for _, name := range []string{"period", "tenant", "class", "field", "delta", "reason", "by"} {
 		correct.MarkFlagRequired(name)
 	}
 
 	var csv, html string
 	merge := add(&cobra.Command{Use: "merge FILE...",
-		Short: "Bring exports, or folders of them, together and report what is missing or there twice",
+		Short: "Merge exports, or directories of them, and report missing and duplicate ones",
 		Args:  cobra.MinimumNArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			return mergeExports(cmd.OutOrStdout(), args, csv, html, *asJSON)
 		})
-	merge.Flags().StringVar(&csv, "csv", "", "write the totals to this file")
-	merge.Flags().StringVar(&html, "html", "", "write a report to this file")
+	merge.Flags().StringVar(&csv, "csv", "", "write the totals to this CSV file")
+	merge.Flags().StringVar(&html, "html", "", "write a report to this HTML file")
 	return root
 }
 
@@ -132,7 +134,7 @@
 func parseTime(text string) (time.Time, error) {
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return t, fmt.Errorf("period: %q is no time such as 2026-12-01T14:00:00Z", text)
+		return t, fmt.Errorf("--period: %q is not a time such as 2026-12-01T14:00:00Z", text)
 	}
 	return t, nil
 }
@@ -177,13 +179,13 @@
 		r.ExportedTo = formatMillis(v.ExportedTo)
 	}
 	for _, t := range v.Torn {
-		r.Notes = append(r.Notes, "cut off by a crash, does not count: "+t)
+		r.Notes = append(r.Notes, "cut off by a crash, ignored: "+t)
 	}
 	if v.ExportInterrupted {
-		r.Notes = append(r.Notes, "an export was interrupted; the next goes on with it")
+		r.Notes = append(r.Notes, "an export was interrupted; the next one completes it")
 	}
 	return writeResult(w, asJSON, r, func(w io.Writer) {
-		fmt.Fprintf(w, "good: the ledger of %s by %v, %d segments, %d bytes, %d entries\n", r.Router,
+		fmt.Fprintf(w, "good: ledger of %s with periods of %v, %d segments, %d bytes, %d entries\n", r.Router,
 			time.Duration(r.PeriodMs)*time.Millisecond,
 			r.Segments, r.Bytes, r.Entries)
 		upTo := func(n uint64, at string) string {
@@ -231,7 +233,7 @@
 			list = append(list, showRow{formatMillis(from), state, key.Tenant, key.Class, u.Map(), u})
 		}
 	}
-	totals := func(from int64, state string, m map[ledger.Key]*ledger.Usage) {
+	addTotals := func(from int64, state string, m map[ledger.Key]*ledger.Usage) {
 		keys := slices.SortedFunc(maps.Keys(m), func(a, b ledger.Key) int {
 			return strings.Compare(a.Tenant+"\x00"+a.Class, b.Tenant+"\x00"+b.Class)
 		})
@@ -239,9 +241,9 @@
 			add(from, state, key, *m[key])
 		}
 	}
-	late := func(m map[int64]map[ledger.Key]*ledger.Usage) {
+	addLate := func(m map[int64]map[ledger.Key]*ledger.Usage) {
 		for _, from := range slices.Sorted(maps.Keys(m)) {
-			totals(from, "late", m[from])
+			addTotals(from, "late", m[from])
 		}
 	}
 	for _, s := range v.Statements {
@@ -249,13 +251,13 @@
 		if s.Sequence <= v.Exported {
 			state = "exported"
 		}
-		totals(s.From, state, s.Totals)
-		late(s.Late)
+		addTotals(s.From, state, s.Totals)
+		addLate(s.Late)
 	}
 	for _, s := range v.Pending {
-		totals(s.From, "open", s.Totals)
+		addTotals(s.From, "open", s.Totals)
 	}
-	late(v.Late)
+	addLate(v.Late)
 	for _, c := range v.Corrections {
 		var u ledger.Usage
 		f, _ := ledger.ParseField(c.Field) // validated when the ledger was read
@@ -294,7 +296,7 @@
 				e.Path, e.ID)
 		}
 		if len(list) == 0 && err == nil {
-			fmt.Fprintln(w, "nothing new is closed")
+			fmt.Fprintln(w, "no period to export")
 		}
 	})
 	if err != nil {
@@ -325,7 +327,7 @@
 }
 
 // mergeExportFiles merges export files, or directories of them, and returns the report and the number of duplicate
-// files. It keeps the files' usage lines in memory, but reads their call lists through a buffer each.
+// files. It keeps the usage lines of all files in memory, but reads each file's call list through a small buffer.
 func mergeExportFiles(f durable.FS, files []string) (ledger.Report, int, error) {
 	all, copies := ledger.Merged{}, 0
 	var paths []string
@@ -388,7 +390,7 @@
 // mergeExports merges export files, prints the totals and findings, and writes them to the files csv and html if
 // these are not empty. Findings lead to exitFinding.
 func mergeExports(w io.Writer, files []string, csv, html string, asJSON bool) error {
-	debug.SetMemoryLimit(mergeMemoryLimitBytes) // the garbage collector runs more often before the heap grows beyond it
+	debug.SetMemoryLimit(mergeMemoryLimitBytes)
 	r, copies, err := mergeExportFiles(durable.OS{}, files)
 	if err != nil {
 		return err
--- a/cmd/threadglade/limits.go
+++ b/cmd/threadglade/limits.go
@@ -20,7 +20,7 @@
 	"threadglade.example/threadglade/quota/quotapb"
 )
 
-// maxShownHolders is how many routers that hold a share of a limit are listed by name in its row.
+// maxShownHolders is how many of the routers that hold a share of a limit its row lists by name.
 const maxShownHolders = 3
 
 // addLimits adds the commands that show, set, unset and explain the fleet's limits.
@@ -28,14 +28,14 @@
 	var path, why string
 	var asJSON, watch bool
 	group := &cobra.Command{Use: "limits --settings FILE",
-		Short: "Limits of the whole fleet: given out, kept, used, wanted, by the leading keeper"}
+		Short: "Show the limits of the whole fleet, and manage them through its log"}
 	root.AddCommand(group)
 	add := newCommandAdder(group, "")
 	group.PersistentFlags().StringVar(&path, "settings", "",
-		"file of the product's own settings, with a (fleet ...) section")
+		"path of the threadglade settings file, with a (fleet ...) section")
 	group.MarkPersistentFlagRequired("settings")
 	group.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	group.Flags().BoolVar(&watch, "watch", false, "each second, until interrupted")
+	group.Flags().BoolVar(&watch, "watch", false, "print every second until interrupted")
 	group.Args = cobra.NoArgs
 	group.RunE = func(cmd *cobra.Command, _ []string) error {
 		for {
@@ -51,7 +51,7 @@
 		}
 	}
 	set := add(&cobra.Command{Use: "set NAME FIELDS --why TEXT",
-		Short: `Set a limit through the log, as in: set lda '(rate 50) (tenant "lda")' --why "agreed"`,
+		Short: `Set a limit in the fleet's log, as in: set lda '(rate 50) (tenant "lda")' --why "agreed"`,
 		Args:  cobra.ExactArgs(2)},
 		func(cmd *cobra.Command, args []string) error {
 			text := fmt.Sprintf("(limit %q %s)", args[0], args[1])
@@ -61,20 +61,21 @@
 			return putLimit(cmd.Context(), cmd.OutOrStdout(), path, args[0], why, text)
 		})
 	unset := add(&cobra.Command{Use: "unset NAME --why TEXT",
-		Short: "Take a limit away through the log, one of the settings, too", Args: cobra.ExactArgs(1)},
+		Short: "Remove a limit through the fleet's log, even one from the settings", Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			return putLimit(cmd.Context(), cmd.OutOrStdout(), path, args[0], why, "")
 		})
 	var class, number string
 	explain := add(&cobra.Command{Use: "explain TENANT",
-		Short: "Which limits a tenant's call meets, and what would have it refused now", Args: cobra.ExactArgs(1)},
+		Short: "Show which limits apply to a call of a tenant, and whether they would refuse it now",
+		Args:  cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			return explainLimits(cmd.Context(), cmd.OutOrStdout(), path, class, args[0], number)
 		})
-	explain.Flags().StringVar(&class, "class", "", "of the call")
-	explain.Flags().StringVar(&number, "number", "", "that it calls")
+	explain.Flags().StringVar(&class, "class", "", "class of the call")
+	explain.Flags().StringVar(&number, "number", "", "number that is called")
 	for _, cmd := range []*cobra.Command{set, unset} {
-		cmd.Flags().StringVar(&why, "why", "", "stands in the log beside who said it")
+		cmd.Flags().StringVar(&why, "why", "", "reason, recorded in the fleet's log with the user's name")
 		cmd.MarkFlagRequired("why")
 	}
 }
@@ -87,11 +88,11 @@
 			return r, o.Addresses[r.Name], nil
 		}
 	}
-	return nil, "", errors.New("no keeper that answers leads")
+	return nil, "", errors.New("no keeper that answers is the leader")
 }
 
-// limitStandings returns the state of every limit as the leading keeper divides it among routers, and the keeper's
-// report.
+// limitStandings returns the leading keeper's report, and from it the state of every limit: how much of it is used and
+// which routers hold which shares.
 func limitStandings(ctx context.Context, path string) ([]*quotapb.Standing, *fleetpb.Report, error) {
 	_, o, err := fleetSettings(path, "")
 	if err != nil {
@@ -165,32 +166,35 @@
 	}
 	matched := 0
 	for _, s := range all {
-		base, value, each := strings.Cut(s.Limit, "/")
+		base, value, perValue := strings.Cut(s.Limit, "/")
 		if s.Class != "" && s.Class != class || s.Tenant != "" && s.Tenant != tenant ||
 			s.Number != "" && !strings.HasPrefix(number, s.Number) ||
-			each && value != tenant && value != class && value != number {
+			perValue && value != tenant && value != class && value != number {
 			continue
 		}
 		matched++
-		unit := "calls at once"
+		unit := "calls in progress"
 		if s.Kind == "rate" {
-			unit = "set-ups a second"
+			unit = "set-ups per second"
 		}
-		fmt.Fprintf(w, "%s (of %s): %g %s in the fleet, %.1f used, %.1f wanted, %.1f with %d routers, %.1f kept for calls of lost routers\n",
+		fmt.Fprintf(w, "%s (of %s): %g %s in the fleet, %.1f used, %.1f requested, %.1f granted to %d routers, "+
+			"%.1f reserved for calls of lost routers\n",
 			s.Limit, base, s.Most, unit, s.Used, s.Demand, s.Out, s.Holders, s.Kept)
 		switch {
 		case s.Kept > 0 && s.Demand > s.Used*1.05+0.5:
-			fmt.Fprintln(w, "  more is wanted than admitted, and places are kept for calls that may still stand: they come back within the limit's (longest ...)")
+			fmt.Fprintln(w, "  more is requested than admitted, and capacity is reserved for calls of lost routers that may "+
+				"still be in progress: it is freed within the limit's (longest ...)")
 		case s.Demand > s.Most:
-			fmt.Fprintln(w, "  more is wanted than the limit allows: calls beyond it are refused everywhere")
+			fmt.Fprintln(w, "  more is requested than the limit allows: every router refuses calls beyond it")
 		case s.Demand > s.Used*1.05+0.5:
-			fmt.Fprintln(w, "  more is wanted than admitted, within the limit: shares are moving, or a router without a lease refuses; see its log for fleet_cut_off")
+			fmt.Fprintln(w, "  more is requested than admitted, within the limit: shares are moving between routers, or a "+
+				"router without a lease refuses calls; look for fleet_cut_off in its log")
 		default:
-			fmt.Fprintln(w, "  a call has room, at a router that holds its lease")
+			fmt.Fprintln(w, "  a router that holds its lease would admit a call")
 		}
 	}
 	if matched == 0 {
-		fmt.Fprintln(w, "no limit counts such a call, or none of it is active")
+		fmt.Fprintln(w, "no limit applies to such a call, or none that does is active")
 	}
 	return nil
 }
@@ -230,7 +234,8 @@
 		return err
 	}
 	if version == 0 {
-		return errors.New("not taken: another word came first, it is longer than a fact may be, or the keeper leads no more; look and say it again")
+		return errors.New("not written: the value has changed meanwhile, the new one is too long, or the keeper is no " +
+			"longer the leader; check the current state and try again")
 	}
 	fmt.Fprintf(w, "%s: version %d\n", label, version)
 	return nil
--- a/cmd/threadglade/main.go
+++ b/cmd/threadglade/main.go
@@ -46,26 +46,26 @@
 
 // run executes a command line, without the program's name, and returns its exit code.
 func run(args []string) int {
-	root := &cobra.Command{Use: "threadglade", Short: "A call router between callers and case servers",
+	root := &cobra.Command{Use: "threadglade", Short: "Call router between callers and case servers",
 		SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(serveCommand(), checkCommand(), ledgerCommand(), traceCommand(), exploreCommand(), fleetCommand(),
-		&cobra.Command{Use: "version", Short: "Name the build", Args: cobra.NoArgs,
+		&cobra.Command{Use: "version", Short: "Print the version of the build", Args: cobra.NoArgs,
 			Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "threadglade", version()) }},
 	)
 	root.SetArgs(args)
 	err := root.ExecuteContext(context.Background())
-	var e exitError
+	var exitErr exitError
 	switch {
 	case err == nil:
 		return 0
-	case errors.As(err, &e):
-		if e.err != nil {
-			fmt.Fprintln(os.Stderr, "threadglade:", e.err)
+	case errors.As(err, &exitErr):
+		if exitErr.err != nil {
+			fmt.Fprintln(os.Stderr, "threadglade:", exitErr.err)
 		}
-		return e.code
+		return exitErr.code
 	}
 	fmt.Fprintln(os.Stderr, "threadglade:", err)
-	// The commands of these groups wrap their own errors, so an unwrapped one comes from parsing the command line.
+	// These groups wrap the errors of their commands in exitError; any other error comes from parsing the command line.
 	if len(args) > 0 && (args[0] == "ledger" || args[0] == "trace" || args[0] == "explore" || args[0] == "fleet") {
 		return exitUsage
 	}
--- a/cmd/threadglade/serve.go
+++ b/cmd/threadglade/serve.go
@@ -15,7 +15,7 @@
 	"threadglade.example/threadglade/router"
 )
 
-// fileSystem holds the product's files; tests replace it.
+// fileSystem is the file system of routers and keepers; tests replace it.
 var fileSystem durable.FS = durable.OS{}
 
 // settingsFiles are the settings files named on the command line; an empty path means that the file is not used.
@@ -23,8 +23,10 @@
 
 // addFlags defines the flags that name the files.
 func (f *settingsFiles) addFlags(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&f.settings, "settings", "", "file of the product's own settings")
-	cmd.Flags().StringVar(&f.callcontrol, "callcontrol", "", "deprecated: file that switches on call control alone")
+	cmd.Flags().StringVar(&f.settings, "settings", "",
+		"path of the threadglade settings file; without it the defaults apply")
+	cmd.Flags().StringVar(&f.callcontrol, "callcontrol", "",
+		"deprecated: path of a file that only configures call control; use a (callcontrol ...) section in --settings")
 }
 
 // load reads the files for the router called name. Settings that no file sets keep their defaults.
@@ -37,7 +39,7 @@
 	}
 	if f.callcontrol != "" {
 		if p.CallControl != nil {
-			return p, errors.New("call control is in --settings and in --callcontrol; leave --callcontrol out")
+			return p, errors.New("call control is configured by both --settings and --callcontrol; remove --callcontrol")
 		}
 		c, err := callcontrol.Load(f.callcontrol)
 		if err != nil {
@@ -51,9 +53,11 @@
 // serveCommand returns the command that runs the router.
 func serveCommand() *cobra.Command {
 	var f settingsFiles
-	cmd := &cobra.Command{Use: "serve", Short: "Route calls until SIGTERM", Args: cobra.NoArgs,
-		Long: "Route calls until SIGTERM. The configuration is the JSON file that NODE_CONFIG names; NODE_LISTEN,\n" +
-			"if set, overrides the address in it. SIGUSR1 prints the counters.",
+	cmd := &cobra.Command{Use: "serve", Short: "Run the router until SIGTERM", Args: cobra.NoArgs,
+		Long: "Run the router until SIGTERM.\n\n" +
+			"The environment variable NODE_CONFIG names the JSON file with the configuration. NODE_LISTEN and NODE_MGMT,\n" +
+			"if set, override the addresses in it. SIGHUP reloads the configuration and the settings; SIGUSR1 logs the\n" +
+			"counters.",
 		RunE: func(cmd *cobra.Command, _ []string) error { return serve(cmd.Context(), f) }}
 	f.addFlags(cmd)
 	return cmd
@@ -63,7 +67,7 @@
 func checkCommand() *cobra.Command {
 	var f settingsFiles
 	var against string
-	cmd := &cobra.Command{Use: "check", Short: "Read the configuration and say what it holds", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "check", Short: "Validate the configuration and print a summary of it", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := node.LoadConfig()
 			if err != nil {
@@ -87,18 +91,18 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(),
-				"%s: listen %s, name service %s, %d servers at list %d, %d classes, router %d of %d\n",
+				"%s: listen %s, name service %s, %d servers in list %d, %d classes, router %d of %d\n",
 				c.Name, c.Listen, c.Resolver, len(c.Servers), c.Cursor, len(c.Settings.Classes), c.Settings.Index,
 				c.Settings.Proxies)
 			if c.Mgmt.IsValid() {
-				fmt.Fprintf(cmd.OutOrStdout(), "operators' door on %s\n", c.Mgmt)
+				fmt.Fprintf(cmd.OutOrStdout(), "management server on %s\n", c.Mgmt)
 			}
 			p.Describe(cmd.OutOrStdout())
 			return nil
 		}}
 	f.addFlags(cmd)
 	cmd.Flags().StringVar(&against, "against", "",
-		"the configuration in force: a key that it has and the new one lacks is an error, as at SIGHUP")
+		"path of the current configuration; fail if the new one lacks a key of it, as a reload by SIGHUP does")
 	return cmd
 }
 
--- a/cmd/threadglade/trace.go
+++ b/cmd/threadglade/trace.go
@@ -22,30 +22,32 @@
 
 // traceCommand returns the group of commands that work on trace files.
 func traceCommand() *cobra.Command {
-	root := &cobra.Command{Use: "trace", Short: "Work on trace files: what each router decided and why",
-		Long: "Work on trace files: what each router decided and why. No router need be running.\nExit code 0: good, 1: a finding, 2: usage."}
+	root := &cobra.Command{Use: "trace", Short: "Work with trace files, the record of routing decisions",
+		Long: "Work with trace files, the record of routing decisions and their reasons. No router has to be running.\n\n" +
+			"Exit status: 0 success, 1 failure or a problem found, 2 invalid command line."}
 	asJSON := root.PersistentFlags().Bool("json", false, "print JSON")
 	add := newCommandAdder(root,
-		"trace: info, verify, cut, merge, anonymise, summary, explain, why, report or export is wanted; see --help")
+		"trace: expected info, verify, cut, merge, anonymise, summary, explain, why, report or export; see --help")
 
-	add(&cobra.Command{Use: "info FILE...", Short: "Say what files hold", Args: cobra.MinimumNArgs(1)},
+	add(&cobra.Command{Use: "info FILE...", Short: "Print the origin, size, time span and names of trace files",
+		Args: cobra.MinimumNArgs(1)},
 		func(cmd *cobra.Command, args []string) error { return traceInfo(cmd.OutOrStdout(), args, *asJSON) })
 	add(&cobra.Command{Use: "verify FILE",
-		Short: "Check every byte of a file; one that a crash cut off is good up to there", Args: cobra.ExactArgs(1)},
+		Short: "Check every byte of a file; a tail cut off by a crash is only noted", Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error { return traceVerify(cmd.OutOrStdout(), args[0], *asJSON) })
 
 	var out, from, to, key string
 	var s trace.Selection
 	addTimeFlags := func(cmd *cobra.Command) {
-		cmd.Flags().StringVar(&from, "from", "", "first time that is wanted (2026-12-01T14:00:00Z)")
-		cmd.Flags().StringVar(&to, "to", "", "time from which nothing is wanted any more")
+		cmd.Flags().StringVar(&from, "from", "", "start of the time range, inclusive (2026-12-01T14:00:00Z)")
+		cmd.Flags().StringVar(&to, "to", "", "end of the time range, exclusive")
 	}
 	addOutputFlag := func(cmd *cobra.Command) {
-		cmd.Flags().StringVarP(&out, "output", "o", "", "file to write")
+		cmd.Flags().StringVarP(&out, "output", "o", "", "output file")
 		cmd.MarkFlagRequired("output")
 	}
 	cut := add(&cobra.Command{Use: "cut FILE --from T --to T -o OUT",
-		Short: "Cut a time, or the calls of a class, server, outcome or id, out of a file", Args: cobra.ExactArgs(1)},
+		Short: "Extract a time range, or the calls of a class, tenant, server, outcome or ID", Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			if err := parseSelectionTimes(&s, from, to); err != nil {
 				return usageError(err)
@@ -55,7 +57,7 @@
 				return err
 			}
 			return writeResult(cmd.OutOrStdout(), *asJSON, c, func(w io.Writer) {
-				fmt.Fprintf(w, "%d records, %d of them from before the cut; of %d blocks %d were read and %d copied\n",
+				fmt.Fprintf(w, "%d records, %d of them from before the time range; of %d blocks, %d were read and %d copied\n",
 					c.Records, c.Carried, c.TotalBlocks, c.BlocksRead, c.BlocksCopied)
 			})
 		})
@@ -63,12 +65,12 @@
 	addOutputFlag(cut)
 	cut.Flags().StringVar(&s.Class, "class", "", "only calls of this class")
 	cut.Flags().StringVar(&s.Tenant, "tenant", "", "only calls of this tenant")
-	cut.Flags().StringVar(&s.Server, "server", "", "only calls that had to do with this server, and what it reported")
-	cut.Flags().StringVar(&s.Outcome, "outcome", "", "only calls with this end or an attempt with it")
-	cut.Flags().StringVar(&s.Call, "call", "", "only this call")
+	cut.Flags().StringVar(&s.Server, "server", "", "only calls that involve this server, and its own reports")
+	cut.Flags().StringVar(&s.Outcome, "outcome", "", "only calls with this outcome or an attempt with it")
+	cut.Flags().StringVar(&s.Call, "call", "", "only the call with this ID")
 
 	merge := add(&cobra.Command{Use: "merge FILE... -o OUT",
-		Short: "Bring several routers' files together, whose clocks differ", Args: cobra.MinimumNArgs(1)},
+		Short: "Merge the files of several routers and correct the offsets of their clocks", Args: cobra.MinimumNArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			debug.SetMemoryLimit(mergeMemoryLimitBytes * 2)
 			clocks, records, err := traceio.MergeFiles(durable.OS{}, args, out)
@@ -80,7 +82,7 @@
 					for _, c := range clocks {
 						fmt.Fprintln(w, c)
 						if c.Assumed {
-							fmt.Fprintln(w, "  nothing was seen alike: this clock is guessed")
+							fmt.Fprintln(w, "  no event in common with another router: the offset is a guess")
 						}
 					}
 					fmt.Fprintf(w, "%d records\n", records)
@@ -89,7 +91,7 @@
 	addOutputFlag(merge)
 
 	anonymise := add(&cobra.Command{Use: "anonymise FILE -o OUT --key FILE",
-		Short: "Put keyed hashes in the place of numbers, ids, addresses and identities", Args: cobra.ExactArgs(1)},
+		Short: "Replace numbers, IDs, addresses and identities with keyed hashes", Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			text, err := os.ReadFile(key)
 			if err != nil {
@@ -103,46 +105,46 @@
 				func(w io.Writer) { fmt.Fprintf(w, "%d blocks\n", n) })
 		})
 	addOutputFlag(anonymise)
-	anonymise.Flags().StringVar(&key, "key", "", "file whose bytes are the key, at least 16 of them")
+	anonymise.Flags().StringVar(&key, "key", "", "file with the key, at least 16 bytes")
 	anonymise.MarkFlagRequired("key")
 
 	var by, every string
-	summary := add(&cobra.Command{Use: "summary FILE", Short: "Sum up by class, tenant, server or reason",
+	summary := add(&cobra.Command{Use: "summary FILE", Short: "Print totals by class, tenant, server or reason",
 		Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			var d time.Duration
 			if every != "" {
 				var err error
 				if d, err = time.ParseDuration(every); err != nil || d < time.Millisecond {
-					return usageError(fmt.Errorf("every: %q is no duration", every))
+					return usageError(fmt.Errorf("--every: %q is not a duration of at least 1ms", every))
 				}
 			}
 			return traceSummary(cmd.OutOrStdout(), args[0], by, d, *asJSON)
 		})
-	summary.Flags().StringVar(&by, "by", "", "class, tenant, server or reason")
-	summary.Flags().StringVar(&every, "every", "", "one group for each such span (10s)")
+	summary.Flags().StringVar(&by, "by", "", "group by class, tenant, server or reason")
+	summary.Flags().StringVar(&every, "every", "", "also group by time, in intervals of this length (10s)")
 
-	add(&cobra.Command{Use: "explain FILE CALL", Short: "Tell what became of one call, and why",
+	add(&cobra.Command{Use: "explain FILE CALL", Short: "Explain what happened to a call, and why",
 		Args: cobra.ExactArgs(2)},
 		func(cmd *cobra.Command, args []string) error {
 			return traceExplain(cmd.OutOrStdout(), args[0], args[1], *asJSON)
 		})
 
 	why := add(&cobra.Command{Use: "why FILE --from T --to T",
-		Short: "Rank what may have made service drop, against the time before", Args: cobra.ExactArgs(1)},
+		Short: "Rank the possible causes of a drop in service against the time before", Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			var s trace.Selection
 			if err := parseSelectionTimes(&s, from, to); err != nil {
 				return usageError(err)
 			}
 			if s.From == 0 || s.To == 0 {
-				return usageError(errors.New("why: --from and --to are wanted"))
+				return usageError(errors.New("why: --from and --to are required"))
 			}
 			return traceWhy(cmd.OutOrStdout(), args[0], s.From, s.To, *asJSON)
 		})
 	addTimeFlags(why)
 
-	report := add(&cobra.Command{Use: "report FILE -o OUT.html", Short: "Write a page with plots",
+	report := add(&cobra.Command{Use: "report FILE -o OUT.html", Short: "Write an HTML report with plots",
 		Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			return traceReport(args[0], out)
@@ -151,11 +153,11 @@
 
 	var form string
 	export := add(&cobra.Command{Use: "export FILE --to jsonl|otlp-json",
-		Short: "Write records as JSON lines, or calls as OpenTelemetry traces", Args: cobra.ExactArgs(1)},
+		Short: "Export records as JSON lines, or calls as OpenTelemetry traces", Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			return traceExport(cmd.OutOrStdout(), args[0], form)
 		})
-	export.Flags().StringVar(&form, "to", "", "jsonl or otlp-json")
+	export.Flags().StringVar(&form, "to", "", "output format, jsonl or otlp-json")
 	export.MarkFlagRequired("to")
 	return root
 }
@@ -168,7 +170,7 @@
 		}
 		t, err := time.Parse(time.RFC3339Nano, *text)
 		if err != nil {
-			return fmt.Errorf("%q is no time such as 2026-12-01T14:00:00.5Z", *text)
+			return fmt.Errorf("%q is not a time such as 2026-12-01T14:00:00.5Z", *text)
 		}
 		*at = t.UnixMicro()
 	}
@@ -201,45 +203,45 @@
 		if err != nil {
 			return err
 		}
-		i := fileInfo{Path: path, Meta: t.Meta, Bytes: t.Size(), Blocks: len(t.Index.Blocks),
+		info := fileInfo{Path: path, Meta: t.Meta, Bytes: t.Size(), Blocks: len(t.Index.Blocks),
 			Names: map[string][]string{}, Torn: t.Truncation}
 		var from, to int64
 		for n, b := range t.Index.Blocks {
-			i.Records += b.Count
+			info.Records += b.Count
 			if n == 0 || b.From < from {
 				from = b.From
 			}
 			to = max(to, b.To)
 		}
-		if i.Records > 0 {
-			i.From, i.To = formatMicros(from), formatMicros(to)
+		if info.Records > 0 {
+			info.From, info.To = formatMicros(from), formatMicros(to)
 		}
 		for _, d := range trace.Dimensions {
-			i.Names[d] = t.Index.Names(d)
+			info.Names[d] = t.Index.Names(d)
 		}
 		t.Close()
-		list = append(list, i)
+		list = append(list, info)
 	}
 	return writeResult(w, asJSON, list, func(w io.Writer) {
-		for _, i := range list {
-			source := "router " + i.Meta.Router
-			if i.Meta.Router == "" {
-				source = fmt.Sprintf("merged of %d clocks", len(i.Meta.Clocks))
+		for _, info := range list {
+			source := "router " + info.Meta.Router
+			if info.Meta.Router == "" {
+				source = fmt.Sprintf("merged from %d clocks", len(info.Meta.Clocks))
 			}
-			fmt.Fprintf(w, "%s: %s, part %d, %d records in %d blocks, %d bytes, %s to %s\n", i.Path, source,
-				i.Meta.Part, i.Records, i.Blocks, i.Bytes, i.From, i.To)
+			fmt.Fprintf(w, "%s: %s, part %d, %d records in %d blocks, %d bytes, %s to %s\n", info.Path, source,
+				info.Meta.Part, info.Records, info.Blocks, info.Bytes, info.From, info.To)
 			for _, d := range trace.Dimensions {
-				names := i.Names[d]
+				names := info.Names[d]
 				if len(names) > 12 {
 					names = append(slices.Clone(names[:12]), fmt.Sprintf("and %d more", len(names)-12))
 				}
 				fmt.Fprintf(w, "  %s: %s\n", d, strings.Join(names, ", "))
 			}
-			for _, c := range i.Meta.Clocks {
+			for _, c := range info.Meta.Clocks {
 				fmt.Fprintln(w, " ", c)
 			}
-			if i.Torn != "" {
-				fmt.Fprintln(w, "  note: cut off by a crash:", i.Torn)
+			if info.Torn != "" {
+				fmt.Fprintln(w, "  note: cut off by a crash:", info.Torn)
 			}
 		}
 	})
@@ -300,9 +302,8 @@
 	})
 }
 
-// traceExplain prints in sentences what became of a call and why. Besides the call's records it takes the avoidance
-// of case servers by the same router that was in force as the call came, and that which changed until the call was
-// answered.
+// traceExplain prints in sentences what happened to a call and why. Besides the call's own records, it uses those on
+// the case servers that the same router avoided when the call arrived, and on changes of these until it was answered.
 func traceExplain(w io.Writer, path, call string, asJSON bool) error {
 	t, err := traceio.Open(durable.OS{}, path)
 	if err != nil {
@@ -310,7 +311,7 @@
 	}
 	defer t.Close()
 	var list []trace.Record
-	// avoidances has the latest avoidance record before the call, by router and server.
+	// avoidances holds the latest avoidance record before the call for each router and server.
 	avoidances, found, answered := map[string]trace.Record{}, false, false
 	if err := t.Each(trace.Selection{}, func(r *trace.Record) error {
 		switch {
@@ -352,32 +353,34 @@
 		return trace.Diagnosis{}, err
 	}
 	defer t.Close()
-	q := trace.NewDiagnoser(t.Meta, from, to)
-	err = t.Each(trace.Selection{From: q.BaselineStart(), To: to}, func(r *trace.Record) error { q.Add(r); return nil })
-	return q.Diagnosis(), err
+	diagnoser := trace.NewDiagnoser(t.Meta, from, to)
+	err = t.Each(trace.Selection{From: diagnoser.BaselineStart(), To: to},
+		func(r *trace.Record) error { diagnoser.Add(r); return nil })
+	return diagnoser.Diagnosis(), err
 }
 
 // traceWhy prints the ranked causes of a drop in service.
 func traceWhy(w io.Writer, path string, from, to int64, asJSON bool) error {
-	v, err := rankCauses(path, from, to)
+	diagnosis, err := rankCauses(path, from, to)
 	if err != nil {
 		return err
 	}
-	return writeResult(w, asJSON, v, func(w io.Writer) {
-		fmt.Fprintf(w, "service %.2f, before %.2f; %d requests, before %d; worth lost %.1f\n", v.ServiceDuring,
-			v.ServiceBefore, v.RequestsDuring, v.RequestsBefore, v.Lost)
-		if len(v.Causes) == 0 {
-			fmt.Fprintln(w, "nothing stands out")
+	return writeResult(w, asJSON, diagnosis, func(w io.Writer) {
+		fmt.Fprintf(w, "service %.2f, before %.2f; %d requests, before %d; worth lost %.1f\n", diagnosis.ServiceDuring,
+			diagnosis.ServiceBefore, diagnosis.RequestsDuring, diagnosis.RequestsBefore, diagnosis.Lost)
+		if len(diagnosis.Causes) == 0 {
+			fmt.Fprintln(w, "no cause stands out")
 		}
-		for i, c := range v.Causes {
+		for i, c := range diagnosis.Causes {
 			fmt.Fprintf(w, "%d. %s (%.2f), first sign %s\n", i+1, c.Text, c.Score, formatMicros(c.FirstSign))
 		}
-		for _, one := range v.SharedFindings {
-			fmt.Fprintf(w, "   %s was found %s by %d routers of %d, at the most %.0f ms old, from %s on; %d choices were changed\n",
-				one.Server, one.Found, one.Affected, one.Others, float64(one.MaxAgeUs)/1000,
-				formatMicros(one.FirstApplied), one.ChangedDecisions)
+		for _, finding := range diagnosis.SharedFindings {
+			fmt.Fprintf(w,
+				"   %s was found %s by %d routers of %d, on evidence at most %.0f ms old, from %s on; %d decisions changed\n",
+				finding.Server, finding.Found, finding.Affected, finding.Others, float64(finding.MaxAgeUs)/1000,
+				formatMicros(finding.FirstApplied), finding.ChangedDecisions)
 		}
-		for _, c := range v.Changes[:min(8, len(v.Changes))] {
+		for _, c := range diagnosis.Changes[:min(8, len(diagnosis.Changes))] {
 			fmt.Fprintf(w, "   by %s %q: lost %.1f, before %.1f, %.0f%% of the loss\n", c.Dimension, c.Name, c.LostDuring,
 				c.LostBefore, 100*c.LossShare)
 		}
@@ -404,7 +407,7 @@
 // traceExport writes a trace as JSON lines or as OpenTelemetry spans.
 func traceExport(w io.Writer, path, form string) error {
 	if form != "jsonl" && form != "otlp-json" {
-		return usageError(fmt.Errorf("to: %q is neither jsonl nor otlp-json", form))
+		return usageError(fmt.Errorf("--to: %q is neither jsonl nor otlp-json", form))
 	}
 	t, err := traceio.Open(durable.OS{}, path)
 	if err != nil {
--- a/cmd/threadglade/verdicts.go
+++ b/cmd/threadglade/verdicts.go
@@ -21,10 +21,10 @@
 	"threadglade.example/threadglade/verdict/verdictpb"
 )
 
-// Bounds of queries to routers.
+// Limits of queries to routers.
 const (
 	maxConcurrentQueries = 32
-	queryTimeout         = 2 * time.Second // of each router's answer
+	queryTimeout         = 2 * time.Second // for the answer of each router
 )
 
 // addVerdicts adds the commands that show and explain the routers' verdicts on case servers, and that hold a case
@@ -34,16 +34,16 @@
 	var asJSON, watch bool
 	var duration time.Duration
 	group := &cobra.Command{Use: "verdicts --settings FILE",
-		Short: "What the routers together find case servers to be, and whether any disagrees"}
+		Short: "Show the routers' shared verdicts on case servers and where routers disagree"}
 	root.AddCommand(group)
 	add := newCommandAdder(group, "")
 	group.PersistentFlags().StringVar(&path, "settings", "",
-		"file of the product's own settings, with a (fleet ...) section")
+		"path of the threadglade settings file, with a (fleet ...) section")
 	group.MarkPersistentFlagRequired("settings")
 	group.PersistentFlags().StringVar(&at, "at", "",
-		"ask this router alone, by its name or address; works without any keeper where it is an address")
+		"query only this router, given by its name or address; an address needs no keeper")
 	group.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	group.Flags().BoolVar(&watch, "watch", false, "each second, until interrupted")
+	group.Flags().BoolVar(&watch, "watch", false, "print every second until interrupted")
 	group.Args = cobra.NoArgs
 	group.RunE = func(cmd *cobra.Command, _ []string) error {
 		for {
@@ -58,25 +58,25 @@
 			time.Sleep(time.Second)
 		}
 	}
-	add(&cobra.Command{Use: "explain SERVER", Short: "Which router has seen what of a case server, and how old that is",
-		Args: cobra.ExactArgs(1)},
+	add(&cobra.Command{Use: "explain SERVER",
+		Short: "Show what each router has observed of a case server, and how long ago", Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			return explainVerdict(cmd.Context(), cmd.OutOrStdout(), path, at, args[0])
 		})
 	hold := add(&cobra.Command{Use: "hold SERVER --for 10m --why TEXT",
-		Short: "Have all routers leave a case server alone for a time, through the log", Args: cobra.ExactArgs(1)},
+		Short: "Make all routers avoid a case server for a time, through the fleet's log", Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			if duration <= 0 || duration > 24*time.Hour {
-				return usageError(errors.New("--for: a time above 0, and 24h at the most: a word always ends"))
+				return usageError(errors.New("--for: must be above 0 and at most 24h, so that every hold ends"))
 			}
 			return putFact(cmd.Context(), cmd.OutOrStdout(), path, fleetio.HoldKeyPrefix+args[0], "server "+args[0],
 				func(who string) []byte {
 					return fleetio.EncodeHold(who, strings.ReplaceAll(why, "\n", " "), duration, time.Now())
 				})
 		})
-	hold.Flags().DurationVar(&duration, "for", 0, "how long, 24h at the most")
+	hold.Flags().DurationVar(&duration, "for", 0, "duration of the hold, at most 24h")
 	hold.MarkFlagRequired("for")
-	release := add(&cobra.Command{Use: "release SERVER --why TEXT", Short: "Take such a word back",
+	release := add(&cobra.Command{Use: "release SERVER --why TEXT", Short: "End the hold of a case server",
 		Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			return putFact(cmd.Context(), cmd.OutOrStdout(), path, fleetio.HoldKeyPrefix+args[0], "server "+args[0],
@@ -85,7 +85,7 @@
 				})
 		})
 	for _, cmd := range []*cobra.Command{hold, release} {
-		cmd.Flags().StringVar(&why, "why", "", "stands in the log beside who said it")
+		cmd.Flags().StringVar(&why, "why", "", "reason, recorded in the fleet's log with the user's name")
 		cmd.MarkFlagRequired("why")
 	}
 }
@@ -104,16 +104,16 @@
 		return nil, nil, err
 	}
 	for _, r := range reports {
-		one := &verdictpb.Report{}
-		if r.Talk == nil || proto.Unmarshal(r.Talk, one) != nil {
-			unresponsive = append(unresponsive, r.Name+" (it judges alone)")
+		report := &verdictpb.Report{}
+		if r.Talk == nil || proto.Unmarshal(r.Talk, report) != nil {
+			unresponsive = append(unresponsive, r.Name+" (it does not share verdicts)")
 			continue
 		}
-		list = append(list, verdictReport{r.Name, one})
+		list = append(list, verdictReport{r.Name, report})
 	}
 	if len(list) == 0 {
 		return nil, unresponsive, exitError{exitFinding,
-			fmt.Errorf("no router that answers judges together with others: %s", strings.Join(unresponsive, "; "))}
+			fmt.Errorf("no router that answers shares verdicts: %s", strings.Join(unresponsive, "; "))}
 	}
 	return list, unresponsive, nil
 }
@@ -142,8 +142,8 @@
 	} else {
 		r, _, err := leaderReport(ctx, o)
 		if err != nil {
-			return nil, nil, fmt.Errorf("%w; a router's address, by --at or in place of its name, asks that router alone",
-				err)
+			return nil, nil, fmt.Errorf(
+				"%w; to query a single router without a keeper, give its address in place of its name or with --at", err)
 		}
 		for _, m := range r.GetState().GetMembers() {
 			if m.Live && (at == "" || at == m.Name) {
@@ -243,33 +243,34 @@
 	}
 	all := summarizeServers(list)
 	if asJSON {
-		for _, j := range all {
-			b, _ := json.Marshal(j)
+		for _, summary := range all {
+			b, _ := json.Marshal(summary)
 			fmt.Fprintln(w, string(b))
 		}
 		return nil
 	}
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "server\tverdict\tmiss its answers\tanswered since\tseen by\tage\theeded by\tdisagree\t")
-	for _, j := range all {
-		found := j.Verdict
-		if len(j.Zones) > 0 {
-			found += " from " + strings.Join(j.Zones, ", ")
+	for _, summary := range all {
+		verdict := summary.Verdict
+		if len(summary.Zones) > 0 {
+			verdict += " from " + strings.Join(summary.Zones, ", ")
 		}
-		if j.Why != "" {
-			found += fmt.Sprintf(" for %.0f s: %s", j.LeftSecs, j.Why)
+		if summary.Why != "" {
+			verdict += fmt.Sprintf(" for %.0f s: %s", summary.LeftSecs, summary.Why)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%.0f ms\t%d of %d\t%s\t\n", j.Server, found, j.Bad, j.Good,
-			strings.Join(j.Sources, " "), j.AgeMs, j.HeededBy, j.Routers, strings.Join(j.Disagreeing, ", "))
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%.0f ms\t%d of %d\t%s\t\n", summary.Server, verdict, summary.Bad,
+			summary.Good, strings.Join(summary.Sources, " "), summary.AgeMs, summary.HeededBy, summary.Routers,
+			strings.Join(summary.Disagreeing, ", "))
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	if len(all) == 0 {
-		fmt.Fprintln(w, "nobody finds fault with any case server")
+		fmt.Fprintln(w, "no router reports a problem with any case server")
 	}
-	for _, m := range unresponsive {
-		fmt.Fprintln(w, "no answer: "+m)
+	for _, router := range unresponsive {
+		fmt.Fprintln(w, "no answer: "+router)
 	}
 	return nil
 }
@@ -281,7 +282,8 @@
 	if err != nil {
 		return err
 	}
-	ms := func(n uint64) string {
+	// A record has ages in microseconds plus 1; 0 means never.
+	formatAge := func(n uint64) string {
 		if n == 0 {
 			return "never"
 		}
@@ -292,23 +294,23 @@
 			if v.Server != server {
 				continue
 			}
-			fmt.Fprintf(w, "%s is %s, as %s (zone %q) holds it: %d routers miss its answers, %d have had one since, confidence %.2f, newest evidence %.0f ms old\n",
+			fmt.Fprintf(w, "%s is %s according to %s (zone %q): %d routers miss its answers, %d have had one since, "+
+				"confidence %.2f, newest evidence %.0f ms old\n",
 				server, v.Kind, r.router, r.Zone, v.Bad, v.Good,
 				v.Confidence, float64(v.Age)/1000)
 			if v.Why != "" {
-				fmt.Fprintf(w, "  an operator's word for %.0f s more: %s\n", float64(v.Left)/1e6, v.Why)
+				fmt.Fprintf(w, "  held by an operator for %.0f s more: %s\n", float64(v.Left)/1e6, v.Why)
 			}
 			t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 			fmt.Fprintln(t, "router\tzone\tlast answer\tlast missed\tlast late\tunanswered since\tgood\tlate\tmissed\trefused\tfull\t")
 			for _, record := range v.Records {
 				fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", record.Observer, record.Zone,
-					ms(record.GoodAt), ms(record.Bad), ms(record.LateAt), ms(record.Onset), record.Good, record.Late,
-					record.Silent,
-					record.Refused, record.Full)
+					formatAge(record.GoodAt), formatAge(record.Bad), formatAge(record.LateAt), formatAge(record.Onset),
+					record.Good, record.Late, record.Silent, record.Refused, record.Full)
 			}
 			return t.Flush()
 		}
 	}
-	fmt.Fprintf(w, "nobody finds fault with %s\n", server)
+	fmt.Fprintf(w, "no router reports a problem with %s\n", server)
 	return nil
 }
--- a/cmd/threadglade/work.go
+++ b/cmd/threadglade/work.go
@@ -23,16 +23,16 @@
 	var path, at string
 	var asJSON, watch bool
 	group := &cobra.Command{Use: "work --settings FILE",
-		Short: "Who holds whose work in hand, how far confirmed, and what was taken over", Args: cobra.NoArgs}
+		Short: "Show which routers replicate whose calls in progress, and which calls were taken over", Args: cobra.NoArgs}
 	root.AddCommand(group)
 	add := newCommandAdder(group, "")
 	group.PersistentFlags().StringVar(&path, "settings", "",
-		"file of the product's own settings, with a (fleet ...) section")
+		"path of the threadglade settings file, with a (fleet ...) section")
 	group.MarkPersistentFlagRequired("settings")
 	group.PersistentFlags().StringVar(&at, "at", "",
-		"ask this router alone, by its name or address; works without any keeper where it is an address")
+		"query only this router, given by its name or address; an address needs no keeper")
 	group.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	group.Flags().BoolVar(&watch, "watch", false, "each second, until interrupted")
+	group.Flags().BoolVar(&watch, "watch", false, "print every second until interrupted")
 	group.RunE = func(cmd *cobra.Command, _ []string) error {
 		for {
 			err := showWork(cmd.Context(), cmd.OutOrStdout(), path, at, asJSON)
@@ -46,7 +46,7 @@
 			time.Sleep(time.Second)
 		}
 	}
-	add(&cobra.Command{Use: "find CALL", Short: "Who has a call in hand, who holds it for whom, who has taken it over",
+	add(&cobra.Command{Use: "find CALL", Short: "Show which routers have a call, replicate it or have taken it over",
 		Args: cobra.ExactArgs(1)},
 		func(cmd *cobra.Command, args []string) error {
 			list, unresponsive, err := queryWork(cmd.Context(), path, at, args[0])
@@ -70,16 +70,16 @@
 		})
 }
 
-// addEvacuate adds the command that has a router pass its established calls on to another.
+// addEvacuate adds the command that makes a router hand its established calls over to another.
 func addEvacuate(root *cobra.Command) {
 	var path string
 	var wait time.Duration
 	cmd := &cobra.Command{Use: "evacuate ROUTER --settings FILE",
-		Short: "Have a router pass on the calls that stand, wait until another has them, and report",
+		Short: "Make a router hand over its established calls, and wait until another router has them",
 		Args:  cobra.ExactArgs(1)}
-	cmd.Flags().StringVar(&path, "settings", "", "file of the product's own settings, with a (fleet ...) section")
+	cmd.Flags().StringVar(&path, "settings", "", "path of the threadglade settings file, with a (fleet ...) section")
 	cmd.MarkFlagRequired("settings")
-	cmd.Flags().DurationVar(&wait, "wait", 30*time.Second, "how long to wait for another router's word")
+	cmd.Flags().DurationVar(&wait, "wait", 30*time.Second, "how long to wait until another router has the calls")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		return evacuate(cmd.Context(), cmd.OutOrStdout(), path, args[0], wait)
 	}
@@ -104,19 +104,19 @@
 		if err != nil {
 			return nil, exitError{exitFinding, err}
 		}
-		one := &takeoverpb.Report{}
+		report := &takeoverpb.Report{}
 		switch {
 		case len(reports) == 0 && len(unresponsive) > 0:
 			return nil, exitError{exitFinding, fmt.Errorf("no answer: %s", strings.Join(unresponsive, "; "))}
 		case len(reports) == 0:
-			return nil, exitError{exitFinding, fmt.Errorf("no router %s lives", router)}
-		case reports[0].Work == nil || proto.Unmarshal(reports[0].Work, one) != nil:
+			return nil, exitError{exitFinding, fmt.Errorf("no live router is called %s", router)}
+		case reports[0].Work == nil || proto.Unmarshal(reports[0].Work, report) != nil:
 			return nil, exitError{exitFinding,
-				fmt.Errorf("%s: nobody else has what it has in hand: no (takeover ...) section", router)}
-		case one.Refused != "":
-			return nil, exitError{exitFinding, fmt.Errorf("%s: %s", router, one.Refused)}
+				fmt.Errorf("%s: its calls are not replicated: its settings have no (takeover ...) section", router)}
+		case report.Refused != "":
+			return nil, exitError{exitFinding, fmt.Errorf("%s: %s", router, report.Refused)}
 		}
-		return one, nil
+		return report, nil
 	}
 	r, err := query(false)
 	if err != nil {
@@ -128,24 +128,25 @@
 	}
 	for status := ""; ; {
 		switch {
-		case err != nil: // between two incarnations the log does not list the router as live
+		case err != nil: // for example, the log doesn't list the router as live between its two incarnations
 			status = err.Error()
 		case r.Evacuated == lastEvacuated:
-			status = "ends are on their way; it passes its calls on in a moment in which none is: drain it first (docs/operators/door.md)"
+			status = "the router still has call ends to send and hands its calls over only when it has none: " +
+				"drain it first (docs/operators/door.md)"
 		case r.Told:
-			fmt.Fprintf(w, "%s: %d calls that stood in incarnation %d are passed on, %s has them, after %v\n", router,
+			fmt.Fprintf(w, "%s: handed over %d established calls of incarnation %d to %s in %v\n", router,
 				r.Passed, r.Evacuated, r.Successor, time.Since(start).Round(time.Millisecond))
 			return nil
 		case r.Successor == "":
-			status = fmt.Sprintf("%d calls of incarnation %d were let go, nobody can take them yet", r.Passed,
+			status = fmt.Sprintf("%d calls of incarnation %d were given up, but no router can take them over yet", r.Passed,
 				r.Evacuated)
 		default:
-			status = fmt.Sprintf("%d calls of incarnation %d were let go, %s has still to say that it has them",
+			status = fmt.Sprintf("%d calls of incarnation %d were given up, but %s has not confirmed yet that it has them",
 				r.Passed,
 				r.Evacuated, r.Successor)
 		}
 		if time.Since(start) > wait {
-			return exitError{exitFinding, fmt.Errorf("%s: not within %v: %s", router, wait, status)}
+			return exitError{exitFinding, fmt.Errorf("%s: not done within %v: %s", router, wait, status)}
 		}
 		time.Sleep(100 * time.Millisecond)
 		r, err = query(false)
@@ -166,16 +167,16 @@
 		return nil, nil, err
 	}
 	for _, r := range reports {
-		one := &takeoverpb.Report{}
-		if r.Work == nil || proto.Unmarshal(r.Work, one) != nil {
-			unresponsive = append(unresponsive, r.Name+" (its work is held by nobody)")
+		report := &takeoverpb.Report{}
+		if r.Work == nil || proto.Unmarshal(r.Work, report) != nil {
+			unresponsive = append(unresponsive, r.Name+" (its calls are not replicated)")
 			continue
 		}
-		list = append(list, workReport{r.Name, one})
+		list = append(list, workReport{r.Name, report})
 	}
 	if len(list) == 0 {
 		return nil, unresponsive, exitError{exitFinding,
-			fmt.Errorf("no router that answers has its work held by others: %s", strings.Join(unresponsive, "; "))}
+			fmt.Errorf("no router that answers has its calls replicated: %s", strings.Join(unresponsive, "; "))}
 	}
 	return list, unresponsive, nil
 }
@@ -219,7 +220,8 @@
 	for _, r := range list {
 		c := r.Counts
 		if c["hurried"]+c["alone"]+c["missed"]+c["lost"]+c["full"] > 0 {
-			fmt.Fprintf(w, "%s: %d turns did not wait for a holder, %d had none, %d records were dropped, %d calls lost, %d times a copy had no room\n",
+			fmt.Fprintf(w, "%s: %d batches of output did not wait for a replica, %d had no router to replicate to, "+
+				"%d records were dropped, %d calls lost, %d replica updates rejected for lack of space\n",
 				r.name, c["hurried"], c["alone"], c["missed"], c["lost"], c["full"])
 		}
 	}
