--- a/cmd/threadglade/acceptance_test.go
+++ b/cmd/threadglade/acceptance_test.go
@@ -233,8 +233,8 @@
 	}
 }
 
-// schedulingDelays records how late this process was woken, and when. On a busy machine its observations may be late
-// by as much.
+// schedulingDelays records how late this process was woken, and when. On a busy machine the times that the test
+// observes may be late by as much.
 type schedulingDelays struct {
 	mu   sync.Mutex
 	list []schedulingDelay
@@ -283,16 +283,16 @@
 
 // TestNoAttemptsAfterCallerLeft has callers leave at any moment of their attempts and the delays between these, by
 // FIN, RST or CANCEL, or by FIN behind forty other messages, while the router's process is stopped now and then. No
-// attempt may arrive at a case server more than 0.1 s after its caller has left; a third late attempt violates the
-// operators' requirement.
+// attempt may arrive at a case server more than 0.1 s after its caller has left; the operators' requirement allows two
+// late attempts at most.
 func TestNoAttemptsAfterCallerLeft(t *testing.T) { checkNoAttemptsAfterLeaving(t, 4) }
 
 // TestNothingBeginsBehindAFlood adds callers that leave by CANCEL behind forty other messages. KNOWN-RED.txt has the
 // reason why it may fail.
 func TestNothingBeginsBehindAFlood(t *testing.T) { checkNoAttemptsAfterLeaving(t, 5) }
 
-// checkNoAttemptsAfterLeaving has callers leave by the first so many of these ways: FIN, CANCEL, RST, FIN behind
-// forty other messages, CANCEL behind forty other messages.
+// checkNoAttemptsAfterLeaving has callers leave in turn by FIN, CANCEL, RST, FIN behind forty other messages, and
+// CANCEL behind forty other messages; with fewer than five ways, only by the first of these.
 func checkNoAttemptsAfterLeaving(t *testing.T, ways int) {
 	const calls, maxLate = 300, 2
 	s := newTestbed(t, 0, standin.ServerConfig{})
@@ -320,7 +320,7 @@
 	stop := make(chan bool)
 	defer close(stop)
 	delays := watchSchedulingDelays(stop)
-	go func() { // stops the router's process for 250 ms again and again, like a machine without CPU time to give
+	go func() { // stops the router's process for 250 ms again and again, as on a machine that is out of CPU time
 		for {
 			select {
 			case <-stop:
@@ -333,7 +333,7 @@
 		}
 	}()
 	for i := range calls {
-		how, after := i%ways, time.Duration(random.IntN(700))*time.Millisecond
+		way, after := i%ways, time.Duration(random.IntN(700))*time.Millisecond
 		time.Sleep(5 * time.Millisecond)
 		wg.Go(func() {
 			c, err := dial(listen)
@@ -345,19 +345,19 @@
 			c.Write(standin.Request("INVITE", "4711", id, "x=1\r\n", "Call-Kind", "voice", "Answer-Within", "4000",
 				"Routing-Data", "dest:0;width:1;via:-1"))
 			time.Sleep(after)
-			if how >= 3 {
+			if way >= 3 {
 				c.Write(flood)
 			}
-			switch how {
+			switch way {
 			case 1, 4:
 				c.Write(standin.Request("CANCEL", "4711", id, ""))
 			case 2:
 				c.Conn.(*net.TCPConn).SetLinger(0)
 			}
-			if how != 1 && how != 4 {
+			if way != 1 && way != 4 {
 				c.Close()
 			}
-			if left[i] = time.Now(); how == 1 || how == 4 {
+			if left[i] = time.Now(); way == 1 || way == 4 {
 				time.Sleep(time.Second)
 			}
 		})
@@ -370,13 +370,13 @@
 		tries := 0
 		for _, one := range servers {
 			one.mu.Lock()
-			for _, came := range one.arrivals[standin.CallID(fmt.Sprint("left", i))] {
+			for _, arrival := range one.arrivals[standin.CallID(fmt.Sprint("left", i))] {
 				attempts, tries = attempts+1, tries+1
-				if own := delays.maxBetween(at, came); came.Sub(at) > 100*time.Millisecond+own {
+				if ownDelay := delays.maxBetween(at, arrival); arrival.Sub(at) > 100*time.Millisecond+ownDelay {
 					late++
 					t.Logf("call %d, way %d: an attempt %v after its caller had left, %v of it scheduling delay of the test",
 						i,
-						i%ways, came.Sub(at), own)
+						i%ways, arrival.Sub(at), ownDelay)
 				}
 			}
 			one.mu.Unlock()
@@ -391,8 +391,8 @@
 }
 
 // TestOutputGateDropsSetUpsOfCallersThatLeft has callers leave, by CANCEL, FIN or RST, while their set-ups wait at
-// the output gate for a slow ledger disk. The set-ups must be withdrawn: none is sent to a case server, also not as
-// the patience ends.
+// the output gate for a slow ledger disk. The set-ups must be withdrawn: none is sent to a case server, not even when
+// the longest wait for the disk (the setting patience) is over.
 func TestOutputGateDropsSetUpsOfCallersThatLeft(t *testing.T) {
 	t.Parallel()
 	s := newTestbed(t, 1, standin.ServerConfig{HoldTime: [2]time.Duration{time.Second, time.Second}})
--- a/cmd/threadglade/bench_test.go
+++ b/cmd/threadglade/bench_test.go
@@ -42,8 +42,8 @@
 	bytesPerCall     float64 // written to the ledger or the trace
 }
 
-// measure runs a router in a mode under load for a span. rate is in calls a second; 0 means as many calls as it can
-// carry.
+// measure runs a router in a mode under load for a span of time. rate is in calls per second; at 0 the callers make as
+// many calls as the router can handle.
 func measure(b *testing.B, program, mode string, rate float64, span time.Duration) measurement {
 	s := newTestbed(b, 3, standin.ServerConfig{Seed: 1, HoldTime: [2]time.Duration{time.Millisecond, 3 * time.Millisecond},
 		FreeAgents: 1 << 19})
@@ -89,17 +89,17 @@
 	c.terminate(b)
 	use := c.cmd.ProcessState.SysUsage().(*syscall.Rusage)
 	cpu := time.Duration(use.Utime.Nano() + use.Stime.Nano())
-	o := measurement{callsPerSecond: float64(n.Stood) / took.Seconds(),
+	result := measurement{callsPerSecond: float64(n.Stood) / took.Seconds(),
 		cpuMicrosPerCall: float64(cpu.Microseconds()) / float64(n.Stood)}
 	if len(n.Latency) > 0 {
 		slices.Sort(n.Latency)
-		o.p50, o.p99 = n.Latency[len(n.Latency)/2], n.Latency[len(n.Latency)*99/100]
+		result.p50, result.p99 = n.Latency[len(n.Latency)/2], n.Latency[len(n.Latency)*99/100]
 	}
 	switch mode {
 	case "ledger":
 		v, err := ledgerio.Inspect(fileSystem, dir)
 		require.NoError(b, err)
-		o.bytesPerCall = float64(v.Bytes) / float64(n.Stood)
+		result.bytesPerCall = float64(v.Bytes) / float64(n.Stood)
 	case "trace":
 		files, err := filepath.Glob(filepath.Join(dir, "*"+traceio.Extension))
 		require.NoError(b, err)
@@ -117,9 +117,9 @@
 			f.Close()
 		}
 		require.Equal(b, n.Offered, requests, "the trace is complete")
-		o.bytesPerCall = float64(size) / float64(requests)
+		result.bytesPerCall = float64(size) / float64(requests)
 	}
-	return o
+	return result
 }
 
 // startKeepers starts three keepers, and one more router in each of zones, and returns the path of the settings of a
@@ -179,11 +179,11 @@
 					if mode == "other" {
 						program = os.Getenv("OTHER")
 					}
-					o := measure(b, program, mode, rate, 4*time.Second)
-					calls[i], cpu[i] = append(calls[i], o.callsPerSecond), append(cpu[i], o.cpuMicrosPerCall)
-					p50[i], p99[i] = append(p50[i], float64(o.p50.Microseconds())),
-						append(p99[i], float64(o.p99.Microseconds()))
-					bytes[i] = o.bytesPerCall
+					result := measure(b, program, mode, rate, 4*time.Second)
+					calls[i], cpu[i] = append(calls[i], result.callsPerSecond), append(cpu[i], result.cpuMicrosPerCall)
+					p50[i], p99[i] = append(p50[i], float64(result.p50.Microseconds())),
+						append(p99[i], float64(result.p99.Microseconds()))
+					bytes[i] = result.bytesPerCall
 				}
 			}
 			for i, mode := range modes {
@@ -297,14 +297,14 @@
 		}))
 	}
 	all := filepath.Join(dir, "all"+traceio.Extension)
-	runTrace := func(what string, args ...string) {
+	runTrace := func(metric string, args ...string) {
 		cmd := exec.Command(os.Args[0], append([]string{"trace"}, args...)...)
 		cmd.Env = append(os.Environ(), "CHILD=1")
 		start := time.Now()
 		text, err := cmd.CombinedOutput()
 		require.NoError(b, err, string(text))
-		b.ReportMetric(time.Since(start).Seconds(), "s-"+what)
-		b.ReportMetric(float64(cmd.ProcessState.SysUsage().(*syscall.Rusage).Maxrss)/1024, "MB-"+what)
+		b.ReportMetric(time.Since(start).Seconds(), "s-"+metric)
+		b.ReportMetric(float64(cmd.ProcessState.SysUsage().(*syscall.Rusage).Maxrss)/1024, "MB-"+metric)
 	}
 	for b.Loop() {
 		b.ReportMetric(float64(size)/routers/calls, "bytes/call")
--- a/cmd/threadglade/child_test.go
+++ b/cmd/threadglade/child_test.go
@@ -38,7 +38,7 @@
 }
 
 // crashFS kills the process at a file operation: "write" in the middle of the write, any other operation before it is
-// executed. "slow" doesn't kill but has that write and every later one take 3 s.
+// executed. The operation "slow" doesn't kill the process but delays that write and every later one by 3 s.
 type crashFS struct {
 	durable.FS
 	mu                  sync.Mutex
@@ -212,7 +212,8 @@
 	servers []*standin.Server
 }
 
-// newTestbed starts a name service and so many case servers, each with cfg under a name and number of its own.
+// newTestbed starts a name service and the given number of case servers. Each has the configuration cfg, but an ID and
+// a number of its own.
 func newTestbed(t testing.TB, servers int, cfg standin.ServerConfig) *testbed {
 	s := &testbed{t: t, dir: t.TempDir()}
 	var err error
@@ -232,7 +233,7 @@
 	return s
 }
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns a loopback address with an unused port.
 func freeAddress(testing.TB) string { return standin.FreeAddr() }
 
 // writeConfig writes a router's configuration and returns the environment that refers to it.
--- a/cmd/threadglade/drill_mutant_test.go
+++ b/cmd/threadglade/drill_mutant_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestFleetMutantsOfWork does the same for a fault in the takeover of calls that needs a stopped process to show.
+// TestFleetMutantsOfWork does the same for a fault in the takeover of calls that shows only if a process is stopped.
 func TestFleetMutantsOfWork(t *testing.T) {
 	t.Parallel()
 	require.Contains(t, takeover.Mutants, "late-words")
--- a/cmd/threadglade/ledger_test.go
+++ b/cmd/threadglade/ledger_test.go
@@ -42,7 +42,7 @@
 	return ledger.Unassigned
 }
 
-// observedCalls is what the case servers observed, in the ledger's terms.
+// observedCalls is what the case servers observed, in terms that can be compared with a ledger.
 type observedCalls struct {
 	established      map[uint64]bool
 	establishedByKey map[ledger.Key]int64
@@ -54,11 +54,11 @@
 
 // observe collects what the case servers observed of the calls of loads. A call may be established only once.
 func (s *testbed) observe(loads ...*standin.Load) *observedCalls {
-	t := &observedCalls{established: map[uint64]bool{}, establishedByKey: map[ledger.Key]int64{}}
+	observed := &observedCalls{established: map[uint64]bool{}, establishedByKey: map[ledger.Key]int64{}}
 	for _, one := range s.servers {
-		t.odd += one.Counts().Odd
+		observed.odd += one.Counts().Odd
 		for id, c := range one.Calls() {
-			t.received += int64(c.Received)
+			observed.received += int64(c.Received)
 			if !c.Answered {
 				continue
 			}
@@ -67,17 +67,17 @@
 				hungUp = hungUp || l.IsReleased(id)
 			}
 			if c.ReleasedByCaller && !hungUp {
-				t.crossed++
+				observed.crossed++
 				continue
 			}
 			key := ledger.CallKey(id)
-			require.False(s.t, t.established[key], "%s was established twice", id)
-			t.established[key] = true
-			t.establishedByKey[ledger.Key{Tenant: tenantOf(c.Number), Class: c.Class}]++
-			t.held += c.HoldTime
+			require.False(s.t, observed.established[key], "%s was established twice", id)
+			observed.established[key] = true
+			observed.establishedByKey[ledger.Key{Tenant: tenantOf(c.Number), Class: c.Class}]++
+			observed.held += c.HoldTime
 		}
 	}
-	return t
+	return observed
 }
 
 // compareExports requires the merged exports in the directories outs to agree with what the case servers observed: the
@@ -152,7 +152,7 @@
 		Classes: []string{"voice", "data"}, NumberPrefixes: []string{"92", "93", "94", "95"}, HangUpShare: 0.2,
 		HangUpDelay: 100 * time.Millisecond, RepeatShare: 0.1})
 	random := rand.New(rand.NewPCG(11, 1))
-	byStep, steady := 0, 0
+	killedAtStep, killedByTimer := 0, 0
 	for run := range 56 {
 		more := append([]string(nil), env...)
 		wait := time.Duration(40+random.IntN(160)) * time.Millisecond
@@ -163,14 +163,14 @@
 		c.waitReady(t)
 		select {
 		case <-c.exited:
-			byStep++
+			killedAtStep++
 			require.Equal(t, syscall.SIGKILL, c.cmd.ProcessState.Sys().(syscall.WaitStatus).Signal(), c.log())
 		case <-time.After(wait):
-			steady++
+			killedByTimer++
 		}
 		c.kill()
 	}
-	require.Greater(t, byStep, 20, "processes killed at their step")
+	require.Greater(t, killedAtStep, 20, "processes killed at their step")
 	last := startChild(t, env, args...)
 	last.waitReady(t)
 	time.Sleep(300 * time.Millisecond) // some calls of a process that isn't killed
@@ -185,8 +185,8 @@
 	text, code = runTool(t, "ledger", "export", dir, "--to", out)
 	require.Zero(t, code, text)
 	u := s.compareExports([]string{out}, load)
-	t.Logf("%d processes killed at a step, %d at a random time; callers saw %+v; stated %v", byStep, steady, counts,
-		u.Map())
+	t.Logf("%d processes killed at a step, %d at a random time; callers saw %+v; stated %v", killedAtStep,
+		killedByTimer, counts, u.Map())
 	require.NotZero(t, u[ledger.Recovered])
 	require.GreaterOrEqual(t, u[ledger.EstablishedInTime]+u[ledger.EstablishedLate], int64(counts.Stood),
 		"every call that was established for its caller")
@@ -278,7 +278,7 @@
 			ends++
 			troubled := slices.ContainsFunc(acked, troubledAt)
 			switch {
-			// with the disk in trouble calls continue without waiting for it, as documented
+			// while the disk is too slow, calls continue without waiting for it, as documented
 			case unknown[id] && troubled:
 				lost++
 			case unknown[id]:
@@ -286,8 +286,8 @@
 			}
 		}
 	}
-	t.Logf("disk in trouble in %d processes; %d calls, %d ends acknowledged, %d unknown, %d of both in those; "+
-		"%d established but in no statement; %d of either in other processes\n%s",
+	t.Logf("disk too slow in %d processes; %d calls, %d ends acknowledged, %d unknown, %d of them acknowledged by these "+
+		"processes; %d established but in no statement; %d of either in other processes\n%s",
 		troubledRuns, calls, ends, len(unknown), lost, unstated, len(open), strings.Join(open, "\n"))
 	require.Empty(t, open)
 }
@@ -329,8 +329,8 @@
 	u := s.compareExports(outs, loads...)
 	require.EqualValues(t, stood, u[ledger.EstablishedInTime]+u[ledger.EstablishedLate])
 	require.NotZero(t, u[ledger.Repeats])
-	saw := s.observe(loads...)
-	require.InDelta(t, saw.held.Milliseconds(), u[ledger.HeldMs], 0.05*float64(saw.held.Milliseconds())+20)
+	observed := s.observe(loads...)
+	require.InDelta(t, observed.held.Milliseconds(), u[ledger.HeldMs], 0.05*float64(observed.held.Milliseconds())+20)
 
 	// The merge command: its figures, its report, and its findings on a missing and a copied file.
 	csv, html := filepath.Join(s.dir, "all.csv"), filepath.Join(s.dir, "all.html")
@@ -385,14 +385,14 @@
 			period = formatMillis(e.From)
 		}
 	}
-	fix := []string{"ledger", "correct", dir, "--tenant", "lda", "--class", "voice", "--field", "held_ms", "--delta",
-		"-250", "--reason", "ticket 7", "--by", "desk 4", "--period"}
-	text, code := runTool(t, append(fix, period)...)
+	correctArgs := []string{"ledger", "correct", dir, "--tenant", "lda", "--class", "voice", "--field", "held_ms",
+		"--delta", "-250", "--reason", "ticket 7", "--by", "desk 4", "--period"}
+	text, code := runTool(t, append(correctArgs, period)...)
 	require.Zero(t, code, text)
-	text, code = runTool(t, append(fix, formatMillis(time.Now().Truncate(time.Second).UnixMilli()))...)
+	text, code = runTool(t, append(correctArgs, formatMillis(time.Now().Truncate(time.Second).UnixMilli()))...)
 	require.Equal(t, exitFinding, code)
 	require.Contains(t, text, "is not exported yet")
-	_, code = runTool(t, append(fix, "yesterday")...)
+	_, code = runTool(t, append(correctArgs, "yesterday")...)
 	require.Equal(t, exitUsage, code)
 	time.Sleep(1300 * time.Millisecond)
 	text, code = runTool(t, "ledger", "export", dir, "--to", out)
@@ -483,7 +483,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	load := standin.StartLoad(ctx, standin.LoadConfig{Target: func() string { return listen }, Connections: 2,
 		Rate: 300, Classes: []string{"voice"}, NumberPrefixes: []string{"92"}})
-	hup := func(text, logged string) {
+	reload := func(text, logged string) {
 		s.writeFile("settings", text)
 		time.Sleep(100 * time.Millisecond)
 		require.NoError(t, c.cmd.Process.Signal(syscall.SIGHUP))
@@ -491,8 +491,8 @@
 			5*time.Millisecond, c.log)
 		time.Sleep(100 * time.Millisecond)
 	}
-	hup(text[:len(text)-2]+"\n  (tenent \"x\")))", `settings:5: threadglade ledger: unknown field \"tenent\"`)
-	hup(strings.Replace(text, `"one"`, `"two"`, 1), "ledger_tenants")
+	reload(text[:len(text)-2]+"\n  (tenent \"x\")))", `settings:5: threadglade ledger: unknown field \"tenent\"`)
+	reload(strings.Replace(text, `"one"`, `"two"`, 1), "ledger_tenants")
 	cancel()
 	n := load.Wait()
 	require.Zero(t, n.Failed+n.Lost+n.Odd)
--- a/cmd/threadglade/trace_test.go
+++ b/cmd/threadglade/trace_test.go
@@ -113,9 +113,9 @@
 	}
 	require.Equal(t, received, sent)
 
-	story := run("explain", all, first)
-	require.Contains(t, story, "Attempt 1 went to s")
-	require.Contains(t, story, "rejected, processor full")
+	explanation := run("explain", all, first)
+	require.Contains(t, explanation, "Attempt 1 went to s")
+	require.Contains(t, explanation, "rejected, processor full")
 	var groups []*trace.Group
 	require.NoError(t, json.Unmarshal([]byte(run("summary", all, "--by", "class", "--json")), &groups))
 	require.Len(t, groups, 2)
--- a/cmd/threadglade/upgrade_test.go
+++ b/cmd/threadglade/upgrade_test.go
@@ -63,8 +63,8 @@
 }
 
 // request sends a request to the management server and returns the HTTP status, or 0 if there is no response.
-func (v *routerProcess) request(method, path string) int {
-	req, _ := http.NewRequest(method, "http://"+v.mgmtAddr+"/-/"+path, nil)
+func (p *routerProcess) request(method, path string) int {
+	req, _ := http.NewRequest(method, "http://"+p.mgmtAddr+"/-/"+path, nil)
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(req)
 	if err != nil {
@@ -85,7 +85,7 @@
 	u.stop = cancel
 }
 
-// waitEstablished waits until so many more calls have been established.
+// waitEstablished waits until that many more calls have been established.
 func (u *upgradeTest) waitEstablished(more int) {
 	from := u.load.Counts().Stood
 	require.Eventually(u.t, func() bool { return u.load.Counts().Stood >= from+more }, 10*time.Second,
@@ -245,7 +245,7 @@
 func TestUpgradeLeftOvers(t *testing.T) {
 	t.Parallel()
 	path := func(u *upgradeTest) string { return handover.Path(u.tmpDir, "n0") }
-	for what, prepare := range map[string]func(t *testing.T, u *upgradeTest){
+	for name, prepare := range map[string]func(t *testing.T, u *upgradeTest){
 		"socket of a killed process": func(t *testing.T, u *upgradeTest) {
 			l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path(u)})
 			require.NoError(t, err)
@@ -273,7 +273,7 @@
 			}()
 		},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			u := newUpgrade(t)
 			prepare(t, u)
@@ -365,7 +365,7 @@
 	require.Zero(t, n.Odd, "%+v", n)
 	refused := n.Refused - before.Refused
 	t.Logf("%d of 300 a second refused while the name passed to the new process", refused)
-	require.Less(t, refused, 300, "a second without a share")
+	require.Less(t, refused, 300, "calls were refused for a second or more, for lack of a share")
 }
 
 // newReleaseOnCloseServer starts a case server that sends the release of each of its calls only after it has read the
