--- a/internal/ledgerio/recorder_test.go
+++ b/internal/ledgerio/recorder_test.go
@@ -476,14 +476,14 @@
 	require.Equal(t, []int{1, 1}, []int{tenants, networks})
 	for text, want := range map[string]string{
 		"(period 1h)":                                     "directory: is missing",
-		"(directory d) (period 7m)":                       "period: period: 7m0s is no part of a day",
+		"(directory d) (period 7m)":                       "period: period: 7m0s must divide a day evenly",
 		"(directory d) (period 25h)":                      "period",
 		"(directory d) (sync 1y)":                         "sync",
 		"(directory d) (grace 2h)":                        "grace",
 		"(directory d) (when-unwritable panic)":           "when-unwritable",
 		"(directory d) (precedence moon)":                 "precedence",
 		"(directory d)\n(tenant a (networks 10.0.0.1/8))": "f:2: threadglade ledger tenant networks",
-		"(directory d)\n(tenant a)\n(tenant a)":           `f:3: threadglade ledger tenant: "a" stands twice`,
+		"(directory d)\n(tenant a)\n(tenant a)":           `f:3: threadglade ledger tenant: "a" is listed twice`,
 		"(directory d) (colour red)":                      `unknown field "colour"`,
 	} {
 		_, err := read(text)
--- a/ledger/entry.go
+++ b/ledger/entry.go
@@ -15,12 +15,12 @@
 // Kinds of entries.
 const (
 	KindCheckpointBegin EntryKind = iota + 1 // a checkpoint begins; the entries up to its end hold the whole state
-	KindName                                 // later entries refer to Text by Index
+	KindName                                 // defines a name: later entries refer to Text by Index
 	KindAttempt                              // an attempt is about to be sent to Server; Usage counts earlier ones
 	KindAnswer                               // Call is established, in time or not
 	KindEnd                                  // Call is over; Usage is everything that it counts
 	KindSpilled                              // usage of Count calls that ended in Period while the buffer was full
-	KindRemoved                              // Call is over and in spilled totals, or is in another router's ledger
+	KindRemoved                              // Call is no longer open: it is in totals or in another router's ledger
 	KindClose                                // the periods from From to Period are closed, as statement number Sequence
 	KindCheckpointEnd                        // a checkpoint ends; Period is the end of the last closed period
 	KindUsedPeriod                           // only in a checkpoint: calls have ended in Period, which is not closed
@@ -40,7 +40,7 @@
 	Established bool // KindEnd with an unknown result: the call is known to have been established
 	Usage       Usage
 	// Period is the start of the period for KindSpilled and KindUsedPeriod, the end of the closed range for KindClose
-	// and KindCheckpointEnd, and the length of periods for KindCheckpointBegin.
+	// and KindCheckpointEnd, and the length of a period for KindCheckpointBegin.
 	Period int64
 	// From is the start of the range for KindClose, the time of the last attempt for a KindEnd with an unknown result,
 	// the time of an event that is recorded later than it happened for KindAttempt and KindAnswer, and the
@@ -50,7 +50,7 @@
 	Text     string // KindName: the name; KindCheckpointBegin: the router's name
 	Sequence uint64
 	Count    uint64
-	Grace    int64 // KindCheckpointBegin
+	Grace    int64 // KindCheckpointBegin: Settings.Grace
 }
 
 // CallKey returns the number that identifies a call in the ledger: the value of an ID of 16 hex digits, or a hash of
@@ -113,8 +113,8 @@
 	return insertLength(b, start)
 }
 
-// insertLength writes the length of everything after index at, as a varint, to index at. If the varint needs more than
-// the one byte reserved there, it moves the bytes that follow.
+// insertLength writes the length of the bytes after b[at], as a varint, at index at. If the varint needs more than the
+// one byte that is reserved there, the bytes after it are moved.
 func insertLength(b []byte, at int) []byte {
 	n := len(b) - at - 1
 	if n < 128 {
@@ -122,17 +122,17 @@
 		return b
 	}
 	var size [10]byte
-	head := protowire.AppendVarint(size[:0], uint64(n))
-	b = append(b, head[1:]...)
-	copy(b[at+len(head):], b[at+1:at+1+n])
-	copy(b[at:], head)
+	encodedLength := protowire.AppendVarint(size[:0], uint64(n))
+	b = append(b, encodedLength[1:]...)
+	copy(b[at+len(encodedLength):], b[at+1:at+1+n])
+	copy(b[at:], encodedLength)
 	return b
 }
 
 var errMalformedEntry = errors.New("malformed ledger entry")
 
-// Decode decodes the entries of a payload and calls each for every one; the Entry is valid only during the call. It
-// stops at the first error.
+// Decode decodes the entries of a payload and passes them to each one by one; an Entry is valid only until each
+// returns. It stops at the first error.
 func Decode(b []byte, each func(*Entry) error) error {
 	var e Entry
 	for len(b) > 0 {
@@ -156,8 +156,8 @@
 	return nil
 }
 
-// decode decodes one entry. Unknown fields, as a later version may write, are an error: an entry that is only partly
-// understood would be counted wrongly.
+// decode decodes one entry. Unknown fields, which a later version may write, are an error: an entry that is only
+// partly understood would be counted wrongly.
 func (e *Entry) decode(b []byte) error {
 	*e = Entry{}
 	for len(b) > 0 {
@@ -223,11 +223,11 @@
 			case 11:
 				for len(v) > 0 {
 					f := v[0]
-					figure, size := protowire.ConsumeVarint(v[1:])
+					value, size := protowire.ConsumeVarint(v[1:])
 					if size < 0 || f >= byte(FieldCount) {
 						return errMalformedEntry
 					}
-					e.Usage[f] = protowire.DecodeZigZag(figure)
+					e.Usage[f] = protowire.DecodeZigZag(value)
 					v = v[1+size:]
 				}
 			case 15:
--- a/ledger/export.go
+++ b/ledger/export.go
@@ -40,10 +40,10 @@
 
 // Correction changes one field of a period that is already closed.
 type Correction struct {
-	Number uint64 `json:"number"` // within its export, from 1
-	Origin string `json:"origin"` // "late": a call was counted after the closing; "operator"
-	Entry  uint64 `json:"entry,omitempty"`
-	Period int64  `json:"period_ms"` // start of the period that it corrects
+	Number uint64 `json:"number"`          // within its export, from 1
+	Origin string `json:"origin"`          // "late": calls counted after the closing; "operator": made by hand
+	Entry  uint64 `json:"entry,omitempty"` // number in the log of operators' corrections, from 1
+	Period int64  `json:"period_ms"`       // start of the period that it corrects
 	Tenant string `json:"tenant"`
 	Class  string `json:"class"`
 	Field  string `json:"field"`
@@ -80,12 +80,12 @@
 	From     int64  `json:"from_ms"`
 	To       int64  `json:"to_ms"`
 	Length   int64  `json:"period_ms"`
-	// Spilled counts the calls in Lines that the list of calls lacks, because they were counted as totals.
+	// Spilled counts the calls in Lines that are missing from the list of calls, because only totals were kept of them.
 	Spilled     uint64        `json:"spilled,omitempty"`
 	Lines       []Line        `json:"lines"`
 	Corrections []Correction  `json:"corrections,omitempty"`
 	Unknown     []UnknownCall `json:"unknown,omitempty"`
-	Count       uint64        `json:"calls_listed"` // calls that were established
+	Count       uint64        `json:"calls_listed"` // number of established calls in the list
 }
 
 // header is the content of the first frame: the fields of an Export other than its rows, and the numbers of rows.
@@ -163,8 +163,8 @@
 	d.Write(payload)
 }
 
-// Encode passes the export and its calls, ascending, to write frame by frame, and sets the ID. The same content gives
-// the same frames.
+// Encode passes the export and its calls, which must be in ascending order, to write frame by frame, and sets the ID.
+// The same content always gives the same frames.
 func (e *Export) Encode(calls []uint64, write func(kind uint16, payload []byte) error) error {
 	contentHash := digest{sha256.New()}
 	var firstErr error
@@ -211,10 +211,11 @@
 }
 
 // ErrInvalidExport is wrapped by errors for frames that are intact but don't form a valid export.
-var ErrInvalidExport = errors.New("is not an export")
+var ErrInvalidExport = errors.New("invalid export")
 
 // DecodeExport reads an export from the frames that next returns. If there are too few, it returns next's error, such
-// as io.EOF. calls, unless nil, receives the listed calls, ascending, in parts that are valid only during the call.
+// as io.EOF. Unless calls is nil, it is called with the listed calls in ascending order, in parts; a part is valid only
+// until calls returns.
 func DecodeExport(next func() (kind uint16, payload []byte, err error), calls func([]uint64) error) (*Export, error) {
 	contentHash := digest{sha256.New()}
 	invalid := func(format string, args ...any) error {
@@ -235,7 +236,7 @@
 		return nil, err
 	}
 	if kind != frameHeader {
-		return nil, invalid("first frame is of kind %d", kind)
+		return nil, invalid("the first frame is of kind %d, which is not a header", kind)
 	}
 	if err := decodeJSON(payload, &head); err != nil {
 		return nil, err
@@ -244,7 +245,7 @@
 	export = Export{Router: head.Router, Sequence: head.Sequence, From: head.From, To: head.To, Length: head.Length,
 		Spilled: head.Spilled, Count: head.Calls}
 	if head.Length <= 0 || head.To <= head.From || head.Sequence == 0 {
-		return nil, invalid("invalid statement from %d to %d with periods of %d ms", head.From, head.To, head.Length)
+		return nil, invalid("impossible statement from %d to %d with periods of %d ms", head.From, head.To, head.Length)
 	}
 	var list CallList
 	for {
@@ -278,11 +279,11 @@
 			}
 		case frameTrailer:
 			if export.ID = hex.EncodeToString(contentHash.Sum(nil)); hex.EncodeToString(payload) != export.ID {
-				return nil, invalid("content has hash %s, but the ID is %x", export.ID, payload)
+				return nil, invalid("the content has hash %s, but the ID is %x", export.ID, payload)
 			}
 			if len(export.Lines) != head.Lines || len(export.Corrections) != head.Corrections ||
 				len(export.Unknown) != head.Unknown || list.count != head.Calls {
-				return nil, invalid("numbers of rows or calls differ from the header's")
+				return nil, invalid("the number of rows or calls differs from the header")
 			}
 			return &export, export.check()
 		default:
@@ -297,19 +298,19 @@
 
 // CallList decodes the list of an export's calls from its frames, given in order.
 type CallList struct {
-	last  uint64 // latest call
-	count uint64 // calls so far
+	last  uint64 // last call decoded
+	count uint64 // calls decoded so far
 	part  []uint64
 }
 
-// Decode returns the calls that a frame lists, ascending, and none for a frame of another kind. The slice is valid
-// until the next Decode.
+// Decode returns the calls that a frame lists, in ascending order, or none for a frame of another kind. The slice is
+// valid until the next Decode.
 func (l *CallList) Decode(kind uint16, payload []byte) ([]uint64, error) {
 	l.part = l.part[:0]
 	for b := payload; kind == frameCalls && len(b) > 0; {
 		delta, n := binary.Uvarint(b)
 		if n <= 0 || delta == 0 && l.count > 0 || l.last+delta < l.last {
-			return nil, fmt.Errorf("%w: list of calls is out of order", ErrInvalidExport)
+			return nil, fmt.Errorf("%w: the list of calls is not in ascending order", ErrInvalidExport)
 		}
 		b, l.last = b[n:], l.last+delta
 		l.count++
@@ -327,7 +328,8 @@
 	}
 	for _, c := range e.Corrections {
 		if _, err := ParseField(c.Field); err != nil || c.Period >= e.From {
-			return fmt.Errorf("%w: correction %d of period %d", ErrInvalidExport, c.Number, c.Period)
+			return fmt.Errorf("%w: correction %d has an unknown field, or its period %d is not before the export's",
+				ErrInvalidExport, c.Number, c.Period)
 		}
 	}
 	return nil
--- a/ledger/keeper.go
+++ b/ledger/keeper.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// maxNames limits the names in the ledger; calls with names beyond it count as Other's. Server names, which keep
-	// being replaced, and tenants that set-ups state have lower limits of their own, so that they can't use up the room
-	// of the tenants in the settings.
+	// maxNames limits the names in the ledger; calls with further names are counted under Other. Servers come and go,
+	// and set-ups may state any tenant, so names of both have lower limits of their own, which always leave room for
+	// the tenants and classes of the settings.
 	maxNames         = 200_000
 	maxServerNames   = 50_000
 	maxStatedTenants = 50_000
 	// Other is the tenant, class or server of calls whose names exceed the limits.
 	Other = "(other)"
-	// maxSpilledTotals limits the (period, tenant, class) totals while entries can't be buffered; calls beyond it count
-	// as Other's.
+	// maxSpilledTotals limits the totals, one for each period, tenant and class, that are kept while the entry buffer
+	// is full; further calls are counted under Other.
 	maxSpilledTotals = 100_000
 )
 
-// Class holds the set-up time and the worth by which calls of a class are counted.
+// Class holds the target set-up time and the worth of the calls of a class.
 type Class struct {
 	Aim            time.Duration // a call established within it, counted from its set-up, is in time
 	WorthMilli     int64         // thousandths, for a call that was established in time and not cut
@@ -47,7 +47,7 @@
 	Tenants *Directory // nil: all calls are Unassigned
 	// WallClock returns the time of day in milliseconds since the Unix epoch. It may jump.
 	WallClock func() int64
-	// MaxEntries limits the entries that wait for Take; 0 means 16,384. Beyond it only totals are kept.
+	// MaxEntries limits the entries that wait for Take; 0 means 16,384. Beyond the limit only totals are kept.
 	MaxEntries int
 }
 
@@ -58,24 +58,24 @@
 	settings       Settings
 	nameIndex      map[string]uint32
 	names          []string
-	limitedNames   [2]int               // new names of servers and of stated tenants since the start, by source
+	limitedNames   [2]int               // new names of servers and stated tenants since the start, by source of name
 	calls          map[string]*liveCall // calls of this process, by ID
 	freeCalls      []*liveCall
-	earlier        map[uint64]*OpenCall     // calls of earlier processes or taken over, whose end is not known
-	suspended      map[uint64]*suspendedEnd // those of earlier that other routers may have taken over
+	earlier        map[uint64]*OpenCall     // open calls of earlier processes, or taken over from other routers
+	suspended      map[uint64]*suspendedEnd // calls of earlier that other routers may have taken over
 	earlierBySince []*OpenCall              // earlier, sorted by SentAt; may also hold calls that have ended
 	now            int64                    // ledger time, which never goes back
 	closed         int64                    // all periods before it are closed; 0: no period has started
 	sequence       uint64                   // number of the latest statement
 	usedPeriods    map[int64]bool           // starts of periods that are not closed and in which calls have ended
-	entries        []Entry                  // wait for Take
-	spill          *spillBuffer             // not nil: entries is full
+	entries        []Entry                  // entries that wait for Take
+	spill          *spillBuffer             // nil unless entries is full
 	counters       KeeperCounters
 }
 
 // KeeperCounters count what a Keeper has done since its start. Unspoken counts releases of calls that are not in the
-// ledger, Ceded calls left to another router. Open, Old and Waiting are the calls of this process, the calls of earlier
-// processes and the entries that it holds now.
+// ledger, and Ceded calls that another router has taken over. Open (calls of this process), Old (calls of earlier
+// processes) and Waiting (entries) are current numbers.
 type KeeperCounters struct {
 	Calls      uint64
 	Entries    uint64
@@ -99,7 +99,7 @@
 
 // liveCall is a call of this process.
 type liveCall struct {
-	arrivedAt     time.Duration // on the router's clock, as establishedAt
+	arrivedAt     time.Duration // on the router's clock, as is establishedAt
 	establishedAt time.Duration
 	sentMs        int64 // ledger time of the latest attempt
 	answeredMs    int64 // ledger time of the answer
@@ -117,8 +117,8 @@
 	usage         Usage
 }
 
-// spillBuffer holds totals of calls for which no entries could be buffered, and the keys of those among them that have
-// earlier entries.
+// spillBuffer holds the totals of calls that ended while the entry buffer was full. removed holds the keys of those
+// that have earlier entries.
 type spillBuffer struct {
 	totals  map[spillKey]*spillTotal
 	removed []uint64
@@ -193,8 +193,8 @@
 	settingsName
 )
 
-// internName returns the index of a name. It adds an entry that defines a new one, or returns Other's index where there
-// is no room for it.
+// internName returns the index of a name. It adds a KindName entry for a new name, or returns the index of Other if a
+// limit is reached.
 func (k *Keeper) internName(text string, source int) uint32 {
 	if i, known := k.nameIndex[text]; known {
 		return i
@@ -213,13 +213,13 @@
 	i := uint32(len(k.names))
 	k.names = append(k.names, text)
 	k.nameIndex[text] = i
-	// Names are added even to a full buffer: other entries refer to them.
+	// A name is added even if the buffer is full, since other entries refer to it.
 	k.entries = append(k.entries, Entry{Kind: KindName, Index: i, Text: text})
 	return i
 }
 
-// spilling reports whether calls are counted in totals because the entry buffer is full, and starts that when it has
-// just become full.
+// spilling reports whether the entry buffer is full, so that calls are counted only in totals. It creates the
+// spillBuffer when the entry buffer has just become full.
 func (k *Keeper) spilling() bool {
 	if k.spill == nil && len(k.entries) >= k.cfg.MaxEntries {
 		k.spill = &spillBuffer{totals: map[spillKey]*spillTotal{}}
@@ -286,7 +286,7 @@
 	}
 }
 
-// relinquish turns an established call into one that another router may have taken over.
+// relinquish moves an established call to the suspended ones, because another router may take it over.
 func (k *Keeper) relinquish(id string, call *liveCall) {
 	delete(k.calls, id)
 	c := &OpenCall{Call: call.call, Tenant: call.tenant, Class: call.class, Server: call.server, Attempt: call.attempt,
@@ -299,7 +299,7 @@
 	k.suspended[call.call] = &suspendedEnd{}
 }
 
-// addEarlier adds a call to those of earlier processes.
+// addEarlier adds a call to k.earlier.
 func (k *Keeper) addEarlier(c *OpenCall) {
 	k.earlier[c.Call] = c
 	at, _ := slices.BinarySearchFunc(k.earlierBySince, c, func(a, b *OpenCall) int {
@@ -316,8 +316,8 @@
 	EstablishedAt             int64 // ledger time of the answer
 }
 
-// Adopt adds a call that was taken over to those of earlier processes; its UnknownTimeout starts now. It returns false
-// if the call is in the ledger already.
+// Adopt adds a call that this router has taken over to the calls of earlier processes; its UnknownTimeout starts now.
+// It returns false if the ledger already has the call.
 func (k *Keeper) Adopt(t TakenOverCall) bool {
 	key := CallKey(t.ID)
 	if (k.calls[t.ID] != nil || k.earlier[key] != nil) && mutant != "adopt-once" {
@@ -338,7 +338,7 @@
 	return true
 }
 
-// RemoveCall removes an earlier call that is in another router's ledger.
+// RemoveCall removes a call of an earlier process that is now in another router's ledger.
 func (k *Keeper) RemoveCall(call uint64) {
 	if k.earlier[call] == nil {
 		return
@@ -353,8 +353,8 @@
 	}
 }
 
-// SuspendOpenCalls suspends the calls of earlier processes until ResumeOpenCalls says which of them other routers have
-// taken over, and returns their IDs. Releases of suspended calls are kept but not counted.
+// SuspendOpenCalls suspends the calls of earlier processes and returns their IDs. Releases of suspended calls are kept
+// but not counted until ResumeOpenCalls, whose caller knows which of the calls other routers have taken over.
 func (k *Keeper) SuspendOpenCalls() (ids []string) {
 	if k.suspended = map[uint64]*suspendedEnd{}; mutant == "own-books" {
 		return nil
@@ -366,8 +366,8 @@
 	return ids
 }
 
-// ResumeOpenCalls removes the suspended calls that other routers have taken over. The others are this router's: it
-// counts those that were released while they were suspended.
+// ResumeOpenCalls removes the suspended calls that other routers have taken over. The rest belong to this router; those
+// that were released while they were suspended are counted now.
 func (k *Keeper) ResumeOpenCalls(taken []string) {
 	for _, id := range taken {
 		if call := CallKey(id); k.suspended[call] != nil && mutant != "keep-taken" {
@@ -412,14 +412,14 @@
 	k.counters.Calls++
 }
 
-// recordAttempt adds an entry of the call's latest attempt, if there is room.
+// recordAttempt adds an entry for the call's latest attempt, unless the entry buffer is full.
 func (k *Keeper) recordAttempt(call *liveCall) {
 	if k.spilling() {
 		return
 	}
 	e := Entry{Kind: KindAttempt, At: call.sentMs, Call: call.call, Tenant: call.tenant, Class: call.class,
 		Server: call.server, Attempt: call.attempt, Retry: call.retry, Usage: call.usage}
-	e.Usage[Offered], e.Usage[Repeats] = 0, 0 // given by Entry.Retry
+	e.Usage[Offered], e.Usage[Repeats] = 0, 0 // set when the call ends: Offered is 1, Repeats follows from Retry
 	k.entries = append(k.entries, e)
 	call.recorded = true
 }
@@ -435,8 +435,8 @@
 	}
 }
 
-// recordEnd records the end of a call, or adds it to the totals while the entry buffer is full. recorded tells whether
-// the call has earlier entries.
+// recordEnd records the end of a call, or adds it to the totals while the entry buffer is full. recorded is true if the
+// call has earlier entries.
 func (k *Keeper) recordEnd(e Entry, recorded bool) {
 	period := k.settings.PeriodStart(e.At)
 	if k.closed == 0 {
@@ -467,8 +467,8 @@
 	}
 }
 
-// recordRelease counts the release of a call of an earlier process, once. A call that is not among those has been
-// counted before or is another router's.
+// recordRelease counts the end of a call of an earlier process when its release arrives. Other calls are ignored: they
+// have been counted before, or belong to another router.
 func (k *Keeper) recordRelease(call uint64, outcome threadglade.Outcome) {
 	open := k.earlier[call]
 	if open == nil {
@@ -486,12 +486,13 @@
 	if open.Retry {
 		usage[Repeats] = 1
 	}
-	// An answer without an entry reached a caller that had lost the router: it is not in time.
-	class, from := k.cfg.Classes[k.names[open.Class]], open.SentAt
+	// If there is no entry of the answer, the caller had lost its connection to the router by then: the call was not
+	// established in time.
+	class, heldSince := k.cfg.Classes[k.names[open.Class]], open.SentAt
 	if open.EstablishedAt > 0 {
-		from = open.EstablishedAt
+		heldSince = open.EstablishedAt
 	}
-	usage[HeldMs] = max(0, now-from)
+	usage[HeldMs] = max(0, now-heldSince)
 	if open.InTime {
 		usage[EstablishedInTime] = 1
 	} else {
@@ -513,8 +514,8 @@
 		Usage: usage}, true)
 }
 
-// Tick closes calls of earlier processes as unknown when UnknownTimeout has passed, and periods that are over. It has
-// to be called at least once a second.
+// Tick closes calls of earlier processes as unknown when UnknownTimeout has passed, and closes periods once Grace has
+// passed since their end. It has to be called at least once a second.
 func (k *Keeper) Tick() {
 	now := k.advanceTime()
 	for len(k.earlierBySince) > 0 && (now-k.earlierBySince[0].SentAt >= k.settings.UnknownTimeout ||
@@ -540,8 +541,8 @@
 	if k.closed == 0 {
 		k.closed = k.settings.PeriodStart(now)
 	}
-	// Each period in which calls ended gets its own statement. Runs of periods without any share one: after the clock
-	// jumped or the router was down for long, there may be many.
+	// Each period in which calls ended gets its own statement. Consecutive periods without any share one statement,
+	// because there may be many after a jump of the clock or a long downtime.
 	for due := k.settings.PeriodStart(now - k.settings.Grace); k.closed < due; {
 		to := k.closed + k.settings.Length
 		if !k.usedPeriods[k.closed] {
@@ -566,8 +567,8 @@
 // HasEntries reports whether Take would return entries.
 func (k *Keeper) HasEntries() bool { return len(k.entries) > 0 || k.spill != nil }
 
-// Take returns the entries since the last call, in order, with spilled totals at the end. The Keeper collects new
-// entries in next, whose contents it overwrites.
+// Take returns the entries since its last call, in order, with spilled totals at the end. The Keeper reuses the memory
+// of next for new entries and overwrites what it contains.
 func (k *Keeper) Take(next []Entry) []Entry {
 	if spill := k.spill; spill != nil {
 		keys := make([]spillKey, 0, len(spill.totals))
@@ -595,7 +596,8 @@
 	return entries
 }
 
-// recordMissedAttempts records the attempts and answers of open calls for which the entry buffer had no room.
+// recordMissedAttempts records attempts and answers of open calls that were not recorded while the entry buffer was
+// full.
 func (k *Keeper) recordMissedAttempts() {
 	for _, call := range k.calls {
 		if !call.inFlight || call.recorded {
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -35,11 +35,11 @@
 	os.Exit(m.Run())
 }
 
-// harness runs a Keeper as a process would, with its clocks and the entries taken so far.
+// harness runs a Keeper as a router process does. It simulates the clocks and keeps the entries taken so far.
 type harness struct {
 	keeper     *Keeper
-	wallMs     int64         // time of day
-	clock      time.Duration // the router's
+	wallMs     int64         // time of day, in milliseconds since the Unix epoch
+	clock      time.Duration // the router's clock
 	entries    []Entry
 	maxEntries int
 }
@@ -115,7 +115,7 @@
 	return list, c
 }
 
-// total sums up what was stated, stated late, or not stated yet.
+// total sums up the usage in statements, late usage included, and the usage that no statement contains yet.
 func total(list []*Statement, c *Collector) (u Usage) {
 	open, late := c.Pending()
 	for _, s := range append(list, open...) {
@@ -140,22 +140,22 @@
 func TestCallOutcomes(t *testing.T) {
 	lda := Key{"lda", "voice"}
 	for name, c := range map[string]struct {
-		play func(h *harness)
+		run  func(h *harness)
 		want map[int64]map[string]int64 // by the period's start in minutes since the test's start
 	}{
-		"stands and is concluded": {func(h *harness) {
+		"established and concluded": {func(h *harness) {
 			h.establish("a")
 			h.advance(1234)
 			h.finish("a", threadglade.Concluded)
 		}, map[int64]map[string]int64{0: {"offered": 1, "stood_in_time": 1, "concluded": 1, "held_ms": 1234,
 			"worth_milli": 3000}}},
-		"belongs to the period in which it ends, of three": {func(h *harness) {
+		"counted in the period in which it ends": {func(h *harness) {
 			h.establish("a")
 			h.advance(2*minute + 500)
 			h.finish("a", threadglade.Cancelled)
 		}, map[int64]map[string]int64{2: {"offered": 1, "stood_in_time": 1, "concluded": 1, "held_ms": 2*minute + 500,
 			"worth_milli": 3000}}},
-		"stands late and is cut": {func(h *harness) {
+		"established late and cut": {func(h *harness) {
 			h.arrive("a")
 			h.observe(router.Sent, "a", router.Event{Server: "s0"})
 			h.observe(router.AttemptEnded, "a", router.Event{Outcome: threadglade.Rejected})
@@ -164,26 +164,26 @@
 			h.observe(router.Established, "a", router.Event{})
 			h.finish("a", threadglade.Cut)
 		}, map[int64]map[string]int64{0: {"offered": 1, "stood_late": 1, "rejected": 1, "cut": 1}}},
-		"stands late": {func(h *harness) {
+		"established late": {func(h *harness) {
 			h.arrive("a")
 			h.observe(router.Sent, "a", router.Event{Server: "s0"})
 			h.advance(1001)
 			h.observe(router.Established, "a", router.Event{})
 			h.finish("a", threadglade.Concluded)
 		}, map[int64]map[string]int64{0: {"offered": 1, "stood_late": 1, "concluded": 1, "worth_milli": 500}}},
-		"is refused without an attempt, as a repeat": {func(h *harness) {
+		"repeat, refused without an attempt": {func(h *harness) {
 			h.observe(router.Arrived, "a", router.Event{Class: "voice", Number: "921", Retry: true})
 			h.observe(router.Refused, "a", router.Event{})
 			h.observe(router.Closed, "a", router.Event{})
 		}, map[int64]map[string]int64{0: {"offered": 1, "repeats": 1, "refused": 1}}},
-		"is left with an attempt out": {func(h *harness) {
+		"abandoned with an attempt in flight": {func(h *harness) {
 			h.arrive("a")
 			h.observe(router.Sent, "a", router.Event{Server: "s0"})
 			h.observe(router.CallerLeft, "a", router.Event{})
 			h.observe(router.AttemptEnded, "a", router.Event{Outcome: threadglade.Cancelled})
 			h.observe(router.Closed, "a", router.Event{})
 		}, map[int64]map[string]int64{0: {"offered": 1, "left": 1, "cancelled": 1}}},
-		"stood where its answer was lost": {func(h *harness) {
+		"established at a server, but the answer was lost": {func(h *harness) {
 			h.arrive("a")
 			h.observe(router.Sent, "a", router.Event{Server: "s0"})
 			h.observe(router.OrphanedCall, "a", router.Event{})
@@ -195,7 +195,7 @@
 			h.establish("a")
 			h.advance(minute)
 		}, nil},
-		"stood before a crash, released after it": {func(h *harness) {
+		"established before a crash, released after it": {func(h *harness) {
 			h.establish("a")
 			h.takeEntries()
 			h.crash()
@@ -205,7 +205,7 @@
 			h.observe(router.UnknownServerRelease, "a", router.Event{Outcome: threadglade.Concluded})
 		}, map[int64]map[string]int64{1: {"offered": 1, "stood_in_time": 1, "recovered": 1, "concluded": 1,
 			"held_ms": minute, "worth_milli": 3000}}},
-		"answered as the crash came, released after it": {func(h *harness) {
+		"answer not recorded before a crash, released after it": {func(h *harness) {
 			h.arrive("a")
 			h.observe(router.Sent, "a", router.Event{Server: "s0"})
 			h.takeEntries()
@@ -219,7 +219,7 @@
 			h.observe(router.UnknownCallerRelease, "a", router.Event{Outcome: threadglade.Cancelled})
 		}, map[int64]map[string]int64{0: {"offered": 1, "stood_in_time": 1, "recovered": 1, "concluded": 1,
 			"worth_milli": 3000}}},
-		"cut off by a crash for good": {func(h *harness) {
+		"never released after a crash": {func(h *harness) {
 			h.establish("a")
 			h.takeEntries()
 			h.crash()
@@ -230,13 +230,13 @@
 			// The call has been closed as unknown by now.
 			h.observe(router.UnknownServerRelease, "a", router.Event{Outcome: threadglade.Concluded})
 		}, map[int64]map[string]int64{1: {"offered": 1, "unknown": 1, "lost": 1}}},
-		"a release of nobody's call": {func(h *harness) {
+		"release of an unknown call": {func(h *harness) {
 			h.observe(router.UnknownServerRelease, "z", router.Event{Outcome: threadglade.Concluded})
 		}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 0)
-			c.play(h)
+			c.run(h)
 			h.takeEntries()
 			list, collect := h.statements(t)
 			open, late := collect.Pending()
@@ -293,8 +293,8 @@
 	require.EqualValues(t, calls, sum[Offered])
 }
 
-// TestSpill guards against lost counts and lost open calls when more entries are waiting than the buffer holds: the
-// totals kept instead have to add up, and open calls have to survive a restart.
+// TestSpill guards against lost counts and lost open calls while the entry buffer is full: the totals kept instead have
+// to add up, and open calls have to survive a restart.
 func TestSpill(t *testing.T) {
 	h := newHarness(t, 40)
 	h.establish("before")
@@ -309,7 +309,7 @@
 	require.LessOrEqual(t, h.keeper.Counters().Waiting, 45)
 	require.NotZero(t, h.keeper.Counters().Spilled)
 	h.finish("before", threadglade.Concluded)
-	h.advance(2 * minute) // longer than the grace: spilled totals are stated late
+	h.advance(2 * minute) // longer than the grace: spilled totals become late usage
 	h.keeper.Tick()
 	h.takeEntries()
 	require.Len(t, h.state(t).Calls, 10)
@@ -345,7 +345,7 @@
 	require.Equal(t, ids, h.keeper.SuspendOpenCalls())
 	h.observe(router.UnknownServerRelease, ids[0], router.Event{Outcome: threadglade.Concluded})
 	h.observe(router.UnknownServerRelease, ids[1], router.Event{Outcome: threadglade.Concluded})
-	require.Zero(t, h.keeper.Counters().Recovered, "it is not known yet which router owns them")
+	require.Zero(t, h.keeper.Counters().Recovered, "it is not known yet which router they belong to")
 	h.keeper.ResumeOpenCalls([]string{ids[1]})
 	require.Equal(t, uint64(1), h.keeper.Counters().Recovered)
 	h.observe(router.UnknownServerRelease, ids[2], router.Event{Outcome: threadglade.Cut})
@@ -372,14 +372,14 @@
 	list, c := h.statements(t)
 	u := total(list, c)
 	require.NoError(t, u.CheckBalance())
-	require.Equal(t, int64(3), u[Offered], "two of its own calls and the one taken over")
+	require.Equal(t, int64(3), u[Offered], "two calls of its own and the one taken over")
 	require.Equal(t, int64(3), u[EstablishedInTime])
 	require.Equal(t, int64(2), u[Concluded])
 	require.Equal(t, int64(1), u[Cut])
 	require.Zero(t, u[Unknown])
 }
 
-// TestTrim guards against losing the names of open calls, and keeping any others, at a restart.
+// TestTrim guards against losing the names of open calls, or keeping others, when a restart compacts the names.
 func TestTrim(t *testing.T) {
 	h := newHarness(t, 0)
 	for i := range 50 {
@@ -408,10 +408,10 @@
 // TestHistories runs random calls, waits, clock jumps and crashes, and compares the totals with an independent count.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newHarness(t, rapid.SampledFrom([]int{0, 15}).Draw(t, "most"))
+		h := newHarness(t, rapid.SampledFrom([]int{0, 15}).Draw(t, "maxEntries"))
 		var offered, establishedCount, recovered int64
 		next := 0
-		// Established calls, unanswered calls, and calls of earlier processes.
+		// Calls of this process that are established or unanswered, and calls of earlier processes.
 		established, pending, earlier := map[string]bool{}, map[string]bool{}, map[string]bool{}
 		pick := func(m map[string]bool) string {
 			ids := make([]string, 0, len(m))
@@ -424,7 +424,7 @@
 			return id
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			switch action := rapid.IntRange(0, 9).Draw(t, "what"); {
+			switch action := rapid.IntRange(0, 9).Draw(t, "action"); {
 			case action < 3:
 				id := fmt.Sprint(next)
 				next++
@@ -574,15 +574,15 @@
 func TestJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawMerged(t), drawMerged(t), drawMerged(t)
-		same := func(x, y Merged) {
+		requireSame := func(x, y Merged) {
 			require.Equal(t, x.Exports(), y.Exports())
 			require.Equal(t, x.Rows(), y.Rows())
 			require.Equal(t, x.Findings(), y.Findings())
 		}
-		same(Join(a, b), Join(b, a))
-		same(Join(Join(a, b), c), Join(a, Join(b, c)))
-		same(Join(a, a), a)
-		same(Join(a, Merged{}), a)
+		requireSame(Join(a, b), Join(b, a))
+		requireSame(Join(Join(a, b), c), Join(a, Join(b, c)))
+		requireSame(Join(a, a), a)
+		requireSame(Join(a, Merged{}), a)
 	})
 }
 
@@ -615,11 +615,11 @@
 		require.NoError(t, e.Encode(calls, one.put))
 		require.NoError(t, e.Encode(calls, two.put))
 		require.Equal(t, one, two)
-		read := []uint64{}
-		back, err := DecodeExport(one.reader(), func(part []uint64) error { read = append(read, part...); return nil })
+		decodedCalls := []uint64{}
+		decoded, err := DecodeExport(one.reader(), func(part []uint64) error { decodedCalls = append(decodedCalls, part...); return nil })
 		require.NoError(t, err)
-		require.Equal(t, e, back)
-		require.Equal(t, calls, read)
+		require.Equal(t, e, decoded)
+		require.Equal(t, calls, decodedCalls)
 		i := rapid.IntRange(0, len(one.payloads)-1).Draw(t, "frame")
 		j := rapid.IntRange(0, len(one.payloads[i])-1).Draw(t, "byte")
 		one.payloads[i][j] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
@@ -659,15 +659,15 @@
 		Field: "left", Delta: -1}}
 	require.Equal(t, []string{"stray"}, kinds(export("n0", 1, 10, 11), corrected))
 
-	var claims []string
+	var duplicates []string
 	n, err := FindDuplicateCalls(
 		[]CallSource{&callParts{{1, 5}, {9}}, &callParts{{2, 3}, {5, 7}}, &callParts{}, &callParts{{9}}},
 		func(call uint64, one, other int) {
-			claims = append(claims, fmt.Sprint(call, min(one, other), max(one, other)))
+			duplicates = append(duplicates, fmt.Sprint(call, min(one, other), max(one, other)))
 		})
 	require.NoError(t, err)
 	require.EqualValues(t, 8, n)
-	require.Equal(t, []string{"5 0 1", "9 0 3"}, claims)
+	require.Equal(t, []string{"5 0 1", "9 0 3"}, duplicates)
 }
 
 type callParts [][]uint64
@@ -731,7 +731,7 @@
 		require.Equal(t, field, rule.Field)
 	}
 	_, err = NewDirectory(nil, []Rule{{Tenant: "x", Networks: []string{"10.4.0.1/16"}}})
-	require.ErrorContains(t, err, "10.4.0.0/16 is meant")
+	require.ErrorContains(t, err, "did you mean 10.4.0.0/16?")
 	_, err = NewDirectory([]Source{"moon"}, nil)
 	require.ErrorContains(t, err, "precedence")
 	require.Zero(t, testing.AllocsPerRun(100, func() {
--- a/ledger/merge.go
+++ b/ledger/merge.go
@@ -32,10 +32,10 @@
 // Has reports whether the set contains an export, by its ID.
 func (m Merged) Has(id string) bool { return m.exports[id] != nil }
 
-// Finding is a problem with exports that a person has to look at. Totals include the exports all the same.
+// Finding is a problem with exports that an operator has to look into. The totals include these exports anyway.
 type Finding struct {
-	// Kind is one of: gap, twice, overlap, stray (a correction of a period that no export states), claim (a call in two
-	// exports), newer (a file of a later version) and damaged.
+	// Kind is one of: gap, twice (two versions of a statement), overlap, stray (a correction of a period that no export
+	// covers), claim (a call in two exports), newer (a file of a later version) and damaged.
 	Kind   string `json:"kind"`
 	Router string `json:"router,omitempty"`
 	Text   string `json:"text"`
@@ -43,16 +43,16 @@
 
 func formatTime(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02T15:04:05Z") }
 
-// Findings reports missing and duplicate data: a statement with two contents, a gap in a router's sequence or in the
-// time covered, overlapping periods, and corrections of periods that no export of the set states.
+// Findings reports missing and duplicate data: two versions of a statement, a gap in a router's sequence or in the time
+// covered, overlapping periods, and corrections of periods that no export of the set covers.
 func (m Merged) Findings() (list []Finding) {
-	stated := map[string]map[int64]bool{}
+	coveredPeriods := map[string]map[int64]bool{}
 	var previous *Export
 	for _, e := range m.Exports() {
-		if stated[e.Router] == nil {
-			stated[e.Router] = map[int64]bool{}
+		if coveredPeriods[e.Router] == nil {
+			coveredPeriods[e.Router] = map[int64]bool{}
 		}
-		stated[e.Router][e.From] = true
+		coveredPeriods[e.Router][e.From] = true
 		report := func(kind, format string, args ...any) {
 			list = append(list, Finding{kind, e.Router, fmt.Sprintf(format, args...)})
 		}
@@ -62,25 +62,26 @@
 		}
 		switch {
 		case e.Sequence == previous.Sequence:
-			report("twice", "statement %d is there with two contents, %.12s and %.12s", e.Sequence, previous.ID, e.ID)
+			report("twice", "there are two versions of statement %d, with IDs %.12s and %.12s", e.Sequence, previous.ID,
+				e.ID)
 		case e.Sequence > previous.Sequence+1:
 			report("gap", "statements %d to %d are missing, from %s to %s", previous.Sequence+1, e.Sequence-1,
 				formatTime(previous.To), formatTime(e.From))
 		case e.From > previous.To:
-			report("gap", "nothing is stated from %s to %s, between statements %d and %d", formatTime(previous.To),
+			report("gap", "no statement covers %s to %s, between statements %d and %d", formatTime(previous.To),
 				formatTime(e.From), previous.Sequence, e.Sequence)
 		}
 		if e.From < previous.To && e.Sequence != previous.Sequence {
-			report("overlap", "statements %d and %d both state the time from %s to %s", previous.Sequence, e.Sequence,
+			report("overlap", "statements %d and %d both cover the time from %s to %s", previous.Sequence, e.Sequence,
 				formatTime(e.From), formatTime(min(e.To, previous.To)))
 		}
 		previous = e
 	}
 	for _, e := range m.Exports() {
 		for _, c := range e.Corrections {
-			if !stated[e.Router][c.Period] {
+			if !coveredPeriods[e.Router][c.Period] {
 				list = append(list, Finding{"stray", e.Router,
-					fmt.Sprintf("correction %d of statement %d mends the period of %s, which no file here states",
+					fmt.Sprintf("correction %d of statement %d is for the period from %s, which no export here covers",
 						c.Number, e.Sequence, formatTime(c.Period))})
 			}
 		}
@@ -92,8 +93,8 @@
 type Row struct {
 	Period int64 // start, in milliseconds since the Unix epoch
 	Key
-	Stated Usage // without corrections
-	Mended Usage // with all corrections
+	Stated Usage // as exported, without corrections
+	Mended Usage // with all corrections applied
 }
 
 // Rows returns the totals sorted by period, tenant and class.
@@ -139,13 +140,13 @@
 	return u
 }
 
-// CallSource reads the calls of one export, ascending, part by part.
+// CallSource reads the calls of one export in ascending order, part by part.
 type CallSource interface {
-	// Next returns the next part. An empty part is the end.
+	// Next returns the next part, or an empty one at the end.
 	Next() ([]uint64, error)
 }
 
-// callStream is a source with the rest of the part that was read last.
+// callStream is a source and what is left of the part that was read last.
 type callStream struct {
 	index  int
 	part   []uint64
@@ -166,8 +167,8 @@
 	return last
 }
 
-// FindDuplicateCalls finds calls that more than one source lists. It merges all sources, with one part of each in
-// memory. found receives a call and the indexes of two sources that list it. It returns the number of calls read.
+// FindDuplicateCalls finds calls that more than one source lists, and returns the number of calls read. It merges all
+// sources, with one part of each in memory. found is called with a call and the indexes of two sources that list it.
 func FindDuplicateCalls(sources []CallSource, found func(call uint64, first, second int)) (calls uint64, err error) {
 	var streams streamHeap
 	for i, source := range sources {
--- a/ledger/mutant_off.go
+++ b/ledger/mutant_off.go
@@ -2,5 +2,5 @@
 
 package ledger
 
-// mutant is the name of the injected fault: none without the build tag mutant.
+// mutant is the name of the injected fault. Without the build tag mutant there is none.
 const mutant = ""
--- a/ledger/mutant_test.go
+++ b/ledger/mutant_test.go
@@ -15,11 +15,11 @@
 func (v *failureRecorder) FailNow()              { panic(v) }
 
 // testFails reports whether a test fails.
-func testFails(test func(require.TestingT)) (found bool) {
+func testFails(test func(require.TestingT)) (failed bool) {
 	v := &failureRecorder{}
 	defer func() {
 		if p := recover(); p != nil {
-			found = true
+			failed = true
 		}
 	}()
 	test(v)
--- a/ledger/report.go
+++ b/ledger/report.go
@@ -21,23 +21,23 @@
 
 // Report is the result of a merge, to be written as HTML or CSV.
 type Report struct {
-	Made     time.Time // of the report
+	Made     time.Time // when the report was made
 	Exports  []*Export
 	Rows     []Row
 	Total    Usage
 	Findings []Finding
-	Calls    uint64 // calls that the exports list
+	Calls    uint64 // number of calls that the exports list
 }
 
-// Figure returns the corrected value of a field by its name, for templates; 0 for an unknown name.
+// Figure returns the corrected value of the field with a name, or 0 for an unknown name. It is for the template.
 func (r Row) Figure(name string) int64 { return figureByName(&r.Mended, name) }
 
-// Mend returns the sum of the corrections of a field by its name, for templates.
+// Mend returns the sum of the corrections of the field with a name. It is for the template.
 func (r Row) Mend(name string) int64 {
 	return figureByName(&r.Mended, name) - figureByName(&r.Stated, name)
 }
 
-// Sum returns the total of a field by its name, for templates.
+// Sum returns the total of the field with a name. It is for the template.
 func (r Report) Sum(name string) int64 { return figureByName(&r.Total, name) }
 
 // Shown returns the names of the fields that have a column on the page.
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -14,7 +14,7 @@
 	Router         string
 	Length         int64 // of a period, in ms; periods start at multiples of it since the Unix epoch, in UTC
 	Grace          int64 // delay from a period's end to its closing, in ms
-	UnknownTimeout int64 // a call from before a restart is closed as unknown after it, in ms
+	UnknownTimeout int64 // time since its last attempt at which an earlier process's call is closed as unknown, in ms
 }
 
 // Bounds of a period's length.
@@ -26,7 +26,7 @@
 // MinPeriodForTests replaces MinPeriod if it is not 0. Only tests set it, before they start anything.
 var MinPeriodForTests time.Duration
 
-// Validate checks the settings. The error starts with the name of the invalid field, as the settings file has it.
+// Validate checks the settings. The error starts with the invalid field's name in the settings file.
 func (s Settings) Validate() error {
 	shortest := MinPeriod
 	if MinPeriodForTests > 0 {
@@ -37,7 +37,7 @@
 	case ValidName(s.Router) != nil:
 		return fmt.Errorf("router: %w", ValidName(s.Router))
 	case length < shortest || length > MaxPeriod || MaxPeriod%length != 0:
-		return fmt.Errorf("period: %v is no part of a day from %v to %v", length, shortest, MaxPeriod)
+		return fmt.Errorf("period: %v must divide a day evenly and be from %v to %v", length, shortest, MaxPeriod)
 	case s.Grace < 0 || s.Grace > s.Length:
 		return fmt.Errorf("grace: %v is not between 0 and the period", time.Duration(s.Grace)*time.Millisecond)
 	case s.UnknownTimeout < 1000 || s.UnknownTimeout > MaxPeriod.Milliseconds():
@@ -78,7 +78,7 @@
 	Now         int64                // the latest ledger time
 	Closed      int64                // all periods before it are closed; 0: no period has started
 	Sequence    uint64               // number of the latest statement
-	Entries     uint64
+	Entries     uint64               // number of entries applied
 	freeCalls   []*OpenCall
 	started     bool // the beginning of a checkpoint has been applied
 	complete    bool // a whole checkpoint has been applied
@@ -107,7 +107,7 @@
 // Apply applies an entry. It returns an error if the entry contradicts earlier ones.
 func (s *State) Apply(e *Entry) error {
 	if !s.started && e.Kind != KindCheckpointBegin {
-		return fmt.Errorf("the first entry is of kind %d, which begins no checkpoint", e.Kind)
+		return fmt.Errorf("the first entry is of kind %d and does not begin a checkpoint", e.Kind)
 	}
 	s.Entries++
 	if e.At > s.Now {
@@ -121,7 +121,7 @@
 	switch e.Kind {
 	case KindCheckpointBegin:
 		if s.started && (s.Router != e.Text || s.Length != e.Period) {
-			return fmt.Errorf("the ledger of %s with periods of %d ms continues as that of %s with periods of %d ms",
+			return fmt.Errorf("the ledger of %s with periods of %d ms contains a checkpoint of %s with periods of %d ms",
 				s.Router, s.Length, e.Text, e.Period)
 		}
 		s.Settings = Settings{e.Text, e.Period, e.Grace, e.From}
@@ -140,7 +140,7 @@
 		s.Closed, s.Sequence = e.Period, e.Sequence
 	case KindName:
 		if int(e.Index) != len(s.Names) {
-			return fmt.Errorf("name index %d follows %d names", e.Index, len(s.Names))
+			return fmt.Errorf("name index %d is out of order, want %d", e.Index, len(s.Names))
 		}
 		s.Names = append(s.Names, e.Text)
 	case KindAttempt:
@@ -155,7 +155,7 @@
 		}
 		*call = OpenCall{Call: e.Call, Tenant: e.Tenant, Class: e.Class, Server: e.Server, Attempt: e.Attempt,
 			Retry: e.Retry, SentAt: e.At, Usage: e.Usage}
-		if e.From > 0 { // repeats an attempt sent earlier
+		if e.From > 0 { // the attempt was recorded later than it was sent
 			call.SentAt = e.From
 		}
 	case KindAnswer:
@@ -167,10 +167,10 @@
 		}
 	case KindEnd:
 		if e.Usage[Offered] != 1 {
-			return fmt.Errorf("the end of %s counts %d set-ups", FormatCallKey(e.Call), e.Usage[Offered])
+			return fmt.Errorf("the end of call %s counts %d set-ups, want 1", FormatCallKey(e.Call), e.Usage[Offered])
 		}
 		if err := e.Usage.CheckBalance(); err != nil {
-			return fmt.Errorf("the end of %s: %w", FormatCallKey(e.Call), err)
+			return fmt.Errorf("the end of call %s: %w", FormatCallKey(e.Call), err)
 		}
 		s.removeCall(e.Call)
 		s.markUsed(s.PeriodStart(e.At))
@@ -186,7 +186,7 @@
 	case KindClose:
 		switch {
 		case e.Sequence != s.Sequence+1:
-			return fmt.Errorf("statement %d comes after %d", e.Sequence, s.Sequence)
+			return fmt.Errorf("statement %d is out of order after statement %d", e.Sequence, s.Sequence)
 		case s.Closed != 0 && e.From != s.Closed:
 			return fmt.Errorf("statement %d starts at %d, but the previous one ended at %d", e.Sequence, e.From,
 				s.Closed)
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// removeCall removes an open call, if it is there.
+// removeCall removes a call from the open ones, if it is among them.
 func (s *State) removeCall(call uint64) {
 	if open := s.Calls[call]; open != nil {
 		delete(s.Calls, call)
@@ -213,7 +213,7 @@
 	}
 }
 
-// markUsed notes that a call has ended in a period, by its start.
+// markUsed notes that a call has ended in the period that starts at period, unless it is closed.
 func (s *State) markUsed(period int64) {
 	if period >= s.Closed {
 		s.UsedPeriods[period] = true
@@ -221,7 +221,8 @@
 }
 
 // CompactNames drops names that no open call uses and renumbers the rest, so that the names of removed servers don't
-// accumulate. It is for a start, after which a new segment begins.
+// accumulate. It may only be called when the next entries written are a checkpoint, as at a start, since earlier
+// entries use the old numbers.
 func (s *State) CompactNames() {
 	names, renumbered := []string{""}, map[uint32]uint32{0: 0}
 	renumber := func(index uint32) uint32 {
@@ -263,15 +264,15 @@
 // HasCheckpoint reports whether a checkpoint has been applied to its end.
 func (s *State) HasCheckpoint() bool { return s.complete }
 
-// Statement is the result of one closing: the usage of one period, or that nothing was used in a range of several.
+// Statement reports the usage of one closed period, or a closed range of several periods without usage.
 type Statement struct {
 	Sequence uint64
 	From, To int64 // in milliseconds since the Unix epoch; [From, To)
 	Totals   map[Key]*Usage
 	Calls    []uint64 // keys of the calls that were established, ascending
-	Spilled  uint64   // calls in Totals that Calls doesn't list, because they were counted as totals
+	Spilled  uint64   // calls in Totals that are missing from Calls, because only totals were kept of them
 	Unknown  []UnknownCall
-	Late     map[int64]map[Key]*Usage // by period start: calls counted after the period's closing
+	Late     map[int64]map[Key]*Usage // usage counted after its period was closed, by the start of that period
 }
 
 // UnknownCall is a call whose end was lost at a restart.
@@ -284,13 +285,13 @@
 	Established bool   `json:"stood"`
 }
 
-// Collector computes statements from the entries of whole segments, added in order.
+// Collector computes statements from the entries of whole journal segments, added in order.
 type Collector struct {
 	State        *State
-	open         map[int64]*Statement // by start of the period
-	late         map[int64]map[Key]*Usage
-	inCheckpoint bool // within a checkpoint, which adds nothing to the totals
-	// OnStatement, if not nil, is called with each statement when its closing is added. An error of it ends Add.
+	open         map[int64]*Statement     // by start of the period
+	late         map[int64]map[Key]*Usage // usage of closed periods for the next statement, by start of the period
+	inCheckpoint bool                     // within a checkpoint, which adds nothing to the totals
+	// OnStatement, if not nil, is called with each statement when its KindClose entry is added. Add returns its error.
 	OnStatement func(*Statement) error
 }
 
@@ -343,7 +344,7 @@
 	return nil
 }
 
-// openStatement returns the statement of a period that is not closed, by its start, and creates it if need be.
+// openStatement returns the statement of the open period that starts at period. It creates a missing one.
 func (c *Collector) openStatement(period int64) *Statement {
 	s := c.open[period]
 	if s == nil {
@@ -360,7 +361,7 @@
 	m[key].Add(u)
 }
 
-// close completes the statement of a closing.
+// close completes the statement that a KindClose entry is for, and passes it to OnStatement.
 func (c *Collector) close(e *Entry) error {
 	s := &Statement{Totals: map[Key]*Usage{}}
 	for from := range c.open {
@@ -386,8 +387,8 @@
 	return c.OnStatement(s)
 }
 
-// Pending returns what no statement holds yet: the totals of periods that are not closed, by start of the period, and
-// the late usage of closed ones, which goes into the next statement.
+// Pending returns the usage that no completed statement contains yet: statements of periods that are not closed, sorted
+// by start, and the late usage of closed periods, which goes into the next statement.
 func (c *Collector) Pending() (open []*Statement, late map[int64]map[Key]*Usage) {
 	for _, from := range slices.Sorted(maps.Keys(c.open)) {
 		if from >= c.State.Closed {
--- a/ledger/tenant.go
+++ b/ledger/tenant.go
@@ -18,7 +18,7 @@
 
 // Sources, in the default precedence.
 const (
-	Explicit   Source = "stated"   // as the embedding program or the set-up names it
+	Explicit   Source = "stated"   // named by the embedding program or in the set-up
 	ByIdentity Source = "identity" // the SPIFFE ID of the call-control session
 	ByNetwork  Source = "network"  // the caller's address, by longest prefix
 	ByNumber   Source = "number"   // the number called, by longest prefix
@@ -67,7 +67,7 @@
 			return nil, fmt.Errorf("precedence: %q is not one of %v", source, Sources)
 		}
 		if slices.Contains(order[:i], source) {
-			return nil, fmt.Errorf("precedence: %q stands twice", source)
+			return nil, fmt.Errorf("precedence: %q is listed twice", source)
 		}
 	}
 	directory := &Directory{precedence: slices.Clone(order), exactIdentities: map[string]int32{}}
@@ -81,7 +81,7 @@
 			return nil, invalid("name", "%v", err)
 		}
 		if knownTenants[rule.Tenant] {
-			return nil, invalid("name", "%q stands twice", rule.Tenant)
+			return nil, invalid("name", "%q is listed twice", rule.Tenant)
 		}
 		knownTenants[rule.Tenant] = true
 		tenant := int32(len(directory.tenants))
@@ -92,7 +92,7 @@
 				return nil, invalid("networks", "%q: %v", text, err)
 			}
 			if other, taken := directory.networks.Get(prefix); taken {
-				return nil, invalid("networks", "%q belongs to tenant %s", text, directory.tenants[other])
+				return nil, invalid("networks", "%q already belongs to tenant %s", text, directory.tenants[other])
 			}
 			directory.networks.Insert(prefix, tenant)
 		}
@@ -109,7 +109,7 @@
 				directory.exactIdentities[identity] = tenant
 			}
 			if taken {
-				return nil, invalid("identities", "%q stands twice", text)
+				return nil, invalid("identities", "%q is listed twice", text)
 			}
 		}
 		for _, text := range rule.Numbers {
@@ -117,7 +117,7 @@
 				return nil, invalid("numbers", "%q is not a prefix of a number", text)
 			}
 			if _, taken := numberPrefixes.Insert([]byte(text), tenant); taken {
-				return nil, invalid("numbers", "%q stands twice", text)
+				return nil, invalid("numbers", "%q is listed twice", text)
 			}
 		}
 	}
@@ -125,7 +125,7 @@
 	return directory, nil
 }
 
-// maxNameBytes limits the names in the ledger.
+// maxNameBytes limits the length of a name in the ledger.
 const maxNameBytes = 128
 
 // ValidName returns an error if a name is empty, too long or not printable.
@@ -148,7 +148,7 @@
 	}
 	prefix, err := netip.ParsePrefix(text)
 	if err == nil && prefix != prefix.Masked() {
-		err = fmt.Errorf("has bits set beyond the prefix length; %s is meant", prefix.Masked())
+		err = fmt.Errorf("has bits set beyond the prefix length; did you mean %s?", prefix.Masked())
 	}
 	if err == nil && prefix.Addr().Is4In6() {
 		err = fmt.Errorf("is an IPv4-mapped IPv6 network")
@@ -167,7 +167,7 @@
 	return list
 }
 
-// Tenant returns the tenant that the first matching source gives, or Unassigned.
+// Tenant returns the tenant according to the first source that matches, or Unassigned.
 func (d *Directory) Tenant(stated, identity string, caller netip.Addr, number string) string {
 	for _, source := range d.precedence {
 		tenant, found := int32(0), false
--- a/ledger/usage.go
+++ b/ledger/usage.go
@@ -1,7 +1,8 @@
 // Package ledger accounts for the usage of the call routers by tenant: it counts each call once, in the period in which
-// the call ends, and states each period once. It covers tenant look-up, the counting of calls, the state of open calls,
-// the closing of periods, and the formats and merging of entries and exports. It does no I/O, reads no clock, starts no
-// goroutine and never drops an entry that it was given. Package internal/ledgerio reads and writes the files.
+// the call ends, and reports each period in exactly one statement. It covers tenant look-up, the counting of calls, the
+// state of open calls, the closing of periods, and the formats and merging of entries and exports. It does no I/O,
+// reads no clock, starts no goroutine and never drops an entry that it was given. Package internal/ledgerio reads and
+// writes the files.
 package ledger
 
 import (
@@ -26,11 +27,11 @@
 	Refused                        // refused by the router
 	Failed                         // failed or reached the deadline
 	Abandoned                      // the caller gave up before an answer
-	Unknown                        // interrupted by a restart, and no release was received since
+	Unknown                        // interrupted by a restart, and no release was received within UnknownTimeout
 	Recovered                      // part of EstablishedInTime and EstablishedLate: ended after a restart or takeover
 	OrphanedCalls                  // calls established at a server whose answer was lost
 	Concluded                      // attempts whose call was established and released by either side
-	Faulted                        // Faulted to NotSent: attempts that ended with the threadglade.Outcome of that name
+	Faulted                        // Faulted to NotSent: attempts that ended with the Outcome of the same name
 	Rejected
 	TimedOut
 	Unreachable
@@ -60,7 +61,7 @@
 	return 0, fmt.Errorf("unknown field %q, want one of %s", name, strings.Join(fieldNames[:], ", "))
 }
 
-// outcomeField returns the field that counts attempts with an outcome, and Faulted for an invalid outcome.
+// outcomeField returns the field that counts attempts with an outcome, or Faulted for an invalid outcome.
 func outcomeField(outcome threadglade.Outcome) Field {
 	if outcome < threadglade.Concluded || outcome > threadglade.NotSent {
 		return Faulted
