--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -13,28 +13,28 @@
 	"threadglade.example/threadglade/internal/durable/durabletest"
 )
 
-// recordOwner owns a log: its state is the list of records, and its checkpoint writes them all again.
+// recordOwner is the owner of a log. Its state is a list of records, all of which are written in each checkpoint.
 type recordOwner struct{ records []string }
 
-func (b *recordOwner) load(f durable.FS) (durable.Scan, error) {
-	b.records = nil
+func (o *recordOwner) load(f durable.FS) (durable.Scan, error) {
+	o.records = nil
 	return durable.ReadLog(f, "d", "x", 1, 0, func(_ durable.Position, _ *durable.Reader, kind uint16, p []byte) error {
 		if kind == 1 { // a checkpoint starts
-			b.records = nil
+			o.records = nil
 			return nil
 		}
-		b.records = append(b.records, string(p))
+		o.records = append(o.records, string(p))
 		return nil
 	})
 }
 
-func (b *recordOwner) open(t *testing.T, f durable.FS) *durable.Log {
-	s, err := b.load(f)
+func (o *recordOwner) open(t *testing.T, f durable.FS) *durable.Log {
+	s, err := o.load(f)
 	require.NoError(t, err)
 	l, err := durable.ContinueLog(durable.LogConfig{FS: f, Dir: "d", Name: "x", Kind: 1, MaxSegmentBytes: 300,
 		Checkpoint: func() []durable.Frame {
 			list := []durable.Frame{{Kind: 1}}
-			for _, s := range b.records {
+			for _, s := range o.records {
 				list = append(list, durable.Frame{Kind: 2, Payload: []byte(s)})
 			}
 			return list
@@ -48,18 +48,18 @@
 // runLog appends, syncs and removes segments. It returns the records appended without an error, those of them that
 // were synced, and all that were attempted.
 func runLog(t *testing.T, f *durabletest.FS, from, n int) (appended, synced, attempted []string) {
-	b := &recordOwner{}
-	l := b.open(t, f)
+	owner := &recordOwner{}
+	l := owner.open(t, f)
 	if l == nil {
 		return
 	}
-	appended = append(appended, b.records...)
-	attempted = append(attempted, b.records...)
+	appended = append(appended, owner.records...)
+	attempted = append(attempted, owner.records...)
 	for i := from; i < from+n; i++ {
 		text := fmt.Sprintf("entry %d", i)
 		attempted = append(attempted, text)
 		if l.Append(durable.Frame{Kind: 2, Payload: []byte(text)}) == nil {
-			b.records = append(b.records, text)
+			owner.records = append(owner.records, text)
 			appended = append(appended, text)
 		}
 		if i%3 == 0 && l.Sync() == nil && len(appended) > 0 && appended[len(appended)-1] == text {
@@ -73,9 +73,9 @@
 	return
 }
 
-// TestFaultAtEveryStep injects each fault at each step of a run. Appended records must survive, none may appear
-// twice, and a record whose append failed must be complete or absent. After a power failure this holds for synced
-// records.
+// TestFaultAtEveryStep injects each fault at each step of a run. Records that were appended without an error must
+// survive, after a power failure only those that were synced. No record may appear twice, and one whose append failed
+// must be complete or absent.
 func TestFaultAtEveryStep(t *testing.T) {
 	plain := durabletest.New(1)
 	runLog(t, plain, 0, 20)
@@ -124,11 +124,11 @@
 // unless the version was changed.
 func TestBitFlips(t *testing.T) {
 	f := durabletest.New(1)
-	b := &recordOwner{}
-	l := b.open(t, f)
+	owner := &recordOwner{}
+	l := owner.open(t, f)
 	for i := range 6 {
 		require.NoError(t, l.Append(durable.Frame{Kind: 2, Payload: fmt.Appendf(nil, "entry %d %0100d", i, 0)}))
-		b.records = append(b.records, "")
+		owner.records = append(owner.records, "")
 	}
 	names, _ := f.List("d")
 	require.Greater(t, len(names), 1)
@@ -136,32 +136,33 @@
 		path := filepath.Join("d", name)
 		for bit := range 8 * f.Size(path) {
 			f.FlipBit(path, bit)
-			_, err := b.load(f)
+			_, err := owner.load(f)
 			var damage *durable.DamageError
-			require.True(t, errors.As(err, &damage) || errors.Is(err, durable.ErrNewerVersion), "%s bit %d: %v", path, bit, err)
+			require.True(t, errors.As(err, &damage) || errors.Is(err, durable.ErrNewerVersion),
+				"%s bit %d: %v", path, bit, err)
 			require.ErrorContains(t, err, "d/x-0000000")
 			f.FlipBit(path, bit)
 		}
 	}
-	_, err := b.load(f)
+	_, err := owner.load(f)
 	require.NoError(t, err)
 }
 
 // TestTruncation truncates the last segment at each byte: complete frames are read, and the rest is reported as torn.
 func TestTruncation(t *testing.T) {
 	f := durabletest.New(1)
-	b := &recordOwner{}
-	l := b.open(t, f)
+	owner := &recordOwner{}
+	l := owner.open(t, f)
 	for i := range 5 {
 		require.NoError(t, l.Append(durable.Frame{Kind: 2, Payload: fmt.Appendf(nil, "entry %d", i)}))
 	}
 	path := "d/x-00000001.tgl"
 	for size := f.Size(path) - 1; size > 64; size-- {
 		f.Truncate(path, size)
-		s, err := b.load(f)
+		s, err := owner.load(f)
 		require.NoError(t, err)
 		frame := (size - 64) / (16 + 7)
-		require.Len(t, b.records, frame)
+		require.Len(t, owner.records, frame)
 		require.Equal(t, (size-64)%(16+7) != 0, len(s.Torn) == 1)
 	}
 }
--- a/internal/durable/durabletest/durabletest.go
+++ b/internal/durable/durabletest/durabletest.go
@@ -20,20 +20,20 @@
 	"threadglade.example/threadglade/internal/durable"
 )
 
-// Errors of operations that fault injection affects: ErrFault for one that fails, ErrCrashed for all after a crash.
+// Errors returned by operations: ErrFault by one with an injected fault, ErrCrashed by all from a crash to the restart.
 var (
 	ErrFault   = errors.New("injected fault")
 	ErrCrashed = errors.New("the process or machine has crashed")
 )
 
-// Fault is what happens to an operation of the file system.
+// Fault is a fault that is injected into an operation of the file system.
 type Fault int
 
 // Kinds of faults. The operation at which a crash occurs, and all later ones, fail with ErrCrashed until Restart.
 const (
 	None         Fault = iota
 	Fail               // the operation does nothing and fails
-	Tear               // a write stores half of its bytes and fails; other operations are done but return an error
+	Tear               // a write stores half of its bytes and fails; other operations succeed but return an error
 	Crash              // the process ends before the operation; earlier writes are kept
 	TearAndCrash       // the process ends in the middle of a write
 	PowerOff           // the machine stops before the operation; Restart keeps what was synced and part of the rest
@@ -44,7 +44,7 @@
 
 // String returns the name of the fault.
 func (f Fault) String() string {
-	return [...]string{"none", "fail", "tear", "crash", "tear and die", "power off"}[f]
+	return [...]string{"none", "fail", "tear", "crash", "tear and crash", "power off"}[f]
 }
 
 // Step is one operation of the file system: create, write, sync, rename, remove or syncdir.
@@ -56,12 +56,13 @@
 
 // FS is an in-memory durable.FS. It is safe for concurrent use.
 type FS struct {
-	// Plan returns the fault of each step; nil: no step fails. It is called with the file system's lock held.
+	// Plan returns the fault to inject at a step. With a nil Plan no step fails. It is called with the lock held, so it
+	// must not call methods of the FS.
 	Plan func(Step) Fault
 
 	mu        sync.Mutex
 	files     map[string]*file // by path, as processes see them
-	persisted map[string]*file // by path, as after a power failure: names as last synced
+	persisted map[string]*file // by path, as of the last SyncDir; a power failure may bring these names back
 	locks     map[string]bool
 	steps     []Step
 	crashed   bool
@@ -107,7 +108,7 @@
 	}
 }
 
-// step records a step and returns the fault planned for it. It returns with the lock held, also with an error.
+// step records a step and returns the fault planned for it. It returns with the lock held, even if it returns an error.
 func (f *FS) step(operation, path string) (Fault, error) {
 	f.mu.Lock()
 	for f.stalled != nil {
@@ -140,7 +141,7 @@
 	return fault, nil
 }
 
-// stepResult returns the error of a step that was carried out in spite of the fault.
+// stepResult returns the error of a step that was carried out, at least in part, despite the fault.
 func stepResult(fault Fault) error {
 	switch fault {
 	case Tear:
@@ -151,23 +152,23 @@
 	return nil
 }
 
-// Crashed reports whether the process or the machine has crashed and was not restarted.
+// Crashed reports whether the process or the machine has crashed and has not been restarted since.
 func (f *FS) Crashed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crashed
 }
 
-// Kill crashes the process, or with power set the machine.
+// Kill crashes the process, or cuts the machine's power if power is true.
 func (f *FS) Kill(power bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crashed, f.powerLost = true, power
 }
 
-// Restart restarts the process or the machine, without locks and without a plan. After a power failure a file holds
-// what was synced and a random part of the rest, in which whole sectors may be zero; changes of names that were not
-// synced may be lost.
+// Restart restarts the process or the machine. It releases all locks and clears Plan. After a power failure a file
+// contains what was synced and a random part of the rest, in which whole sectors may be zero; creations, renames and
+// removals that were not synced may be lost.
 func (f *FS) Restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -409,7 +410,7 @@
 // Close implements durable.File.
 func (h *handle) Close() error { return nil }
 
-// LogBuffer is a writer that keeps what is logged to it. It is safe for concurrent use.
+// LogBuffer is an io.Writer that stores the log lines written to it. It is safe for concurrent use.
 type LogBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -437,7 +438,7 @@
 	return b
 }
 
-// WaitFor polls f until it returns true, for at least five seconds; it returns false if f never does.
+// WaitFor polls f until it returns true. It gives up and returns false after five seconds or a little more.
 func WaitFor(f func() bool) bool {
 	for range 5000 {
 		if f() {
--- a/internal/durable/frame.go
+++ b/internal/durable/frame.go
@@ -70,19 +70,19 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[start:], crcTable))
 }
 
-// readHeader decodes and checks the header b of the file name.
-func readHeader(name string, b []byte, kind uint16) (Header, error) {
-	damaged := func(at int64, what string) (Header, error) { return Header{}, &DamageError{name, at, what} }
+// readHeader decodes and checks b, the header of the file at path, which must be of the given kind.
+func readHeader(path string, b []byte, kind uint16) (Header, error) {
+	damaged := func(at int64, what string) (Header, error) { return Header{}, &DamageError{path, at, what} }
 	switch {
 	case len(b) < fileHeaderSize:
-		return damaged(0, "the file is shorter than its header")
+		return damaged(0, "the file is shorter than a header")
 	case string(b[:8]) != magic:
-		return damaged(0, "this is not a threadglade file")
+		return damaged(0, "not a threadglade file")
 	}
 	if v := binary.LittleEndian.Uint16(b[8:]); v > formatVersion &&
 		crc32.Checksum(b[:44], crcTable) == binary.LittleEndian.Uint32(b[44:]) {
 		return Header{}, fmt.Errorf("%s: version %d, this program reads up to %d: %w",
-			name, v, formatVersion, ErrNewerVersion)
+			path, v, formatVersion, ErrNewerVersion)
 	}
 	if crc32.Checksum(b[:44], crcTable) != binary.LittleEndian.Uint32(b[44:]) {
 		return damaged(0, "file header checksum mismatch")
@@ -112,19 +112,19 @@
 	b = binary.LittleEndian.AppendUint16(b, kind)
 	b = append(b, 0, 0)
 	b = binary.LittleEndian.AppendUint32(b, sum)
-	b = binary.LittleEndian.AppendUint32(b, headChecksum(f.fileNumber, f.offset, b[start:start+12]))
+	b = binary.LittleEndian.AppendUint32(b, frameHeaderChecksum(f.fileNumber, f.offset, b[start:start+12]))
 	b = append(b, payload...)
 	f.offset += int64(frameHeaderSize + len(payload))
 	f.chain = chainChecksum(f.chain, sum)
 	return b
 }
 
-// headChecksum covers a frame's header and its position, so that a frame copied to another position is detected.
-func headChecksum(number uint64, at int64, head []byte) uint32 {
-	var place [16]byte
-	binary.LittleEndian.PutUint64(place[:], number)
-	binary.LittleEndian.PutUint64(place[8:], uint64(at))
-	return crc32.Update(crc32.Checksum(place[:], crcTable), crcTable, head)
+// frameHeaderChecksum covers a frame's header and its position, so that a frame copied to another position is detected.
+func frameHeaderChecksum(number uint64, offset int64, header []byte) uint32 {
+	var position [16]byte
+	binary.LittleEndian.PutUint64(position[:], number)
+	binary.LittleEndian.PutUint64(position[8:], uint64(offset))
+	return crc32.Update(crc32.Checksum(position[:], crcTable), crcTable, header)
 }
 
 // chainChecksum adds a payload checksum to the cumulative checksum.
@@ -138,7 +138,7 @@
 // Reader reads the frames of one file. It is not safe for concurrent use.
 type Reader struct {
 	Header
-	name          string
+	path          string
 	size          int64
 	src           Source
 	buffered      *bufio.Reader
@@ -146,19 +146,19 @@
 	framePosition // of the next frame
 }
 
-// Open opens a file and checks that it is of that kind. Its error is one of the file system, a *DamageError, or wraps
-// ErrNewerVersion.
+// Open opens a file and checks that it is of the given kind. An error is one of the file system or a *DamageError, or
+// wraps ErrNewerVersion.
 func Open(fsys FS, path string, kind uint16) (*Reader, error) {
 	return OpenBuffered(fsys, path, kind, 64<<10)
 }
 
-// OpenBuffered is Open with a buffer of that many bytes, for callers that have many files open at once.
+// OpenBuffered is Open with a read buffer of the given size in bytes, for callers that have many files open at once.
 func OpenBuffered(fsys FS, path string, kind uint16, buffer int) (*Reader, error) {
 	src, size, err := fsys.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	reader := &Reader{name: path, size: size, src: src, buffered: bufio.NewReaderSize(src, buffer)}
+	reader := &Reader{path: path, size: size, src: src, buffered: bufio.NewReaderSize(src, buffer)}
 	head := make([]byte, min(size, fileHeaderSize))
 	if _, err = io.ReadFull(reader.buffered, head); err == nil {
 		reader.Header, err = readHeader(path, head, kind)
@@ -178,11 +178,11 @@
 func (r *Reader) Offset() int64 { return r.offset }
 
 // Name returns the file's path.
-func (r *Reader) Name() string { return r.name }
+func (r *Reader) Name() string { return r.path }
 
 // Damagef returns a *DamageError for a frame at an offset whose payload its owner cannot decode.
 func (r *Reader) Damagef(at int64, format string, args ...any) error {
-	return &DamageError{r.name, at, fmt.Sprintf(format, args...)}
+	return &DamageError{r.path, at, fmt.Sprintf(format, args...)}
 }
 
 // Next returns the next frame; the payload is valid until the next call. It returns io.EOF at the end of the file, an
@@ -192,23 +192,23 @@
 	if remaining == 0 {
 		return 0, nil, io.EOF
 	}
-	torn := func() error { return fmt.Errorf("%s: offset %d: %w", r.name, r.offset, ErrTorn) }
+	torn := func() error { return fmt.Errorf("%s: offset %d: %w", r.path, r.offset, ErrTorn) }
 	var head [frameHeaderSize]byte
 	if remaining < frameHeaderSize {
 		return 0, nil, torn()
 	}
 	if _, err := io.ReadFull(r.buffered, head[:]); err != nil {
-		return 0, nil, fmt.Errorf("%s: offset %d: %w", r.name, r.offset, err)
+		return 0, nil, fmt.Errorf("%s: offset %d: %w", r.path, r.offset, err)
 	}
 	size := int64(binary.LittleEndian.Uint32(head[:]))
-	if headChecksum(r.fileNumber, r.offset, head[:12]) != binary.LittleEndian.Uint32(head[12:]) {
+	if frameHeaderChecksum(r.fileNumber, r.offset, head[:12]) != binary.LittleEndian.Uint32(head[12:]) {
 		if zeros, err := r.onlyZeros(head[:]); err != nil || zeros {
 			return 0, nil, errors.Join(err, torn())
 		}
-		return 0, nil, &DamageError{r.name, r.offset, "frame header checksum mismatch"}
+		return 0, nil, &DamageError{r.path, r.offset, "frame header checksum mismatch"}
 	}
 	if size > MaxPayloadBytes {
-		return 0, nil, &DamageError{r.name, r.offset, fmt.Sprintf("frame payload of %d bytes exceeds the maximum", size)}
+		return 0, nil, &DamageError{r.path, r.offset, fmt.Sprintf("frame payload of %d bytes exceeds the maximum", size)}
 	}
 	if size > remaining-frameHeaderSize {
 		return 0, nil, torn()
@@ -218,24 +218,25 @@
 	}
 	payload = r.buf[:size]
 	if _, err := io.ReadFull(r.buffered, payload); err != nil {
-		return 0, nil, fmt.Errorf("%s: offset %d: %w", r.name, r.offset, err)
+		return 0, nil, fmt.Errorf("%s: offset %d: %w", r.path, r.offset, err)
 	}
 	sum := crc32.Checksum(payload, crcTable)
 	if sum != binary.LittleEndian.Uint32(head[8:]) {
-		// After a crash of the machine, sectors that did not reach the disk read as zeros; nothing after them was
-		// synced either.
+		// After a crash of the machine, sectors that did not reach the disk may read as zeros. Nothing after them was
+		// synced either, so the frame is torn, not damaged.
 		if hasZeroSector(r.offset+frameHeaderSize, payload) {
 			return 0, nil, torn()
 		}
-		return 0, nil, &DamageError{r.name, r.offset, "frame payload checksum mismatch"}
+		return 0, nil, &DamageError{r.path, r.offset, "frame payload checksum mismatch"}
 	}
 	r.offset += frameHeaderSize + size
 	r.chain = chainChecksum(r.chain, sum)
 	return binary.LittleEndian.Uint16(head[4:]), payload, nil
 }
 
-// onlyZeros reports whether head, from the next sector boundary on, and the rest of the file are zero: space that the
-// file system had allocated for bytes that were never written.
+// onlyZeros reports whether the file is zero from the first sector boundary in head, or else from the last byte of
+// head, to its end: space that the file system had allocated for bytes that were never written. head is the header of
+// the next frame.
 func (r *Reader) onlyZeros(head []byte) (bool, error) {
 	allZero := len(bytes.Trim(head[min(len(head)-1, int((sectorSize-r.offset%sectorSize)%sectorSize)):], "\x00")) == 0
 	b := make([]byte, 64<<10)
@@ -250,8 +251,9 @@
 	return allZero, nil
 }
 
-// hasZeroSector reports whether b, which starts at offset at of a file, covers a sector, or part of one at its end,
-// that is all zero.
+// hasZeroSector reports whether b, which starts at offset at of a file, contains a sector that is all zero. Of a last
+// sector that extends beyond b, the part in b is examined. Bytes before the first sector boundary are only examined if
+// no boundary lies within b.
 func hasZeroSector(at int64, b []byte) bool {
 	skip := int((sectorSize - at%sectorSize) % sectorSize)
 	if skip >= len(b) {
@@ -303,25 +305,25 @@
 func (r *Reader) FrameAt(offset int64, buf []byte) (kind uint16, payload []byte, err error) {
 	var head [frameHeaderSize]byte
 	if offset < fileHeaderSize || offset > r.size-frameHeaderSize {
-		return 0, nil, &DamageError{r.name, offset, "no frame can start at this offset"}
+		return 0, nil, &DamageError{r.path, offset, "no frame can start at this offset"}
 	}
 	if _, err := r.src.ReadAt(head[:], offset); err != nil {
-		return 0, nil, fmt.Errorf("%s: offset %d: %w", r.name, offset, err)
+		return 0, nil, fmt.Errorf("%s: offset %d: %w", r.path, offset, err)
 	}
 	size := int64(binary.LittleEndian.Uint32(head[:]))
-	if headChecksum(r.fileNumber, offset, head[:12]) != binary.LittleEndian.Uint32(head[12:]) ||
+	if frameHeaderChecksum(r.fileNumber, offset, head[:12]) != binary.LittleEndian.Uint32(head[12:]) ||
 		size > MaxPayloadBytes || size > r.size-frameHeaderSize-offset {
-		return 0, nil, &DamageError{r.name, offset, "frame header checksum mismatch"}
+		return 0, nil, &DamageError{r.path, offset, "frame header checksum mismatch"}
 	}
 	if int64(cap(buf)) < size {
 		buf = make([]byte, size)
 	}
 	payload = buf[:size]
 	if _, err := r.src.ReadAt(payload, offset+frameHeaderSize); err != nil {
-		return 0, nil, fmt.Errorf("%s: offset %d: %w", r.name, offset, err)
+		return 0, nil, fmt.Errorf("%s: offset %d: %w", r.path, offset, err)
 	}
 	if crc32.Checksum(payload, crcTable) != binary.LittleEndian.Uint32(head[8:]) {
-		return 0, nil, &DamageError{r.name, offset, "frame payload checksum mismatch"}
+		return 0, nil, &DamageError{r.path, offset, "frame payload checksum mismatch"}
 	}
 	return binary.LittleEndian.Uint16(head[4:]), payload, nil
 }
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -40,7 +40,7 @@
 	Create(path string) (File, error)
 	// Open opens a file for reading and returns its length in bytes.
 	Open(path string) (Source, int64, error)
-	// Rename atomically replaces to.
+	// Rename renames a file and atomically replaces an existing file at to.
 	Rename(from, to string) error
 	Remove(path string) error
 	// List returns the names of the files in a directory, sorted.
@@ -111,7 +111,7 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// Lock implements FS; the operating system releases the lock when the process ends, also after a crash.
+// Lock implements FS. The operating system releases the lock when the process ends, even by a crash.
 func (OS) Lock(path string) (io.Closer, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -127,7 +127,7 @@
 	return f, nil
 }
 
-// temporarySuffix ends the name of a file until it is complete.
+// temporarySuffix is the end of a file's name until the file is complete.
 const temporarySuffix = ".tmp"
 
 // WriteFile writes a file atomically: it is written under a temporary name, synced, and renamed to path.
@@ -136,7 +136,7 @@
 	return err
 }
 
-// writeAtomic is WriteFile; unless closeFile is set, it returns the file still open for writing.
+// writeAtomic is like WriteFile. Unless closeFile is set, it returns the file still open for writing.
 func writeAtomic(fsys FS, path string, write func(io.Writer) error, closeFile bool) (File, error) {
 	temporaryPath := path + temporarySuffix
 	file, err := fsys.Create(temporaryPath)
@@ -164,7 +164,7 @@
 	return file, nil
 }
 
-// RemoveTemporaryFiles removes the files that interrupted writes left in a directory. A missing directory is no
+// RemoveTemporaryFiles removes the files that interrupted writes left in a directory. A missing directory is not an
 // error.
 func RemoveTemporaryFiles(fsys FS, dir string) error {
 	names, err := fsys.List(dir)
--- a/internal/durable/log.go
+++ b/internal/durable/log.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// segmentSuffix ends the name of a segment's file.
+// segmentSuffix is the end of a segment's file name.
 const segmentSuffix = ".tgl"
 
 // segmentName returns the file name of a segment: NAME-NNNNNNNN.tgl.
@@ -20,7 +20,7 @@
 	return fmt.Sprintf("%s-%08d%s", name, number, segmentSuffix)
 }
 
-// ListSegments returns the numbers of a log's segments, ascending. A missing directory has none.
+// ListSegments returns the numbers of a log's segments in ascending order; none if the directory does not exist.
 func ListSegments(fsys FS, dir, name string) ([]uint64, error) {
 	names, err := fsys.List(dir)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -61,8 +61,8 @@
 
 // ReadLog reads a log's segments from number first on (0: from the oldest) and calls each with every frame, those
 // of checkpoints included; the owner tells them apart by their kind. The payload is valid until each returns, and
-// an error of each ends the scan. Missing or damaged data is a *DamageError; tails cut off by crashes are skipped
-// and listed in Scan.Torn.
+// an error that it returns ends the scan. Missing or damaged data is reported as a *DamageError; tails cut off by
+// crashes are skipped and listed in Scan.Torn.
 func ReadLog(fsys FS, dir, name string, kind uint16, first uint64,
 	each func(at Position, reader *Reader, kind uint16, payload []byte) error) (Scan, error) {
 	var scan Scan
@@ -94,7 +94,7 @@
 }
 
 // readSegment reads one segment. next is the header of the segment after it, or nil for the last segment; oldest is
-// set for the first segment read.
+// true for the first segment read, whose predecessor is not checked.
 func (s *Scan) readSegment(fsys FS, dir, name string, kind uint16, number uint64, next *Header, oldest bool,
 	each func(Position, *Reader, uint16, []byte) error) error {
 	reader, err := Open(fsys, filepath.Join(dir, segmentName(name, number)), kind)
@@ -103,11 +103,12 @@
 	}
 	defer reader.Close()
 	if reader.Number != number {
-		return &DamageError{reader.name, 16,
-			fmt.Sprintf("the file holds segment %d but is named as segment %d", reader.Number, number)}
+		return &DamageError{reader.path, 16,
+			fmt.Sprintf("the header is of segment %d, but the file name is of segment %d", reader.Number, number)}
 	}
 	if !oldest && reader.Previous != s.lastHeader.Number {
-		return &DamageError{reader.name, 24, fmt.Sprintf("it follows segment %d, which is missing", reader.Previous)}
+		return &DamageError{reader.path, 24,
+			fmt.Sprintf("the segment continues segment %d, which is missing", reader.Previous)}
 	}
 	s.Segments++
 	for next == nil || reader.offset < next.PrevEnd {
@@ -118,12 +119,12 @@
 		}
 		if errors.Is(err, ErrTorn) && next == nil {
 			s.Torn = append(s.Torn, fmt.Sprintf("%s: offset %d: %d bytes",
-				reader.name, reader.offset, reader.size-reader.offset))
+				reader.path, reader.offset, reader.size-reader.offset))
 			break
 		}
 		if err == io.EOF || errors.Is(err, ErrTorn) {
-			return &DamageError{reader.name, reader.offset,
-				fmt.Sprintf("the segment ends here, but %d bytes were written", next.PrevEnd)}
+			return &DamageError{reader.path, reader.offset,
+				fmt.Sprintf("the segment ends here, but the next one requires %d bytes of it", next.PrevEnd)}
 		}
 		if err != nil {
 			return err
@@ -135,11 +136,12 @@
 	}
 	if next != nil {
 		if reader.offset != next.PrevEnd || reader.chain != next.PrevChain {
-			return &DamageError{reader.name, reader.offset, "the segment is not the one that the next segment continues"}
+			return &DamageError{reader.path, reader.offset,
+				"length or checksum of the segment differs from what the next segment records"}
 		}
 		if reader.size > reader.offset {
 			s.Torn = append(s.Torn, fmt.Sprintf("%s: offset %d: %d bytes",
-				reader.name, reader.offset, reader.size-reader.offset))
+				reader.path, reader.offset, reader.size-reader.offset))
 		}
 	}
 	s.Bytes += reader.offset
@@ -153,7 +155,7 @@
 	Dir  string
 	Name string // prefix of the segments' file names
 	Kind uint16 // of the files
-	// MaxSegmentBytes is the size at which a new segment is started; a single write may exceed it.
+	// MaxSegmentBytes is the size at which a new segment is started; the last write to a segment may exceed it.
 	MaxSegmentBytes int64
 	// Checkpoint returns the frames that a new segment begins with: the owner's current state.
 	Checkpoint func() []Frame
@@ -312,15 +314,15 @@
 	return nil
 }
 
-// RemoveSegments removes the segments before a number, but never the current one, and returns how many it has
-// removed.
+// RemoveSegments removes the segments with lower numbers than before, but never the current one, and returns how many
+// it has removed.
 func (l *Log) RemoveSegments(before uint64) (removed int, err error) {
 	return RemoveSegments(l.cfg.FS, l.cfg.Dir, l.cfg.Name, min(before, l.header.Number))
 }
 
-// RemoveSegments removes a log's segments before a number and returns how many it has removed. It removes the
-// oldest first and syncs each removal before the next, so that the remaining segments are contiguous after a crash
-// of the machine.
+// RemoveSegments removes a log's segments with lower numbers than before and returns how many it has removed. It
+// removes the oldest first and syncs each removal before the next, so that the remaining segments are contiguous after
+// a crash of the machine.
 func RemoveSegments(fsys FS, dir, name string, before uint64) (removed int, err error) {
 	numbers, err := ListSegments(fsys, dir, name)
 	for _, number := range numbers {
@@ -342,5 +344,5 @@
 	return err
 }
 
-// UnixMillis returns a time as it is stored in files: milliseconds since the Unix epoch.
+// UnixMillis converts a time to the form stored in files: milliseconds since the Unix epoch.
 func UnixMillis(t time.Time) int64 { return t.UnixMilli() }
--- a/internal/ledgerio/bench_test.go
+++ b/internal/ledgerio/bench_test.go
@@ -12,8 +12,8 @@
 )
 
 // writeCalls writes calls of three entries each to a journal, ten calls per append, and checks the result. It
-// returns the time of the appends and the size of the journal.
-func writeCalls(b *testing.B, dir string, calls int, maxSegmentBytes int64) (took time.Duration, bytes int64) {
+// returns how long the appends took and the size of the journal in bytes.
+func writeCalls(b *testing.B, dir string, calls int, maxSegmentBytes int64) (elapsed time.Duration, bytes int64) {
 	state := ledger.NewInitializedState(ledger.Settings{Router: "n0", Length: 60_000, Grace: 1000, UnknownTimeout: 60_000})
 	log, err := durable.ContinueLog(journalConfig(durable.OS{}, dir, maxSegmentBytes, state), durable.Scan{})
 	require.NoError(b, err)
@@ -44,33 +44,33 @@
 			entries = entries[:0]
 		}
 	}
-	took = time.Since(start)
+	elapsed = time.Since(start)
 	require.NoError(b, log.Close())
 	view, err := Inspect(durable.OS{}, dir)
 	require.NoError(b, err)
-	return took, view.Bytes
+	return elapsed, view.Bytes
 }
 
 // BenchmarkRecords appends a million entries, reads and checks them all, and recovers the state as a router does at
 // start.
 func BenchmarkRecords(b *testing.B) {
 	const calls = 333_340
-	for _, roll := range []int64{1 << 30, 16 << 20} {
-		b.Run(fmt.Sprintf("segments of %d MB", roll>>20), func(b *testing.B) {
+	for _, maxSegmentBytes := range []int64{1 << 30, 16 << 20} {
+		b.Run(fmt.Sprintf("segments of %d MB", maxSegmentBytes>>20), func(b *testing.B) {
 			for b.Loop() {
 				dir := b.TempDir()
-				took, bytes := writeCalls(b, dir, calls, roll)
-				began := time.Now()
-				v, err := Inspect(durable.OS{}, dir)
+				elapsed, bytes := writeCalls(b, dir, calls, maxSegmentBytes)
+				start := time.Now()
+				view, err := Inspect(durable.OS{}, dir)
 				require.NoError(b, err)
-				read := time.Since(began)
-				began = time.Now()
-				book, _, err := Recover(durable.OS{}, dir)
+				read := time.Since(start)
+				start = time.Now()
+				state, _, err := Recover(durable.OS{}, dir)
 				require.NoError(b, err)
-				require.Empty(b, book.Calls)
-				b.ReportMetric(time.Since(began).Seconds(), "s-recovery")
-				b.ReportMetric(float64(v.State.Entries)/took.Seconds(), "appended/s")
-				b.ReportMetric(float64(v.State.Entries)/read.Seconds(), "checked/s")
+				require.Empty(b, state.Calls)
+				b.ReportMetric(time.Since(start).Seconds(), "s-recovery")
+				b.ReportMetric(float64(view.State.Entries)/elapsed.Seconds(), "appended/s")
+				b.ReportMetric(float64(view.State.Entries)/read.Seconds(), "checked/s")
 				b.ReportMetric(float64(bytes)/calls, "bytes/call")
 			}
 		})
--- a/internal/ledgerio/export.go
+++ b/internal/ledgerio/export.go
@@ -23,8 +23,8 @@
 }
 
 // Export writes every closed period that has not been exported yet, in order, each as one file in the directory
-// out, and returns the files it has written, also with an error. After an interruption at any point, another run
-// produces the same bytes. Only one process at a time can export a ledger; another gets durable.ErrLocked.
+// out, and returns the files it has written, even if it returns an error. After an interruption at any point, another
+// run produces the same bytes. Only one process at a time can export a ledger; another gets durable.ErrLocked.
 func Export(fsys durable.FS, dir, out string) (list []ExportedFile, err error) {
 	lock, err := fsys.Lock(filepath.Join(dir, exportLockName))
 	if err != nil {
@@ -49,7 +49,7 @@
 			return nil
 		}
 		if s.Sequence != exports.state.LastSequence+1 || exports.state.LastEnd != 0 && s.From != exports.state.LastEnd {
-			return fmt.Errorf("%w: statement %d from %s follows export %d up to %s",
+			return fmt.Errorf("%w: statement %d from %s does not continue export %d, which ends at %s",
 				errExport, s.Sequence, formatTime(s.From), exports.state.LastSequence, formatTime(exports.state.LastEnd))
 		}
 		done, err := exports.exportStatement(collector.State.Settings, s)
@@ -66,7 +66,7 @@
 	return list, err
 }
 
-// exporter writes exports one after the other.
+// exporter writes the exports of one ledger, one after the other.
 type exporter struct {
 	fsys     durable.FS
 	dir, out string
@@ -125,7 +125,7 @@
 		}
 	}
 	if uint64(len(corrections)) < w.state.Plan.Corrections {
-		return ExportedFile{}, fmt.Errorf("%s: the export includes %d corrections, but only %d exist",
+		return ExportedFile{}, fmt.Errorf("%s: the export was planned with %d corrections, but only %d exist",
 			w.dir, w.state.Plan.Corrections, len(corrections))
 	}
 	export, calls := ledger.NewExport(settings, statement, corrections[w.state.Corrections:w.state.Plan.Corrections])
@@ -145,8 +145,8 @@
 	return ExportedFile{path, export.ID, export.Sequence, export.From, export.To}, nil
 }
 
-// WriteExport writes an export file atomically. If the file already exists with the same bytes, it is left alone;
-// with other bytes, an error is returned, since an export is never changed.
+// WriteExport writes an export file atomically. A file that already exists is left as it is; if its content differs, an
+// error is returned, since an export is never changed.
 func WriteExport(fsys durable.FS, path string, export *ledger.Export, calls []uint64) error {
 	encode := func(to io.Writer) error {
 		writer, err := durable.NewWriter(to, durable.Header{Kind: kindExport, Number: export.Sequence})
@@ -176,7 +176,7 @@
 // comparer is a writer that compares what is written to it with a file.
 type comparer struct {
 	src       io.Reader // the file
-	remaining int64     // bytes of the file not compared yet; below 0: the file is shorter
+	remaining int64     // bytes of the file not compared yet; negative if the file is shorter
 	buf       []byte
 	differs   bool
 }
@@ -242,7 +242,7 @@
 }
 
 // Compact removes the journal's segments that no future export needs and whose last entry is older than retention. It
-// returns how many were removed; now is in milliseconds since the Unix epoch.
+// returns how many it has removed; now is in milliseconds since the Unix epoch.
 func Compact(fsys durable.FS, dir string, retention time.Duration, now int64) (removed int, err error) {
 	lock, err := fsys.Lock(filepath.Join(dir, exportLockName))
 	if err != nil {
--- a/internal/ledgerio/recorder.go
+++ b/internal/ledgerio/recorder.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// maxQueuedBatches and maxQueuedEntries bound what is queued for the writer. Beyond them entries stay with the
-	// ledger.Keeper, which aggregates them to totals when it holds too many.
+	// maxQueuedBatches and maxQueuedEntries limit what is queued for the writer. Beyond them entries stay with the
+	// ledger.Keeper, which keeps only totals when it has too many.
 	maxQueuedBatches = 256
 	maxQueuedEntries = 16_384
 	// retryDelay is the delay before a failed write is retried.
@@ -40,7 +40,7 @@
 	Dir              string // the ledger's directory
 	Settings         ledger.Settings
 	SyncInterval     time.Duration // interval between fsyncs of the journal; 0: after every write
-	ExportDir        string        // directory that periods are exported to as they close; empty: only by command
+	ExportDir        string        // directory to which closed periods are exported; empty: only by command
 	Retention        time.Duration // how long exported segments are kept
 	RefuseUnbillable bool          // whether calls are refused while they cannot be recorded
 	DiskTimeout      time.Duration // longest wait for the disk before calls proceed without it
@@ -96,7 +96,7 @@
 	queuedEntries   atomic.Int64  // entries in the queue or with the writer
 	queuedBatches   atomic.Int64  // batches in the queue
 	writtenTicket   atomic.Uint64 // ticket of the last batch written
-	loopWaiting     atomic.Bool   // the loop wants a wake-up after the next write or failure
+	loopWaiting     atomic.Bool   // the loop must be woken after the next write or failure
 	writeFailed     atomic.Bool   // the last write failed
 	wakeWriter      chan struct{}
 	stop            chan struct{}
@@ -119,8 +119,9 @@
 	entries []ledger.Entry
 }
 
-// Counters are a Recorder's counters since its start, except for Queued (entries not written yet) and Trouble (the
-// disk is bypassed), which are current values.
+// Counters are a Recorder's counters since its start. Troubles counts how often the disk was bypassed, Turned the calls
+// refused meanwhile, and Dropped the removed segments. Queued (entries not written yet) and Trouble (the disk is
+// bypassed) are current values. The names of the fields appear in the router's counters line.
 type Counters struct {
 	ledger.KeeperCounters
 	Writes, Bytes, Errors, SyncErrors, Troubles, Turned, Exported, ExportErrors, Dropped uint64
@@ -169,10 +170,10 @@
 	}
 	for _, torn := range scan.Torn {
 		cfg.Log.Warn().Str("event", "ledger_torn").Str("where", torn).
-			Msgf("ledger: a crash has cut off %s; it does not count", torn)
+			Msgf("ledger: incomplete data left by a crash is ignored: %s", torn)
 	}
 	if state.Router != cfg.Settings.Router || state.Length != cfg.Settings.Length {
-		return nil, fmt.Errorf("%s: is the ledger of %s with periods of %v, not of %s with %v; use another directory",
+		return nil, fmt.Errorf("%s is the ledger of %s with periods of %v, not that of %s with %v; use another directory",
 			cfg.Dir, state.Router, time.Duration(state.Length)*time.Millisecond,
 			cfg.Settings.Router, time.Duration(cfg.Settings.Length)*time.Millisecond)
 	}
@@ -198,7 +199,8 @@
 	}
 	cfg.Log.Info().Str("event", "ledger_open").Str("dir", cfg.Dir).Int("open", len(state.Calls)).
 		Uint64("statements", state.Sequence).
-		Msgf("ledger: %s, %d calls open from before, closed up to %s", cfg.Dir, len(state.Calls), formatTime(state.Closed))
+		Msgf("ledger: opened %s: %d calls of earlier runs are open, periods are closed up to %s", cfg.Dir,
+			len(state.Calls), formatTime(state.Closed))
 	return recorder, nil
 }
 
@@ -220,13 +222,13 @@
 // call.
 func (r *Recorder) Adopt(t ledger.TakenOverCall) bool { return r.keeper.Adopt(t) }
 
-// RemoveCall removes a call that another router has taken over and now records.
+// RemoveCall removes a call that another router has taken over and now has in its ledger.
 func (r *Recorder) RemoveCall(id string) { r.keeper.RemoveCall(ledger.CallKey(id)) }
 
-// SuspendOpenCalls suspends the calls left open by an earlier process until ResumeOpenCalls, and returns their IDs.
+// SuspendOpenCalls suspends the calls left open by earlier processes until ResumeOpenCalls, and returns their IDs.
 func (r *Recorder) SuspendOpenCalls() []string { return r.keeper.SuspendOpenCalls() }
 
-// ResumeOpenCalls ends the suspension; taken names the calls that other routers have taken over.
+// ResumeOpenCalls ends the suspension; taken contains the IDs of the calls that other routers have taken over.
 func (r *Recorder) ResumeOpenCalls(taken []string) { r.keeper.ResumeOpenCalls(taken) }
 
 // Admit refuses a request, with retry advice, if it cannot be recorded now and Options.RefuseUnbillable is set.
@@ -264,7 +266,7 @@
 	return r.ticket
 }
 
-// startWait starts the timer of DiskTimeout unless it is running.
+// startWait starts the DiskTimeout unless it is running.
 func (r *Recorder) startWait() {
 	if r.waitingSince == 0 {
 		r.waitingSince = r.cfg.Clock()
@@ -290,18 +292,20 @@
 		r.loopWaiting.Store(false)
 		if r.bypassed && !r.writeFailed.Load() {
 			r.bypassed = false
-			r.cfg.Log.Warn().Str("event", "ledger_back").Msg("ledger: the disk has caught up, all totals are written")
+			r.cfg.Log.Warn().Str("event", "ledger_back").
+				Msg("ledger: the disk has caught up, and all totals have been written")
 		}
 	}
 	if !r.bypassed && (r.writeFailed.Load() || r.waitingSince > 0 && r.cfg.Clock()-r.waitingSince > r.cfg.DiskTimeout) {
 		r.bypassed = true
 		r.bypassCount++
-		consequence := "calls go on without"
+		consequence := "calls go on without it"
 		if r.cfg.RefuseUnbillable {
 			consequence = "calls are refused"
 		}
 		r.cfg.Log.Error().Str("event", "ledger_trouble").
-			Msgf("ledger: the disk does not keep up; %s until it does, totals are kept in memory", consequence)
+			Msgf("ledger: the disk does not keep up; %s until it has caught up, and totals are kept in memory",
+				consequence)
 	}
 	if r.bypassed {
 		return math.MaxUint64
@@ -322,9 +326,9 @@
 		r.removedSegments.Load(), r.queuedEntries.Load(), r.bypassed}
 }
 
-// Close writes and syncs the remaining entries and releases the directory's lock. It is called after the loop has
-// ended, waits up to a second for queue space and up to another for the writer, and returns an error if entries may
-// be lost.
+// Close writes and syncs the remaining entries and releases the directory's lock. It must be called after the loop has
+// ended. It waits up to a second for space in the queue and up to another for the writer, and returns an error if
+// entries may be lost.
 func (r *Recorder) Close() error {
 	for attempts := 100; ; attempts-- {
 		if r.Commit(); !r.keeper.HasEntries() || attempts == 0 {
@@ -334,7 +338,7 @@
 	}
 	close(r.stop)
 	if !waitTimeout(&r.writerDone, time.Second) {
-		return errors.New("ledger: the last entries were not written in time")
+		return errors.New("ledger: timed out writing the last entries")
 	}
 	waitTimeout(&r.maintenanceDone, 250*time.Millisecond) // an interrupted export continues at the next start
 	err := r.lock.Close()
@@ -412,7 +416,7 @@
 		r.markWritten(pending)
 		pending, frames = pending[:0], nil
 		if r.writeFailed.Swap(false) {
-			select { // batches may have been queued meanwhile
+			select { // batches queued during the failure have not been taken yet
 			case r.wakeWriter <- struct{}{}:
 			default:
 			}
@@ -476,7 +480,7 @@
 	r.logError("ledger_write", err)
 }
 
-// logError logs a file error, at most once per errorLogInterval.
+// logError logs an error of the writer, at most one per errorLogInterval.
 func (r *Recorder) logError(event string, err error) {
 	if now := time.Now(); now.Sub(r.lastErrorLog) >= errorLogInterval {
 		r.lastErrorLog = now
@@ -526,21 +530,21 @@
 	for _, e := range list {
 		r.exported.Add(1)
 		r.cfg.Log.Info().Str("event", "ledger_exported").Str("file", e.Path).Str("id", e.ID).
-			Msgf("ledger: statement %d up to %s is in %s", e.Sequence, formatTime(e.To), e.Path)
+			Msgf("ledger: exported statement %d (up to %s) to %s", e.Sequence, formatTime(e.To), e.Path)
 	}
 	if errors.Is(err, ErrNoLedger) || errors.Is(err, durable.ErrLocked) {
-		return // nothing was written yet, or a command is exporting
+		return // nothing has been written yet, or a command is exporting
 	}
 	if err != nil {
 		r.exportErrors.Add(1)
 		r.cfg.Log.Error().Str("event", "ledger_export").
-			Msgf("ledger: export: %v; it is tried again when the next period closes", err)
+			Msgf("ledger: export failed: %v; it will be retried when the next period closes", err)
 		return
 	}
 	n, err := Compact(r.cfg.FS, r.cfg.Dir, r.cfg.Retention, r.cfg.WallClock())
 	r.removedSegments.Add(uint64(n))
 	if err != nil {
 		r.exportErrors.Add(1)
-		r.cfg.Log.Error().Str("event", "ledger_compact").Msgf("ledger: compaction: %v", err)
+		r.cfg.Log.Error().Str("event", "ledger_compact").Msgf("ledger: removing old segments failed: %v", err)
 	}
 }
--- a/internal/ledgerio/recorder_test.go
+++ b/internal/ledgerio/recorder_test.go
@@ -81,8 +81,8 @@
 func (h *harness) commit() bool {
 	ticket := h.recorder.Commit()
 	return durabletest.WaitFor(func() bool {
-		p := h.recorder.Released()
-		return p == math.MaxUint64 || p >= ticket || h.disk.Crashed()
+		released := h.recorder.Released()
+		return released == math.MaxUint64 || released >= ticket || h.disk.Crashed()
 	}) && h.recorder.writtenTicket.Load() >= ticket
 }
 
@@ -109,7 +109,7 @@
 	}
 }
 
-// advanceMinutes advances the wall clock and waits until an export of the periods closed by that has begun.
+// advanceMinutes advances the wall clock and waits until an export of the periods that this closes has begun.
 func (h *harness) advanceMinutes(n int64) {
 	h.wall.Add(n * minute)
 	h.recorder.Tick()
@@ -190,19 +190,19 @@
 // writes, crashes of the process and power failures. Each call sent to a server must be stated exactly once, and each
 // period must be exported exactly once.
 func TestFaultAtEveryStep(t *testing.T) {
-	plain := newHarness(t, 1)
-	plain.runSession()
-	plain.recoverAndCheck("nothing", false)
-	steps := len(plain.disk.Steps())
+	faultless := newHarness(t, 1)
+	faultless.runSession()
+	faultless.recoverAndCheck("no fault", false)
+	steps := len(faultless.disk.Steps())
 	require.Greater(t, steps, 100)
 	runs := 0
 	for _, fault := range durabletest.Faults {
 		for at := range steps {
 			h := newHarness(t, uint64(at))
-			hit := false
+			injected := false
 			h.disk.Plan = func(s durabletest.Step) durabletest.Fault {
-				if s.Index == at && !hit {
-					hit = true
+				if s.Index == at && !injected {
+					injected = true
 					return fault
 				}
 				return durabletest.None
@@ -303,42 +303,42 @@
 				h.observe(router.Sent, id, router.Event{Server: "s0"})
 				ticket := h.recorder.Commit()
 				h.clock += 30 * time.Millisecond
-				p := h.recorder.Released()
+				released := h.recorder.Released()
 				if i > 2 { // the first batch may not have reached the writer yet
-					require.True(t, p >= ticket, "calls must proceed")
+					require.True(t, released >= ticket, "calls must proceed")
 				}
 				h.observe(router.Established, id, router.Event{})
 				h.observe(router.Ended, id, router.Event{Outcome: threadglade.Concluded})
 				h.observe(router.Closed, id, router.Event{})
 				maxWaiting = max(maxWaiting, h.recorder.Counters().Waiting+int(h.recorder.Counters().Queued))
 			}
-			require.Less(t, maxWaiting, 3*maxQueuedEntries, "waiting entries must be bounded")
+			require.Less(t, maxWaiting, 3*maxQueuedEntries, "the number of waiting entries must be limited")
 			require.NotZero(t, h.recorder.Counters().Spilled)
-			why, after := h.recorder.Admit(router.Request{})
-			ok := why == threadglade.NoReason
+			reason, retryAfter := h.recorder.Admit(router.Request{})
+			ok := reason == threadglade.NoReason
 			require.False(t, ok)
-			require.Equal(t, time.Second, after)
+			require.Equal(t, time.Second, retryAfter)
 			require.True(t, h.log.Contains(`"ledger_trouble"`))
 			repair()
 			require.True(t, durabletest.WaitFor(func() bool {
 				h.recorder.Commit()
 				h.recorder.Released()
-				why, _ := h.recorder.Admit(router.Request{})
-				ok := why == threadglade.NoReason
+				reason, _ := h.recorder.Admit(router.Request{})
+				ok := reason == threadglade.NoReason
 				return ok
 			}), "the disk must be used again without intervention")
 			require.True(t, h.log.Contains(`"ledger_back"`))
 			require.NoError(t, h.recorder.Close())
-			v, err := Inspect(h.disk, "ledger")
+			view, err := Inspect(h.disk, "ledger")
 			require.NoError(t, err)
 			total := int64(0)
-			for _, s := range v.Pending {
+			for _, s := range view.Pending {
 				for _, u := range s.Totals {
 					total += u[ledger.Offered]
 				}
 			}
 			require.EqualValues(t, 30_000, total)
-			require.Len(t, v.State.Calls, 1)
+			require.Len(t, view.State.Calls, 1)
 		})
 	}
 	h := newHarness(t, 1)
@@ -370,9 +370,9 @@
 			return durabletest.None
 		}
 		_, err := Export(h.disk, "ledger", "out")
-		died := h.disk.Crashed()
+		crashed := h.disk.Crashed()
 		h.disk.Restart()
-		if died {
+		if crashed {
 			require.Error(t, err)
 		}
 		// A correction added after the plan was saved belongs to the next export.
@@ -404,7 +404,7 @@
 				exports[n] = h.disk.Bytes("out/" + n)
 			}
 		}
-		if !died {
+		if !crashed {
 			require.Greater(t, at, 20)
 			break
 		}
--- a/internal/ledgerio/settings.go
+++ b/internal/ledgerio/settings.go
@@ -8,8 +8,8 @@
 	"threadglade.example/threadglade/ledger"
 )
 
-// ReadSettings reads a (ledger ...) section for a router of that name; docs/operators/ledger.md describes every
-// field. A nil section yields the defaults. Errors are recorded in the section and reported by its Finish.
+// ReadSettings reads a (ledger ...) section for the router routerName; docs/operators/ledger.md describes every field.
+// A nil section yields the defaults. Errors are recorded in the section and reported by its Finish.
 func ReadSettings(section *settings.Section, routerName string) Options {
 	options := Defaults()
 	options.Settings.Router = routerName
@@ -51,7 +51,7 @@
 	return options
 }
 
-// readTenants reads the tenants' rules and the precedence of their sources.
+// readTenants reads the tenants' rules and the precedence of the sources.
 func readTenants(section *settings.Section) *ledger.Directory {
 	var order []ledger.Source
 	for _, source := range section.Strings("precedence") {
--- a/internal/ledgerio/store.go
+++ b/internal/ledgerio/store.go
@@ -67,8 +67,8 @@
 }
 
 // readJournal calls each with every entry of the journal's segments from first on (0: all). An error of the decoder
-// or of each is reported as damage of the frame that holds the entry, unless it is damage already or wraps
-// errExport.
+// or of each is reported as damage of the frame that contains the entry, unless it is a *durable.DamageError already
+// or wraps errExport.
 func readJournal(fsys durable.FS, dir string, first uint64, each func(*ledger.Entry) error) (durable.Scan, error) {
 	return durable.ReadLog(fsys, dir, journalName, kindJournal, first,
 		func(at durable.Position, r *durable.Reader, _ uint16, payload []byte) error {
@@ -103,8 +103,8 @@
 	return state, scan, err
 }
 
-// readCheckpointEnd returns the last entry of a segment's checkpoint, which holds its time and the number of
-// statements up to it.
+// readCheckpointEnd returns the last entry of a segment's checkpoint, which contains the time of the checkpoint and the
+// number of statements before it.
 func readCheckpointEnd(fsys durable.FS, dir string, number uint64) (checkpointEnd ledger.Entry, err error) {
 	err = errors.New("no checkpoint")
 	_, readErr := durable.ReadLog(fsys, dir, journalName, kindJournal, number,
@@ -176,7 +176,8 @@
 				return r.Damagef(at.Offset, "%v", err)
 			}
 			if next.LastSequence < state.LastSequence || next.LastSequence > state.LastSequence+1 && scan.Frames > 0 {
-				return r.Damagef(at.Offset, "export %d follows %d", next.LastSequence, state.LastSequence)
+				return r.Damagef(at.Offset, "export %d is out of order after export %d", next.LastSequence,
+					state.LastSequence)
 			}
 			state = next
 			return nil
@@ -184,7 +185,7 @@
 	return state, scan, err
 }
 
-// readCorrections reads the operators' corrections in the order they were made.
+// readCorrections reads the operators' corrections in the order in which they were made.
 func readCorrections(fsys durable.FS, dir string) (list []ledger.Correction, scan durable.Scan, err error) {
 	scan, err = durable.ReadLog(fsys, dir, correctionsName, kindCorrections, 0,
 		func(at durable.Position, r *durable.Reader, kind uint16, payload []byte) error {
@@ -196,7 +197,8 @@
 				return r.Damagef(at.Offset, "%v", err)
 			}
 			if err := correction.Validate(); err != nil || correction.Entry != uint64(len(list)+1) {
-				return r.Damagef(at.Offset, "correction %d follows %d: %v", correction.Entry, len(list), err)
+				return r.Damagef(at.Offset, "correction %d after %d corrections is invalid or out of order: %v",
+					correction.Entry, len(list), err)
 			}
 			list = append(list, correction)
 			return nil
@@ -263,7 +265,7 @@
 	return correction.Entry, log.Close()
 }
 
-// formatTime formats milliseconds since the Unix epoch for messages; 0 means that there is nothing yet.
+// formatTime formats milliseconds since the Unix epoch for messages; 0 stands for "nothing yet".
 func formatTime(ms int64) string {
 	if ms == 0 {
 		return "(nothing)"
@@ -329,17 +331,16 @@
 	return view, nil
 }
 
-// ReadCallStates returns the calls in a directory's journal by state: counted as established, whether their period
-// is closed or not, ended with unknown outcome, and still open. It takes no lock; no process may be writing to the
-// ledger.
+// ReadCallStates returns the keys of the calls in a directory's journal by state: counted as established (in a closed
+// period or not), closed as unknown, and still open. It takes no lock; no process may be writing to the ledger.
 func ReadCallStates(fsys durable.FS, dir string) (counted, unknown, open map[uint64]bool, err error) {
 	counted, unknown, open = map[uint64]bool{}, map[uint64]bool{}, map[uint64]bool{}
 	add := func(s *ledger.Statement) error {
-		for _, collector := range s.Calls {
-			counted[collector] = true
+		for _, key := range s.Calls {
+			counted[key] = true
 		}
-		for _, collector := range s.Unknown {
-			unknown[ledger.CallKey(collector.Call)] = true
+		for _, call := range s.Unknown {
+			unknown[ledger.CallKey(call.Call)] = true
 		}
 		return nil
 	}
@@ -357,7 +358,8 @@
 	return counted, unknown, open, nil
 }
 
-// ReadExport reads and checks an export file. Unless nil, calls receives the keys of established calls, in parts.
+// ReadExport reads and checks an export file. Unless calls is nil, it is called with the keys of the listed calls, in
+// parts.
 func ReadExport(fsys durable.FS, path string, calls func([]uint64) error) (*ledger.Export, error) {
 	reader, err := durable.Open(fsys, path, kindExport)
 	if err != nil {
@@ -384,8 +386,8 @@
 	return export, err
 }
 
-// OpenCallList opens the list of calls of an export file for reading part by part, with a buffer of that many
-// bytes. The caller closes the closer.
+// OpenCallList opens the list of calls of an export file for reading part by part, with a read buffer of the given size
+// in bytes. The caller must close the returned io.Closer.
 func OpenCallList(fsys durable.FS, path string, buffer int) (ledger.CallSource, io.Closer, error) {
 	reader, err := durable.OpenBuffered(fsys, path, kindExport, buffer)
 	if err != nil {
@@ -394,7 +396,7 @@
 	return &callReader{reader: reader}, reader, nil
 }
 
-// callReader reads the call list of an export file.
+// callReader reads the list of calls of an export file.
 type callReader struct {
 	reader *durable.Reader
 	list   ledger.CallList
@@ -416,5 +418,5 @@
 	}
 }
 
-// isNotExist reports whether err says that a file does not exist.
+// isNotExist reports whether err means that a file does not exist.
 func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
--- a/ledger/keeper.go
+++ b/ledger/keeper.go
@@ -54,23 +54,23 @@
 // Keeper records the events of a router as ledger entries. It is a router.Observer and, like the router, may be used by
 // one goroutine only.
 type Keeper struct {
-	cfg            KeeperConfig
-	settings       Settings
-	nameIndex      map[string]uint32
-	names          []string
-	limitedNames   [2]int               // new names of servers and stated tenants since the start, by source of name
-	calls          map[string]*liveCall // calls of this process, by ID
-	freeCalls      []*liveCall
-	earlier        map[uint64]*OpenCall     // open calls of earlier processes, or taken over from other routers
-	suspended      map[uint64]*suspendedEnd // calls of earlier that other routers may have taken over
-	earlierBySince []*OpenCall              // earlier, sorted by SentAt; may also hold calls that have ended
-	now            int64                    // ledger time, which never goes back
-	closed         int64                    // all periods before it are closed; 0: no period has started
-	sequence       uint64                   // number of the latest statement
-	usedPeriods    map[int64]bool           // starts of periods that are not closed and in which calls have ended
-	entries        []Entry                  // entries that wait for Take
-	spill          *spillBuffer             // nil unless entries is full
-	counters       KeeperCounters
+	cfg             KeeperConfig
+	settings        Settings
+	nameIndex       map[string]uint32
+	names           []string
+	limitedNames    [2]int               // new names of servers and stated tenants since the start, by source of name
+	calls           map[string]*liveCall // calls of this process, by ID
+	freeCalls       []*liveCall
+	earlier         map[uint64]*OpenCall     // open calls of earlier processes, or taken over from other routers
+	suspended       map[uint64]*suspendedEnd // calls of earlier that other routers may have taken over
+	earlierBySentAt []*OpenCall              // earlier, sorted by SentAt; may also hold calls that have ended
+	now             int64                    // ledger time, which never goes back
+	closed          int64                    // all periods before it are closed; 0: no period has started
+	sequence        uint64                   // number of the latest statement
+	usedPeriods     map[int64]bool           // starts of periods that are not closed and in which calls have ended
+	entries         []Entry                  // entries that wait for Take
+	spill           *spillBuffer             // nil unless entries is full
+	counters        KeeperCounters
 }
 
 // KeeperCounters count what a Keeper has done since its start. Unspoken counts releases of calls that are not in the
@@ -155,9 +155,9 @@
 	for key, call := range state.Calls {
 		earlier := *call
 		k.earlier[key] = &earlier
-		k.earlierBySince = append(k.earlierBySince, &earlier)
+		k.earlierBySentAt = append(k.earlierBySentAt, &earlier)
 	}
-	slices.SortFunc(k.earlierBySince, func(a, b *OpenCall) int {
+	slices.SortFunc(k.earlierBySentAt, func(a, b *OpenCall) int {
 		return cmp.Or(cmp.Compare(a.SentAt, b.SentAt), cmp.Compare(a.Call, b.Call))
 	})
 	return k
@@ -302,10 +302,10 @@
 // addEarlier adds a call to k.earlier.
 func (k *Keeper) addEarlier(c *OpenCall) {
 	k.earlier[c.Call] = c
-	at, _ := slices.BinarySearchFunc(k.earlierBySince, c, func(a, b *OpenCall) int {
+	at, _ := slices.BinarySearchFunc(k.earlierBySentAt, c, func(a, b *OpenCall) int {
 		return cmp.Or(cmp.Compare(a.SentAt, b.SentAt), cmp.Compare(a.Call, b.Call))
 	})
-	k.earlierBySince = slices.Insert(k.earlierBySince, at, c)
+	k.earlierBySentAt = slices.Insert(k.earlierBySentAt, at, c)
 }
 
 // TakenOverCall is an established call that this router has taken over from another.
@@ -518,10 +518,10 @@
 // passed since their end. It has to be called at least once a second.
 func (k *Keeper) Tick() {
 	now := k.advanceTime()
-	for len(k.earlierBySince) > 0 && (now-k.earlierBySince[0].SentAt >= k.settings.UnknownTimeout ||
-		k.earlier[k.earlierBySince[0].Call] != k.earlierBySince[0]) {
-		call := k.earlierBySince[0]
-		k.earlierBySince = k.earlierBySince[1:]
+	for len(k.earlierBySentAt) > 0 && (now-k.earlierBySentAt[0].SentAt >= k.settings.UnknownTimeout ||
+		k.earlier[k.earlierBySentAt[0].Call] != k.earlierBySentAt[0]) {
+		call := k.earlierBySentAt[0]
+		k.earlierBySentAt = k.earlierBySentAt[1:]
 		if k.earlier[call.Call] != call {
 			continue
 		}
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -616,7 +616,10 @@
 		require.NoError(t, e.Encode(calls, two.put))
 		require.Equal(t, one, two)
 		decodedCalls := []uint64{}
-		decoded, err := DecodeExport(one.reader(), func(part []uint64) error { decodedCalls = append(decodedCalls, part...); return nil })
+		decoded, err := DecodeExport(one.reader(), func(part []uint64) error {
+			decodedCalls = append(decodedCalls, part...)
+			return nil
+		})
 		require.NoError(t, err)
 		require.Equal(t, e, decoded)
 		require.Equal(t, calls, decodedCalls)
