--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -18,7 +18,7 @@
 // Limits bounds an exploration. Zero means no bound.
 type Limits struct {
 	Workers int // zero means GOMAXPROCS
-	// Distinct states. This bounds memory as well: a state on the frontier takes about 8 kB.
+	// MaxStates bounds the distinct states, and thereby the memory: a state on the frontier takes about 8 kB.
 	MaxStates   int64
 	MaxDuration time.Duration
 }
@@ -28,7 +28,7 @@
 	World       string        `json:"world"`
 	Transitions int64         `json:"transitions"` // events applied
 	Distinct    int64         `json:"distinct"`    // distinct states by canonical form
-	FinalStates int64         `json:"ends"`        // distinct states without successors
+	FinalStates int64         `json:"ends"`        // distinct states in which no event is possible
 	Depth       int           `json:"depth"`       // greatest distance of a state from the initial one, in events
 	MaxWidth    int           `json:"widest"`      // most states at one depth
 	Complete    bool          `json:"complete"`    // no bound was reached and no property was violated
@@ -49,7 +49,7 @@
 	previous *eventTrace
 }
 
-// events returns the trace in order of time.
+// events returns the events of the trace, earliest first.
 func (t *eventTrace) events() (list []string) {
 	for ; t != nil; t = t.previous {
 		list = append(list, t.event)
@@ -61,8 +61,8 @@
 }
 
 // Run explores a world breadth first, so that the path to a violation is a shortest one. The workers expand all
-// states of one depth before any of the next. The set of seen states is lock-free. Run returns an error if a router
-// cannot be created or cloned; a violation is reported in the Result.
+// states of one depth before any of the next, and share a lock-free set of the states seen so far. Run returns an
+// error if a router cannot be created or cloned; a violation is reported in the Result.
 func Run(world World, limits Limits) (Result, error) {
 	start := time.Now()
 	result := Result{World: world.Name}
@@ -130,12 +130,12 @@
 	start          time.Time
 	seen           *xsync.Map[xxh3.Uint128, struct{}]
 	distinctStates atomic.Int64
-	limitReached   atomic.Bool // a bound has been reached; the workers stop
+	limitReached   atomic.Bool // tells the workers to stop
 }
 
 // expandFrontier claims batches of the frontier and expands them until none is left or a bound is reached.
-func (p *worker) expandFrontier(shared *sharedSearch, frontier []node, nextIndex *atomic.Int64) {
-	for p.err == nil && !shared.limitReached.Load() {
+func (w *worker) expandFrontier(shared *sharedSearch, frontier []node, nextIndex *atomic.Int64) {
+	for w.err == nil && !shared.limitReached.Load() {
 		if shared.limits.MaxStates > 0 && shared.distinctStates.Load() >= shared.limits.MaxStates ||
 			shared.limits.MaxDuration > 0 && time.Since(shared.start) > shared.limits.MaxDuration {
 			shared.limitReached.Store(true)
@@ -145,39 +145,39 @@
 		if low >= len(frontier) {
 			return
 		}
-		for i := low; i < min(low+batchSize, len(frontier)) && p.err == nil; i++ {
-			p.expandState(shared, frontier[i])
+		for i := low; i < min(low+batchSize, len(frontier)) && w.err == nil; i++ {
+			w.expandState(shared, frontier[i])
 			frontier[i].model = nil // allows the state to be garbage collected
 		}
 	}
 }
 
 // expandState applies every possible event to a clone of the state, checks the properties and collects new states.
-func (p *worker) expandState(shared *sharedSearch, parent node) {
+func (w *worker) expandState(shared *sharedSearch, parent node) {
 	steps := parent.model.nextSteps()
 	if len(steps) == 0 {
-		p.finalStates++
+		w.finalStates++
 	}
 	for _, s := range steps {
 		m, err := parent.model.clone()
 		if err != nil {
-			p.err = err
+			w.err = err
 			return
 		}
-		p.transitions++
+		w.transitions++
 		s.apply(m)
 		m.checkProperties()
 		trace := &eventTrace{s.description, parent.trace}
 		if m.violation != "" {
-			if path := trace.events(); p.violation == "" || strings.Join(path, "\n") < strings.Join(p.path, "\n") {
-				p.violation, p.path = m.violation, path
+			if path := trace.events(); w.violation == "" || strings.Join(path, "\n") < strings.Join(w.path, "\n") {
+				w.violation, w.path = m.violation, path
 			}
 			continue
 		}
-		p.buffer = m.appendState(p.buffer[:0])
-		if _, known := shared.seen.LoadOrStore(xxh3.Hash128(p.buffer), struct{}{}); !known {
+		w.buffer = m.appendState(w.buffer[:0])
+		if _, known := shared.seen.LoadOrStore(xxh3.Hash128(w.buffer), struct{}{}); !known {
 			shared.distinctStates.Add(1)
-			p.discovered = append(p.discovered, node{m, trace})
+			w.discovered = append(w.discovered, node{m, trace})
 		}
 	}
 }
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -50,25 +50,25 @@
 	}
 }
 
-// TestStricterRulesAreViolated requires more of the router than its settings do: each violation is found, with a
-// shortest path.
+// TestStricterRulesAreViolated checks that the exploration finds violations, with short paths to them: it requires
+// more of the router than the router's settings do.
 func TestStricterRulesAreViolated(t *testing.T) {
 	for _, c := range []struct {
-		world, want string
-		rules       Requirements
-		steps       int
+		world, violation string
+		requirements     Requirements
+		maxSteps         int
 	}{
 		{"drain", "the wait before a resend", Requirements{ReleaseWait: releaseWait + time.Millisecond}, 4},
 		{"drain", "attempts are bounded", Requirements{Attempts: 1}, 3},
 		{"small", "an answer in time", Requirements{AnswerGrace: -time.Millisecond}, 0},
 	} {
 		w := findWorld(t, c.world)
-		w.Calls, w.Requirements = 1, c.rules
+		w.Calls, w.Requirements = 1, c.requirements
 		res, err := Run(w, Limits{})
 		require.NoError(t, err)
-		require.True(t, strings.HasPrefix(res.Violation, c.want), "%s: %q", c.want, res.Violation)
-		if c.steps > 0 {
-			require.LessOrEqual(t, len(res.Path), c.steps, strings.Join(res.Path, "\n"))
+		require.True(t, strings.HasPrefix(res.Violation, c.violation), "%s: %q", c.violation, res.Violation)
+		if c.maxSteps > 0 {
+			require.LessOrEqual(t, len(res.Path), c.maxSteps, strings.Join(res.Path, "\n"))
 		}
 	}
 }
@@ -82,14 +82,14 @@
 		m, err := newModel(&w)
 		require.NoError(t, err)
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
-			list := m.nextSteps()
-			if len(list) == 0 {
+			steps := m.nextSteps()
+			if len(steps) == 0 {
 				break
 			}
-			twin, err := m.clone()
+			cloned, err := m.clone()
 			require.NoError(t, err)
 			before := m.appendState(nil)
-			require.Equal(t, before, twin.appendState(nil))
+			require.Equal(t, before, cloned.appendState(nil))
 			diverged, err := m.clone()
 			require.NoError(t, err)
 			for range 3 {
@@ -97,13 +97,13 @@
 					others[rapid.IntRange(0, len(others)-1).Draw(t, "stray")].apply(diverged)
 				}
 			}
-			require.Equal(t, before, m.appendState(nil), "a clone changes the original")
-			s := list[rapid.IntRange(0, len(list)-1).Draw(t, "step")]
+			require.Equal(t, before, m.appendState(nil), "events of a clone changed the original")
+			s := steps[rapid.IntRange(0, len(steps)-1).Draw(t, "step")]
 			s.apply(m)
-			s.apply(twin)
+			s.apply(cloned)
 			m.checkProperties()
 			require.Empty(t, m.violation)
-			require.Equal(t, m.appendState(nil), twin.appendState(nil), "the clone goes another way at %s",
+			require.Equal(t, m.appendState(nil), cloned.appendState(nil), "the clone and the original differ after: %s",
 				s.description)
 		}
 	})
@@ -132,7 +132,7 @@
 }
 
 // TestEqualFormsBehaveAlike checks that two states with equal canonical forms have equal successors. A form that
-// omitted part of the state would hide orders of events from the search.
+// omitted part of the state would make the search skip states that it has not explored.
 func TestEqualFormsBehaveAlike(t *testing.T) {
 	for _, w := range Worlds() {
 		w.CoarseTime = true
@@ -165,7 +165,8 @@
 					other[i].apply(b)
 					compared++
 					require.True(t, string(a.appendState(nil)) == string(b.appendState(nil)),
-						"%s: after %s\none way\n%s\nthe other\n%s\n%+v\n%+v", w.Name, one[i].description,
+						"%s: states of equal form differ after: %s\nfirst path:\n%s\nsecond path:\n%s\n%+v\n%+v",
+						w.Name, one[i].description,
 						strings.Join(known.trace.events(), "\n"), strings.Join(reached.trace.events(), "\n"),
 						a.router, b.router)
 				}
--- a/internal/explore/model.go
+++ b/internal/explore/model.go
@@ -27,9 +27,10 @@
 	// Servers may answer or end attempts that are over, and release calls that are not established.
 	StaleMessages bool `json:"Stale"`
 	ListChanges   int  `json:"Lists"` // changes of the server list: drains, removals, restarts and returns
-	// A step of time serves all timers until one has an effect, for at most 100 ms. This reduces the number of states.
+	// One step of time runs all timers due within 100 ms, or until a timer has an effect. This reduces the number of
+	// states.
 	CoarseTime      bool `json:"Coarse"`
-	LateTimers      int  `json:"Lates"`    // timers that may be served 3 ms late
+	LateTimers      int  `json:"Lates"`    // timers that may run 3 ms late
 	IdlePeriods     int  `json:"Idles"`    // periods of 1.1 s that may pass without an active call
 	ColdServers     bool `json:"Cold"`     // the servers have just started
 	UnlistedServers int  `json:"Unlisted"` // servers that are missing from the first server list
@@ -44,12 +45,12 @@
 	Cause   threadglade.Cause
 }
 
-// Requirements are the values that the properties require of the router. Zero stands for the value of its settings;
-// tests set stricter values to see a property violated.
+// Requirements are the limits that the properties check the router against. A zero field takes its value from the
+// router's settings; tests set stricter values to provoke violations.
 type Requirements struct {
-	ReleaseWait time.Duration // between an attempt that may still hold resources and the next one
-	DrainGrace  time.Duration // after the notice of a drain
-	Attempts    int
+	ReleaseWait time.Duration // least time between an attempt that may still hold resources and the next one
+	DrainGrace  time.Duration // how long attempts may still be sent to a server after the notice of its drain
+	Attempts    int           // greatest number of attempts per call
 	AnswerGrace time.Duration `json:"Late"` // how long after its deadline a request may be answered
 }
 
@@ -86,7 +87,7 @@
 	answerGrace    = 5 * time.Millisecond // the router's backstop answers this long after a deadline
 )
 
-// settings returns the router's settings in this world.
+// settings returns the router's settings for this world.
 func (w *World) settings() threadglade.Settings {
 	s := threadglade.Settings{Proxies: 1, Limits: threadglade.Limits{MaxAttempts: w.Attempts,
 		MaxRetryAfter: time.Second, RetryAfter: true, Cancel: true},
@@ -102,22 +103,22 @@
 	return s
 }
 
-// rules returns the requirements with defaults filled in.
-func (w *World) rules() Requirements {
-	r := w.Requirements
-	if r.ReleaseWait == 0 {
-		r.ReleaseWait = releaseWait
+// effectiveRequirements returns the requirements with zero fields filled in.
+func (w *World) effectiveRequirements() Requirements {
+	required := w.Requirements
+	if required.ReleaseWait == 0 {
+		required.ReleaseWait = releaseWait
 	}
-	if r.DrainGrace == 0 {
-		r.DrainGrace = drainGrace
+	if required.DrainGrace == 0 {
+		required.DrainGrace = drainGrace
 	}
-	if r.Attempts == 0 {
-		r.Attempts = w.Attempts
+	if required.Attempts == 0 {
+		required.Attempts = w.Attempts
 	}
-	if r.AnswerGrace == 0 {
-		r.AnswerGrace = answerGrace
+	if required.AnswerGrace == 0 {
+		required.AnswerGrace = answerGrace
 	}
-	return r
+	return required
 }
 
 // phase is the state of a call as its caller sees it.
@@ -132,7 +133,7 @@
 	released // was established, then released by either side
 )
 
-// call is a call and its latest attempt, as caller and servers see them.
+// call is the state of a call and of its latest attempt, as its caller and the servers see them.
 type call struct {
 	phase         phase
 	deadline      time.Duration
@@ -140,14 +141,14 @@
 	pendingAt     int           // one more than the server of the pending attempt; 0: none
 	attemptIndex  int           // of the latest attempt
 	attemptServer int           // of the latest attempt
-	resendAfter   time.Duration // no attempt may be sent before
+	resendAfter   time.Duration // no attempt may be sent before this time
 	mayHaveRun    bool          // an attempt may have been processed
 }
 
 // caseServer is a case server as the server list describes it.
 type caseServer struct {
 	state     threadglade.ServerState
-	drainedAt time.Duration // when the list first said that it is not up
+	drainedAt time.Duration // when the list first reported it as not up
 	started   time.Duration
 	listed    bool
 }
@@ -155,15 +156,15 @@
 // model is one state of a world.
 type model struct {
 	world           *World
-	rules           Requirements
+	requirements    Requirements
 	now             time.Duration
 	router          *router.Router
 	calls           []call
 	servers         []caseServer
-	listChangesLeft int // budgets of the world that are left
+	listChangesLeft int // this and the next two: what is left of the world's budgets
 	lateTimersLeft  int
 	idlePeriodsLeft int
-	violation       string // the violated property, with details
+	violation       string // the first violated property, with details
 }
 
 // constantSource is a random source that always returns the same value.
@@ -173,7 +174,7 @@
 
 // newModel returns the initial state of a world.
 func newModel(w *World) (*model, error) {
-	m := &model{world: w, rules: w.rules(), now: startTime, calls: make([]call, w.Calls),
+	m := &model{world: w, requirements: w.effectiveRequirements(), now: startTime, calls: make([]call, w.Calls),
 		servers: make([]caseServer, w.Servers), listChangesLeft: w.ListChanges, lateTimersLeft: w.LateTimers,
 		idlePeriodsLeft: w.IdlePeriods}
 	r, err := router.New(m.config(w.settings()))
@@ -206,7 +207,7 @@
 	return &n, err
 }
 
-// reportViolation records the first violated property.
+// reportViolation records a violation unless there is one already.
 func (m *model) reportViolation(format string, args ...any) {
 	if m.violation == "" {
 		m.violation = fmt.Sprintf(format, args...)
@@ -242,32 +243,32 @@
 
 // ---- trunk and front of the router ----
 
-// trunk implements router.Trunk for the case servers. The properties of attempts are checked on arrival.
+// trunk implements router.Trunk for the case servers. Send checks the properties of attempts.
 type trunk model
 
 // Send implements router.Trunk.
 func (t *trunk) Send(a router.Attempt) {
 	m := (*model)(t)
-	c, to := &m.calls[callIndex(a.ID)], serverIndex(a.Server)
-	s := m.servers[to]
+	c, index := &m.calls[callIndex(a.ID)], serverIndex(a.Server)
+	s := m.servers[index]
 	switch {
 	case c.phase != waiting:
 		m.reportViolation("one final answer: %s is sent to %s after its answer", a.ID, a.Server)
 	case c.pendingAt > 0:
 		m.reportViolation("one attempt at once: %s is sent to %s while it is out at %s", a.ID, a.Server,
 			serverID(c.pendingAt-1))
-	case c.sends >= m.rules.Attempts:
+	case c.sends >= m.requirements.Attempts:
 		m.reportViolation("attempts are bounded: %s is sent for the %dth time", a.ID, c.sends+1)
 	case m.now < c.resendAfter:
 		m.reportViolation("the wait before a resend: %s is sent %v before it is over", a.ID, c.resendAfter-m.now)
 	case !s.listed:
 		m.reportViolation("only listed servers: %s is sent to %s", a.ID, a.Server)
-	case s.state != threadglade.Up && m.now-s.drainedAt > m.rules.DrainGrace:
+	case s.state != threadglade.Up && m.now-s.drainedAt > m.requirements.DrainGrace:
 		m.reportViolation("nothing new after a drain: %s is sent to %s %v after word of it", a.ID, a.Server,
 			m.now-s.drainedAt)
 	}
 	c.sends++
-	c.pendingAt, c.attemptIndex, c.attemptServer = to+1, a.Index, to
+	c.pendingAt, c.attemptIndex, c.attemptServer = index+1, a.Index, index
 }
 
 // GiveUp implements router.Trunk.
@@ -277,7 +278,7 @@
 	if c.pendingAt == 0 || c.attemptIndex != a.Index {
 		m.reportViolation("an attempt is given up once: %s has none out", a.ID)
 	}
-	c.pendingAt, c.mayHaveRun, c.resendAfter = 0, true, m.now+m.rules.ReleaseWait
+	c.pendingAt, c.mayHaveRun, c.resendAfter = 0, true, m.now+m.requirements.ReleaseWait
 }
 
 // Release implements router.Trunk.
@@ -300,7 +301,7 @@
 	switch {
 	case c.phase != waiting:
 		m.reportViolation("one final answer: %s is %s as well", id, how)
-	case m.now > c.deadline+m.rules.AnswerGrace:
+	case m.now > c.deadline+m.requirements.AnswerGrace:
 		m.reportViolation("an answer in time: %s is %s %v after its deadline", id, how, m.now-c.deadline)
 	}
 	return c
@@ -388,7 +389,7 @@
 					c := &m.calls[i]
 					c.pendingAt = 0
 					if e.Outcome == threadglade.Cut {
-						c.resendAfter = m.now + m.rules.ReleaseWait
+						c.resendAfter = m.now + m.requirements.ReleaseWait
 					}
 					c.mayHaveRun = c.mayHaveRun || e.Outcome == threadglade.Cut
 					m.router.Ended(id, c.attemptIndex, e.Outcome, e.Cause)
@@ -425,23 +426,23 @@
 	}
 	if m.listChangesLeft > 0 {
 		for i := range m.servers {
-			for _, to := range []threadglade.ServerState{threadglade.Up, threadglade.Draining, threadglade.Removed} {
+			for _, newState := range []threadglade.ServerState{threadglade.Up, threadglade.Draining, threadglade.Removed} {
 				s := m.servers[i]
-				if to == s.state && to != threadglade.Up || !s.listed && to != threadglade.Up {
+				if newState == s.state && newState != threadglade.Up || !s.listed && newState != threadglade.Up {
 					continue
 				}
 				add(func(m *model) {
 					s := &m.servers[i]
-					if to != threadglade.Up && s.state == threadglade.Up {
+					if newState != threadglade.Up && s.state == threadglade.Up {
 						s.drainedAt = m.now
 					}
-					if to == threadglade.Up { // it has returned or was restarted
+					if newState == threadglade.Up { // the server has returned or was restarted
 						s.started = m.now
 					}
-					s.state, s.listed = to, true
+					s.state, s.listed = newState, true
 					m.listChangesLeft--
 					m.updateServers()
-				}, "the list has s%d in state %d", i, to)
+				}, "the list has s%d in state %d", i, newState)
 			}
 		}
 	}
@@ -456,13 +457,13 @@
 		add(func(m *model) {
 			m.now = max(m.now, at)
 			m.router.Tick()
-			// With coarse time, serve the timers of the next 100 ms as well, until one has an effect.
-			for from, was := m.now, m.router.Counters(); m.world.CoarseTime && m.violation == "" &&
+			// With coarse time, run the timers of the next 100 ms as well, until one has an effect.
+			for from, initial := m.now, m.router.Counters(); m.world.CoarseTime && m.violation == "" &&
 				m.now < from+coarseInterval; {
 				next, ok := m.router.NextActiveTimer()
-				have := m.router.Counters()
-				if !ok || have.Attempts != was.Attempts || have.Refused+have.Failed != was.Refused+was.Failed ||
-					have.Ends != was.Ends {
+				current := m.router.Counters()
+				if !ok || current.Attempts != initial.Attempts ||
+					current.Refused+current.Failed != initial.Refused+initial.Failed || current.Ends != initial.Ends {
 					return
 				}
 				m.now = max(m.now, next)
@@ -481,8 +482,8 @@
 	return steps
 }
 
-// finished reports whether no further event can affect a property: every call is over and no late message is
-// possible.
+// finished reports whether no further event can violate a property: every call is over and no late message can
+// arrive.
 func (m *model) finished() bool {
 	for i := range m.calls {
 		if c := &m.calls[i]; m.world.StaleMessages || c.pendingAt > 0 || c.phase == notArrived || c.phase == waiting ||
@@ -493,7 +494,7 @@
 	return true
 }
 
-// checkProperties checks a state between two events.
+// checkProperties checks the properties that must hold between two events.
 func (m *model) checkProperties() {
 	unanswered, anyEstablished, anyOpen := 0, false, false
 	for i := range m.calls {
@@ -508,7 +509,7 @@
 			continue
 		}
 		unanswered++
-		if m.now > c.deadline+m.rules.AnswerGrace {
+		if m.now > c.deadline+m.requirements.AnswerGrace {
 			m.reportViolation("an answer in time: %s has none %v after its deadline", callID(i), m.now-c.deadline)
 		}
 		if at, ok := m.router.NextActiveTimer(); !ok || at > c.deadline+answerGrace {
@@ -538,7 +539,7 @@
 	for _, c := range m.calls {
 		b = append(b, byte(c.phase))
 		if !m.world.StaleMessages && c.pendingAt == 0 && c.phase > established {
-			continue // the call is over and no late message about it is possible
+			continue // the call is over and no late message about it can arrive
 		}
 		b = append(b, byte(c.sends), byte(c.pendingAt), byte(c.attemptIndex), byte(c.attemptServer))
 		mayHaveRun := byte(0)
@@ -558,14 +559,15 @@
 		}
 		b = append(b, state)
 		if s.state != threadglade.Up {
-			b = binary.AppendVarint(b, int64(min(m.now-s.drainedAt, m.rules.DrainGrace+1)))
+			b = binary.AppendVarint(b, int64(min(m.now-s.drainedAt, m.requirements.DrainGrace+1)))
 		}
 	}
 	return m.router.AppendState(append(b, byte(m.listChangesLeft), byte(m.lateTimersLeft), byte(m.idlePeriodsLeft)),
 		m.now)
 }
 
-// Properties lists the checked properties, one sentence each. The report of a violation begins like its property.
+// Properties lists the checked properties, one sentence each. The message of a violation begins with the words before
+// the colon.
 var Properties = []string{
 	"one final answer: a call gets exactly one, and none once its caller has left",
 	"an answer in time: it comes before its deadline, or by the backstop right after",
--- a/internal/explore/mutant_test.go
+++ b/internal/explore/mutant_test.go
@@ -14,8 +14,9 @@
 	"threadglade.example/threadglade/router"
 )
 
-// found maps each mutant to the property that it violates, as docs/design/explore.md lists it.
-var found = map[string]string{
+// violatedProperty maps each mutant to the beginning of the property that it violates. docs/design/explore.md has the
+// same table.
+var violatedProperty = map[string]string{
 	"early-resend":   "the wait before a resend",
 	"attempt-more":   "attempts are bounded",
 	"deaf-to-leave":  "no answer over an attempt",
@@ -39,8 +40,8 @@
 	"silent-overdue": "nothing is forgotten",
 }
 
-// TestMutants checks that the exploration finds every mutant in a world of one call, or of two calls where it takes
-// two, and reports a path.
+// TestMutants checks that the exploration finds every mutant, and reports the property that it violates. One call is
+// enough for all of them but deaf-to-drain, which needs two.
 func TestMutants(t *testing.T) {
 	defer router.Mutate("")
 	for _, name := range slices.Sorted(maps.Keys(router.Mutants)) {
@@ -59,7 +60,7 @@
 			}
 		}
 		t.Logf("%-15s %-8s %2d steps  %s", name, res.World, len(res.Path), res.Violation)
-		assert.NotEmpty(t, res.Violation, "%s: nothing finds it", name)
-		assert.True(t, strings.HasPrefix(res.Violation, found[name]), "%s: %s", name, res.Violation)
+		assert.NotEmpty(t, res.Violation, "%s: no world finds it", name)
+		assert.True(t, strings.HasPrefix(res.Violation, violatedProperty[name]), "%s: %s", name, res.Violation)
 	}
 }
