--- a/internal/fleetsim/calls.go
+++ b/internal/fleetsim/calls.go
@@ -26,24 +26,27 @@
 	ServiceTime  time.Duration // processing time of a set-up; each case server processes one at a time
 	MeanHoldTime time.Duration // mean duration of an established call
 	Agents       int           // per server
-	MaxRedials   int           // how often a refused caller tries again, marked as a retry, within 1 s each
-	NoSharing    bool          // verdicts are not shared; for comparison in the same world
-	Proxies      int           // number of proxies in each router's settings; 0: the number of members
+	// MaxRedials is how often a refused caller tries again, marked as a retry. The caller waits for a random time up to
+	// 1 s, or for the time that the refusal advised if that is longer.
+	MaxRedials   int
+	NoSharing    bool // verdicts are not shared; for comparison in the same world
+	Proxies      int  // number of proxies in each router's settings; 0: the number of members
 	RateChanges  []RateChange
 	Faults       []ServerFault
-	LyingRouters int              // the first so many routers report the opposite of what they observe
+	LyingRouters int              // number of routers, from the first, that report the opposite of what they observe
 	LinkLoss     float64          // share of frames between neighbours that are lost together with their link
 	MaxLinkDelay time.Duration    // greatest additional delay of frames between neighbours
 	Settings     verdict.Settings // zero: the defaults
 }
 
-// RateChange multiplies the rate of set-ups by a factor from a time on.
+// RateChange sets the rate of set-ups to a multiple of the configured one, from a time on.
 type RateChange struct {
 	At     time.Duration
 	Factor float64
 }
 
-// ServerFault is a fault of one case server.
+// ServerFault is a fault of one case server. A server that hangs does not answer, one that flaps hangs every other
+// second, and one that is slow takes longer for each set-up. A replaced server gives way to one that has just started.
 type ServerFault struct {
 	At, Duration time.Duration
 	Server       int
@@ -53,31 +56,30 @@
 	Router       int     // only this router is affected, counted from 1; 0: all
 }
 
-// CallResults reports what became of the calls.
+// CallResults counts the calls by outcome, and reports how the routers coped with the server faults.
 type CallResults struct {
-	Offered          int
-	InTime           int
-	Late             int
+	Offered          int // tries, redials included; Refused and Failed count tries as well
+	InTime           int // established within 1 s of the first try
+	Late             int // established later
 	Refused          int
 	Failed           int
 	FirstTries       []int // first tries by second
-	FirstTriesInTime []int // first tries that were established in time, by second
+	FirstTriesInTime []int // calls established in time, by second of their first try
 	Wasted           int   // set-ups that a faulty server never answered
-	// For each fault: from its beginning to the last set-up that was wasted on the server.
+	// LastWasted has, for each fault, the time from its beginning to the last set-up that was wasted on the server.
 	LastWasted []time.Duration
-	// For each fault: from its end until the server got half of its share of set-ups again.
-	Recoveries        []time.Duration
-	SentByServer      [][]int         // set-ups that reached each server, by 100 ms
-	WrongAvoidance    time.Duration   // time for which routers avoided healthy servers, summed over routers and servers
-	MaxWrongAvoidance time.Duration   // longest time for which one router avoided a healthy server
-	ObservedTime      time.Duration   // observed time, summed over routers and servers
-	EvidenceDelays    []time.Duration // from the report of evidence to its arrival at another router
-	MaxAgeError       time.Duration   // greatest amount by which evidence was assumed to be younger than it was
-	LiftedAvoidances  []int           // avoidances that routers lifted early, by 100 ms
-	// Frames of evidence between routers, and their bytes.
-	Frames, FrameBytes uint64
-	MaxColdExcess      float64 // greatest excess of set-ups at a cold server over its rule
-	SentToCold         int     // set-ups sent to cold servers
+	// Recoveries has, for each fault, the time from its end until the server got half of its share of set-ups again.
+	Recoveries         []time.Duration
+	SentByServer       [][]int         // set-ups that reached each server, by 100 ms
+	WrongAvoidance     time.Duration   // time for which routers avoided healthy servers, summed over routers and servers
+	MaxWrongAvoidance  time.Duration   // longest time for which one router avoided a healthy server
+	ObservedTime       time.Duration   // observed time, summed over routers and servers
+	EvidenceDelays     []time.Duration // from the report of evidence to its arrival at another router
+	MaxAgeError        time.Duration   // greatest amount by which evidence was assumed to be younger than it was
+	LiftedAvoidances   []int           // avoidances that routers lifted early, by 100 ms
+	Frames, FrameBytes uint64          // frames of evidence between routers, and their bytes
+	MaxColdExcess      float64         // greatest excess of set-ups over the permitted rate of a cold server
+	SentToCold         int             // set-ups sent to cold servers
 }
 
 // caseServer is a simulated case server.
@@ -87,7 +89,7 @@
 	started          time.Duration // true time; 0: long ago
 	busyUntil        time.Duration // when it will have processed the set-ups it has accepted
 	establishedCalls int
-	coldExcess       float64 // set-ups sent to a cold server beyond its rule
+	coldExcess       float64 // set-ups beyond the permitted rate while the server is cold
 	coldExcessAt     time.Duration
 }
 
@@ -105,7 +107,7 @@
 	slot                uint32
 	lastCallID          uint64
 	timerAt             time.Duration
-	pending             map[string]*callerRequest
+	pending             map[string]*callerRequest // by call ID
 	verdicts            []verdict.Verdict
 	verdictsAt          time.Duration
 	avoidedUntil        map[string]time.Duration // by server
@@ -115,9 +117,9 @@
 	checksOverShare     int // consecutive ticks with more avoided servers than allowed
 }
 
-// callerRequest is a caller with its redials.
+// callerRequest is the request of one caller, across redials.
 type callerRequest struct {
-	firstTryAt time.Duration // of the first of its tries
+	firstTryAt time.Duration
 	redials    int
 	number     string
 }
@@ -205,8 +207,8 @@
 		started := time.Duration(0)
 		if s.started > 0 {
 			started = wallClockBase + s.started
-			if warm := s.started + 10*time.Second - r.w.now; warm > 0 {
-				cold = append(cold, quota.Server{ID: s.id, Started: started, Warm: r.p.clock(r.w.now) + warm})
+			if warmUpLeft := s.started + 10*time.Second - r.w.now; warmUpLeft > 0 {
+				cold = append(cold, quota.Server{ID: s.id, Started: started, Warm: r.p.clock(r.w.now) + warmUpLeft})
 			}
 		}
 		list = append(list, threadglade.Server{ID: s.id, Number: s.number, Started: started})
@@ -223,13 +225,13 @@
 	}
 }
 
-// applyColdShares sets the router's shares of what cold servers may be sent.
+// applyColdShares passes the router's shares of the permitted load of cold servers from the limiter to the router.
 func (r *routerSim) applyColdShares() {
 	now := r.p.clock(r.w.now)
-	if parts, soleFraction, ok := r.p.limiter.ColdShares(now); ok {
-		r.router.ColdPart(threadglade.ColdPart{Fraction: soleFraction})
-		for _, p := range parts {
-			r.router.ColdPart(threadglade.ColdPart{Server: p.ID, Started: p.Started, Fraction: p.Share,
+	if shares, withoutLease, ok := r.p.limiter.ColdShares(now); ok {
+		r.router.ColdPart(threadglade.ColdPart{Fraction: withoutLease})
+		for _, share := range shares {
+			r.router.ColdPart(threadglade.ColdPart{Server: share.ID, Started: share.Started, Fraction: share.Share,
 				Until: r.w.wallClock() + r.p.limiter.LeaseUntil() - now})
 		}
 	}
@@ -249,7 +251,7 @@
 	})
 }
 
-// placeCall makes one try of a caller.
+// placeCall sends one try of a caller to its router.
 func (w *world) placeCall(r *routerSim, request *callerRequest) {
 	results := &w.result.Calls
 	results.Offered++
@@ -365,10 +367,10 @@
 	if server.started > 0 {
 		w.trackColdExcess(server)
 	}
-	serve := w.cfg.Calls.ServiceTime
+	serviceTime := w.cfg.Calls.ServiceTime
 	if fault := w.activeFault(server, r); fault != nil {
 		if fault.Kind == "slow" {
-			serve = time.Duration(float64(serve) * fault.SlowFactor)
+			serviceTime = time.Duration(float64(serviceTime) * fault.SlowFactor)
 		} else {
 			results.Wasted++
 			faultIndex := slices.IndexFunc(w.cfg.Calls.Faults, func(o ServerFault) bool { return o == *fault })
@@ -378,14 +380,14 @@
 	}
 	wait := max(server.busyUntil-w.now, 0)
 	if wait > 400*time.Millisecond {
-		server.busyUntil += serve / 5 // a rejection takes processing time as well
+		server.busyUntil += serviceTime / 5 // a rejection takes processing time as well
 		reply(time.Millisecond+wait/4, func() {
 			r.router.Ended(a.ID, a.Index, threadglade.Rejected, threadglade.CauseProcessorFull)
 		})
 		return
 	}
-	server.busyUntil = max(server.busyUntil, w.now) + serve
-	reply(wait+serve+time.Millisecond, func() {
+	server.busyUntil = max(server.busyUntil, w.now) + serviceTime
+	reply(wait+serviceTime+time.Millisecond, func() {
 		r.router.Answered(a.ID, a.Index, nil)
 		holdingTime := time.Duration(w.random.ExpFloat64() * float64(w.cfg.Calls.MeanHoldTime))
 		server.establishedCalls++
@@ -394,8 +396,9 @@
 	})
 }
 
-// trackColdExcess updates how many set-ups a cold server has been sent beyond what its rule allows the fleet. The
-// allowed rate grows linearly from a part to the whole of its capacity during warm-up.
+// trackColdExcess updates how many set-ups the fleet has sent to a cold server beyond the permitted rate. That rate is
+// half of the load at which the server collapses, which is twice its capacity. The capacity of a warm server is its
+// agents divided by the mean holding time; it grows linearly from 0.2 of that during the warm-up of 10 s.
 func (w *world) trackColdExcess(server *caseServer) {
 	uptime := w.now - server.started
 	if uptime > 10*time.Second {
@@ -445,7 +448,8 @@
 
 // ---- verdicts ----
 
-// connectNeighbours opens the links to the router's neighbours, and from the routers whose neighbour it is.
+// connectNeighbours opens the links between the router and its neighbours, and those of the routers that have it as a
+// neighbour.
 func (r *routerSim) connectNeighbours() {
 	var names []string
 	var members []verdict.Member
@@ -459,7 +463,7 @@
 		other := r.w.routerNamed(name)
 		r.connect(other)
 	}
-	for _, p := range r.w.routers() { // routers that have this one as a neighbour reconnect
+	for _, p := range r.w.routers() { // routers that have this one as a neighbour
 		if p != r.p && p.routerSim != nil && p.up && slices.Contains(verdict.Neighbours(p.name, names), r.p.name) {
 			p.routerSim.connect(r.p)
 		}
@@ -523,16 +527,16 @@
 	if r.table.Changed() || now-r.verdictsAt > time.Second {
 		r.verdicts, r.verdictsAt = r.table.Verdicts(now), now
 	}
-	for _, c := range r.watch.UpdateAvoidances(now, r.verdicts) {
-		until := max(c.Until-now, 0)
-		if slot := int(w.now / (100 * time.Millisecond)); until == 0 && c.Verdict == nil &&
-			w.now < r.avoidedUntil[c.Server] {
+	for _, avoidance := range r.watch.UpdateAvoidances(now, r.verdicts) {
+		until := max(avoidance.Until-now, 0)
+		if slot := int(w.now / (100 * time.Millisecond)); until == 0 && avoidance.Verdict == nil &&
+			w.now < r.avoidedUntil[avoidance.Server] {
 			w.result.Calls.LiftedAvoidances = extendTo(w.result.Calls.LiftedAvoidances, slot)
 			w.result.Calls.LiftedAvoidances[slot]++
 		}
-		r.router.Avoid(threadglade.Care{Server: c.Server, Started: c.Started, Until: w.wallClock() + until},
-			router.AvoidanceEvidence{})
-		r.avoidedUntil[c.Server] = w.now + until
+		r.router.Avoid(threadglade.Care{Server: avoidance.Server, Started: avoidance.Started,
+			Until: w.wallClock() + until}, router.AvoidanceEvidence{})
+		r.avoidedUntil[avoidance.Server] = w.now + until
 	}
 	avoided := 0
 	for _, s := range w.servers {
@@ -552,8 +556,8 @@
 }
 
 // trackWrongAvoidance sums the time for which a router avoids a healthy server. A server counts as faulty for
-// RecoverySpread and 7 s after the end of its fault, so that evidence of its recovery can spread, unless it is
-// replaced.
+// RecoverySpread and 7 s after the end of its fault, so that evidence of its recovery can spread. A replaced server is
+// healthy at once.
 func (w *world) trackWrongAvoidance(r *routerSim, server *caseServer) {
 	w.result.Calls.ObservedTime += fleet.TickInterval
 	faulty := false
@@ -576,7 +580,7 @@
 		w.now-r.wronglyAvoidedSince[server.id]+fleet.TickInterval)
 }
 
-// sendFrames sends the frames that the table has to send.
+// sendFrames sends the frames of evidence that are due.
 func (r *routerSim) sendFrames(now time.Duration) {
 	w := r.w
 	for _, output := range r.table.Tick(now) {
@@ -587,7 +591,7 @@
 		if w.blocked[[2]*process{r.p, to}] {
 			continue
 		}
-		// links are reliable: a loss stands for a link that closes and reopens
+		// Links are reliable. A lost frame stands for a link that has closed, and that reopens after 0.5 s.
 		if w.random.Float64() < w.cfg.Calls.LinkLoss {
 			from := r
 			w.schedule(500*time.Millisecond, nil, func() {
@@ -606,7 +610,7 @@
 			w.schedule(wait, to, func() {
 				frame, err := verdict.ParseFrame(received.GetTalk())
 				if err != nil {
-					w.reportViolation("a frame of evidence cannot be read: %v", err)
+					w.reportViolation("cannot parse a frame of evidence: %v", err)
 					return
 				}
 				if to.routerSim != nil && to.routerSim.table != nil {
@@ -663,13 +667,13 @@
 	}
 	w.result.Calls.SentByServer = make([][]int, calls.Servers)
 	w.result.Calls.LastWasted = make([]time.Duration, len(calls.Faults))
-	for i, b := range calls.Faults {
-		if b.Kind != "replace" {
+	for i, fault := range calls.Faults {
+		if fault.Kind != "replace" {
 			continue
 		}
-		w.schedule(b.At, nil, func() {
-			old := w.servers[b.Server]
-			w.servers[b.Server] = &caseServer{id: old.id, number: old.number, started: w.now, coldExcessAt: w.now}
+		w.schedule(fault.At, nil, func() {
+			old := w.servers[fault.Server]
+			w.servers[fault.Server] = &caseServer{id: old.id, number: old.number, started: w.now, coldExcessAt: w.now}
 			w.logFault("replace %s", old.id)
 			_ = i
 			for _, p := range w.routers() {
@@ -705,13 +709,13 @@
 	return own * float64(len(c.SentByServer)) / sum
 }
 
-// RecoveryTime returns how long after a fault's end the server got half of the mean load again, at most the given
-// time.
-func (c *CallResults) RecoveryTime(b ServerFault, most time.Duration) time.Duration {
-	for after := time.Duration(0); after < most; after += 100 * time.Millisecond {
-		if c.loadShare(b.Server, b.At+b.Duration+after+time.Second) >= 0.5 {
+// RecoveryTime returns the time from a fault's end until the server got half of the mean load again, or limit if that
+// took longer.
+func (c *CallResults) RecoveryTime(fault ServerFault, limit time.Duration) time.Duration {
+	for after := time.Duration(0); after < limit; after += 100 * time.Millisecond {
+		if c.loadShare(fault.Server, fault.At+fault.Duration+after+time.Second) >= 0.5 {
 			return after
 		}
 	}
-	return most
+	return limit
 }
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -8,8 +8,8 @@
 	"threadglade.example/threadglade/fleet"
 )
 
-// scheduleFaults schedules the faults. Each kind is a Poisson process of its own that stops at the quiet period at
-// the end.
+// scheduleFaults schedules the faults and the puts. Each kind is a Poisson process of its own and stops when the quiet
+// period at the end begins.
 func (w *world) scheduleFaults() {
 	repeat := func(rate float64, do func()) {
 		if rate <= 0 {
@@ -30,7 +30,7 @@
 		}
 		return w.members[w.random.IntN(len(w.members))]
 	}
-	randomUpTo := func(most time.Duration) time.Duration { return time.Duration(w.random.Int64N(int64(most))) }
+	randomUpTo := func(limit time.Duration) time.Duration { return time.Duration(w.random.Int64N(int64(limit))) }
 	repeat(w.cfg.PartitionRate, func() {
 		p, direction := randomProcess(), w.random.IntN(3)
 		var keys [][2]*process
@@ -77,7 +77,7 @@
 			}
 		}
 		w.startMember(member.name)
-		for i := range 8 { // pauses delay the moment at which it notices that it has no followers
+		for i := range 8 { // the pauses delay the moment at which the leader notices that it has no followers
 			w.schedule(time.Duration(i)*600*time.Millisecond, nil, func() { w.pause(leader, 540*time.Millisecond) })
 		}
 	})
@@ -93,7 +93,7 @@
 		if w.cfg.LoseFiles && p.voterNumber != 0 && w.random.IntN(2) == 0 && w.intactKeepers() == len(w.keepers) {
 			p.filesLost, p.stored = true, fleet.Stored{} // without its files it must not start again
 			if _, err := fleet.NewKeeper(w.cfg.Settings, p.stored, w.random, 0); err == nil {
-				w.reportViolation("a keeper without files starts")
+				w.reportViolation("a keeper started without its files")
 			}
 			w.logFault("wipe %s", p.name)
 			return
@@ -161,7 +161,7 @@
 	return n
 }
 
-// resume ends a pause: the process gets all deferred events at once.
+// resume ends a pause. The process then receives all deferred events at once.
 func (w *world) resume(p *process) {
 	p.paused = false
 	for _, e := range p.deferred {
@@ -186,8 +186,8 @@
 	}
 }
 
-// checkFinalState checks that after the quiet period one process of each running name acts, provided a majority of
-// the keepers has its files.
+// checkFinalState checks that after the quiet period each name with a running process has acted within the last
+// second. The check applies only if a majority of the keepers still have their files.
 func (w *world) checkFinalState() {
 	if w.result.Violation != "" || w.cfg.QuietPeriod < 12*time.Second {
 		return
@@ -203,7 +203,8 @@
 			w.result.ActiveAtEnd++
 		}
 	}
-	if up := w.intactKeepers(); up*2 > len(w.keepers) && w.result.ActiveAtEnd != len(names) {
-		w.reportViolation("after %v without faults %d names of %d act", w.cfg.QuietPeriod, w.result.ActiveAtEnd, len(names))
+	if intact := w.intactKeepers(); intact*2 > len(w.keepers) && w.result.ActiveAtEnd != len(names) {
+		w.reportViolation("after %v without faults, %d of %d names hold their lease", w.cfg.QuietPeriod,
+			w.result.ActiveAtEnd, len(names))
 	}
 }
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -1,7 +1,7 @@
 // Package fleetsim is a deterministic simulation of the fleet. It runs keepers, members and routers, hundreds of
 // them, on one seeded network and clock, with message loss, delay, reordering and duplication, partitions, paused
 // processes, clock drift and lost disks. It checks the guarantees at every step and records the history for the
-// linearizability check. Runs with equal configurations are equal. The package must not substitute its own code for
+// linearizability check. Equal configurations give equal runs. The package must not substitute its own code for
 // parts that ship: keepers, members and state machines are those of package fleet.
 package fleetsim
 
@@ -22,7 +22,8 @@
 	"threadglade.example/threadglade/quota"
 )
 
-// Config describes a simulated fleet, its network and its faults. Rates are events per second.
+// Config describes a simulated fleet, its network and its faults. Rates are events per second, except LossRate and
+// DuplicationRate, which are shares of the messages.
 type Config struct {
 	Seed     uint64
 	Keepers  int
@@ -41,18 +42,18 @@
 	KillRate            float64       // rate of process crashes with restart; a keeper restarts from its synced state
 	MemberKillRate      float64       // rate of crashes of members, which restart after 10 s
 	DuplicateMemberRate float64       // rate of starts of a second process with a member's name
-	LoseFiles           bool          // a killed keeper may lose its files; it must not start again then
+	LoseFiles           bool          // a killed keeper may lose its files, and must then not start again
 	MaxClockDrift       float64       // greatest relative error of a process's clock
-	// Rate of the following fault: the leading keeper and a member are isolated together, and the keeper is paused
-	// repeatedly.
+	// IsolatedLeaderRate is the rate of this fault: the leading keeper and a member are isolated together, and the
+	// keeper is paused repeatedly.
 	IsolatedLeaderRate    float64
-	PutRate               float64       // rate of puts of facts
+	PutRate               float64       // rate at which members put facts
 	Calls                 *CallConfig   // nil: no calls
-	Limits                []quota.Limit // each applies to the class of its own name
+	Limits                []quota.Limit // each is loaded with calls of a class that has its name
 	SteadyDemand          bool          // each router's demand stays as first drawn
-	DemandChangesPerMille int           // changes of demand per 1,000 ticks, at least 10
+	DemandChangesPerMille int           // changes of demand per 1,000 ticks; below 10: 10
 	Demand                float64       // mean calls per second at a router, for each limit
-	// Time without faults at the end. After it every member that can hold a lease has to hold one.
+	// QuietPeriod is the time without faults at the end, after which every member that can hold a lease must hold one.
 	QuietPeriod time.Duration
 }
 
@@ -64,8 +65,8 @@
 		DuplicateMemberRate: 0.3, IsolatedLeaderRate: 0.05, MaxClockDrift: 0.01, PutRate: 2, QuietPeriod: 15 * time.Second}
 }
 
-// Op is one put as its member saw it. Result is the version written, 0 if the put was refused; Return is 0 if no
-// answer came.
+// Op is one put as its member saw it. Result is the version written, or 0 if the put was refused. Call and Return are
+// the times of the put and of its answer; Return is 0 if no answer came.
 type Op struct {
 	Client          int
 	Key             string
@@ -82,15 +83,15 @@
 	Steps        uint64
 	Messages     uint64
 	Bytes        uint64
-	Acts         uint64 // times at which a member was seen to hold its lease
-	Incarnations uint64 // incarnations that acted
+	Acts         uint64 // lease checks at which the member held its lease
+	Incarnations uint64 // incarnations that acted, that is, held their lease at a check
 	Ops          []Op
 	Checksum     uint64 // over all events in order: equal runs have equal checksums
-	// For each loss that a member noticed: the time since the last act of the lost incarnation.
+	// LossDetectionTimes has, for each loss that a member noticed, the time since the last act of the lost incarnation.
 	LossDetectionTimes []time.Duration
 	MinIncarnationGap  time.Duration // least time between the acts of two incarnations of a name
-	ActiveAtEnd        int           // names that act at the end
-	Faults             []string
+	ActiveAtEnd        int           // running names that acted in the last second
+	Faults             []string      // log of the injected faults
 	Limits             map[string]*LimitResult
 	Calls              CallResults
 	LeasePeriods       []LeasePeriod
@@ -109,14 +110,14 @@
 type LimitResult struct {
 	Admitted int
 	Refused  int
-	// Level of a leaky bucket that drains at the limit's rate, in calls; concurrent calls; or, for a limit of
-	// retries, the excess over the budget in the worst period.
+	// Level depends on the kind of the limit. Rate: the level, in calls, of a leaky bucket that drains at the limit's
+	// rate. Calls: the number of concurrent calls. Retries: the excess over the budget in the worst period.
 	Level            float64
-	MaxLevel         float64 // greatest Level
-	Bound            float64 // greatest Level allowed
-	last             time.Duration
-	low              float64            // least excess of retries so far
-	RecentlyAdmitted int                // admitted in the last 10 s
+	MaxLevel         float64            // greatest Level
+	Bound            float64            // greatest Level allowed
+	levelAt          time.Duration      // of a rate: when Level was updated
+	minExcess        float64            // least excess of retries so far
+	RecentlyAdmitted int                // admitted in the last 10 s of the run
 	RecentByRouter   map[string]float64 // the same by router
 	FirstTries       int                // for a limit of retries: first tries admitted
 	RetriesAdmitted  int                // for a limit of retries: retry attempts and marked retries admitted
@@ -127,7 +128,7 @@
 	routerSim   *routerSim // nil if no calls are simulated
 	limiter     *quota.Limiter
 	demand      float64
-	lentRetries int // retry attempts lent to the controller and not yet used
+	lentRetries int // retry attempts that the limiter has lent and that are still unused
 	lastSlot    uint32
 	name        string
 	keeper      *fleet.Keeper
@@ -141,7 +142,7 @@
 	deferred    []event // events that arrived during a pause
 	filesLost   bool    // permanently: the keeper cannot start again
 	voterNumber uint64
-	generation  int
+	generation  int // number of starts
 }
 
 // clock returns the process's own time. The clock keeps running while the process is paused.
@@ -149,10 +150,10 @@
 	return p.clockOffset + time.Duration(float64(now-p.startedAt)*p.clockRate)
 }
 
-// link is a connection between a member's process and a keeper. It lasts until either dies.
+// link is a connection between a member's process and a keeper. It lasts until one of them dies.
 type link struct{ member, keeper *process }
 
-// event is a function to be run at a time, on behalf of a process if it has a target.
+// event is a scheduled function call, on behalf of a process if it has a target.
 type event struct {
 	at         time.Duration
 	seq        uint64
@@ -201,7 +202,7 @@
 	stateHashes        map[uint64][]byte        // by index: hash of the state of the first keeper that applied it
 	appliedIndex       map[*process]uint64
 	servers            []*caseServer
-	sentRecords        map[string]sentRecord
+	sentRecords        map[string]sentRecord // by observer, its generation and the record's number
 	lastLink           fleet.Link
 	lastValue          uint64
 }
@@ -221,12 +222,12 @@
 		bound := l.Max
 		if l.Kind == quota.Rate {
 			bound = l.Max*l.Burst.Seconds() + float64(config.Members)
-			if l.CutOff == quota.Floor { // a duplicate without a lease has its floor as well
+			if l.CutOff == quota.Floor { // a duplicate process without a lease may use its floor as well
 				bound = l.Max*l.Burst.Seconds() + float64(l.MaxRouters)
 			}
 		}
 		if l.Kind == quota.Retries {
-			bound = 10 * 2 * float64(config.Members) // duplicate processes count as well
+			bound = 10 * 2 * float64(config.Members) // 10 unused retries per process, with a duplicate of each member
 		}
 		world.result.Limits[l.Name] = &LimitResult{Bound: bound, RecentByRouter: map[string]float64{}}
 	}
@@ -305,7 +306,7 @@
 	heap.Push(&w.queue, event{w.now + d, w.seq, run, to, generation})
 }
 
-// startProcess starts a process, or starts it again. A keeper continues from its synced state.
+// startProcess starts or restarts a process. A keeper continues from its synced state.
 func (w *world) startProcess(p *process) {
 	p.generation++
 	p.up, p.paused, p.deferred, p.startedAt = true, false, nil, w.now
@@ -314,7 +315,7 @@
 	if p.voterNumber != 0 {
 		k, err := fleet.NewKeeper(w.cfg.Settings, p.stored, rand.New(rand.NewPCG(w.random.Uint64(), 3)), p.clock(w.now))
 		if err != nil {
-			w.reportViolation("%s does not start: %v", p.name, err)
+			w.reportViolation("%s cannot start: %v", p.name, err)
 			return
 		}
 		p.keeper = k
@@ -328,8 +329,8 @@
 		if len(w.cfg.Limits) > 0 {
 			p.limiter, p.lentRetries = quota.NewLimiter(p.clock(w.now), w.cfg.Limits), 0
 			p.member.ExtensionPayload = func() []byte { return p.limiter.MarshalClaims(p.clock(w.now)) }
-			p.member.OnExtensionPayload = func(seq uint64, until time.Duration, ride []byte) {
-				if grants, ok := quota.UnmarshalGrants(ride); ok &&
+			p.member.OnExtensionPayload = func(seq uint64, until time.Duration, payload []byte) {
+				if grants, ok := quota.UnmarshalGrants(payload); ok &&
 					p.limiter.ApplyGrants(p.clock(w.now), seq, until, grants) {
 					p.member.AskWithin(0)
 				}
@@ -403,8 +404,8 @@
 	return p
 }
 
-// checkLease lets a member act if it holds its lease by its own clock, and checks in true time that no other
-// incarnation of its name acts after a later one.
+// checkLease lets a member act if it holds its lease by its own clock. It checks, in the order of true time, that no
+// incarnation acts after a later one of the same name, and that no two processes hold the same incarnation.
 func (w *world) checkLease(p *process) {
 	lease := p.member.Lease()
 	if !lease.IsHeld(p.clock(w.now)) {
@@ -415,8 +416,8 @@
 	if last > lease.Incarnation {
 		w.reportViolation("%s acts as incarnation %d after %d has acted", p.name, lease.Incarnation, last)
 	}
-	if was := w.incarnationOwner[lease.Incarnation]; was != nil && was != p {
-		w.reportViolation("incarnation %d is held by two processes, %s and %s", lease.Incarnation, was.name, p.name)
+	if owner := w.incarnationOwner[lease.Incarnation]; owner != nil && owner != p {
+		w.reportViolation("incarnation %d is held by two processes, %s and %s", lease.Incarnation, owner.name, p.name)
 	}
 	if last < lease.Incarnation && last != 0 {
 		w.result.MinIncarnationGap = min(w.result.MinIncarnationGap, w.now-w.lastActAt[p.name])
@@ -430,13 +431,13 @@
 		w.lastActAt[p.name], w.incarnationLastAct[lease.Incarnation] = p, lease.Incarnation, w.now, w.now
 }
 
-// generateDemand makes calls at a router, in the class of each limit, and checks the limits in true time against
-// the calls that all routers have admitted.
+// generateDemand makes calls at a router, in the class of each limit. It checks the calls that all routers together
+// have admitted, in true time, against the limits.
 func (w *world) generateDemand(p *process) {
 	if p.limiter == nil {
 		return
 	}
-	// Demand changes at random.
+	// Draw the demand at the first tick, and again at random ticks.
 	if !w.cfg.SteadyDemand && w.random.IntN(1000) < max(w.cfg.DemandChangesPerMille, 10) || p.demand == 0 {
 		p.demand = w.cfg.Demand * w.random.ExpFloat64()
 	}
@@ -452,34 +453,34 @@
 		for n := p.demand * fleet.TickInterval.Seconds(); w.random.Float64() < n; n-- {
 			p.lastSlot++
 			slot := p.lastSlot % 100_000
-			limited := w.result.Limits[l.Name]
+			usage := w.result.Limits[l.Name]
 			if ok, _, _ := p.limiter.Admit(now, slot, l.Name, "", "", false); !ok {
-				limited.Refused++
+				usage.Refused++
 				continue
 			}
-			limited.Admitted++
-			if all := w.result.Limits["retries"]; all != nil { // each first try adds to the budget of retries
-				all.FirstTries++
+			usage.Admitted++
+			if retries := w.result.Limits["retries"]; retries != nil { // each first try adds to the budget of retries
+				retries.FirstTries++
 			}
 			if w.now > w.cfg.Duration-10*time.Second {
-				limited.RecentlyAdmitted++
-				limited.RecentByRouter[p.name]++
+				usage.RecentlyAdmitted++
+				usage.RecentByRouter[p.name]++
 			}
 			if l.Kind == quota.Rate {
-				limited.Level = max(0, limited.Level-l.Max*(1+w.cfg.Settings.ClockDrift)*(w.now-limited.last).Seconds()) + 1
-				limited.last = w.now
+				usage.Level = max(0, usage.Level-l.Max*(1+w.cfg.Settings.ClockDrift)*(w.now-usage.levelAt).Seconds()) + 1
+				usage.levelAt = w.now
 			} else {
-				limited.Level++
+				usage.Level++
 				generation := p.generation
 				w.schedule(time.Duration(w.random.Int64N(int64(l.MaxCallDuration))), nil, func() {
-					limited.Level--
+					usage.Level--
 					if p.up && p.generation == generation { // a router that has restarted is not notified
 						p.limiter.Release(slot)
 					}
 				})
 			}
-			if limited.MaxLevel = max(limited.MaxLevel, limited.Level); limited.Level > limited.Bound+1e-6 {
-				w.reportViolation("limit %s: %.2f calls over, bound %.2f", l.Name, limited.Level, limited.Bound)
+			if usage.MaxLevel = max(usage.MaxLevel, usage.Level); usage.Level > usage.Bound+1e-6 {
+				w.reportViolation("limit %s: a level of %.2f calls exceeds the bound of %.2f", l.Name, usage.Level, usage.Bound)
 			}
 		}
 	}
@@ -488,37 +489,37 @@
 // generateRetries makes first tries and marked retries at a router, and retry attempts for failed ones. It checks
 // that retries do not exceed the budget that the first tries have earned.
 func (w *world) generateRetries(p *process, l quota.Limit) {
-	limited, now := w.result.Limits[l.Name], p.clock(w.now)
+	usage, now := w.result.Limits[l.Name], p.clock(w.now)
 	for n := p.demand * fleet.TickInterval.Seconds(); w.random.Float64() < n; n-- {
 		p.lastSlot++
 		marked := w.random.IntN(2) == 0
 		ok, _, _ := p.limiter.Admit(now, p.lastSlot%100_000, l.Name, "", "", marked)
 		switch {
 		case ok && !marked:
-			limited.FirstTries++
+			usage.FirstTries++
 		case ok:
-			limited.RetriesAdmitted++
+			usage.RetriesAdmitted++
 		default:
-			limited.Refused++
+			usage.Refused++
 		}
 		for w.random.IntN(3) == 0 { // an attempt of a call fails
 			if p.lentRetries == 0 {
-				limited.Refused++
+				usage.Refused++
 				break
 			}
 			p.lentRetries--
-			limited.RetriesAdmitted++
+			usage.RetriesAdmitted++
 		}
 		p.lentRetries, _ = p.limiter.LendRetries(p.lentRetries)
 	}
-	limited.Admitted = limited.FirstTries + limited.RetriesAdmitted
-	// over the whole run; never positive, as the budget is earned by first tries
-	excess := float64(limited.RetriesAdmitted) - l.Max*float64(limited.FirstTries)
-	limited.low = min(limited.low, excess)
-	limited.Level = excess - limited.low // over the worst period until now: at most what the buckets held
-	if limited.MaxLevel = max(limited.MaxLevel, limited.Level); excess > 1e-6 || limited.Level > limited.Bound {
-		w.reportViolation("limit %s: %.2f retries over the budget, %.2f over the worst period, bound %.2f", l.Name,
-			excess, limited.Level, limited.Bound)
+	usage.Admitted = usage.FirstTries + usage.RetriesAdmitted
+	// over the whole run; must not be positive, because first tries earn the budget
+	excess := float64(usage.RetriesAdmitted) - l.Max*float64(usage.FirstTries)
+	usage.minExcess = min(usage.minExcess, excess)
+	usage.Level = excess - usage.minExcess // over the worst period until now: at most what the buckets held
+	if usage.MaxLevel = max(usage.MaxLevel, usage.Level); excess > 1e-6 || usage.Level > usage.Bound {
+		w.reportViolation("limit %s: retries exceed the budget by %.2f in the whole run, by %.2f in the worst period "+
+			"(bound %.2f)", l.Name, excess, usage.Level, usage.Bound)
 	}
 }
 
@@ -529,7 +530,7 @@
 	}
 	encoded, err := proto.Marshal(frame)
 	if err != nil {
-		w.reportViolation("a frame cannot be written: %v", err)
+		w.reportViolation("cannot marshal a frame: %v", err)
 		return
 	}
 	copies := 1
@@ -549,7 +550,7 @@
 			}
 			received := &fleetpb.Frame{}
 			if proto.Unmarshal(encoded, received) != nil {
-				w.reportViolation("a frame cannot be read")
+				w.reportViolation("cannot unmarshal a frame")
 			}
 			deliver(received)
 			w.processOutput(to)
@@ -557,7 +558,7 @@
 	}
 }
 
-// processOutput stores and sends what a process has output.
+// processOutput stores the state and sends the messages that a process has output.
 func (w *world) processOutput(p *process) {
 	for p.keeper != nil {
 		keeper := p.keeper
@@ -606,13 +607,13 @@
 	}
 	for _, n := range notes {
 		w.recordEvent("%s %s %s %d %d\n", p.name, n.Kind, n.Name, n.Incarnation, w.now)
-		// the observer was already running
+		// Only members that ran before the last act count: one that started later could not notice the loss in time.
 		if at, acted := w.incarnationLastAct[n.Incarnation]; n.Kind == fleet.MemberLost && acted && p.startedAt < at {
 			w.result.LossDetectionTimes = append(w.result.LossDetectionTimes, w.now-at)
 		}
 		if n.Kind == fleet.FactWritten && strings.HasPrefix(n.Name, "fact") {
-			if was, ok := w.result.FactVersions[string(n.Value)]; ok && was != n.Number {
-				w.reportViolation("put %s succeeded twice, as versions %d and %d", n.Value, was, n.Number)
+			if previous, ok := w.result.FactVersions[string(n.Value)]; ok && previous != n.Number {
+				w.reportViolation("put %s succeeded twice, as versions %d and %d", n.Value, previous, n.Number)
 			}
 			w.result.FactVersions[string(n.Value)] = n.Number
 		}
@@ -626,7 +627,7 @@
 		return
 	}
 	if machine.Index < w.appliedIndex[p] {
-		w.reportViolation("%s has gone back from %d to %d", p.name, w.appliedIndex[p], machine.Index)
+		w.reportViolation("%s went back from index %d to %d", p.name, w.appliedIndex[p], machine.Index)
 	}
 	w.appliedIndex[p] = machine.Index
 	state := machine.State()
@@ -634,7 +635,7 @@
 	hash := fnv.New64a()
 	hash.Write(encoded)
 	sum := hash.Sum(nil)
-	if was, ok := w.stateHashes[machine.Index]; ok && string(was) != string(sum) {
+	if previous, ok := w.stateHashes[machine.Index]; ok && string(previous) != string(sum) {
 		w.reportViolation("keepers differ at index %d", machine.Index)
 	}
 	w.stateHashes[machine.Index] = sum
@@ -647,17 +648,18 @@
 	}
 }
 
-// putFact makes a member put a fact. There are only three keys, so that writers conflict.
+// putFact makes a member put a fact. There are only three keys, so writers conflict.
 func (w *world) putFact(p *process) {
 	key := fmt.Sprintf("fact%d", w.random.IntN(3))
 	w.lastValue++
 	value := w.lastValue
-	expect := p.member.Machine.Fact(key).GetVersion()
-	at := len(w.result.Ops)
-	w.result.Ops = append(w.result.Ops, Op{Client: at, Key: key, ExpectedVersion: expect, Value: value, Call: w.now})
+	expectedVersion := p.member.Machine.Fact(key).GetVersion()
+	index := len(w.result.Ops)
+	w.result.Ops = append(w.result.Ops, Op{Client: index, Key: key, ExpectedVersion: expectedVersion,
+		Value: value, Call: w.now})
 	p.member.Put(p.clock(w.now), &fleet.Put{Key: key, Value: fmt.Appendf(nil, "%d", value),
-		ExpectedVersion: expect}, func(version uint64) {
-		w.result.Ops[at].Result, w.result.Ops[at].Return = version, w.now
+		ExpectedVersion: expectedVersion}, func(version uint64) {
+		w.result.Ops[index].Result, w.result.Ops[index].Return = version, w.now
 	})
 	w.processOutput(p)
 }
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -16,22 +16,22 @@
 	"threadglade.example/threadglade/quota"
 )
 
-// factRegister is the sequential model of a fact under compare-and-set: a put that succeeded found the version that
-// it expected.
+// factRegister is the sequential model of a fact under compare-and-set: a put succeeds if the fact has the version
+// that it expects.
 var factRegister = porcupine.Model{
 	Partition: func(history []porcupine.Operation) (parts [][]porcupine.Operation) {
-		by := map[string][]porcupine.Operation{}
+		byKey := map[string][]porcupine.Operation{}
 		var keys []string
 		for _, op := range history {
 			key := op.Input.(Op).Key
-			if by[key] == nil {
+			if byKey[key] == nil {
 				keys = append(keys, key)
 			}
-			by[key] = append(by[key], op)
+			byKey[key] = append(byKey[key], op)
 		}
 		slices.Sort(keys)
 		for _, key := range keys {
-			parts = append(parts, by[key])
+			parts = append(parts, byKey[key])
 		}
 		return parts
 	},
@@ -46,12 +46,12 @@
 // leaseHolder is the sequential model of a name's lease: no incarnation acts after a later one.
 var leaseHolder = porcupine.Model{
 	Partition: func(history []porcupine.Operation) (parts [][]porcupine.Operation) {
-		by := map[string][]porcupine.Operation{}
+		byName := map[string][]porcupine.Operation{}
 		for _, op := range history {
 			name := op.Input.(LeasePeriod).Name
-			by[name] = append(by[name], op)
+			byName[name] = append(byName[name], op)
 		}
-		for _, part := range by {
+		for _, part := range byName {
 			parts = append(parts, part)
 		}
 		return parts
@@ -66,9 +66,9 @@
 
 // leaseOperations returns the first and the last act of each incarnation as instantaneous operations.
 func leaseOperations(r *Result) (list []porcupine.Operation) {
-	for i, h := range r.LeasePeriods {
-		for _, at := range []time.Duration{h.First, h.Last} {
-			list = append(list, porcupine.Operation{ClientId: i, Input: h, Call: int64(at), Return: int64(at) + 1})
+	for i, period := range r.LeasePeriods {
+		for _, at := range []time.Duration{period.First, period.Last} {
+			list = append(list, porcupine.Operation{ClientId: i, Input: period, Call: int64(at), Return: int64(at) + 1})
 		}
 	}
 	return list
@@ -91,23 +91,23 @@
 	return list
 }
 
-// runAndCheck runs a configuration and checks its guarantees and the linearizability of its history.
+// runAndCheck runs a configuration and checks the guarantees and the linearizability of the history.
 func runAndCheck(t testing.TB, cfg Config) *Result {
 	r := Run(cfg)
 	if r.Violation != "" {
-		for _, one := range r.Faults {
-			t.Log(one)
+		for _, fault := range r.Faults {
+			t.Log(fault)
 		}
 	}
 	require.Empty(t, r.Violation, "seed %d at %v; FLEET_SEED=%d runs it alone", cfg.Seed, r.ViolationAt, cfg.Seed)
 	// Each version of a fact is replaced at most once: no two successful puts expected the same version.
-	takenBy := map[string]uint64{}
+	replacedBy := map[string]uint64{}
 	for _, op := range r.Ops {
 		if op.Result != 0 {
 			key := fmt.Sprint(op.Key, op.ExpectedVersion)
-			require.Zero(t, takenBy[key], "seed %d: two puts of %s succeeded for version %d", cfg.Seed, op.Key,
+			require.Zero(t, replacedBy[key], "seed %d: two puts of %s succeeded for version %d", cfg.Seed, op.Key,
 				op.ExpectedVersion)
-			takenBy[key] = op.Result
+			replacedBy[key] = op.Result
 		}
 	}
 	for _, op := range r.Ops {
@@ -206,8 +206,9 @@
 	}
 }
 
-// TestLimitUtilization compares with a central limiter, without faults, with changing and with steady demand. Of
-// steady demand at least 0.95 of the limit is admitted, divided as evenly as the demands allow.
+// TestLimitUtilization compares the routers with a central limiter, without faults, with changing and with steady
+// demand above the limit. With steady demand they use at least 0.95 of the limit, and divide it nearly as max-min
+// fairness would.
 func TestLimitUtilization(t *testing.T) {
 	for _, steady := range []bool{false, true} {
 		cfg := DefaultConfig(7)
@@ -217,24 +218,24 @@
 		cfg.Limits, cfg.Demand = bindingLimits(cfg.Members)[:1], 40
 		cfg.Limits[0].Max *= 5
 		r := runAndCheck(t, cfg)
-		have := r.Limits["rate"]
-		use := float64(have.RecentlyAdmitted) / (10 * cfg.Limits[0].Max)
+		usage := r.Limits["rate"]
+		utilization := float64(usage.RecentlyAdmitted) / (10 * cfg.Limits[0].Max)
 		var sum, squares float64 // Jain's fairness index: 1 if all are equal
-		for name, n := range have.RecentByRouter {
+		for name, n := range usage.RecentByRouter {
 			if steady { // relative to a central limiter's share
 				n /= 10 * maxMinFairShares(cfg.Limits[0].Max, r.FinalDemands)[name]
 			}
 			sum, squares = sum+n, squares+n*n
 		}
 		jain := sum * sum / (float64(cfg.Members) * squares)
-		t.Logf("steady %v: %.3f of the limit used, Jain's index of the routers %.3f", steady, use, jain)
+		t.Logf("steady %v: %.3f of the limit used, Jain's index of the routers %.3f", steady, utilization, jain)
 		if steady {
 			require.Greater(t, jain, 0.98)
-			require.GreaterOrEqual(t, use, 0.95)
+			require.GreaterOrEqual(t, utilization, 0.95)
 			continue
 		}
 		require.Greater(t, jain, 0.85)
-		require.Greater(t, use, 0.9)
+		require.Greater(t, utilization, 0.9)
 	}
 }
 
@@ -262,15 +263,15 @@
 					cfg.IsolatedLeaderRate, cfg.LossRate, cfg.DuplicationRate = 5, members, 0, 0, 0, 0, 0, 0, 0, 0
 				cfg.QuietPeriod = 0
 				cfg.Duration = 15 * time.Second // all members hold leases by then
-				begin := Run(cfg)
+				warmUp := Run(cfg)
 				cfg.Duration = 45 * time.Second
 				r := Run(cfg)
 				if r.Violation != "" {
 					b.Fatal(r.Violation)
 				}
-				b.ReportMetric(float64(r.Messages-begin.Messages)/30, "messages/s")
-				b.ReportMetric(float64(r.Bytes-begin.Bytes)/30, "bytes/s")
-				b.ReportMetric(float64(begin.Messages), "messages-to-begin")
+				b.ReportMetric(float64(r.Messages-warmUp.Messages)/30, "messages/s")
+				b.ReportMetric(float64(r.Bytes-warmUp.Bytes)/30, "bytes/s")
+				b.ReportMetric(float64(warmUp.Messages), "messages-to-begin")
 			}
 		})
 	}
--- a/internal/fleetsim/mutant_test.go
+++ b/internal/fleetsim/mutant_test.go
@@ -36,10 +36,10 @@
 				}
 				t.Logf("seed %d: %s at %v", seed, r.Violation, r.ViolationAt)
 				fleet.Mutate("")
-				require.Empty(t, Run(cfg).Violation, "the same world without the fault")
+				require.Empty(t, Run(cfg).Violation, "a violation without the mutant")
 				return
 			}
-			require.Fail(t, "the fault is not found")
+			require.Fail(t, "the mutant is not found")
 		})
 	}
 }
@@ -48,43 +48,44 @@
 // too many servers, or return to a server all at once.
 func TestVerdictMutants(t *testing.T) {
 	defer verdict.Mutate("")
-	trouble := func(name string) Config {
-		for _, one := range serverFaults {
-			if one.name == name {
-				cfg := callConfig(1, 40, 12, 8, one.faults...)
+	faultConfig := func(name string) Config {
+		for _, testCase := range serverFaults {
+			if testCase.name == name {
+				cfg := callConfig(1, 40, 12, 8, testCase.faults...)
 				cfg.Duration = 22 * time.Second
 				return cfg
 			}
 		}
 		panic(name)
 	}
-	many := trouble("half")
+	manyHang := faultConfig("half")
 	for i := 5; i < 9; i++ {
-		many.Calls.Faults = append(many.Calls.Faults,
+		manyHang.Calls.Faults = append(manyHang.Calls.Faults,
 			ServerFault{At: 5 * time.Second, Duration: 8 * time.Second, Server: i, Kind: "hang"})
 	}
 	short := callConfig(3, 60, 12, 8,
 		ServerFault{At: 5 * time.Second, Duration: 3 * time.Second, Server: 1, Kind: "hang"})
 	short.Duration = 18 * time.Second
-	for mutant, one := range map[string]struct {
-		cfg   Config
-		holds func(r *Result) bool
+	for mutant, testCase := range map[string]struct {
+		cfg              Config
+		meetsRequirement func(r *Result) bool
 	}{
-		"one-router":  {trouble("router"), func(r *Result) bool { return r.Calls.WrongAvoidance < time.Second }},
-		"one-zone":    {trouble("zone"), func(r *Result) bool { return r.Calls.WrongAvoidance < time.Second }},
-		"old-life":    {trouble("replaced"), func(r *Result) bool { return r.Calls.WrongAvoidance < time.Second }},
-		"no-share":    {many, func(*Result) bool { return true }},
-		"young":       {trouble("hang"), func(*Result) bool { return true }},
-		"try-at-will": {trouble("hang"), func(r *Result) bool { return r.Calls.Wasted < 60 }},
+		"one-router":  {faultConfig("router"), func(r *Result) bool { return r.Calls.WrongAvoidance < time.Second }},
+		"one-zone":    {faultConfig("zone"), func(r *Result) bool { return r.Calls.WrongAvoidance < time.Second }},
+		"old-life":    {faultConfig("replaced"), func(r *Result) bool { return r.Calls.WrongAvoidance < time.Second }},
+		"no-share":    {manyHang, func(*Result) bool { return true }},
+		"young":       {faultConfig("hang"), func(*Result) bool { return true }},
+		"try-at-will": {faultConfig("hang"), func(r *Result) bool { return r.Calls.Wasted < 60 }},
 		"all-at-once": {short, func(r *Result) bool { return slices.Max(append(r.Calls.LiftedAvoidances, 0)) <= 12 }},
 	} {
 		t.Run(mutant, func(t *testing.T) {
 			verdict.Mutate("")
-			r := Run(one.cfg)
-			require.True(t, r.Violation == "" && one.holds(r), "the same world without the fault: %s", r.Violation)
+			r := Run(testCase.cfg)
+			require.True(t, r.Violation == "" && testCase.meetsRequirement(r), "a violation without the mutant: %s",
+				r.Violation)
 			verdict.Mutate(mutant)
-			r = Run(one.cfg)
-			require.False(t, r.Violation == "" && one.holds(r), "the fault is not found")
+			r = Run(testCase.cfg)
+			require.False(t, r.Violation == "" && testCase.meetsRequirement(r), "the mutant is not found")
 			t.Logf("%s; wrongly avoided %v, wasted %d, most at once %d", r.Violation, r.Calls.WrongAvoidance,
 				r.Calls.Wasted, slices.Max(append(r.Calls.LiftedAvoidances, 0)))
 		})
@@ -125,10 +126,10 @@
 				}
 				t.Logf("seed %d: %s at %v", seed, r.Violation, r.ViolationAt)
 				quota.Mutate("")
-				require.Empty(t, Run(cfg).Violation, "the same world without the fault")
+				require.Empty(t, Run(cfg).Violation, "a violation without the mutant")
 				return
 			}
-			require.Fail(t, "the fault is not found")
+			require.Fail(t, "the mutant is not found")
 		})
 	}
 }
