--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -453,7 +453,7 @@
 			}
 		}
 		if err != nil {
-			n.log.Error().Str("event", "config_bad").Msgf("configuration not taken, the old one stays: %v", err)
+			n.log.Error().Str("event", "config_bad").Msgf("configuration rejected, keeping the current one: %v", err)
 			return
 		}
 		if apply != nil {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -206,7 +206,7 @@
 			c.count.Old++
 			if c.lastStaleSerial != serial {
 				c.log.Warn().Str("event", "names_old").Uint32("list", serial).Uint32("known", c.knownSerial).
-					Msgf("name service: list %d came after %d, not taken", serial, c.knownSerial)
+					Msgf("name service: list %d ignored, older than list %d", serial, c.knownSerial)
 			}
 			c.lastStaleSerial = serial
 		}
--- a/internal/sip/trunk.go
+++ b/internal/sip/trunk.go
@@ -47,7 +47,7 @@
 
 // errCorrupt closes a connection on which a message arrived truncated or with a wrong length, so that the start of
 // the next message is unknown.
-var errCorrupt = errors.New("spoilt message")
+var errCorrupt = errors.New("corrupt message")
 
 // errUnresponsive closes a connection that is silent while its server sends on a newer one: no answer will arrive on
 // it.
@@ -225,7 +225,7 @@
 			peer.connect()
 		case old.Started != server.Started:
 			t.cfg.Log.Info().Str("event", "server_restarted").Str("server", server.ID).
-				Msgf("server %s started anew", server.ID)
+				Msgf("server %s restarted", server.ID)
 			peer.handleRestart(server.Started)
 		}
 	}
@@ -234,7 +234,7 @@
 			peer.removed = true
 			cut := peer.cutLegs(func(*outboundLeg) bool { return true })
 			t.cfg.Log.Info().Str("event", "server_gone").Str("server", id).Int("cut", cut).
-				Msgf("server %s is gone, %d attempts cut", id, cut)
+				Msgf("server %s was removed, %d attempts cut", id, cut)
 			peer.closeConns()
 			delete(t.peers, id)
 		}
@@ -392,7 +392,7 @@
 		// Attempts that wait for a connection have their own, shorter timeout.
 		if n := p.cutLegs(func(leg *outboundLeg) bool { return leg.conn != nil }); n > 0 {
 			p.trunk.cfg.Log.Warn().Str("event", "server_dead").Str("server", p.server.ID).Int("cut", n).
-				Msgf("server %s has been out of reach for %v, %d attempts cut", p.server.ID, deadServerTimeout, n)
+				Msgf("server %s has been unreachable for %v, %d attempts cut", p.server.ID, deadServerTimeout, n)
 		}
 	}
 }
@@ -519,7 +519,7 @@
 	if p.unreachableSince == 0 {
 		p.unreachableSince = now
 		p.trunk.cfg.Log.Warn().Str("event", "server_lost").Str("server", p.server.ID).
-			Msgf("server %s is out of reach", p.server.ID)
+			Msgf("server %s is unreachable", p.server.ID)
 	}
 }
 
