--- a/internal/drill/accounts.go
+++ b/internal/drill/accounts.go
@@ -10,17 +10,17 @@
 	"threadglade.example/threadglade/ledger"
 )
 
-// This file checks how established calls were accounted for and released, by what callers and case servers saw and by
-// the ledger files that all routers of a drill have written.
+// This file checks that established calls were billed and released. The evidence is what callers and case servers
+// saw, and the ledger files that the routers of a drill have written.
 
 // establishedCalls returns the IDs of the calls that were established for their callers and released at a case
 // server.
 func (d *drillRun) establishedCalls() map[string]bool {
-	ends := d.load.Outcomes()
+	outcomes := d.load.Outcomes()
 	established := map[string]bool{}
 	for _, server := range append(slices.Clone(d.servers), d.replacedServers...) {
 		for id, c := range server.Calls() {
-			if c.Released && ends[id] == "stood" {
+			if c.Released && outcomes[id] == "stood" {
 				established[id] = true
 			}
 		}
@@ -34,6 +34,7 @@
 	if d.load == nil {
 		return "there are no callers", nil
 	}
+	// The routers whose ledger has a call as established, with an unknown outcome, or as still open.
 	counted, unknown, open := map[uint64][]string{}, map[uint64][]string{}, map[uint64][]string{}
 	dirs, _ := filepath.Glob(filepath.Join(d.options.Dir, "r*", "ledger"))
 	for _, dir := range dirs {
--- a/internal/drill/evaluate.go
+++ b/internal/drill/evaluate.go
@@ -13,17 +13,17 @@
 
 // Verdict is the outcome of one check.
 type Verdict struct {
-	What  string   `json:"what"`            // the check as in the drill file, or the name of one that every drill has
+	What  string   `json:"what"`            // the check as in the drill file, or the name of a check of every drill
 	Holds bool     `json:"holds"`           // the check passed
 	Why   string   `json:"why,omitempty"`   // reason of a failure
 	Least *float64 `json:"slack,omitempty"` // smallest distance to the bound; nil if the check has none
 	Unit  string   `json:"unit,omitempty"`  // of Least: ms or calls
 }
 
-// commandPropagationDelay is the time after which every router applies an operator's command.
+// commandPropagationDelay is how long it may take until every router applies an operator's command.
 const commandPropagationDelay = 700 * time.Millisecond
 
-// Result is the outcome of a drill. All times are since the observer's start.
+// Result is the outcome of a drill. All times count from the start of the observer.
 type Result struct {
 	Name         string                `json:"name"`
 	Seed         int                   `json:"seed"`
@@ -36,7 +36,7 @@
 	Offered      int                   `json:"offered"`         // calls that callers made
 	Stood        int                   `json:"stood"`           // calls that were established
 	Lost         int                   `json:"lost"`            // calls without an answer
-	Exits        map[string]int        `json:"exits,omitempty"` // exit codes of processes that the drill didn't end, by ID
+	Exits        map[string]int        `json:"exits,omitempty"` // by ID: exit codes of processes that the drill didn't end
 	Measured     map[string]Statistics `json:"measured,omitempty"`
 	Use          ResourceUsage         `json:"use"`
 	Observations []Observation         `json:"-"`
@@ -257,12 +257,12 @@
 		return d.checkRecovers(r, d.formedAt+parseDuration(check.Args[0]), parseDuration(check.Args[1]),
 			float64(parseInt(check.Args[2]))/100)
 	case "limit-cold":
-		at := parseInt(strings.TrimPrefix(check.Args[0], "s"))
-		if at >= len(d.servers) {
+		index := parseInt(strings.TrimPrefix(check.Args[0], "s"))
+		if index >= len(d.servers) {
 			return "no such case server", nil
 		}
 		var times []time.Duration
-		for _, c := range d.servers[at].Calls() {
+		for _, c := range d.servers[index].Calls() {
 			times = append(times, c.FirstInviteAt.Sub(d.start))
 		}
 		slices.Sort(times)
@@ -430,8 +430,8 @@
 }
 
 // checkKnownWithin checks that each router that was killed or stopped, and had no other fault within bound, is
-// reported lost within bound by each router that acts after that. The time counts from the last act of the lost
-// router.
+// reported as lost by every router that still acts when bound has passed. The time from the last act of the lost
+// router to each report must not exceed bound.
 func (d *drillRun) checkKnownWithin(r *Result, bound time.Duration) (string, *float64) {
 	var times []time.Duration
 	for i, event := range r.Happened {
@@ -492,8 +492,9 @@
 // maxSetUpJitter is the most by which the delay from router to case server may vary between set-ups.
 const maxSetUpJitter = 100 * time.Millisecond
 
-// callsOfClass returns the calls of a class as the case servers saw them, by call ID. The class "any" means all
-// calls, and digits those to numbers with that prefix. The attempts of a call at several servers are merged.
+// callsOfClass returns the calls of a class as the case servers saw them, by call ID. The class "any" selects all
+// calls, and a class of digits selects the calls to numbers with that prefix. The attempts of a call at several
+// servers are merged into one record.
 func (d *drillRun) callsOfClass(class string) map[string]standin.CallRecord {
 	all := map[string]standin.CallRecord{}
 	for _, server := range append(d.replacedServers, d.servers...) {
@@ -507,7 +508,8 @@
 				if earlier.FirstInviteAt.Before(call.FirstInviteAt) {
 					call.FirstInviteAt = earlier.FirstInviteAt
 				}
-				if !earlier.EndedAt.IsZero() && !call.EndedAt.IsZero() && earlier.EndedAt.After(call.EndedAt) || earlier.EndedAt.IsZero() {
+				if !earlier.EndedAt.IsZero() && !call.EndedAt.IsZero() && earlier.EndedAt.After(call.EndedAt) ||
+					earlier.EndedAt.IsZero() {
 					call.EndedAt = earlier.EndedAt
 				}
 			}
@@ -527,8 +529,8 @@
 }
 
 // maxBucketLevel returns the maximum level of a leaky bucket that drains at rate per second and gets one unit for
-// each arrival in [from, to), when it was reached, and the number of arrivals. The level is the most by which the
-// arrivals in any time window exceed the rate.
+// each arrival in [from, to), the time of that maximum, and the number of arrivals. The level is the most by which
+// the arrivals in any time window exceed the rate.
 func maxBucketLevel(times []time.Duration, rate float64, from, to time.Duration) (
 	maxLevel float64, maxAt time.Duration, arrivals int,
 ) {
@@ -547,8 +549,9 @@
 	return maxLevel, maxAt, arrivals
 }
 
-// checkLimitRate checks that in any time window W after FROM no more than (1+r) R W + R b + n calls arrived at case
-// servers, plus an allowance for maxSetUpJitter; r is 1%. The arguments are the class, R, b, FROM and n.
+// checkLimitRate checks the rate at which calls of a class arrive at case servers: in any time window of length W
+// after FROM, at most 1.01 R W + R b + n calls, plus what may arrive at 1.01 R within maxSetUpJitter. The arguments
+// are the class, R, b, FROM and n.
 func (d *drillRun) checkLimitRate(r *Result, check Check) (string, *float64) {
 	rate := float64(parseInt(check.Args[1])) * 1.01
 	bound := float64(parseInt(check.Args[1]))*parseDuration(check.Args[2]).Seconds() +
@@ -568,14 +571,14 @@
 	return "", &slack
 }
 
-// checkRecovers checks that at most bound after from, and until the end, at least minShare of the first tries in each
-// window of half a second are established.
+// checkRecovers checks that, at the latest bound after from and then until the end of the drill, at least minShare of
+// the first tries in each window of half a second are established.
 func (d *drillRun) checkRecovers(r *Result, from, bound time.Duration, minShare float64) (string, *float64) {
 	const window = 500 * time.Millisecond
 	tried, established := map[int]float64{}, map[int]float64{}
 	last := 0
 	for _, firstTry := range d.load.FirstTries() {
-		// Tries in the last 2 s may lack the time to be answered.
+		// Tries in the last 2 s may still have been unanswered at the end.
 		if at := firstTry.SentAt.Sub(d.start); at >= from && at < r.EndedAt-2*time.Second {
 			i := int((at - from) / window)
 			tried[i]++
@@ -586,7 +589,7 @@
 		}
 	}
 	after := time.Duration(0)
-	for i := range last {
+	for i := range last { // without the last window, which may be incomplete
 		if established[i] < minShare*tried[i] {
 			after = time.Duration(i+1) * window
 		}
--- a/internal/drill/intrusion.go
+++ b/internal/drill/intrusion.go
@@ -21,10 +21,10 @@
 	At      time.Duration `json:"at"`
 	Kind    string        `json:"kind"`
 	Refused bool          `json:"refused"`
-	Saw     string        `json:"saw"`
+	Saw     string        `json:"saw"` // what the intruder observed, such as the error that refused it
 }
 
-// helloChanges says by kind of intruder how its Hello differs from that of a valid router. Intruders whose entry is
+// helloChanges has, for each kind of intruder, the changes to the Hello of a valid router. Intruders whose entry is
 // nil send no Hello at all.
 var helloChanges = map[string]func(*fleetpb.Hello){
 	"foreign":  func(h *fleetpb.Hello) { h.Fleet = "another" },
@@ -44,8 +44,8 @@
 // greedyDuration is how long a greedy router sends claims.
 const greedyDuration = 8 * time.Second
 
-// claimGreedily holds a lease as any router does and claims an unbounded demand and use of each limit that it
-// learns of. It returns a description with the largest share that it was granted of each.
+// claimGreedily holds a lease like any router, and for each limit that it learns of it claims a practically unbounded
+// demand and use. It returns a text with the largest share of each limit that it was granted.
 func claimGreedily(ctx context.Context, stream grpc.ClientStream) string {
 	claims := map[string]float64{"all": 0}
 	sendClaims := func(seq, incarnation uint64) error {
@@ -95,7 +95,7 @@
 	return fmt.Sprintf("held incarnation %d, and of each limit at the most %v", incarnation, claims)
 }
 
-// attemptIntrusion acts as an intruder of the given kind against the process at addr and returns the outcome.
+// attemptIntrusion connects to the process at addr as an intruder of the given kind and returns the outcome.
 func attemptIntrusion(kind, addr string) Intrusion {
 	intrusion := Intrusion{Kind: kind}
 	changeHello, known := helloChanges[kind]
@@ -127,12 +127,12 @@
 		for {
 			b := make([]byte, 4096)
 			if _, err := c.Read(b); err != nil {
-				var timeout net.Error
+				var netErr net.Error
 				intrusion.Saw = err.Error()
 				if ne, ok := err.(net.Error); ok {
-					timeout = ne
+					netErr = ne
 				}
-				intrusion.Refused = timeout == nil || !timeout.Timeout()
+				intrusion.Refused = netErr == nil || !netErr.Timeout()
 				return intrusion
 			}
 		}
--- a/internal/drill/links.go
+++ b/internal/drill/links.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// linkDirection is one direction of a link between two processes, with the faults that apply to its bytes now.
+// linkDirection is one direction of a link between two processes, with the faults that currently apply to it.
 type linkDirection struct {
 	mu             sync.Mutex
 	cond           *sync.Cond
 	blocked        bool // bytes are held back
-	stallHalfway   bool // block after half of the next chunk
+	stallHalfway   bool // becomes blocked after half of the next chunk
 	delay          time.Duration
 	jitter         time.Duration // maximum random delay in addition to delay
 	bytesPerSecond int           // 0: unlimited
@@ -26,7 +26,7 @@
 	return d
 }
 
-// update changes the faults and wakes bytes that wait.
+// update changes the faults and wakes the relays that wait in admit.
 func (d *linkDirection) update(change func(*linkDirection)) {
 	d.mu.Lock()
 	change(d)
@@ -85,14 +85,14 @@
 	link      *link
 }
 
-// newLink starts a relay to the address that to returns at each connection.
-func newLink(seed uint64, to func() string) (*link, error) {
+// newLink starts a relay. It calls target for each connection to get the address to relay to.
+func newLink(seed uint64, target func() string) (*link, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	relay := &link{target: to, listener: listener, forward: newLinkDirection(seed), backward: newLinkDirection(seed + 1),
-		connections: map[*connection]bool{}}
+	relay := &link{target: target, listener: listener, forward: newLinkDirection(seed),
+		backward: newLinkDirection(seed + 1), connections: map[*connection]bool{}}
 	go relay.accept()
 	return relay, nil
 }
@@ -129,27 +129,27 @@
 }
 
 // close closes both sides, with a TCP reset if reset is true.
-func (p *connection) close(reset bool) {
-	p.once.Do(func() {
-		p.link.mu.Lock()
-		p.closed = true
-		delete(p.link.connections, p)
-		p.link.mu.Unlock()
+func (c *connection) close(reset bool) {
+	c.once.Do(func() {
+		c.link.mu.Lock()
+		c.closed = true
+		delete(c.link.connections, c)
+		c.link.mu.Unlock()
 		if reset {
-			p.near.(*net.TCPConn).SetLinger(0)
-			p.far.(*net.TCPConn).SetLinger(0)
+			c.near.(*net.TCPConn).SetLinger(0)
+			c.far.(*net.TCPConn).SetLinger(0)
 		}
-		p.near.Close()
-		p.far.Close()
-		p.link.forward.cond.Broadcast()
-		p.link.backward.cond.Broadcast()
+		c.near.Close()
+		c.far.Close()
+		c.link.forward.cond.Broadcast()
+		c.link.backward.cond.Broadcast()
 	})
 }
 
-func (p *connection) isClosed() bool {
-	p.link.mu.Lock()
-	defer p.link.mu.Unlock()
-	return p.closed
+func (c *connection) isClosed() bool {
+	c.link.mu.Lock()
+	defer c.link.mu.Unlock()
+	return c.closed
 }
 
 // chunk is a piece of data in transit.
@@ -159,7 +159,7 @@
 }
 
 // relay copies bytes from one side to the other, in order, with the delays and limits of the direction.
-func (p *connection) relay(from, to net.Conn, direction *linkDirection) {
+func (c *connection) relay(from, to net.Conn, direction *linkDirection) {
 	chunks := make(chan chunk, 512)
 	go func() {
 		defer close(chunks)
@@ -177,9 +177,9 @@
 	for next := range chunks {
 		time.Sleep(time.Until(next.deliverAt))
 		for len(next.data) > 0 {
-			n := direction.admit(len(next.data), p.isClosed)
+			n := direction.admit(len(next.data), c.isClosed)
 			if _, err := to.Write(next.data[:n]); err != nil {
-				p.close(false)
+				c.close(false)
 				for range chunks { // drain, so that the reader can end
 					continue
 				}
@@ -188,8 +188,8 @@
 			next.data = next.data[n:]
 		}
 	}
-	direction.admit(0, p.isClosed) // the close must not overtake bytes that a blocked direction holds back
-	p.close(false)
+	direction.admit(0, c.isClosed) // the close must not overtake bytes that a blocked direction holds back
+	c.close(false)
 }
 
 // reset closes all open connections with a TCP reset.
--- a/internal/drill/observer.go
+++ b/internal/drill/observer.go
@@ -36,23 +36,23 @@
 		return nil, err
 	}
 	c.SetReadBuffer(4 << 20)
-	w := &observer{conn: c, start: start}
-	go w.listen()
-	return w, nil
+	o := &observer{conn: c, start: start}
+	go o.listen()
+	return o, nil
 }
 
-func (w *observer) listen() {
+func (o *observer) listen() {
 	b := make([]byte, 512)
 	for {
-		n, _, err := w.conn.ReadFromUDP(b)
+		n, _, err := o.conn.ReadFromUDP(b)
 		if err != nil {
 			return
 		}
-		w.record(time.Since(w.start), string(b[:n]))
+		o.record(time.Since(o.start), string(b[:n]))
 	}
 }
 
-func (w *observer) record(at time.Duration, text string) {
+func (o *observer) record(at time.Duration, text string) {
 	observation := Observation{At: at}
 	observation.Kind, _, _ = strings.Cut(text, " ")
 	var err error
@@ -68,26 +68,26 @@
 	default:
 		err = fmt.Errorf("%q", text)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	if err != nil {
-		w.malformed++
+		o.malformed++
 		return
 	}
 	if observation.Kind == "lead" {
-		w.lastLeader = observation.Name
+		o.lastLeader = observation.Name
 	}
-	w.observations = append(w.observations, observation)
+	o.observations = append(o.observations, observation)
 }
 
-func (w *observer) leader() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.lastLeader
+func (o *observer) leader() string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.lastLeader
 }
 
-func (w *observer) allObservations() []Observation {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]Observation(nil), w.observations...)
+func (o *observer) allObservations() []Observation {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return append([]Observation(nil), o.observations...)
 }
--- a/internal/drill/plan.go
+++ b/internal/drill/plan.go
@@ -1,7 +1,7 @@
 // Package drill runs fault-injection tests: it starts real processes of this program, connects them by links that
 // can fail, injects faults at planned times, and checks the outcome by what its stand-ins observed, which are case
 // servers, callers and an observer of the processes' beacons. A check must not rely on what a router or keeper
-// reports of its own state. No package that serves calls may import it.
+// reports about its own state. No package that serves calls may import this one.
 package drill
 
 import (
@@ -33,7 +33,7 @@
 	Period         time.Duration // between the starts of cycles
 	Faults         []Fault       // sorted by time, all cycles included
 	Checks         []Check
-	Agents         int              // number that a case server reports; 0: very many
+	Agents         int              // free agents that a case server reports; 0: 1000
 	Redials        int              // maximum redials of a refused caller
 	Zones          int              // routers share verdicts and are spread over this many zones; 0: they share none
 	Liars          int              // the first Liars routers report the opposite of what they see; in test builds only
@@ -63,7 +63,7 @@
 func (f Fault) String() string { return strings.TrimSpace(f.Kind + " " + strings.Join(f.Args, " ")) }
 
 // String returns the check as in the drill file.
-func (h Check) String() string { return strings.TrimSpace(h.Kind + " " + strings.Join(h.Args, " ")) }
+func (c Check) String() string { return strings.TrimSpace(c.Kind + " " + strings.Join(c.Args, " ")) }
 
 // faultForms has the arguments of each kind of fault: p a process or pattern, d a duration, n a number, w a word.
 var faultForms = map[string]string{
@@ -75,7 +75,7 @@
 	"flood": "pwn", "behave": "pw", "hold-server": "pd", "release-server": "p", "evacuate": "p",
 }
 
-// checkForms has the same for each kind of check.
+// checkForms has the arguments of each kind of check, in the notation of faultForms.
 var checkForms = map[string]string{
 	"one-acts": "", "one-leads": "", "lead-within": "d", "known-within": "d", "lost-calls": "n", "stood-share": "n",
 	"acts": "pdd", "silent": "pdd", "leads-none": "dd", "exits": "p",
@@ -208,18 +208,18 @@
 	return plan, nil
 }
 
-// validateArgs returns why args don't match the form of word, or "" if they do.
-func validateArgs(forms map[string]string, word string, args []string) string {
-	form, ok := forms[word]
+// validateArgs returns why args don't match the form of a kind of fault or check, or "" if they do.
+func validateArgs(forms map[string]string, kind string, args []string) string {
+	form, ok := forms[kind]
 	if !ok {
-		return fmt.Sprintf("%q is not one of %s", word, strings.Join(slices.Sorted(mapKeys(forms)), ", "))
+		return fmt.Sprintf("%q is not one of %s", kind, strings.Join(slices.Sorted(mapKeys(forms)), ", "))
 	}
 	if len(args) != len(form) {
-		return fmt.Sprintf("%q takes %d arguments", word, len(form))
+		return fmt.Sprintf("%q takes %d arguments", kind, len(form))
 	}
-	for i, kind := range form {
+	for i, argType := range form {
 		var err error
-		switch kind {
+		switch argType {
 		case 'p':
 			if !processPattern().MatchString(args[i]) {
 				return fmt.Sprintf("%q is not a process: "+
--- a/internal/drill/report.go
+++ b/internal/drill/report.go
@@ -60,8 +60,8 @@
 // timeline lays out which processes acted and led when, and when each fault was caused.
 func (r *Result) timeline() chart {
 	names := map[string]bool{}
-	for _, s := range r.Spans {
-		names[s.Name] = true
+	for _, span := range r.Spans {
+		names[span.Name] = true
 	}
 	timeline := chart{Width: chartWidth + chartMargin + 10, Margin: chartMargin}
 	x := func(t time.Duration) int {
@@ -74,17 +74,17 @@
 	}
 	timeline.Bottom = 20 + len(names)*rowHeight + 10
 	timeline.Height = timeline.Bottom + 30
-	for _, s := range r.Spans {
+	for _, span := range r.Spans {
 		timeline.Bars = append(timeline.Bars, bar{
-			x(s.From), y[s.Name], max(x(s.To)-x(s.From), 2), fmt.Sprintf("%s%d", s.Kind, s.Number%2),
+			x(span.From), y[span.Name], max(x(span.To)-x(span.From), 2), fmt.Sprintf("%s%d", span.Kind, span.Number%2),
 			fmt.Sprintf("%s: %s %d, %.2f s to %.2f s",
-				s.Name, s.Kind, s.Number, (s.From - r.FormedAt).Seconds(), (s.To - r.FormedAt).Seconds()),
+				span.Name, span.Kind, span.Number, (span.From - r.FormedAt).Seconds(), (span.To - r.FormedAt).Seconds()),
 		})
 	}
-	for _, h := range r.Happened {
+	for _, event := range r.Happened {
 		timeline.Marks = append(timeline.Marks, mark{
-			x(h.At), timeline.Bottom,
-			fmt.Sprintf("%.2f s: %s (%s)", (h.At - r.FormedAt).Seconds(), h.What, strings.Join(h.Who, " ")),
+			x(event.At), timeline.Bottom,
+			fmt.Sprintf("%.2f s: %s (%s)", (event.At - r.FormedAt).Seconds(), event.What, strings.Join(event.Who, " ")),
 		})
 	}
 	step := max(time.Second, (r.EndedAt / 20).Round(time.Second))
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -64,7 +64,7 @@
 	dir           string
 	env           []string
 	args          []string
-	killStep      string // file operation at which its next incarnation kills itself; in test builds only
+	killStep      string // file operation at which the next process kills itself; in test builds only
 }
 
 func (p *childProcess) running() bool {
@@ -127,7 +127,7 @@
 	intrusions      []Intrusion
 	stopFuncs       []context.CancelFunc // end floods and flapping links
 	usageBefore     usage
-	intruders       sync.WaitGroup // running beside the faults
+	intruders       sync.WaitGroup // intruders that run while later faults are injected
 	mu              sync.Mutex     // protects links, callOnly, intrusions and faultEvents
 }
 
@@ -343,7 +343,8 @@
 	return l, err
 }
 
-// writeSettings writes the settings of a process and sets its arguments and environment.
+// writeSettings writes the settings of a process and sets its arguments and environment. For a router it also starts
+// a name service and writes the node's configuration.
 func (d *drillRun) writeSettings(p *childProcess) error {
 	if err := os.MkdirAll(p.dir, 0o755); err != nil {
 		return err
@@ -588,7 +589,8 @@
 		}
 		old := d.servers[index]
 		server, err := standin.NewServer(standin.ServerConfig{ID: id + "x", Number: index,
-			Seed: uint64(d.plan.Seed) + 99, AnswerDelay: d.plan.AnswerDelay, HoldTime: d.plan.HoldTime, FreeAgents: d.plan.Agents})
+			Seed: uint64(d.plan.Seed) + 99, AnswerDelay: d.plan.AnswerDelay, HoldTime: d.plan.HoldTime,
+			FreeAgents: d.plan.Agents})
 		if err != nil {
 			return err
 		}
@@ -781,7 +783,7 @@
 			if p.neighbourAddr != "" {
 				addr = p.neighbourAddr
 			}
-			if f.Args[0] == "greedy" { // runs beside the faults that follow
+			if f.Args[0] == "greedy" { // runs while later faults are injected
 				d.intruders.Add(1)
 				go func() {
 					defer d.intruders.Done()
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -33,7 +33,7 @@
 	AnswerTimeout  time.Duration // answer timeout that callers send; 0: 3 s
 	HangUpShare    float64       // share of established calls that their callers release
 	HangUpDelay    time.Duration // delay of that release after the answer
-	RepeatShare    float64       // share of set-ups that are marked as repeats
+	RepeatShare    float64       // share of first set-ups that are marked as repeats
 	RecordOutcomes bool          // keep the outcome of each call
 	// MaxRedials is how often a refused caller calls again, marked as a repeat. A redial follows the refusal
 	// by a random delay between half of MaxRedialDelay and MaxRedialDelay.
@@ -54,12 +54,12 @@
 	Stood    int             // calls established
 	Refused  int             // set-ups answered with 503 or 480
 	Failed   int             // set-ups answered with another final status
-	Lost     int             // set-ups pending as their connection ended
+	Lost     int             // set-ups that were pending when their connection ended
 	Released int             // calls released from the router's side
 	Cut      int             // of those, calls released with another cause than normal clearing
 	HungUp   int             // calls released by their callers
 	Odd      int             // protocol violations: final answers to set-ups that are not pending
-	Latency  []time.Duration // of final answers, where recorded
+	Latency  []time.Duration // of final answers; kept with RecordOutcomes
 }
 
 // Load is a set of callers that send set-ups to a router. Its methods may be called from several goroutines.
@@ -67,10 +67,10 @@
 	cfg            LoadConfig
 	mu             sync.Mutex
 	counts         LoadCounts
-	outcomes       map[string]string    // by call, where recorded
+	outcomes       map[string]string    // by call; kept with RecordOutcomes
 	releaseAckedAt map[string]time.Time // when the release by the caller was answered, by call
-	releaseCounts  map[string]int       // releases received, by call, where recorded
-	released       map[string]bool      // calls that either side has released, or tried to
+	releaseCounts  map[string]int       // releases received, by call; kept with RecordOutcomes
+	released       map[string]bool      // calls for which a release was received or sent
 	conns          map[*callerConn]bool
 	redials        map[string]int       // redials before this set-up, by pending call
 	firstTries     map[string]*FirstTry // by call
@@ -127,8 +127,8 @@
 func (l *Load) FirstTries() (list []FirstTry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, t := range l.firstTries {
-		list = append(list, *t)
+	for _, try := range l.firstTries {
+		list = append(list, *try)
 	}
 	return list
 }
@@ -279,7 +279,8 @@
 	}
 }
 
-// sendInvite sends one set-up, which follows the given number of redials. It returns false if enough were sent.
+// sendInvite sends the set-up of a caller that has redialed the given number of times, this one included. It returns
+// false without sending if MaxInvites set-ups were sent.
 func (c *callerConn) sendInvite(redials int) bool {
 	l := c.load
 	l.mu.Lock()
@@ -411,7 +412,7 @@
 	})
 }
 
-// hangUp releases an established call, on any connection: a call is not bound to the one of its set-up.
+// hangUp releases an established call. It uses any connection, as a call is not bound to the one of its set-up.
 func (l *Load) hangUp(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -426,15 +427,15 @@
 	}
 }
 
-// recordOutcome counts the outcome of a call, and keeps it where configured.
+// recordOutcome counts the outcome of a call, and keeps it with RecordOutcomes.
 func (l *Load) recordOutcome(id, outcome string, latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch outcome {
 	case "stood":
 		l.counts.Stood++
-		if t := l.firstTries[id]; t != nil {
-			t.Established = true
+		if try := l.firstTries[id]; try != nil {
+			try.Established = true
 		}
 	case "refused":
 		l.counts.Refused++
--- a/internal/standin/nameservice.go
+++ b/internal/standin/nameservice.go
@@ -87,13 +87,13 @@
 
 func (n *NameService) serve() {
 	b := make([]byte, 1024)
-	for lost := n.lossy; ; lost = n.lossy && !lost {
+	for dropped := n.lossy; ; dropped = n.lossy && !dropped {
 		size, from, err := n.conn.ReadFromUDP(b)
 		if err != nil {
 			return
 		}
 		n.mu.Lock()
-		answer, silent := n.encodeAnswer(b[:size]), lost || n.down
+		answer, silent := n.encodeAnswer(b[:size]), dropped || n.down
 		n.mu.Unlock()
 		if !silent {
 			n.conn.WriteToUDP(answer, from)
@@ -115,8 +115,8 @@
 	return b
 }
 
-// encodeAnswer answers a query with an SRV, an A and a TXT record for each case server, and an SOA record with the
-// serial. Owner names are compressed to pointers to the question or to the host name of the SRV record.
+// encodeAnswer encodes the answer to a query: an SRV, an A and a TXT record for each case server, and an SOA record
+// with the serial. Owner names are compressed to pointers to the question or to the host name of the SRV record.
 func (n *NameService) encodeAnswer(query []byte) []byte {
 	b := append([]byte(nil), query...)
 	if len(b) < 12 {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -20,26 +20,26 @@
 	Seed        uint64
 	AnswerDelay [2]time.Duration // minimum and maximum delay of an answer
 	HoldTime    [2]time.Duration // minimum and maximum duration of a call
-	RejectShare float64          // share of set-ups that are rejected as overload
-	CutShare    float64          // share of established calls that end by a cut
+	RejectShare float64          // share of set-ups that are rejected for overload
+	CutShare    float64          // share of established calls whose release has cause 41 (cut) instead of 16
 	FreeAgents  int              // free agents that it reports; 0: 1000
 }
 
 // CallRecord is what a case server has seen of one call.
 type CallRecord struct {
 	Received         int  // set-ups received
-	Rejected         int  // set-ups rejected as overload
+	Rejected         int  // set-ups rejected for overload
 	Abandoned        bool // by a CANCEL, or because its connection closed
 	Answered         bool
 	Released         bool      // the established call has ended
 	ReleasedByCaller bool      // released from the router's side
-	Cut              bool      // ended by a cut
+	Cut              bool      // released with cause 41 instead of 16
 	ReleaseAckedAt   time.Time // when the router answered its release; zero: not yet
 	Class            string
 	Number           string
 	HoldTime         time.Duration // from the answer to the release
 	FirstInviteAt    time.Time     // when its first set-up was received
-	EndedAt          time.Time     // when it last ended here, by whatever outcome; zero: it has not
+	EndedAt          time.Time     // when it last ended here, whatever the outcome; zero: it has not
 }
 
 // Server is a case server that keeps a record of every call. Its methods may be called from several goroutines.
@@ -50,7 +50,7 @@
 	random      *rand.Rand
 	conns       map[*lockedConn]bool
 	calls       map[string]*callState
-	unacked     []release // releases that the router has not acknowledged, or only just
+	unacked     []release // releases that the router has not acknowledged, and recent ones that it has
 	closed      bool
 	hang        bool
 	delayFactor float64
@@ -60,14 +60,14 @@
 // ServerCounts are totals over all calls of a case server.
 type ServerCounts struct {
 	Received int // set-ups
-	Rejected int // set-ups rejected as overload
+	Rejected int // set-ups rejected for overload
 	Answered int // calls established
 	GivenUp  int // set-ups withdrawn by a CANCEL or the end of their connection
 	Released int // established calls that ended
 	Odd      int // protocol violations: set-ups of a call that is pending or established
 }
 
-// callState is the record of a call with what the server needs to continue it.
+// callState is the record of a call, with the connection of its latest set-up and the timer of its answer or release.
 type callState struct {
 	CallRecord
 	conn       *lockedConn
@@ -114,8 +114,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	for w := range s.conns {
-		w.Close()
+	for conn := range s.conns {
+		conn.Close()
 	}
 	for _, c := range s.calls {
 		if c.timer != nil {
@@ -128,7 +128,7 @@
 type Behaviour struct {
 	Hang        bool    // accept set-ups and answer none
 	DelayFactor float64 // factor on the answer delay; 0: 1
-	RejectShare float64 // share of set-ups that are rejected as overload
+	RejectShare float64 // share of set-ups that are rejected for overload
 }
 
 // SetBehaviour changes the behaviour for new set-ups. Set-ups that a hung server left unanswered stay unanswered.
@@ -145,7 +145,7 @@
 	return s.counts
 }
 
-// Calls returns a copy of the record of every call, by call.
+// Calls returns a copy of the record of every call, by Call-ID.
 func (s *Server) Calls() map[string]CallRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,8 +165,8 @@
 			established++
 		}
 	}
-	for _, o := range s.unacked {
-		if !o.acked {
+	for _, bye := range s.unacked {
+		if !bye.acked {
 			unacked++
 		}
 	}
@@ -176,28 +176,28 @@
 // accept serves each new connection, which starts with a state report and the unacknowledged releases.
 func (s *Server) accept() {
 	for {
-		conn, err := s.listener.Accept()
+		raw, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		w := &lockedConn{Conn: conn}
+		conn := &lockedConn{Conn: raw}
 		s.mu.Lock()
-		s.conns[w] = true
+		s.conns[conn] = true
 		unacked := s.unacked
 		s.unacked = nil
 		s.mu.Unlock()
-		w.send(Request("NOTIFY", "state", "0000000000000000", "", "Link-State",
+		conn.send(Request("NOTIFY", "state", "0000000000000000", "", "Link-State",
 			fmt.Sprintf("x0:%d;x1:%d", s.cfg.FreeAgents, s.cfg.FreeAgents)))
 		// A recent release is sent again on the next connection, even if it was acknowledged on another.
-		for _, o := range unacked {
-			w.send(encodeBye(o))
-			if !o.acked {
+		for _, bye := range unacked {
+			conn.send(encodeBye(bye))
+			if !bye.acked {
 				s.mu.Lock()
-				s.unacked = append(s.unacked, o)
+				s.unacked = append(s.unacked, bye)
 				s.mu.Unlock()
 			}
 		}
-		go s.serve(w)
+		go s.serve(conn)
 	}
 }
 
@@ -207,21 +207,21 @@
 }
 
 // serve handles the messages of a connection until it ends, and withdraws the set-ups pending on it.
-func (s *Server) serve(w *lockedConn) {
-	r := bufio.NewReader(w)
+func (s *Server) serve(conn *lockedConn) {
+	r := bufio.NewReader(conn)
 	for {
 		m, err := ReadMessage(r)
 		if err != nil {
 			break
 		}
-		s.handle(w, m)
+		s.handle(conn, m)
 	}
-	w.Close()
+	conn.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.conns, w)
+	delete(s.conns, conn)
 	for _, c := range s.calls {
-		if c.conn == w && !c.Answered && !c.Abandoned && c.timer != nil {
+		if c.conn == conn && !c.Answered && !c.Abandoned && c.timer != nil {
 			c.abandon(s)
 		}
 	}
@@ -234,7 +234,7 @@
 	s.counts.GivenUp++
 }
 
-// randomBetween returns a random duration between the two of span.
+// randomBetween returns a random duration between the bounds of span.
 func (s *Server) randomBetween(span [2]time.Duration) time.Duration {
 	if span[1] <= span[0] {
 		return span[0]
@@ -243,7 +243,7 @@
 }
 
 // handle processes one message from the router.
-func (s *Server) handle(w *lockedConn, m Message) {
+func (s *Server) handle(conn *lockedConn, m Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := m.CallID()
@@ -264,12 +264,12 @@
 		}
 		s.counts.Received++
 		c.Received++
-		c.conn, c.Class, c.Number, c.Abandoned, c.timer = w, m.Header["Call-Kind"], m.User(), false, nil
+		c.conn, c.Class, c.Number, c.Abandoned, c.timer = conn, m.Header["Call-Kind"], m.User(), false, nil
 		if s.random.Float64() < s.cfg.RejectShare {
 			s.counts.Rejected++
 			c.Rejected++
 			c.EndedAt = time.Now()
-			w.send(Response(503, "INVITE", id, "", "Fail-Word", "swamped"))
+			conn.send(Response(503, "INVITE", id, "", "Fail-Word", "swamped"))
 			return
 		}
 		delay := s.randomBetween(s.cfg.AnswerDelay)
@@ -283,10 +283,10 @@
 	case m.Method() == "CANCEL":
 		if c := s.calls[id]; c != nil && c.timer != nil && !c.Answered && !c.Abandoned {
 			c.abandon(s)
-			w.send(Response(487, "INVITE", id, ""))
+			conn.send(Response(487, "INVITE", id, ""))
 		}
 	case m.Method() == "BYE" && m.Status() == 0:
-		w.send(Response(200, "BYE", id, ""))
+		conn.send(Response(200, "BYE", id, ""))
 		if c := s.calls[id]; c != nil && c.Answered && !c.Released {
 			c.timer.Stop()
 			c.Released, c.ReleasedByCaller, c.HoldTime, c.EndedAt = true, true, time.Since(c.answeredAt), time.Now()
@@ -327,7 +327,8 @@
 	if s.closed || c.Released {
 		return
 	}
-	c.Released, c.Cut, c.HoldTime, c.EndedAt = true, s.random.Float64() < s.cfg.CutShare, time.Since(c.answeredAt), time.Now()
+	c.Released, c.Cut, c.HoldTime, c.EndedAt = true, s.random.Float64() < s.cfg.CutShare,
+		time.Since(c.answeredAt), time.Now()
 	s.counts.Released++
 	bye := release{id, 16, time.Now(), false}
 	if c.Cut {
@@ -337,8 +338,8 @@
 	if s.conns[c.conn] && c.conn.send(encodeBye(bye)) {
 		return
 	}
-	for w := range s.conns { // sending fails on a connection that was just closed but is still listed
-		if w.send(encodeBye(bye)) {
+	for conn := range s.conns { // sending fails on a connection that was just closed but is still in the map
+		if conn.send(encodeBye(bye)) {
 			return
 		}
 	}
--- a/internal/standin/sip.go
+++ b/internal/standin/sip.go
@@ -1,6 +1,6 @@
 // Package standin simulates the peers of the call router on loopback: case servers and callers, which speak the
-// platform's SIP and count what they see, and the name service. It is for tests and load tools, and the serve
-// command must never import it. It shares no code with the router, so that a mistake in the router is not hidden
+// platform's SIP and record what they see, and the name service. It is for tests and load tools; the serve
+// command must never use it. It shares no code with the router, so that a mistake in the router is not hidden
 // by the same one here.
 package standin
 
@@ -100,7 +100,7 @@
 	return fmt.Appendf(b, "Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// CallID returns the Call-ID that stands for a name: its FNV-1a hash in hex.
+// CallID returns the Call-ID that tests use for the call of a name: the FNV-1a hash of the name in hex.
 func CallID(name string) string {
 	h := fnv.New64a()
 	io.WriteString(h, name)
@@ -114,9 +114,9 @@
 }
 
 // send writes a message and reports whether the write succeeded.
-func (w *lockedConn) send(b []byte) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	_, err := w.Conn.Write(b)
+func (c *lockedConn) send(b []byte) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, err := c.Conn.Write(b)
 	return err == nil
 }
