--- a/internal/scenario/callcontrol_test.go
+++ b/internal/scenario/callcontrol_test.go
@@ -31,8 +31,8 @@
 // handshake opens a WebSocket. The token is id=, sent as a subprotocol, as browsers do, if origin= is given.
 func handshake(conn net.Conn, r *bufio.Reader, args string) error {
 	id, origin := "desk1", ""
-	for _, one := range strings.Fields(args) {
-		switch name, value, _ := strings.Cut(one, "="); name {
+	for _, field := range strings.Fields(args) {
+		switch name, value, _ := strings.Cut(field, "="); name {
 		case "id":
 			id = value
 		case "origin":
@@ -88,7 +88,7 @@
 	return b
 }
 
-// readFrame reads an unmasked frame, as a server sends it.
+// readFrame reads an unmasked frame, as servers send them.
 func readFrame(r *bufio.Reader) (any, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:2]); err != nil {
@@ -106,8 +106,8 @@
 	return wsMessage{head[0] & 15, string(payload)}, err
 }
 
-// expectWebSocket checks that the next message contains all words of text, where a close frame reads as "close
-// CODE" and a pong as "pong TEXT". "as NAME" keeps the call id of the message as a variable.
+// expectWebSocket checks that the next message contains all words of text. A close frame counts as the text "close
+// CODE", a ping as "ping TEXT" and a pong as "pong TEXT". "as NAME" keeps the call id of the message in a variable.
 func (p *peer) expectWebSocket(text string) error {
 	if text == "silence" {
 		if err := p.write(clientFrame(true, 9, []byte("barrier"))); err != nil {
@@ -124,14 +124,14 @@
 		return fmt.Errorf("connection ended: %v", got)
 	}
 	words := strings.Fields(text)
-	is := m.text
+	received := m.text
 	switch m.op {
 	case 8:
-		is = fmt.Sprintf("close %d", binary.BigEndian.Uint16([]byte(m.text)))
+		received = fmt.Sprintf("close %d", binary.BigEndian.Uint16([]byte(m.text)))
 	case 9:
-		is = "ping " + is
+		received = "ping " + received
 	case 10:
-		is = "pong " + is
+		received = "pong " + received
 	}
 	for i, word := range words {
 		if word == "as" {
@@ -139,11 +139,11 @@
 			if err := json.Unmarshal([]byte(m.text), &v); err != nil {
 				return err
 			}
-			p.w.vars[words[i+1]] = v.Params.Call + v.Result.Call
+			p.run.vars[words[i+1]] = v.Params.Call + v.Result.Call
 			break
 		}
-		if !strings.Contains(is, word) {
-			return fmt.Errorf("got %s", is)
+		if !strings.Contains(received, word) {
+			return fmt.Errorf("got %s", received)
 		}
 	}
 	return nil
@@ -166,14 +166,14 @@
 
 // callControlScenarios are the scenarios of WebSocket clients, by name.
 var callControlScenarios = map[string]string{
-	"a call stands, ends, and is told": callPlaced + `
+	"a call is established and ends, and the client is told": callPlaced + `
 s0 send 200 INVITE #$c Body=answer
 w1 expect "id":1 "state":"standing" "description":"answer" $c
 s0 send BYE #$c Reason=Q.850;cause=16
 w1 expect call.ended "cause":"concluded" $c
 w1 expect silence`,
 
-	"refused, failed, and out of time are told apart": callPlaced + `
+	"refusal, failure and timeout have different codes": callPlaced + `
 s0 send 503 INVITE #$c Fail-Word=swamped
 w1 expect "id":1 -32001 "retryAfterMs":100
 w1 send {"jsonrpc":"2.0","id":"x","method":"call.place","params":{"class":"voice","number":"1","destination":1,"answerWithinMs":900}}
@@ -188,7 +188,7 @@
 s0 send 486 INVITE #$c Fail-Word=occupied
 w1 expect "id":3 -32002`,
 
-	"what is not a request is told why": clientConnected + `
+	"invalid requests get an error": clientConnected + `
 w1 send {
 w1 expect "id":null -32700
 w1 send [{"jsonrpc":"2.0","id":1,"method":"call.place"}]
@@ -249,7 +249,7 @@
 w3 expect call.ended "cause":"cut"
 w3 expect silence`,
 
-	"attached before the answer, which comes once": callPlaced + `
+	"attach before the answer, which is sent once": callPlaced + `
 w2 open id=desk1
 w2 send {"jsonrpc":"2.0","id":9,"method":"call.attach","params":{"call":"$c"}}
 w1 expect "id":1 -32005
@@ -259,7 +259,7 @@
 w2 send {"jsonrpc":"2.0","id":10,"method":"call.attach","params":{"call":"$c"}}
 w2 expect "id":10 -32004`,
 
-	"a set-up nobody follows goes on to its deadline": callPlaced + `
+	"a set-up without a socket continues until its deadline": callPlaced + `
 w1 close
 wait 2900ms
 s0 expect silence
@@ -272,7 +272,7 @@
 
 	// After its socket has closed, an established call is released unless its identity attaches within the grace
 	// period.
-	"the socket closes while the call stands": callPlaced + `
+	"the socket closes during an established call": callPlaced + `
 s0 send 200 INVITE #$c Body=x
 w1 expect standing
 w1 close
@@ -288,7 +288,7 @@
 
 	// If a server drains and goes while a call is pending there, the call moves on to another server and gets
 	// exactly one answer.
-	"the server drains while a call waits": callPlaced + `
+	"the server drains while a set-up is pending": callPlaced + `
 list s0=draining s1
 log "state 1"
 list s1
@@ -310,35 +310,37 @@
 w1 expect close 1000
 w1 expect closed`,
 
-	"an unmasked frame":         clientConnected + "w1 raw \"\\x81\\x01a\"\nw1 expect close 1002",
-	"a reserved bit":            clientConnected + "w1 raw \"\\xc1\\x80\\x00\\x00\\x00\\x00\"\nw1 expect close 1002",
-	"a continuation of nothing": clientConnected + "w1 raw \"\\x80\\x80\\x00\\x00\\x00\\x00\"\nw1 expect close 1002",
-	"a fragmented ping":         clientConnected + "w1 raw \"\\x09\\x80\\x00\\x00\\x00\\x00\"\nw1 expect close 1002",
-	"a long form of a short one": clientConnected + "w1 raw \"\\x81\\xfe\\x00\\x01\\x00\\x00\\x00\\x00a\"\n" +
+	"an unmasked frame":    clientConnected + "w1 raw \"\\x81\\x01a\"\nw1 expect close 1002",
+	"a reserved bit":       clientConnected + "w1 raw \"\\xc1\\x80\\x00\\x00\\x00\\x00\"\nw1 expect close 1002",
+	"a stray continuation": clientConnected + "w1 raw \"\\x80\\x80\\x00\\x00\\x00\\x00\"\nw1 expect close 1002",
+	"a fragmented ping":    clientConnected + "w1 raw \"\\x09\\x80\\x00\\x00\\x00\\x00\"\nw1 expect close 1002",
+	"a length in a longer form than needed": clientConnected + "w1 raw \"\\x81\\xfe\\x00\\x01\\x00\\x00\\x00\\x00a\"\n" +
 		"w1 expect close 1002",
 	"binary": clientConnected + "w1 raw \"\\x82\\x80\\x00\\x00\\x00\\x00\"\nw1 expect close 1003",
 	"text that is not UTF-8": clientConnected + "w1 raw \"\\x81\\x81\\x00\\x00\\x00\\x00\\xff\"\n" +
 		"w1 expect close 1007",
-	"a message that is too big": clientConnected + "w1 raw \"\\x81\\xff\\x00\\x00\\x00\\x00\\x00\\x01\\x00\\x00\"\n" +
+	"a message that is too large": clientConnected + "w1 raw \"\\x81\\xff\\x00\\x00\\x00\\x00\\x00\\x01\\x00\\x00\"\n" +
 		"w1 expect close 1009",
-	"a close code not for wires": clientConnected + "w1 raw \"\\x88\\x82\\x00\\x00\\x00\\x00\\x03\\xed\"\n" +
+	"a reserved close code": clientConnected + "w1 raw \"\\x88\\x82\\x00\\x00\\x00\\x00\\x03\\xed\"\n" +
 		"w1 expect close 1002",
-	"a browser from a known page": clientConnected + "w2 open id=desk2 origin=https://desk.example\nw2 expect silence",
-	"a token that runs out": clientConnected + "wait 12s\nw1 expect silence\nwait 12s\n" +
+	"a browser with an allowed origin": clientConnected +
+		"w2 open id=desk2 origin=https://desk.example\nw2 expect silence",
+	"a token that expires": clientConnected + "wait 12s\nw1 expect silence\nwait 12s\n" +
 		"w1 expect silence\nwait 12s\nw1 expect silence\nwait 12s\nw1 expect silence\nwait 13s\n" +
 		"w1 expect close 1008\nwait 3s\nw1 expect closed",
 	// A socket whose handshake or message stays incomplete is closed 2 s after its start; an idle socket is not.
-	"a mute client": clientConnected + "w2 open mute\nwait 1900ms\nw1 expect silence\nwait 200ms\n" +
+	"a client without a handshake": clientConnected + "w2 open mute\nwait 1900ms\nw1 expect silence\nwait 200ms\n" +
 		"w2 expect closed\nw1 expect silence",
-	"a slow client": clientConnected + "w1 raw \"\\x81\"\nwait 1900ms\nw1 raw \"\\x84\"\nwait 200ms\n" +
+	"an incomplete frame": clientConnected + "w1 raw \"\\x81\"\nwait 1900ms\nw1 raw \"\\x84\"\nwait 200ms\n" +
 		"w1 expect closed",
-	"a slow fragment": clientConnected + "w1 raw \"\\x01\\x80\\x00\\x00\\x00\\x00\"\nwait 2100ms\nw1 expect closed",
-	"figures that cannot be": clientConnected + `
+	"an incomplete message": clientConnected +
+		"w1 raw \"\\x01\\x80\\x00\\x00\\x00\\x00\"\nwait 2100ms\nw1 expect closed",
+	"values out of range": clientConnected + `
 w1 send {"jsonrpc":"2.0","id":1,"method":"call.place","params":{"class":"voice","number":"1","answerWithinMs":5001}}
 w1 expect "id":1 -32602 answerWithinMs
 w1 send {"jsonrpc":"2.0","id":2,"method":"call.place","params":{"class":"voice","number":"1","answerWithinMs":9,"destination":7}}
 w1 expect "id":2 -32602 destination`,
-	"a dead client": clientConnected + "wait 20s\nw1 expect ping\nwait 25s\nw1 expect closed",
+	"a client that does not answer a ping": clientConnected + "wait 20s\nw1 expect ping\nwait 25s\nw1 expect closed",
 }
 
 // TestCallControl runs the scenarios of WebSocket clients.
@@ -351,8 +353,8 @@
 	require.ErrorContains(t, w.execute("w3 open id=desk1 origin=https://elsewhere.example"), "403")
 }
 
-// TestIndependentClient connects a WebSocket client of another project, so that a misreading of the protocol that the
-// front and the test client of this package share cannot go unnoticed.
+// TestIndependentClient connects a WebSocket client of another project. It finds a misreading of the protocol that the
+// front shares with the test client of this package.
 func TestIndependentClient(t *testing.T) {
 	w := runScenario(t, clientConnected)
 	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
--- a/internal/scenario/customers_test.go
+++ b/internal/scenario/customers_test.go
@@ -11,8 +11,8 @@
 	"threadglade.example/threadglade/internal/standin"
 )
 
-// This file tests what has to hold with the settings of any customer. The names and the number of classes, the
-// attempts, the drain grace and the release wait come from the settings alone.
+// This file tests behaviour that must hold with the settings of every customer: the names and the number of classes,
+// the limit of attempts, the drain grace period and the release wait come from the settings alone.
 
 // customer holds the settings that differ between customers. release is the release wait.
 type customer struct {
@@ -25,16 +25,16 @@
 
 // settings returns the router's settings in JSON.
 func (c customer) settings() string {
-	var pools, every []string
+	var pools, servers []string
 	for i := range c.attempts + 2 {
-		every = append(every, fmt.Sprint(i))
+		servers = append(servers, fmt.Sprint(i))
 	}
 	var classes, holding []string
 	for i := range c.classes {
 		classes = append(classes, fmt.Sprintf(
 			`{"name":%q,"aimMs":%d,"deadlineMs":%d,"gain":%d,"lateWorth":0.3,"repeat":"free"}`,
 			c.class(i), 400+100*i, c.deadline.Milliseconds(), 1+i))
-		pools = append(pools, "["+strings.Join(every, ",")+"]")
+		pools = append(pools, "["+strings.Join(servers, ",")+"]")
 		holding = append(holding, fmt.Sprint(1000+500*i))
 	}
 	return fmt.Sprintf(`{"me":0,"replicasOfMe":1,"discovery":"pushed","classes":[%s],`+
@@ -51,13 +51,13 @@
 func (w *scenarioRun) nextAttempt(call string, within time.Duration) *peer {
 	w.advance(within)
 	var found *peer
-	for range 2 { // attempts sent by now have arrived when the router has answered this request
+	for range 2 { // once the router has answered this request, the attempts sent before it have arrived
 		require.NoError(w.t, w.execute("z expect silence"))
 		time.Sleep(10 * time.Millisecond)
 	}
 	for _, p := range w.peers {
 		for p.listener != nil && len(p.received) > 0 {
-			if m, is := (<-p.received).(standin.Message); is && m.Method() == "INVITE" && m.CallID() == callID(call) {
+			if m, ok := (<-p.received).(standin.Message); ok && m.Method() == "INVITE" && m.CallID() == callID(call) {
 				require.Nil(w.t, found, "two attempts at once")
 				found = p
 			}
@@ -93,21 +93,21 @@
 			w := runScenarioWith(t, c.settings(), script)
 
 			// Each attempt is reset: the next one follows after the release wait, up to the limit of attempts.
-			at := w.nextAttempt("x", 0)
+			server := w.nextAttempt("x", 0)
 			for n := 1; ; n++ {
-				require.NotNil(t, at, "attempt %d", n)
-				require.NoError(t, at.send("504 INVITE x"))
+				require.NotNil(t, server, "attempt %d", n)
+				require.NoError(t, server.send("504 INVITE x"))
 				if n == c.attempts {
 					break
 				}
 				require.NoError(t, w.execute("z expect silence"))
 				require.Nil(t, w.nextAttempt("x", c.release-20*time.Millisecond), "within the release wait")
-				at = w.nextAttempt("x", 60*time.Millisecond)
+				server = w.nextAttempt("x", 60*time.Millisecond)
 			}
 			require.NoError(t, w.execute("a expect 500 INVITE x"))
 			require.Nil(t, w.nextAttempt("x", c.release+100*time.Millisecond))
 
-			// A draining server gets no calls once its grace is over.
+			// A draining server gets no calls once its grace period is over.
 			list := "list s0=draining"
 			for i := 1; i < c.attempts+2; i++ {
 				list += fmt.Sprintf(" s%d", i)
@@ -116,9 +116,9 @@
 			require.NoError(t, w.execute(`log "server s0 number 0 state 1"`))
 			w.advance(c.grace)
 			require.NoError(t, w.execute(fmt.Sprintf("a send INVITE y Call-Kind=%s Answer-Within=1000", c.class(0))))
-			at = w.nextAttempt("y", 0)
-			require.NotNil(t, at)
-			require.NotEqual(t, "s0", at.name)
+			server = w.nextAttempt("y", 0)
+			require.NotNil(t, server)
+			require.NotEqual(t, "s0", server.name)
 		})
 	}
 }
--- a/internal/scenario/ledger_test.go
+++ b/internal/scenario/ledger_test.go
@@ -32,7 +32,7 @@
 			a expect 200 INVITE c3 Body=x
 			s0 send BYE c3 Reason=Q.850;cause=16
 			a expect BYE c3
-			disk back
+			disk ok
 			log "the disk has caught up"`,
 		"full": begin + `start ledger
 			a open
@@ -44,7 +44,7 @@
 			log "calls go on without"
 			a send INVITE c3
 			s0 expect INVITE c3
-			disk back
+			disk ok
 			log "the disk has caught up"`,
 		"refuse": begin + `start ledger refuse
 			a open
@@ -55,7 +55,7 @@
 			a send INVITE c2
 			a expect 503 INVITE c2 Come-Back-Ms=1000
 			s0 none
-			disk back
+			disk ok
 			log "the disk has caught up"
 			a send INVITE c3
 			s0 expect INVITE c3`,
--- a/internal/scenario/mixed_test.go
+++ b/internal/scenario/mixed_test.go
@@ -28,7 +28,7 @@
 	attempts, inFlight, number := map[string]int{}, map[string]string{}, map[string]int{}
 	webCalls := map[string]string{}
 
-	server := func(name string) {
+	processServer := func(name string) {
 		p := w.peers[name]
 		require.NoError(t, p.send("OPTIONS barrier"))
 		for {
@@ -67,14 +67,14 @@
 			}
 		}
 	}
-	answer := func(key string, established bool) {
-		f := outcomes[key]
-		require.NotNil(t, f, key)
-		f.answers++
-		f.stood = established
-		require.Equal(t, 1, f.answers, "final answers to %s", key)
+	recordAnswer := func(key string, established bool) {
+		call := outcomes[key]
+		require.NotNil(t, call, key)
+		call.answers++
+		call.stood = established
+		require.Equal(t, 1, call.answers, "final answers to %s", key)
 	}
-	sipAnswers := func() {
+	readSIPAnswers := func() {
 		p := w.peers["a"]
 		require.NoError(t, p.send("OPTIONS barrier"))
 		for {
@@ -87,12 +87,12 @@
 			}
 			for n := range pairs {
 				if m.Header["Call-ID"] == callID(fmt.Sprintf("sip-%d", n)) {
-					answer(fmt.Sprintf("sip-%d", n), words[1] == "200")
+					recordAnswer(fmt.Sprintf("sip-%d", n), words[1] == "200")
 				}
 			}
 		}
 	}
-	webAnswers := func() {
+	readWebAnswers := func() {
 		p := w.peers["w1"]
 		require.NoError(t, p.write(clientFrame(true, 9, nil)))
 		for {
@@ -115,55 +115,55 @@
 			if v.Method == "call.placed" {
 				webCalls[v.Params.Call] = fmt.Sprintf("web-%d", v.Params.Request)
 			} else if v.ID != nil {
-				answer(fmt.Sprintf("web-%d", *v.ID), v.Result != nil)
+				recordAnswer(fmt.Sprintf("web-%d", *v.ID), v.Result != nil)
 			}
 		}
 	}
-	settle := func() {
+	processAll := func() {
 		for _, p := range []string{"s0", "s1"} {
-			server(p)
+			processServer(p)
 		}
-		sipAnswers()
-		webAnswers()
+		readSIPAnswers()
+		readWebAnswers()
 	}
 	for n := range pairs {
 		class := []string{"voice", "data"}[n%2]
 		outcomes[fmt.Sprintf("sip-%d", n)] = &outcome{class: class}
 		outcomes[fmt.Sprintf("web-%d", n)] = &outcome{class: class}
-		bySIP := func() {
+		placeBySIP := func() {
 			require.NoError(t, w.peers["a"].write([]byte(fmt.Sprintf("INVITE sip:%d@net SIP/2.0\r\nCall-ID: %s\r\n"+
 				"CSeq: 1 INVITE\r\nCall-Kind: %s\r\nAnswer-Within: 3000\r\nRouting-Data: dest:%d\r\n"+
 				"Content-Length: %d\r\n\r\npair %d",
 				n, callID(fmt.Sprintf("sip-%d", n)), class, n/2%2, len(fmt.Sprintf("pair %d", n)), n))))
-			sipAnswers()
+			readSIPAnswers()
 		}
-		byWeb := func() {
+		placeByWeb := func() {
 			require.NoError(t, w.execute(fmt.Sprintf(`w1 send {"jsonrpc":"2.0","id":%d,"method":"call.place",`+
 				`"params":{"class":%q,"number":"%d","destination":%d,"answerWithinMs":3000,"description":"pair %d"}}`,
 				n, class, n, n/2%2, n)))
-			webAnswers()
+			readWebAnswers()
 		}
-		if n%4 < 2 { // alternate which front is first
-			bySIP()
-			byWeb()
+		if n%4 < 2 { // the fronts take turns in being first
+			placeBySIP()
+			placeByWeb()
 		} else {
-			byWeb()
-			bySIP()
+			placeByWeb()
+			placeBySIP()
 		}
 		for range 8 {
-			settle()
+			processAll()
 			w.advance(5 * 1e6)
 		}
 	}
 	for range 700 {
-		settle()
+		processAll()
 		w.advance(5 * 1e6)
 	}
 	established := map[string]int{}
-	for key, f := range outcomes {
-		require.Equal(t, 1, f.answers, "final answers to %s", key)
-		if f.stood {
-			established[key[:3]+" "+f.class]++
+	for key, call := range outcomes {
+		require.Equal(t, 1, call.answers, "final answers to %s", key)
+		if call.stood {
+			established[key[:3]+" "+call.class]++
 		}
 	}
 	t.Log(established)
--- a/internal/scenario/operations_test.go
+++ b/internal/scenario/operations_test.go
@@ -7,9 +7,9 @@
 )
 
 // managed starts a router with a management server, one case server and one caller.
-const managed = `
+const withManagement = `
 s0 open number=0
-start door
+start management
 a open
 `
 
@@ -21,45 +21,45 @@
 	return script
 }
 
-// TestOperations covers the requests that operators send to a running router.
+// TestOperations covers the requests that operators send to a running router's management server.
 func TestOperations(t *testing.T) {
 	runScenarios(t, map[string]string{
-		"the door answers each call and ends its connection": managed + `
-o1 ask GET /-/ready
+		"the management server answers a request and closes its connection": withManagement + `
+o1 request GET /-/ready
 o1 expect 200 serving
-o1 ask HEAD /-/ready
+o1 request HEAD /-/ready
 o1 expect 200
-o1 ask GET /-/drain
+o1 request GET /-/drain
 o1 expect 405 PUT
-o1 ask DELETE /-/ready
+o1 request DELETE /-/ready
 o1 expect 405 GET, HEAD
-o1 ask GET /nowhere
+o1 request GET /nowhere
 o1 expect 404
-o1 ask GET http://door/-/ready?verbose=1
+o1 request GET http://router/-/ready?verbose=1
 o1 expect 200`,
 
-		"a call may come in pieces and with a body, and what follows it is no second call": managed + `
+		"a request in fragments and with a body is the only one on its connection": withManagement + `
 o1 open
 o1 raw "PUT /-/dr"
 wait 100ms
 o1 raw "ain HTTP/1.1\r\nContent-Le"
 wait 100ms
 o1 raw "ngth: 5\r\n\r\nab"
-o2 ask GET /-/ready
+o2 request GET /-/ready
 o2 expect 200
 o1 raw "cdePUT /-/resume HTTP/1.1\r\n\r\n"
 o1 expect 200 draining
-o2 ask GET /-/ready
+o2 request GET /-/ready
 o2 expect 503 draining
 o3 open
 o3 raw "PUT /-/resume HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n"
 o3 expect 100
 o3 raw "x"
 o3 expect 200 serving
-o2 ask GET /-/ready
+o2 request GET /-/ready
 o2 expect 200`,
 
-		"what cannot be read is refused": managed + `
+		"malformed requests are rejected": withManagement + `
 o1 open
 o1 raw "\x16\x03\x01\x02\x00"
 o1 expect 400
@@ -90,17 +90,19 @@
 o1 open
 o1 raw "GET /-/ready HTTP/1.1\r\nX: ` + largeBody + `"
 o1 expect 431
-o1 ask GET /-/ready
+o1 request GET /-/ready
 o1 expect 200`,
 
-		"callers without a whole call keep nobody out and are ended": managed + openMany("o", 60, `raw "GET /-/rea"`) + `
-o99 ask GET /-/ready
+		"clients with incomplete requests do not block others and are closed": withManagement +
+			openMany("o", 60, `raw "GET /-/rea"`) + `
+o99 request GET /-/ready
 o99 expect 200
 wait 4200ms
 o60 expect closed`,
 
-		// A drain closes idle connections one by one, once callers can connect elsewhere. Established calls continue.
-		"a drain lets idle connections go": managed + `
+		// A drain first gives callers time to connect elsewhere and then closes idle connections one by one. Established
+		// calls continue.
+		"a drain closes idle connections": withManagement + `
 b open
 a send INVITE c1
 s0 expect INVITE c1
@@ -108,7 +110,7 @@
 a expect 200 INVITE c1
 b send OPTIONS b1
 b expect 200 OPTIONS b1
-o1 ask PUT /-/drain
+o1 request PUT /-/drain
 o1 expect 200
 wait 300ms
 a send OPTIONS a2
@@ -119,11 +121,11 @@
 a expect silence
 wait 2s
 a expect closed
-o1 ask PUT /-/drain
+o1 request PUT /-/drain
 o1 expect 200
-o1 ask PUT /-/resume
+o1 request PUT /-/resume
 o1 expect 200
-o1 ask GET /-/ready
+o1 request GET /-/ready
 o1 expect 200
 c open
 c send ACK called
@@ -133,15 +135,15 @@
 wait 3s
 c expect silence`,
 
-		"a drained router answers what is open, and then lets go": `
+		"a draining router answers pending set-ups and then closes connections": `
 s0 open number=0
 s1 open number=1
-start door
+start management
 a open
 b open
 a send INVITE c1
 s0 expect INVITE c1
-o1 ask PUT /-/drain
+o1 request PUT /-/drain
 o1 expect 200
 b send INVITE c2
 s0 expect INVITE c2
@@ -165,8 +167,9 @@
 a expect closed
 b expect closed`,
 
-		// The releases of established calls have no other connection left. After the last one it is closed, too.
-		"the last connection of callers is kept for the releases of calls that stand": managed + `
+		// The last caller connection stays open, because the releases of established calls have no other to go to.
+		// It is closed after the last release.
+		"the last caller connection is kept for the releases of established calls": withManagement + `
 b open
 b send INVITE c1
 s0 expect INVITE c1
@@ -176,7 +179,7 @@
 s0 expect INVITE c2
 s0 send 200 INVITE c2
 a expect 200 INVITE c2
-o1 ask PUT /-/drain
+o1 request PUT /-/drain
 o1 expect 200
 wait 2s
 s0 send BYE c1 Reason=Q.850;cause=16
@@ -187,13 +190,13 @@
 wait 200ms
 a expect closed`,
 
-		"a drain ended half way closes nothing more": managed + `
+		"a drain that is ended halfway closes no more connections": withManagement + `
 a send INVITE c1
 s0 expect INVITE c1
-o1 ask PUT /-/drain
+o1 request PUT /-/drain
 o1 expect 200
 wait 2s
-o1 ask PUT /-/resume
+o1 request PUT /-/resume
 o1 expect 200
 s0 send 200 INVITE c1
 a expect 200 INVITE c1
@@ -216,7 +219,7 @@
 		`[[0,1],[0,1]]`, `[[0,1],[0,1],[0,1]]`,
 		`[2000,2000]`, `[2000,2000,2000]`)
 	runScenarios(t, map[string]string{
-		"a class is added, is used by its own rules, and goes": twoServers + `
+		"a class is added, is used with its own settings, and is removed": twoServers + `
 a send INVITE c1 Call-Kind=once
 a expect 400 INVITE c1
 a send INVITE c2
@@ -243,7 +246,7 @@
 s1 send BYE c5 Reason=Q.850;cause=16
 a expect BYE c5`,
 
-		"the second front takes the same classes": `
+		"the WebSocket front accepts the same classes": `
 s0 open number=0
 s1 open number=1
 start callcontrol
@@ -257,22 +260,22 @@
 s0 send 504 INVITE #$c
 w1 expect "id":2 "code":-32002`,
 
-		"a drain goes on over other settings": managed + `
-o1 ask PUT /-/drain
+		"a drain continues across a settings change": withManagement + `
+o1 request PUT /-/drain
 o1 expect 200
 wait 500ms
 config good "\"maxAttempts\":6" "\"maxAttempts\":1"
-o1 ask GET /-/ready
+o1 request GET /-/ready
 o1 expect 503 draining
 config bad "\"maxAttempts\":1" "\"maxAttempts\":0"
-o1 ask PUT /-/resume
+o1 request PUT /-/resume
 o1 expect 200
 a send INVITE c1
 s0 expect INVITE c1
 s0 send 504 INVITE c1
 a expect 500 INVITE c1`,
 
-		"fewer attempts hold for what comes from then on": twoServers + `
+		"a lower attempt limit applies to later calls": twoServers + `
 a send INVITE c1
 s0 expect INVITE c1
 config good "\"maxAttempts\":6" "\"maxAttempts\":1" "\"maxRetryAfterMs\":2000" "\"maxRetryAfterMs\":30"
@@ -291,7 +294,7 @@
 s1 send 503 INVITE c3 Fail-Word=swamped
 a expect 503 INVITE c3 Come-Back-Ms=30`,
 
-		"a class goes while a call of it is held": twoServers + `
+		"a class is removed while one of its calls is held": twoServers + `
 s0 send NOTIFY s Link-State=idle:0;circuits:9
 s1 send NOTIFY s Link-State=idle:0;circuits:9
 wait 100ms
@@ -310,7 +313,7 @@
 a send INVITE c2 Call-Kind=data
 a expect 400 INVITE c2`,
 
-		"what is bad changes nothing": twoServers + `
+		"invalid settings change nothing": twoServers + `
 config bad "\"maxAttempts\":6" "\"maxAttempts\":0"
 config bad "\"maxAttempts\":6," ""
 config bad "\"maxAttempts\":6" "\"maxAttempts\":\"6\""
@@ -345,7 +348,7 @@
 // TestSilentConnection covers connections that become silent with set-ups pending while their server is alive.
 func TestSilentConnection(t *testing.T) {
 	runScenarios(t, map[string]string{
-		"one that misses a report is replaced, and cut once the server speaks on the new one": twoServers +
+		"one that misses a report is replaced, and cut once the server sends on the new one": twoServers +
 			stateReports(10) + `
 a open
 a send INVITE c1
@@ -360,7 +363,7 @@
 a send INVITE c2
 s0 expect INVITE c2`,
 
-		"one whose reports come is kept, however slow the answer": oneServer + stateReports(10) + `
+		"one on which reports arrive is kept, however slow the answer": oneServer + stateReports(10) + `
 a open
 a send INVITE c1 Answer-Within=4000
 s0 expect INVITE c1
@@ -369,7 +372,7 @@
 a expect 200 INVITE c1
 quiet "silent connection"`,
 
-		"a new connection on which nothing comes either cuts nothing": oneServer + stateReports(10) + `
+		"a replacement that is silent as well cuts nothing": oneServer + stateReports(10) + `
 a open
 a send INVITE c1 Answer-Within=4000
 s0 expect INVITE c1
@@ -386,7 +389,7 @@
 	head := `INVITE sip:1@net SIP/2.0\r\nCall-ID: 0123456789abcdef\r\nCSeq: 1 INVITE\r\nCall-Kind: voice\r\n`
 	tail := `Answer-Within: 3000\r\nRouting-Data: dest:0;width:1;via:-1\r\nContent-Length: 0\r\n`
 	runScenarios(t, map[string]string{
-		"one that comes over more than 2 s is served": `
+		"a set-up that arrives over more than 2 s is served": `
 s0 open number=0
 start
 a open
@@ -404,7 +407,7 @@
 s0 send 200 INVITE #0123456789abcdef
 a expect 200 INVITE #0123456789abcdef`,
 
-		"one that stops has 2 s, one that never ends 2.75 s": oneServer + `
+		"one that stops is closed after 2 s, one that never ends after 2.75 s": oneServer + `
 b open
 c open
 a raw "` + head + `"
@@ -423,7 +426,7 @@
 c expect closed`,
 
 		// Many connections that are idle or have sent part of a message do not keep out a caller with a set-up.
-		"a crowd without set-ups keeps no caller out": `
+		"many connections without set-ups do not block a caller": `
 s0 open number=0
 start sockets=80
 ` + openMany("x", 120, `raw "INVITE sip:1@n"`) + `
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -8,30 +8,33 @@
 //	NAME open [number=N at=sM]  sN: a case server listens, with at= on the address of sM; wN: a WebSocket client
 //	                         connects (id=, origin=, or mute: no handshake); oN: an operator's HTTP client connects to
 //	                         the management server; others: a caller connects
-//	oN ask METHOD PATH       connect to the management server and send a request
+//	oN request METHOD PATH   connect to the management server and send a request
 //	oN expect STATUS [TEXT]  the response has this status and contains the text, and the connection ends after it
 //	NAME send MESSAGE        SIP: METHOD or STATUS METHOD, call or #id, Header=Value..., Body=text; wN: JSON
 //	NAME raw "TEXT"          send these bytes (Go syntax)
-//	NAME expect MESSAGE      the next message is this one; values match as parts; "silence": no message precedes the
-//	                         answer to a request sent now; "closed": the connection ends
-//	NAME none                no message has been received by now; for a router that would not answer a request either
-//	NAME answered METHOD call  a 200 to this request is among the messages received by now or soon
+//	NAME expect MESSAGE      the next message is this one; its headers contain the given values, where Header= means
+//	                         none, and its body is the given one; "silence": no message precedes the answer to a
+//	                         request sent now; "closed": the connection ends
+//	NAME none                no message has been received by now; unlike "expect silence", this sends nothing
+//	NAME answered METHOD call  a 200 to this request is received, after any other messages
 //	NAME close               close the connection; sN: and the listener
 //	NAME reset               end a caller's connection by a TCP reset
 //	sN hang                  the machine vanishes: connections stay open, new ones do not come up
-//	sN older MESSAGE         send on the connection before the latest
+//	sN send-previous MESSAGE  send on the connection before the latest
 //	sN drop                  the case server closes its connection and keeps listening
-//	sN deaf, sN hear         the case server stops reading from its connections, and resumes
-//	list [serial=N] sN[=draining|@ms]...  the name service now has this list
-//	disk slow|back|full      writes to the ledger's disk block, work as before, or fail
+//	sN stop-reading          the case server stops reading from its connections
+//	sN resume-reading        the case server reads again
+//	list [serial=N] sN[=draining|@MS]...  the name service now lists these servers, with a start time in Unix ms
+//	                         after @; serial is by default that of the last list plus 1
+//	disk slow|full|ok        writes to the ledger's disk block, fail, or succeed again
 //	config good|bad "OLD" "NEW"...  reload the configuration with these parts replaced; it is accepted (good) or
 //	                         rejected (bad)
 //	wait DURATION            advance the router's clock
-//	halt, go                 block the router's event loop within an iteration, and resume it; in between, wait advances
-//	                         the clock alone
+//	halt, resume             block the router's event loop within an iteration, and resume it; in between, wait only
+//	                         advances the clock
 //	term                     shut the router down
-//	log "TEXT"               advance the clock until the router has logged this
-//	quiet "TEXT"             the router has not logged this since the last log
+//	log "TEXT"               advance the clock until the router has logged this text
+//	quiet "TEXT"             the router has not logged this text since the match of the last log step
 package scenario
 
 import (
@@ -89,13 +92,13 @@
 	lost            [2]uint64
 	mu              sync.Mutex // guards logged, and peers while they are added
 	logged          strings.Builder
-	logOffset       int // into logged, after the last match of log
+	logOffset       int // into logged: the end of the last match of a log step
 	peers           map[string]*peer
 	vars            map[string]string // call ids by the names that scripts use as $NAME
 	names           *standin.NameService
 	serverList      []string
 	callControlAddr netip.AddrPort
-	config          string // as the router last accepted it
+	config          string // the last one that the router accepted
 	disk            *durabletest.FS
 	diskFull        atomic.Bool
 	resumeDisk      func() // unblocks the disk; nil: it is not slow
@@ -185,7 +188,7 @@
 		w.node.Loop.Post(func() { close(reached); <-halted })
 		<-reached
 		return nil
-	case "go":
+	case "resume":
 		w.resumeLoop()
 		return nil
 	case "term":
@@ -223,12 +226,12 @@
 		return err
 	case "log":
 		want, err := strconv.Unquote(rest)
-		for stop := time.Now().Add(eventTimeout); err == nil; w.advance(5 * time.Millisecond) {
+		for deadline := time.Now().Add(eventTimeout); err == nil; w.advance(5 * time.Millisecond) {
 			if at := strings.Index(w.log()[w.logOffset:], want); at >= 0 {
 				w.logOffset += at + len(want)
 				return nil
 			}
-			if time.Now().After(stop) {
+			if time.Now().After(deadline) {
 				err = fmt.Errorf("not logged: %s", want)
 			}
 		}
@@ -237,7 +240,7 @@
 	verb, rest, _ := strings.Cut(rest, " ")
 	p := w.peers[who]
 	if p == nil {
-		p = &peer{w: w, name: who, received: make(chan any, 1000)}
+		p = &peer{run: w, name: who, received: make(chan any, 1000)}
 		w.mu.Lock()
 		w.peers[who] = p
 		w.mu.Unlock()
@@ -248,11 +251,11 @@
 	switch verb {
 	case "open":
 		return p.open(rest)
-	case "ask":
+	case "request":
 		method, _, _ := strings.Cut(rest, " ")
 		err := p.open(method)
 		if err == nil {
-			err = p.write([]byte(rest + " HTTP/1.1\r\nHost: door\r\n\r\n"))
+			err = p.write([]byte(rest + " HTTP/1.1\r\nHost: router\r\n\r\n"))
 		}
 		return err
 	case "send":
@@ -286,7 +289,7 @@
 		return p.disconnect(true)
 	case "drop":
 		return p.drop()
-	case "older":
+	case "send-previous":
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if p.previousConn == nil {
@@ -294,10 +297,10 @@
 		}
 		_, err := p.previousConn.Write(encodeMessage(rest))
 		return err
-	case "deaf":
+	case "stop-reading":
 		p.readMutex.Lock()
 		return nil
-	case "hear":
+	case "resume-reading":
 		p.readMutex.Unlock()
 		return nil
 	case "none":
@@ -330,17 +333,17 @@
 			return err
 		}
 		rest = strings.TrimSpace(rest[len(old):])
-		now, err := strconv.QuotedPrefix(rest)
+		replacement, err := strconv.QuotedPrefix(rest)
 		if err != nil {
 			return err
 		}
-		rest = strings.TrimSpace(rest[len(now):])
+		rest = strings.TrimSpace(rest[len(replacement):])
 		old, _ = strconv.Unquote(old)
-		now, _ = strconv.Unquote(now)
+		replacement, _ = strconv.Unquote(replacement)
 		if !strings.Contains(text, old) {
 			return fmt.Errorf("no %s in the configuration", old)
 		}
-		text = strings.Replace(text, old, now, 1)
+		text = strings.Replace(text, old, replacement, 1)
 	}
 	c, err := node.ReadConfig([]byte(text), "", "")
 	if err == nil {
@@ -359,8 +362,8 @@
 }
 
 // advance advances the router's clock in steps of 5 ms, with a loop iteration after each. The clock never outruns
-// the test doubles: before the next step, each query that the router has sent is answered and each connection that
-// it has opened is accepted.
+// the test doubles: before the next step, every query of the router has been answered and every connection that it has
+// opened has been accepted.
 func (w *scenarioRun) advance(d time.Duration) {
 	if w.halted != nil {
 		w.clock.Add(int64(d))
@@ -368,15 +371,15 @@
 	}
 	for ; d > 0; d -= 5 * time.Millisecond {
 		w.clock.Add(int64(min(d, 5*time.Millisecond)))
-		for stop := time.Now().Add(time.Second); ; time.Sleep(50 * time.Microsecond) {
+		for deadline := time.Now().Add(time.Second); ; time.Sleep(50 * time.Microsecond) {
 			done, caughtUp := make(chan bool), false
 			w.node.Loop.Post(func() {
 				trunk, names := w.node.UpstreamCounters()
 				queried, answered, open := w.names.Counts()
 				caughtUp = w.accepted.Load() >= trunk.Opened && (!open || queried+w.lost[0] >= names.Queries &&
 					names.Answers+names.Malformed+w.lost[1] >= answered)
-				// A case server or name service that has ended never catches up: its missing events count as lost.
-				if !caughtUp && time.Now().After(stop) {
+				// A case server or name service that has ended never catches up, so its missing events count as lost.
+				if !caughtUp && time.Now().After(deadline) {
 					w.accepted.Store(max(w.accepted.Load(), trunk.Opened))
 					w.lost = [2]uint64{
 						names.Queries - min(queried, names.Queries),
@@ -398,8 +401,8 @@
 	}
 }
 
-// start starts the router with the servers opened so far. Flags are sockets=N, door (a management server), ledger,
-// refuse (the ledger refuses calls while its disk does not keep up) and callcontrol.
+// start starts the router with the servers opened so far. Flags are sockets=N, management (a management server),
+// ledger, refuse (the ledger refuses calls while its disk does not keep up) and callcontrol.
 func (w *scenarioRun) start(flags string) error {
 	var members []map[string]any
 	for name, p := range w.peers {
@@ -417,7 +420,7 @@
 		fmt.Sscanf(flags[strings.Index(flags, "sockets="):], "sockets=%d", &sockets)
 	}
 	management := ""
-	if strings.Contains(flags, "door") {
+	if strings.Contains(flags, "management") {
 		management = `"mgmt":"127.0.0.1:0",`
 	}
 	settings := defaultSettings
@@ -467,7 +470,7 @@
 	return err
 }
 
-// rejectsCallers reports whether the router rejects callers because it drains, as seen by its event loop.
+// rejectsCallers reports whether the router rejects callers because it drains.
 func (w *scenarioRun) rejectsCallers() bool {
 	answer := make(chan bool, 1)
 	w.node.Loop.Post(func() { answer <- w.node.Leaving() })
@@ -504,12 +507,12 @@
 
 // peer is a caller, a case server, a WebSocket client or an HTTP client of the management server.
 type peer struct {
-	w            *scenarioRun
+	run          *scenarioRun
 	name         string
 	number       int
 	mu           sync.Mutex
 	conn         net.Conn // the latest
-	previousConn net.Conn // the one before
+	previousConn net.Conn // the one before conn
 	listener     *net.TCPListener
 	received     chan any // standin.Message, wsMessage, string (an HTTP response) or error
 	unread       any      // message to be received before the others
@@ -558,24 +561,24 @@
 func (p *peer) open(args string) (err error) {
 	fmt.Sscanf(args, "number=%d", &p.number)
 	if p.name[0] == 's' {
-		at := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)}
+		listenAddr := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)}
 		if _, other, ok := strings.Cut(args, "at="); ok {
-			at = p.w.peers[other].listener.Addr().(*net.TCPAddr)
+			listenAddr = p.run.peers[other].listener.Addr().(*net.TCPAddr)
 		}
-		if p.listener, err = net.ListenTCP("tcp4", at); err == nil {
+		if p.listener, err = net.ListenTCP("tcp4", listenAddr); err == nil {
 			go p.accept(p.listener)
 		}
 		return err
 	}
 	p.unread, p.received = nil, make(chan any, 1000)
-	to := p.w.node.Addr()
+	addr := p.run.node.Addr()
 	if p.isWebSocket() {
-		to = p.w.callControlAddr
+		addr = p.run.callControlAddr
 	}
 	if p.isOperator() {
-		to = p.w.node.ManagementAddr()
+		addr = p.run.node.ManagementAddr()
 	}
-	conn, err := net.Dial("tcp4", to.String())
+	conn, err := net.Dial("tcp4", addr.String())
 	if err != nil {
 		return err
 	}
@@ -608,7 +611,7 @@
 		p.mu.Lock()
 		p.previousConn, p.conn = p.conn, conn
 		p.mu.Unlock()
-		p.w.accepted.Add(1)
+		p.run.accepted.Add(1)
 		conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 		go p.read(bufio.NewReader(&pausableConn{conn, &p.readMutex}), p.received, readSIP)
 	}
@@ -620,11 +623,11 @@
 	readMutex *sync.Mutex
 }
 
-func (a *pausableConn) Read(b []byte) (int, error) {
-	a.readMutex.Lock()
+func (c *pausableConn) Read(b []byte) (int, error) {
+	c.readMutex.Lock()
 	//lint:ignore SA2001 the lock only waits until reading is resumed
-	a.readMutex.Unlock()
-	return a.Conn.Read(b[:min(len(b), 4<<10)])
+	c.readMutex.Unlock()
+	return c.Conn.Read(b[:min(len(b), 4<<10)])
 }
 
 // read passes on each message, and last the error that ends the connection.
@@ -649,31 +652,31 @@
 	return err
 }
 
-// connected returns the latest connection, and waits for it where the router has not connected to a server yet.
+// connected returns the latest connection. It waits if the router has not connected to a case server yet.
 func (p *peer) connected() (net.Conn, error) {
-	for stop := time.Now().Add(eventTimeout); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(eventTimeout); ; time.Sleep(time.Millisecond) {
 		p.mu.Lock()
 		conn := p.conn
 		p.mu.Unlock()
 		if conn != nil {
 			return conn, nil
 		}
-		if time.Now().After(stop) {
+		if time.Now().After(deadline) {
 			return nil, errors.New("no connection")
 		}
 	}
 }
 
-// disconnect closes the connection, by a TCP reset if asked for, and the listener of a case server.
+// disconnect closes the connection, with a TCP reset if reset is true, and the listener of a case server.
 func (p *peer) disconnect(reset bool) error {
 	p.mu.Lock()
 	conn := p.conn
 	p.mu.Unlock()
-	if tcp, is := conn.(*net.TCPConn); is && reset {
+	if tcp, ok := conn.(*net.TCPConn); ok && reset {
 		tcp.SetLinger(0)
 	}
 	p.close()
-	return p.w.awaitConnectionEnd(conn)
+	return p.run.awaitConnectionEnd(conn)
 }
 
 // drop closes the latest connection of a case server, but not its listener.
@@ -686,7 +689,7 @@
 	p.conn = nil
 	p.mu.Unlock()
 	conn.Close()
-	return p.w.awaitConnectionEnd(conn)
+	return p.run.awaitConnectionEnd(conn)
 }
 
 // awaitConnectionEnd waits, while the event loop is halted, until the end of a connection has reached the kernel
@@ -697,13 +700,13 @@
 	}
 	local, remote := conn.LocalAddr().(*net.TCPAddr), conn.RemoteAddr().(*net.TCPAddr)
 	want := fmt.Sprintf(":%04X 0100007F:%04X ", remote.Port, local.Port)
-	for stop := time.Now().Add(eventTimeout); time.Now().Before(stop); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(eventTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		table, err := os.ReadFile("/proc/net/tcp")
 		if err != nil {
 			return err
 		}
-		_, state, there := strings.Cut(string(table), want)
-		if !there || strings.HasPrefix(state, "08") || strings.HasPrefix(state, "07") { // CLOSE_WAIT, or CLOSE after a reset
+		_, state, found := strings.Cut(string(table), want)
+		if !found || strings.HasPrefix(state, "08") || strings.HasPrefix(state, "07") { // CLOSE_WAIT, or CLOSE after a reset
 			return nil
 		}
 	}
@@ -728,7 +731,7 @@
 }
 
 // hang simulates a machine that vanishes: open connections stay open and silent, and new ones never come up,
-// because nobody accepts them and the backlog is full.
+// because the listening socket accepts none and its backlog is full.
 func (p *peer) hang() error {
 	addr := p.listener.Addr().(*net.TCPAddr)
 	p.listener.Close()
@@ -743,12 +746,12 @@
 		return err
 	}
 	for range 3 {
-		one, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
+		client, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 		if err != nil {
 			return err
 		}
-		p.backlogFDs = append(p.backlogFDs, one)
-		unix.Connect(one, sa)
+		p.backlogFDs = append(p.backlogFDs, client)
+		unix.Connect(client, sa)
 	}
 	return nil
 }
@@ -791,7 +794,8 @@
 	return p.write(encodeMessage(message))
 }
 
-// encodeMessage encodes a SIP message of a script. A set-up gets default headers for those that the script omits.
+// encodeMessage encodes a SIP message of a script. A set-up gets default values for the headers that the script
+// omits.
 func encodeMessage(script string) []byte {
 	status, method, call, headers := parseMessage(script)
 	var b bytes.Buffer
@@ -863,7 +867,7 @@
 		if err := p.send("OPTIONS barrier"); err != nil {
 			return err
 		}
-		if text = "200 OPTIONS barrier"; p.w.rejectsCallers() {
+		if text = "200 OPTIONS barrier"; p.run.rejectsCallers() {
 			text = "503 OPTIONS barrier"
 		}
 	}
--- a/internal/scenario/sip_test.go
+++ b/internal/scenario/sip_test.go
@@ -41,8 +41,9 @@
 
 // sipScenarios are the scenarios of callers and case servers, by name.
 var sipScenarios = map[string]string{
-	// Call id, class, called number and description pass unchanged in both directions, and the call ends once.
-	"a call stands and ends": oneServer + `
+	// Call id, class, called number and description are passed on unchanged in both directions, and the caller gets
+	// one release.
+	"a call is established and ends": oneServer + `
 a send INVITE c1 Body=offer
 s0 expect INVITE c1 Call-Kind=voice Answer-Within=2970 Body=offer
 s0 send 180 INVITE c1
@@ -57,8 +58,9 @@
 s0 send BYE c1 Reason=Q.850;cause=16
 a expect silence`,
 
-	// The caller's deadline counts from its send, so the router answers a little earlier, with a failure.
-	"a silent server costs the caller no more than its time": oneServer + `
+	// The caller counts its deadline from when it sent the set-up. The router answers with a failure a little earlier,
+	// so that the answer arrives in time.
+	"a silent server does not delay the answer beyond the caller's deadline": oneServer + `
 a send INVITE c1 Answer-Within=1000
 s0 expect INVITE c1 Answer-Within=970
 wait 965ms
@@ -70,15 +72,16 @@
 a expect silence`,
 
 	// A refusal is sent at once and says when to retry.
-	"a full processor refuses": oneServer + `
+	"a full server refuses": oneServer + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 send 503 INVITE c1 Fail-Word=swamped Link-State=idle:1;circuits:9
 a expect 503 INVITE c1 Come-Back-Ms=100
 s0 expect ACK c1`,
 
-	// A 486 concerns the called number and ends the request. A 500 is the server's fault, and another one may try.
-	"a fault moves the call on, a busy number does not": twoServers + `
+	// A 500 is a fault of the server, and another server may try. A 486 concerns the called number and ends the
+	// request.
+	"a server fault is retried elsewhere, a busy number is not": twoServers + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 send 500 INVITE c1
@@ -88,13 +91,13 @@
 a expect silence`,
 
 	// A 480 ("moot" in the simulator) means that nothing ran: the request ends as refused rather than failed.
-	"moot": oneServer + `
+	"480 counts as refused": oneServer + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 send 480 INVITE c1
 a expect 503 INVITE c1`,
 
-	// After a reset the next attempt waits 200 ms, because the first one may still hold resources.
+	// After a 504 the next attempt waits 200 ms, because the first one may still hold resources.
 	"release wait": twoServers + `
 a send INVITE c1
 s0 expect INVITE c1
@@ -109,7 +112,7 @@
 
 	// The answer to a second attempt has CSeq 1, as the answer to the first. It must not be taken for an unexpected
 	// answer and released.
-	"second attempt": twoServers + `
+	"answer to a second attempt": twoServers + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 send 500 INVITE c1
@@ -201,9 +204,9 @@
 b expect silence
 m none`,
 
-	// A client that only sends OPTIONS, like a health check, does not receive releases: a drained router would
-	// lose those of calls that ended while no caller was connected.
-	"a release does not go to somebody who only asks": callEstablished + `
+	// A client that only sends OPTIONS, like a health check, does not receive releases. Otherwise a drained router
+	// would lose the releases of calls that ended while no caller was connected.
+	"a release is not sent to a client that only sends OPTIONS": callEstablished + `
 b open
 b send OPTIONS ask
 b expect 200 OPTIONS ask
@@ -219,7 +222,7 @@
 b expect silence`,
 
 	// After a restart, a case server releases calls that this process never knew. Each release is passed on once.
-	"release of an earlier life": oneServer + `
+	"release of a call from before a restart": oneServer + `
 a send ACK called
 a expect silence
 s0 send BYE old Reason=Q.850;cause=16
@@ -227,8 +230,8 @@
 a expect BYE old Reason=cause=16
 a expect silence`,
 
-	// A refused connection proves that nothing ran, so the call moves on at once. A server process that died has
-	// cut its calls.
+	// A refused connection proves that the set-up has not run, so the call moves on at once. The established calls of
+	// a server process that died are cut.
 	"a dead server": callEstablished + `
 s0 close
 log "s0 is unreachable"
@@ -283,7 +286,7 @@
 s1 expect INVITE c2`,
 
 	// A draining server gets no new calls; established ones continue until the server is gone.
-	"a server drains and goes": callEstablished + `
+	"a server drains and is removed": callEstablished + `
 list s0=draining s1
 log "list: server s0 number 0 state 1"
 a send INVITE c2
@@ -293,7 +296,7 @@
 a expect BYE c1 Reason=cause=41`,
 
 	// A new start time means a new process: the calls established at the old one are over.
-	"a server starts anew": callEstablished + `
+	"a server restarts": callEstablished + `
 wait 1s
 list s0@1700000000900 s1
 log "server s0 restarted"
@@ -301,7 +304,7 @@
 s0 expect closed`,
 
 	// Servers are identified by their ids: one that reuses the address of another has none of its calls.
-	"an address is used again": callEstablished + `
+	"an address is reused": callEstablished + `
 s0 close
 s2 open number=0 at=s0
 list s2 s1
@@ -314,7 +317,7 @@
 a expect silence`,
 
 	// Answers of the name service may arrive out of order: an older list changes nothing.
-	"an old list does not come back": twoServers + `
+	"an old list is ignored": twoServers + `
 list s0 s1=draining
 log "list: server s1 number 1 state 1"
 list serial=3 s0 s1
@@ -324,7 +327,7 @@
 
 	// A caller may release a call established before a restart: the release goes to each server once, as any may
 	// have it.
-	"a caller's release of an earlier life": twoServers + `
+	"a caller's release of a call from before a restart": twoServers + `
 s0 expect silence
 s1 expect silence
 a send BYE old
@@ -340,7 +343,7 @@
 		"\nb open\nb raw \"INVITE " + largeBody + largeBody + "\"\nb expect closed",
 
 	// Messages may arrive in fragments, and several at once.
-	"fragments and pipelines": oneServer + `
+	"fragments and pipelining": oneServer + `
 a raw "INVITE sip:4711@net SIP/2.0\r\nCall-ID: 00000000000000aa\r\nCSeq: 1 INV"
 a raw "ITE\r\nCall-Kind: voice\r\nAnswer-Within: 3000\r\nContent-Length: 3\r\n\r\nab"
 a raw "cOPTIONS sip:ping@net SIP/2.0\r\nCall-ID: p\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n\r\n\r\nOPTIONS sip:ping@net SIP/2.0\r\nl: 0\r\ni: q\r\nCSeq: 2 OPTIONS\r\n\r\n"
@@ -376,7 +379,7 @@
 
 	// The router validates classes, values, called numbers and descriptions, so that invalid ones never reach a case
 	// server and are never answered with success. A connection that keeps sending them is closed.
-	"figures that cannot be": oneServer + `
+	"values out of range": oneServer + `
 a send INVITE c1 Call-Kind=fax
 a expect 400 INVITE c1
 a send INVITE c2 Routing-Data=dest:nan;width:1
@@ -408,7 +411,7 @@
 
 	// A call id in use belongs to its first request: another set-up with it is rejected on any connection, and the
 	// pending call continues. No other connection can cancel it.
-	"an id in use": oneServer + `
+	"a call id in use": oneServer + `
 b open
 a send INVITE c1 Body=x
 s0 expect INVITE c1
@@ -425,7 +428,7 @@
 
 	// A connection without a complete message is closed 2 s after connecting, also if single bytes keep arriving. A
 	// connection that has sent one may idle.
-	"mute and slow callers": oneServer + `
+	"callers without a complete message": oneServer + `
 a send OPTIONS x
 a expect 200 OPTIONS x
 b open
@@ -449,7 +452,7 @@
 
 	// The caller can read an error although the body that it rejects is still arriving: the router half-closes the
 	// connection and discards the rest instead of resetting.
-	"the error is read": oneServer + `
+	"an error is readable while the rejected body arrives": oneServer + `
 a raw "INVITE sip:1@net SIP/2.0\r\nCall-ID: 00000000000000aa\r\nCSeq: 1 INVITE\r\nContent-Length: 60000000\r\n\r\n"
 a raw "` + largeBody + `"
 a raw "` + largeBody + `"
@@ -459,7 +462,7 @@
 
 	// A malformed answer means that the attempt may have run: the set-up fails or is retried after the release
 	// wait, never succeeds, and the connection is closed together with the other attempts pending on it.
-	"spoilt answers": twoServers + `
+	"malformed answers": twoServers + `
 a send INVITE c1
 a send INVITE c2
 s0 expect INVITE c1
@@ -475,7 +478,7 @@
 
 	// Established calls do not end with a connection closed for a malformed message. A release behind the malformed
 	// message, or inside its body, still counts, because the server does not send it again.
-	"releases behind a spoilt answer": strings.ReplaceAll(callEstablished, " c1", " #00000000000000aa") + `
+	"releases behind a malformed answer": strings.ReplaceAll(callEstablished, " c1", " #00000000000000aa") + `
 a send INVITE c2
 s0 expect INVITE c2
 s0 raw "SIP/2.0 200 OK\r\nCall-ID: 1\r\nCSeq: 1 INVITE\r\nContent-Length: 40\r\n\r\nx\r\nBYE sip:1@net SIP/2.0\r\nCall-ID: 00000000000000aa\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=16\r\nContent-Length: 0\r\n\r\n"
@@ -484,21 +487,21 @@
 s1 expect INVITE c2`,
 
 	// An answer to an unknown set-up is ignored, even if its body is malformed: the connection stays in use.
-	"noise under an unknown id": oneServer + `
+	"a malformed answer with an unknown id": oneServer + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 raw "SIP/2.0 200 OK\r\nCall-ID: 00000000000000ab\r\nCSeq: 1 INVITE\r\nContent-Length: 2\r\n\r\n\x01\xff"
 s0 send 200 INVITE c1 Body=x
 a expect 200 INVITE c1 Body=x`,
 
-	"an answer of the wrong length": twoServers + `
+	"an answer with a wrong Content-Length": twoServers + `
 a send INVITE #00000000000000aa
 s0 expect INVITE
 s0 raw "SIP/2.0 200 OK\r\nCall-ID: 00000000000000aa\r\nCSeq: 1 INVITE\r\nContent-Length: 3\r\n\r\na\r\nc=IN\r\n"
 s0 expect closed
 a expect silence`,
 
-	"an answer that stops short": twoServers + `
+	"an incomplete answer": twoServers + `
 a send INVITE #00000000000000aa
 s0 expect INVITE
 s0 raw "SIP/2.0 200 OK\r\nCall-ID: 00000000000000aa\r\nCSeq: 1 INVITE\r\nContent-Length: 30\r\n\r\na\r\nc=IN\r\n"
@@ -506,7 +509,7 @@
 s0 expect closed
 a expect silence`,
 
-	"an answer without end": twoServers + `
+	"an oversized answer": twoServers + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 raw "SIP/2.0 200 OK\r\nContent-Length: 3000000000\r\n\r\nAAAA"
@@ -550,7 +553,7 @@
 a expect 200 INVITE c1 Body=y`,
 
 	// Duplicate and unexpected answers change nothing and are not acknowledged.
-	"answers that belong to nobody": oneServer + `
+	"unexpected answers": oneServer + `
 a send INVITE c1
 s0 expect INVITE c1
 s0 send 200 INVITE c9 Body=y
@@ -565,7 +568,7 @@
 a expect silence`,
 
 	// The state that a server reports with NOTIFY reaches the routing module: a server without free agents is avoided.
-	"states reach the module": twoServers + `
+	"server states reach the routing module": twoServers + `
 s0 send NOTIFY st Link-State=idle:0;circuits:4;latency_ms:-1
 s0 expect silence
 wait 100ms
@@ -575,8 +578,9 @@
 a send INVITE c2
 s1 expect INVITE c2`,
 
-	// At the limit, the oldest idle connection is closed for a new one; a connection with a pending set-up never is.
-	"connections are bounded": `
+	// At the limit, the oldest idle connection is closed to make room for a new one. A connection with a pending
+	// set-up is never closed for that.
+	"the number of connections is limited": `
 s0 open number=0
 start sockets=6
 a open
