--- a/internal/drill/plan.go
+++ b/internal/drill/plan.go
@@ -189,7 +189,7 @@
 		}
 	})
 	if len(plan.Checks) == 0 {
-		s.Errorf("", "no hold: a drill needs at least one check")
+		s.Errorf("", "a drill needs at least one (hold CHECK ...)")
 	}
 	if err := s.Finish(); err != nil {
 		return nil, err
@@ -222,8 +222,8 @@
 		switch argType {
 		case 'p':
 			if !processPattern().MatchString(args[i]) {
-				return fmt.Sprintf("%q is not a process: "+
-					"k1, r2, s0, c0, r1+ (the twin), r1&r2 (several), r*, all, leader, was-leader", args[i])
+				return fmt.Sprintf("%q is not a process or pattern; expected one such as "+
+					"k1, r2, s0, c0, r1+ (the twin), r1&r2 (several), r*, all, leader or was-leader", args[i])
 			}
 		case 'd':
 			_, err = time.ParseDuration(args[i])
