--- a/cmd/threadglade/bench_test.go
+++ b/cmd/threadglade/bench_test.go
@@ -78,19 +78,19 @@
 	start := time.Now()
 	n := standin.StartLoad(ctx, cfg).Wait()
 	took := time.Since(start)
-	if n.Odd+n.Failed+n.Lost > 0 {
+	if n.Violations+n.Failed+n.Lost > 0 {
 		s.waitIdle()
 		c.terminate(b)
 		b.Log(c.log())
 	}
-	require.Zero(b, n.Odd+n.Failed+n.Lost, "%s: %+v", mode,
-		struct{ Odd, Failed, Lost, Refused int }{n.Odd, n.Failed, n.Lost, n.Refused})
+	require.Zero(b, n.Violations+n.Failed+n.Lost, "%s: %+v", mode,
+		struct{ Odd, Failed, Lost, Refused int }{n.Violations, n.Failed, n.Lost, n.Refused})
 	s.waitIdle()
 	c.terminate(b)
 	use := c.cmd.ProcessState.SysUsage().(*syscall.Rusage)
 	cpu := time.Duration(use.Utime.Nano() + use.Stime.Nano())
-	result := measurement{callsPerSecond: float64(n.Stood) / took.Seconds(),
-		cpuMicrosPerCall: float64(cpu.Microseconds()) / float64(n.Stood)}
+	result := measurement{callsPerSecond: float64(n.Established) / took.Seconds(),
+		cpuMicrosPerCall: float64(cpu.Microseconds()) / float64(n.Established)}
 	if len(n.Latency) > 0 {
 		slices.Sort(n.Latency)
 		result.p50, result.p99 = n.Latency[len(n.Latency)/2], n.Latency[len(n.Latency)*99/100]
@@ -99,7 +99,7 @@
 	case "ledger":
 		v, err := ledgerio.Inspect(fileSystem, dir)
 		require.NoError(b, err)
-		result.bytesPerCall = float64(v.Bytes) / float64(n.Stood)
+		result.bytesPerCall = float64(v.Bytes) / float64(n.Established)
 	case "trace":
 		files, err := filepath.Glob(filepath.Join(dir, "*"+traceio.Extension))
 		require.NoError(b, err)
@@ -346,7 +346,7 @@
 		offered := 0
 		for _, l := range loads {
 			n := l.Wait()
-			require.Zero(b, n.Lost+n.Odd)
+			require.Zero(b, n.Lost+n.Violations)
 			offered += n.Offered
 		}
 		cancel()
--- a/cmd/threadglade/ledger_test.go
+++ b/cmd/threadglade/ledger_test.go
@@ -56,7 +56,7 @@
 func (s *testbed) observe(loads ...*standin.Load) *observedCalls {
 	observed := &observedCalls{established: map[uint64]bool{}, establishedByKey: map[ledger.Key]int64{}}
 	for _, one := range s.servers {
-		observed.odd += one.Counts().Odd
+		observed.odd += one.Counts().Violations
 		for id, c := range one.Calls() {
 			observed.received += int64(c.Received)
 			if !c.Answered {
@@ -188,7 +188,7 @@
 	t.Logf("%d processes killed at a step, %d at a random time; callers saw %+v; stated %v", killedAtStep,
 		killedByTimer, counts, u.Map())
 	require.NotZero(t, u[ledger.Recovered])
-	require.GreaterOrEqual(t, u[ledger.EstablishedInTime]+u[ledger.EstablishedLate], int64(counts.Stood),
+	require.GreaterOrEqual(t, u[ledger.EstablishedInTime]+u[ledger.EstablishedLate], int64(counts.Established),
 		"every call that was established for its caller")
 	require.Less(t, int(u[ledger.EstablishedLate]), int(u[ledger.EstablishedInTime]))
 	names, err := os.ReadDir(dir)
@@ -317,7 +317,7 @@
 	}
 	stood := 0
 	for _, l := range loads {
-		stood += l.Wait().Stood
+		stood += l.Wait().Established
 	}
 	s.waitIdle()
 	time.Sleep(1500 * time.Millisecond)
@@ -495,7 +495,7 @@
 	reload(strings.Replace(text, `"one"`, `"two"`, 1), "ledger_tenants")
 	cancel()
 	n := load.Wait()
-	require.Zero(t, n.Failed+n.Lost+n.Odd)
+	require.Zero(t, n.Failed+n.Lost+n.Violations)
 	s.waitIdle()
 	c.terminate(t)
 	for _, line := range strings.Split(strings.TrimSpace(c.log()), "\n") {
@@ -524,7 +524,7 @@
 	load := standin.StartLoad(ctx, standin.LoadConfig{Target: func() string { return listen }, Connections: 2,
 		Rate: 200, Classes: []string{"voice"}, NumberPrefixes: []string{"92"}, RecordOutcomes: true})
 	n := load.Wait()
-	require.Zero(t, n.Failed+n.Lost+n.Odd)
+	require.Zero(t, n.Failed+n.Lost+n.Violations)
 	require.Greater(t, n.Offered, 600)
 	require.Less(t, slices.Max(n.Latency), time.Second, "an answer waited for the disk")
 	require.Contains(t, c.log(), "ledger_trouble")
--- a/cmd/threadglade/upgrade_test.go
+++ b/cmd/threadglade/upgrade_test.go
@@ -87,8 +87,8 @@
 
 // waitEstablished waits until that many more calls have been established.
 func (u *upgradeTest) waitEstablished(more int) {
-	from := u.load.Counts().Stood
-	require.Eventually(u.t, func() bool { return u.load.Counts().Stood >= from+more }, 10*time.Second,
+	from := u.load.Counts().Established
+	require.Eventually(u.t, func() bool { return u.load.Counts().Established >= from+more }, 10*time.Second,
 		5*time.Millisecond)
 }
 
@@ -99,14 +99,14 @@
 	u.stop()
 	n := u.load.Wait()
 	require.LessOrEqual(u.t, n.Lost, maxLost, "%+v", n)
-	require.Zero(u.t, n.Odd, "%+v", n)
+	require.Zero(u.t, n.Violations, "%+v", n)
 	require.Zero(u.t, n.Refused, "%+v", n)
 	require.LessOrEqual(u.t, n.Failed, maxLost, "%+v", n)
 	if socketUsable {
 		u.testbed.waitIdle()
 	}
 	for _, one := range u.testbed.servers {
-		require.Zero(u.t, one.Counts().Odd)
+		require.Zero(u.t, one.Counts().Violations)
 	}
 	return n
 }
@@ -132,7 +132,7 @@
 		u.waitEstablished(100)
 	}
 	n := u.stopAndCheck(0, true)
-	require.Equal(t, n.Offered, n.Stood)
+	require.Equal(t, n.Offered, n.Established)
 	v.terminate(t)
 }
 
@@ -236,7 +236,7 @@
 	two.terminate(t)
 	u.waitEstablished(50)
 	n := u.stopAndCheck(0, true)
-	require.Equal(t, n.Offered, n.Stood)
+	require.Equal(t, n.Offered, n.Established)
 	three.terminate(t)
 }
 
@@ -301,10 +301,10 @@
 	u.waitEstablished(50)
 	u.stop()
 	n := u.load.Wait()
-	require.Zero(t, n.Odd)
+	require.Zero(t, n.Violations)
 	require.Less(t, n.Lost, 30, "%+v", n) // set-ups sent as the connection was closed; these callers don't retry
 	for _, one := range u.testbed.servers {
-		require.Zero(t, one.Counts().Odd)
+		require.Zero(t, one.Counts().Violations)
 	}
 	next.terminate(t)
 }
@@ -362,7 +362,7 @@
 	u.stop()
 	n := u.load.Wait()
 	require.Zero(t, n.Lost, "%+v", n)
-	require.Zero(t, n.Odd, "%+v", n)
+	require.Zero(t, n.Violations, "%+v", n)
 	refused := n.Refused - before.Refused
 	t.Logf("%d of 300 a second refused while the name passed to the new process", refused)
 	require.Less(t, refused, 300, "calls were refused for a second or more, for lack of a share")
--- a/internal/drill/evaluate.go
+++ b/internal/drill/evaluate.go
@@ -111,7 +111,7 @@
 	defer d.mu.Unlock()
 	result := &Result{Name: d.plan.Name, Seed: d.plan.Seed, FormedAt: d.formedAt, EndedAt: endedAt,
 		Happened: d.faultEvents, Intruded: d.intrusions,
-		Calls: calls, Offered: calls.Offered, Stood: calls.Stood, Lost: calls.Lost, Exits: exits,
+		Calls: calls, Offered: calls.Offered, Stood: calls.Established, Lost: calls.Lost, Exits: exits,
 		Measured: map[string]Statistics{}, Observations: d.observer.allObservations()}
 	result.Spans = joinSpans(result.Observations, 4*d.plan.BeaconInterval+300*time.Millisecond)
 	for _, check := range d.plan.Checks {
@@ -129,12 +129,12 @@
 	}
 	why := ""
 	for _, server := range d.servers {
-		if n := server.Counts().Odd; n > 0 {
+		if n := server.Counts().Violations; n > 0 {
 			why = fmt.Sprintf("case servers received %d set-ups of a call that was pending or established", n)
 		}
 	}
-	if calls.Odd > 0 {
-		why = fmt.Sprintf("callers had %d second final answers", calls.Odd)
+	if calls.Violations > 0 {
+		why = fmt.Sprintf("callers had %d second final answers", calls.Violations)
 	}
 	addInvariant("one final answer, one attempt at once", why)
 	why = ""
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -250,7 +250,7 @@
 		counts = run.load.Wait()
 	}
 	for _, flood := range run.floods {
-		counts.Odd += flood.Wait().Odd
+		counts.Violations += flood.Wait().Violations
 	}
 	exits := map[string]int{}
 	for id, p := range run.processes {
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -50,16 +50,16 @@
 
 // LoadCounts are totals over all callers.
 type LoadCounts struct {
-	Offered  int             // set-ups sent
-	Stood    int             // calls established
-	Refused  int             // set-ups answered with 503 or 480
-	Failed   int             // set-ups answered with another final status
-	Lost     int             // set-ups that were pending when their connection ended
-	Released int             // calls released from the router's side
-	Cut      int             // of those, calls released with another cause than normal clearing
-	HungUp   int             // calls released by their callers
-	Odd      int             // protocol violations: final answers to set-ups that are not pending
-	Latency  []time.Duration // of final answers; kept with RecordOutcomes
+	Offered     int             // set-ups sent
+	Established int             // calls established
+	Refused     int             // set-ups answered with 503 or 480
+	Failed      int             // set-ups answered with another final status
+	Lost        int             // set-ups that were pending when their connection ended
+	Released    int             // calls released from the router's side
+	Cut         int             // of those, calls released with another cause than normal clearing
+	HungUp      int             // calls released by their callers
+	Violations  int             // protocol violations: final answers to set-ups that are not pending
+	Latency     []time.Duration // of final answers; kept with RecordOutcomes
 }
 
 // Load is a set of callers that send set-ups to a router. Its methods may be called from several goroutines.
@@ -350,7 +350,7 @@
 		c.mu.Unlock()
 		if !pending {
 			c.load.mu.Lock()
-			c.load.counts.Odd++
+			c.load.counts.Violations++
 			c.load.mu.Unlock()
 			return
 		}
@@ -433,7 +433,7 @@
 	defer l.mu.Unlock()
 	switch outcome {
 	case "stood":
-		l.counts.Stood++
+		l.counts.Established++
 		if try := l.firstTries[id]; try != nil {
 			try.Established = true
 		}
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -59,12 +59,12 @@
 
 // ServerCounts are totals over all calls of a case server.
 type ServerCounts struct {
-	Received int // set-ups
-	Rejected int // set-ups rejected for overload
-	Answered int // calls established
-	GivenUp  int // set-ups withdrawn by a CANCEL or the end of their connection
-	Released int // established calls that ended
-	Odd      int // protocol violations: set-ups of a call that is pending or established
+	Received   int // set-ups
+	Rejected   int // set-ups rejected for overload
+	Answered   int // calls established
+	Withdrawn  int // set-ups withdrawn by a CANCEL or the end of their connection
+	Released   int // established calls that ended
+	Violations int // protocol violations: set-ups of a call that is pending or established
 }
 
 // callState is the record of a call, with the connection of its latest set-up and the timer of its answer or release.
@@ -231,7 +231,7 @@
 func (c *callState) abandon(s *Server) {
 	c.Abandoned, c.EndedAt = true, time.Now()
 	c.timer.Stop()
-	s.counts.GivenUp++
+	s.counts.Withdrawn++
 }
 
 // randomBetween returns a random duration between the bounds of span.
@@ -259,7 +259,7 @@
 			c.Answered, c.Released, c.ReleasedByCaller, c.timer = false, false, false, nil
 		}
 		if c.Answered || c.timer != nil && !c.Abandoned {
-			s.counts.Odd++
+			s.counts.Violations++
 			return
 		}
 		s.counts.Received++
