--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -48,6 +48,12 @@
 	Established bool
 }
 
+// ReceivedRelease is a release that a caller received.
+type ReceivedRelease struct {
+	At   time.Time
+	Addr string // address that the caller's connection was dialed to
+}
+
 // LoadCounts are totals over all callers.
 type LoadCounts struct {
 	Offered     int             // set-ups sent
@@ -67,10 +73,10 @@
 	cfg            LoadConfig
 	mu             sync.Mutex
 	counts         LoadCounts
-	outcomes       map[string]string    // by call; kept with RecordOutcomes
-	releaseAckedAt map[string]time.Time // when the release by the caller was answered, by call
-	releaseCounts  map[string]int       // releases received, by call; kept with RecordOutcomes
-	released       map[string]bool      // calls for which a release was received or sent
+	outcomes       map[string]string            // by call; kept with RecordOutcomes
+	releaseAckedAt map[string]time.Time         // when the release by the caller was answered, by call
+	releases       map[string][]ReceivedRelease // by call, earliest first; kept with RecordOutcomes
+	released       map[string]bool              // calls for which a release was received or sent
 	conns          map[*callerConn]bool
 	redials        map[string]int       // redials before this set-up, by pending call
 	firstTries     map[string]*FirstTry // by call
@@ -105,7 +111,7 @@
 		cfg:            cfg,
 		outcomes:       map[string]string{},
 		releaseAckedAt: map[string]time.Time{},
-		releaseCounts:  map[string]int{},
+		releases:       map[string][]ReceivedRelease{},
 		released:       map[string]bool{},
 		conns:          map[*callerConn]bool{},
 		redials:        map[string]int{},
@@ -160,11 +166,11 @@
 	return l.releaseAckedAt[id]
 }
 
-// ReleaseCounts returns the number of releases received, by call; they are kept with RecordOutcomes.
-func (l *Load) ReleaseCounts() map[string]int {
+// Releases returns the releases that callers received, by call and earliest first; they are kept with RecordOutcomes.
+func (l *Load) Releases() map[string][]ReceivedRelease {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return maps.Clone(l.releaseCounts)
+	return maps.Clone(l.releases)
 }
 
 // Outcomes returns the outcome of each call: stood, refused, failed or lost. They are kept with RecordOutcomes.
@@ -380,7 +386,8 @@
 		c.load.mu.Lock()
 		c.load.released[id] = true // the caller has nothing left to release
 		if c.load.cfg.RecordOutcomes {
-			c.load.releaseCounts[id]++
+			release := ReceivedRelease{time.Now(), c.conn.RemoteAddr().String()}
+			c.load.releases[id] = append(c.load.releases[id], release)
 		}
 		c.load.counts.Released++
 		if m.Header["Reason"] != "Q.850;cause=16" {
