--- a/fleet/mutant_on.go
+++ b/fleet/mutant_on.go
@@ -7,8 +7,8 @@
 
 // Mutants describes the faults that can be injected in builds with the tag mutant, by name.
 var Mutants = map[string]string{
-	"lease-from-answer": "a router counts its lease from the answer instead of from before the ask",
-	"no-look":           "the event loop acts by its last incarnation without a check of the lease",
+	"lease-from-answer": "a router counts its lease from the keeper's answer instead of from before its own request",
+	"no-look":           "the event loop acts under its last incarnation without checking that its lease is valid",
 	"eager-begin":       "a keeper starts a new incarnation of a name while the lease of its last one is valid",
 	"no-quorum":         "a leader renews leases without confirmation by a majority that it still leads",
 	"forget-leases":     "a new leader treats the leases that it did not grant as expired",
--- a/internal/drill/evaluate.go
+++ b/internal/drill/evaluate.go
@@ -145,7 +145,7 @@
 	}
 	addInvariant("each fault was caused", why)
 	why = ""
-	for _, intrusion := range d.intrusions {
+	for _, intrusion := range d.intrusions { // the kinds newer and greedy follow the protocol and must be accepted
 		if intrusion.Refused == (intrusion.Kind == "newer" || intrusion.Kind == "greedy") {
 			why = fmt.Sprintf("%s: %s", intrusion.Kind, intrusion.Saw)
 		}
@@ -551,7 +551,8 @@
 
 // checkLimitRate checks the rate at which calls of a class arrive at case servers: in any time window of length W
 // after FROM, at most 1.01 R W + R b + n calls, plus what may arrive at 1.01 R within maxSetUpJitter. The arguments
-// are the class, R, b, FROM and n.
+// are the class, the limit R in calls a second, the duration b of a burst at that rate, FROM, and n, the number of
+// calls allowed beyond that.
 func (d *drillRun) checkLimitRate(r *Result, check Check) (string, *float64) {
 	rate := float64(parseInt(check.Args[1])) * 1.01
 	bound := float64(parseInt(check.Args[1]))*parseDuration(check.Args[2]).Seconds() +
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -112,7 +112,7 @@
 	start           time.Time     // of the observer's clock
 	formedAt        time.Duration // since start; faults are timed from here
 	observer        *observer
-	nameServices    map[string]*standin.NameService // by router process ID
+	nameServices    map[string]*standin.NameService // by the childProcess.id of the router
 	servers         []*standin.Server
 	replacedServers []*standin.Server
 	replacedAt      string // time of the latest replacement in Unix milliseconds
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -157,19 +157,23 @@
 		require.NoError(t, l.Append(durable.Frame{Kind: 2, Payload: fmt.Appendf(nil, "entry %d", i)}))
 	}
 	path := "d/x-00000001.tgl"
-	for size := f.Size(path) - 1; size > 64; size-- {
+	const (
+		firstRecord = 48 + 16             // after the file header and the checkpoint's frame, which has no payload
+		recordSize  = 16 + len("entry 0") // frame header and payload
+	)
+	for size := f.Size(path) - 1; size > firstRecord; size-- {
 		f.Truncate(path, size)
 		s, err := owner.load(f)
 		require.NoError(t, err)
-		frame := (size - 64) / (16 + 7)
-		require.Len(t, owner.records, frame)
-		require.Equal(t, (size-64)%(16+7) != 0, len(s.Torn) == 1)
+		complete := (size - firstRecord) / recordSize
+		require.Len(t, owner.records, complete)
+		require.Equal(t, (size-firstRecord)%recordSize != 0, len(s.Torn) == 1)
 	}
 }
 
-// TestNewerVersionAndLock checks that a file of another kind is rejected, that a lock is exclusive until it is
+// TestFileKindAndLock checks that a file of another kind is rejected, that a lock is exclusive until it is
 // closed, and that WriteFile fails in a missing directory.
-func TestNewerVersionAndLock(t *testing.T) {
+func TestFileKindAndLock(t *testing.T) {
 	f := durabletest.New(1)
 	l := (&recordOwner{}).open(t, f)
 	require.NoError(t, l.Append(durable.Frame{Kind: 2}))
--- a/internal/durable/frame.go
+++ b/internal/durable/frame.go
@@ -34,7 +34,7 @@
 	Kind      uint16 // of file, as defined by its owner
 	Number    uint64
 	Previous  uint64 // number of the file that it continues; 0: none
-	PrevEnd   int64  // valid length of that file in bytes; what follows there was cut off by a crash
+	PrevEnd   int64  // valid length of that file in bytes; only a frame that a crash cut off may follow
 	PrevChain uint32 // cumulative checksum of that file's frames up to PrevEnd
 }
 
@@ -234,9 +234,9 @@
 	return binary.LittleEndian.Uint16(head[4:]), payload, nil
 }
 
-// onlyZeros reports whether the file is zero from the first sector boundary in head, or else from the last byte of
-// head, to its end: space that the file system had allocated for bytes that were never written. head is the header of
-// the next frame.
+// onlyZeros reports whether the file consists of zeros from a position in head, the header of the next frame, to its
+// end. That is space which the file system had allocated for bytes that were never written. The position is the first
+// sector boundary in head or, if there is none, the last byte of head.
 func (r *Reader) onlyZeros(head []byte) (bool, error) {
 	allZero := len(bytes.Trim(head[min(len(head)-1, int((sectorSize-r.offset%sectorSize)%sectorSize)):], "\x00")) == 0
 	b := make([]byte, 64<<10)
--- a/internal/explore/model.go
+++ b/internal/explore/model.go
@@ -360,7 +360,7 @@
 		switch {
 		case c.phase == notArrived:
 			if i == 0 || m.calls[i-1].phase != notArrived {
-				for _, retry := range []bool{false, true}[:1+i%2] {
+				for _, retry := range []bool{false, true}[:1+i%2] { // only calls with an odd index may be retries
 					add(func(m *model) {
 						c := &m.calls[i]
 						c.phase, c.deadline = waiting, m.now+callerTimeout
--- a/internal/fleetio/work.go
+++ b/internal/fleetio/work.go
@@ -61,7 +61,7 @@
 
 // batch is the records of one loop iteration, and what the core has to do after them.
 type batch struct {
-	batchID    uint64 // BatchID of the Actions whose calls to adopt are in the records; 0: none
+	batchID    uint64 // Actions.BatchID, if the records include the calls that these Actions adopt; 0: none
 	relinquish bool   // after the records: the router has relinquished all calls
 	evacuate   bool   // after the records: the router has relinquished the established calls
 	first      uint64 // number of the first record
@@ -93,7 +93,7 @@
 	batchQueue           *xsync.SPSCQueue[batch]
 	actionQueue          *xsync.SPSCQueue[takeover.Actions]
 	endQueue             *xsync.SPSCQueue[takeover.End] // from the loop to the core
-	guaranteedUntil      atomic.Int64                   // time of Clock until which all replica holders guarantee
+	guaranteedUntil      atomic.Int64                   // time of Clock, see takeover.Owner.GuaranteedUntil
 	confirmedRecord      atomic.Uint64                  // number up to which records are confirmed
 	hasLinks             atomic.Bool                    // to any other router
 	wakeCore             chan struct{}
--- a/internal/fleetsim/calls.go
+++ b/internal/fleetsim/calls.go
@@ -104,7 +104,7 @@
 	watch               *verdict.Watch
 	table               *verdict.Table
 	liar                bool
-	slot                uint32
+	slot                uint32 // slot of the latest arrival, which admit decides on
 	lastCallID          uint64
 	timerAt             time.Duration
 	pending             map[string]*callerRequest // by call ID
--- a/verdict/neighbours.go
+++ b/verdict/neighbours.go
@@ -7,8 +7,9 @@
 )
 
 // Neighbours returns the routers that self keeps links to. The routers form a ring ordered by the hash of their names,
-// and each links to those 1, 2, 4, 8 and so on places ahead. No two routers are more than Hops links apart, also
-// against the direction of the links. A router that joins or leaves changes only a few links of a few routers.
+// and each links to those 1, 2, 4, 8 and so on places ahead. Every router reaches every other over at most Hops links,
+// whether it follows them all forward or all backward. A router that joins or leaves changes only a few links of a few
+// routers.
 func Neighbours(self string, members []string) (neighbours []string) {
 	ring := make([]string, 0, len(members)+1)
 	for _, m := range members {
--- a/verdict/watch.go
+++ b/verdict/watch.go
@@ -397,6 +397,7 @@
 		}
 		until, usable := w.avoidance(now, s, v)
 		switch {
+		// An avoidance is extended only if it is about to expire, or by at least a quarter of avoidTTL.
 		case until > now && until > s.avoidUntil && (until-s.avoidUntil > avoidTTL/4 || s.avoidUntil-now < avoidTTL/4):
 			changes = append(changes, Avoidance{s.Server.Key, until, v})
 			s.avoidUntil = until
