--- a/controller.go
+++ b/controller.go
@@ -121,7 +121,7 @@
 	agentsInUse        int                      // reported agents with calls of any proxy, at all servers
 	totalAgents        int                      // reported agents, at all servers
 	coldAssigned       bool                     // ColdFraction events assign the load of cold servers
-	unassignedFraction float64                  // of a cold server's load, where no ColdFraction names the server
+	unassignedFraction float64                  // of the load of cold servers that no ColdFraction names
 	retryBudget        RetryBudget              // retry attempts that the proxies agreed on
 	waitingPollAt      time.Duration            // when the timer for waiting calls expires
 	actions            []Action                 // result of the event that is being handled
@@ -186,7 +186,7 @@
 	totalAgents       int           // as last reported
 	credit            float64       // set-ups left of this proxy's share (see shareExhausted)
 	creditedAt        time.Duration // when the credit was last brought up to date
-	coldFraction      float64       // this proxy's fraction of its load while cold, as assigned by ColdFraction
+	coldFraction      float64       // this proxy's fraction of its load while cold, from ColdFraction
 	coldFractionUntil time.Duration // when that fraction expires
 	avoidUntil        time.Duration // avoided until then on behalf of all proxies
 	turnPosition      float64       // this proxy's turns so far (see turnsExhausted), as of turnsAt
@@ -1062,8 +1062,8 @@
 
 // coldRate returns this proxy's fraction of the calls a second that a cold server can take when warm. By
 // Little's law that is its agents divided by the mean holding time, and proxies have equal fractions unless
-// ColdFraction assigned others. Before the agents are reported, it is this proxy's calls divided by the number of
-// servers. Too few calls are sent to a server whose processor could serve more agents than it has.
+// ColdFraction assigned others. Before the agents are reported, it is this proxy's calls divided by the
+// number of servers. Too few calls are sent to a server whose processor could serve more agents than it has.
 func (c *Controller) coldRate(server *serverState) float64 {
 	fraction := 1 / float64(c.settings.Proxies)
 	switch {
