--- a/internal/drill/accounts.go
+++ b/internal/drill/accounts.go
@@ -142,10 +142,8 @@
 	return true
 }
 
-// routerAt returns the ID of the router that callers reach at an address, or "" if there is none.
+// routerAt returns the ID of the router that callers reach at an address, or "" if there is none. d.mu must be held.
 func (d *drillRun) routerAt(addr string) string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
 	for ends, link := range d.links {
 		if ends[0] == "c0" && link.addr() == addr {
 			return ends[1]
