--- a/internal/drill/accounts.go
+++ b/internal/drill/accounts.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"path/filepath"
 	"slices"
-	"strings"
 	"time"
 
 	"threadglade.example/threadglade/internal/durable"
@@ -132,9 +131,8 @@
 	for _, release := range received {
 		sender, at := d.routerAt(release.Addr), release.At.Sub(d.start)
 		if !slices.ContainsFunc(d.faultEvents, func(event FaultEvent) bool {
-			kind, _, _ := strings.Cut(event.What, " ")
-			return (kind == "kill" || kind == "stop") && slices.Contains(event.Who, sender) &&
-				(event.At-at).Abs() <= notifyWindow
+			return slices.Contains([]string{"kill", "stop"}, firstWord(event.What)) &&
+				slices.Contains(event.Who, sender) && (event.At-at).Abs() <= notifyWindow
 		}) {
 			return false
 		}
