--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -97,17 +97,16 @@
 	refuse := func(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 	switch {
 	case hello == nil:
-		return refuse("the first frame is not a hello")
+		return refuse("it does not begin with a hello")
 	case hello.Fleet != s.Fleet:
-		return refuse("the peer belongs to fleet %.64q, this process to fleet %q", hello.Fleet, s.Fleet)
+		return refuse("fleet %.64q, this is %q", hello.Fleet, s.Fleet)
 	case hello.Version < MinLinkVersion || hello.Least > LinkVersion:
-		return refuse("the peer speaks link versions %d to %d, this program %d to %d",
+		return refuse("link versions %d to %d, this program speaks %d to %d",
 			hello.Least, hello.Version, MinLinkVersion, LinkVersion)
 	case hello.Voter != 0 && voters != nil && voters[hello.Name] != hello.Voter:
-		return refuse("the raft ID of %.64q is not from this fleet's bootstrap: its files belong to another one",
-			hello.Name)
+		return refuse("%.64q is no keeper by that number: its files are not those of the founding", hello.Name)
 	case hello.Voter == 0 && hello.Name != "" && !s.IsListed(hello.Name):
-		return refuse("%.64q is not a listed member of the fleet", hello.Name)
+		return refuse("%.64q is not listed", hello.Name)
 	}
 	return nil
 }
--- a/internal/fleetio/links.go
+++ b/internal/fleetio/links.go
@@ -184,7 +184,7 @@
 		f.countRefusal("no hello in time")
 		return status.Error(codes.DeadlineExceeded, "no hello in time")
 	case <-f.stop:
-		return status.Error(codes.Unavailable, "the process is shutting down")
+		return status.Error(codes.Unavailable, "ending")
 	}
 	hello := frame.GetHello()
 	if err := f.cfg.Settings.CheckHello(hello, f.voters); err != nil {
--- a/internal/fleetio/work.go
+++ b/internal/fleetio/work.go
@@ -634,11 +634,11 @@
 func (f *Fleet) requestEvacuation(now time.Duration) (refusal string) {
 	switch state := f.takeover; {
 	case state == nil:
-		return "its calls are not replicated to other routers: the settings have no (takeover ...) section"
+		return "nobody else has what this router has in hand: no (takeover ...) section"
 	case !f.member.Lease().IsHeld(now):
-		return "it has no lease, so its established calls cannot be handed over"
+		return "it has no lease: what stands could not be passed on"
 	case state.owner.Unreplicated():
-		return "no other router holds replicas of its calls"
+		return "no other router holds its work"
 	case state.evacuationsRequested.Load() == state.evacuationsDone.Load(): // else a request is pending already
 		state.evacuationsRequested.Add(1)
 		f.cfg.Wake()
